--- a/Makefile
+++ b/Makefile
@@ -1,8 +1,10 @@
 GOLANGCI_LINT_VERSION := v2.15.0
 GOBIN ?= $(shell go env GOPATH)/bin
 GOLANGCI_LINT := $(GOBIN)/golangci-lint-$(GOLANGCI_LINT_VERSION)
+GOPLS_VERSION := v0.23.0
+GOPLS := $(GOBIN)/gopls-$(GOPLS_VERSION)
 
-.PHONY: test format vet lint race build fuzz golden soak
+.PHONY: test format vet lint race build fuzz golden soak tools
 
 ## test runs everything that CI runs.
 test: format vet lint race build
@@ -28,6 +30,13 @@
 build:
 	go build -o bin/cuminwick .
 
+## tools installs the linter and the language server, which renames identifiers.
+tools: $(GOLANGCI_LINT) $(GOPLS)
+
+$(GOPLS):
+	GOBIN=$(GOBIN) go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+	mv $(GOBIN)/gopls $@
+
 ## golden rewrites the golden files from the present output.
 golden:
 	go test ./... -update
