--- a/internal/proxy/blackboard/blackboard.go
+++ b/internal/proxy/blackboard/blackboard.go
@@ -80,7 +80,7 @@
 		b.group(name)
 	}
 	for name, g := range b.groups {
-		g.Take(by[name], now)
+		g.SetServers(by[name], now)
 	}
 	b.announce()
 }
@@ -154,7 +154,7 @@
 	defer b.mu.Unlock()
 	var d time.Duration
 	for _, g := range b.groups {
-		if l, ok := g.Latest(); ok {
+		if l, ok := g.LatestConfirmation(); ok {
 			d = max(d, now-l.Asked)
 		}
 	}
@@ -167,7 +167,7 @@
 	defer b.mu.Unlock()
 	g := b.group(group)
 	before := g.Primary()
-	g.Led(server, asked, m)
+	g.ConfirmLeadership(server, asked, m)
 	if g.Primary() != before {
 		b.announce()
 	}
@@ -196,8 +196,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		b.group(group).Absent(server, since, b.Time())
+		b.group(group).RecordConnectionRefused(server, since, b.Time())
 		return
 	}
-	b.group(group).Failed(server, since, b.Time())
+	b.group(group).RecordFailure(server, since, b.Time())
 }
--- a/internal/proxy/executor/attempt.go
+++ b/internal/proxy/executor/attempt.go
@@ -45,7 +45,7 @@
 
 func (s *Session) newAttempt(r declarer.Route, q *request) *attempt {
 	now := time.Now()
-	b := s.Budgets.group(r.Group)
+	b := s.RetryBudgets.group(r.Group)
 	b.Count()
 	return &attempt{
 		session: s, route: r, request: q, arrived: s.Board.Time(), began: now, deadline: now.Add(r.Timeout),
@@ -65,7 +65,7 @@
 	if code != declarer.CodeNone && text != "" {
 		return s.Caller.Fail(code, text, declarer.StateIdle)
 	}
-	return s.Caller.Pass(&a.answer, declarer.StateIdle)
+	return s.Caller.Forward(&a.answer, declarer.StateIdle)
 }
 
 // place tries servers until one has answered. It returns the lease that the statement
@@ -194,10 +194,10 @@
 	a.retries.Sent()
 	asked := a.session.Board.Time()
 	sent := time.Now()
-	a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) { g.Began(a.server) })
+	a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) { g.StatementStarted(a.server) })
 	err := a.exchange(l)
 	took := time.Since(sent)
-	a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) { g.Ended(a.server) })
+	a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) { g.StatementEnded(a.server) })
 	if r, ok := errors.AsType[*connpooler.Refusal](err); ok {
 		l.Release(false)
 		a.why = r.Error()
@@ -218,7 +218,7 @@
 		// lack a commit that a new primary has acknowledged.
 		l.Release(false)
 		if a.deposed {
-			a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) { g.Refused(a.server) })
+			a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) { g.RecordNotLeading(a.server) })
 		}
 		return again(a.refused(a.server, retrier.CauseDeposed, 0))
 	}
@@ -286,8 +286,8 @@
 func (a *attempt) report(c declarer.Code) {
 	a.session.Reporter.Statement(&Report{
 		Group: a.route.Group, Database: a.route.Database, Statement: a.request.ID, Verb: a.request.verb,
-		Server: a.server, Primary: a.primary, Code: c, Why: a.why, Attempts: a.retries.Tries(),
-		Need: a.request.After, Version: a.session.version(),
-		Wait: a.waited, Took: time.Since(a.began),
+		Server: a.server, Primary: a.primary, Code: c, Reason: a.why, Attempts: a.retries.Tries(),
+		RequiredPosition: a.request.After, Version: a.session.version(),
+		Wait: a.waited, Duration: time.Since(a.began),
 	})
 }
--- a/internal/proxy/executor/attempt_test.go
+++ b/internal/proxy/executor/attempt_test.go
@@ -39,7 +39,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(rand.New(rand.NewPCG(1, 1)), newHistory())
 		d := newDeployment(w, "z-0")
-		d.board.Do("db", func(g *grouptracker.Group) { g.Refused("i-0") })
+		d.board.Do("db", func(g *grouptracker.Group) { g.RecordNotLeading("i-0") })
 		c := start(d, "primary")
 		began := time.Now()
 		_, r := c.ask("WRITE x 1")
@@ -215,7 +215,7 @@
 		w := newWorld(rand.New(rand.NewPCG(1, 1)), newHistory())
 		d := newDeployment(w, "z-0")
 		w.servers[0].cut = true
-		d.board.Do("db", func(g *grouptracker.Group) { g.Failed("i-0", d.board.Time(), d.board.Time()) })
+		d.board.Do("db", func(g *grouptracker.Group) { g.RecordFailure("i-0", d.board.Time(), d.board.Time()) })
 		time.Sleep(2 * time.Second)
 		c := start(d, "bounded")
 		began := time.Now()
--- a/internal/proxy/executor/budgets.go
+++ b/internal/proxy/executor/budgets.go
@@ -13,14 +13,14 @@
 	retryBurst = 10
 )
 
-// Budgets bounds by group how many statements are sent again to servers that had no
+// RetryBudgets bounds by group how many statements are sent again to servers that had no
 // room. Its zero value is ready; it may be used by many goroutines.
-type Budgets struct {
+type RetryBudgets struct {
 	mu     sync.Mutex
 	groups map[string]*retrier.Budget
 }
 
-func (b *Budgets) group(name string) *retrier.Budget {
+func (b *RetryBudgets) group(name string) *retrier.Budget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.groups == nil {
--- a/internal/proxy/executor/choosing.go
+++ b/internal/proxy/executor/choosing.go
@@ -41,7 +41,7 @@
 	}
 	a.request.After = need
 	a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) {
-		s, d := g.Read(need, a.retries.Excluded(), rand.Uint64(), a.session.Board.Time())
+		s, d := g.ChooseReadServer(need, a.retries.Excluded(), rand.Uint64(), a.session.Board.Time())
 		a.why = d.Why.String()
 		if s != nil {
 			id = s.ID
@@ -79,11 +79,11 @@
 // asked anew.
 func (a *attempt) known() (need marker.Mark, ok, old bool) {
 	a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) {
-		need, ok = g.Need(a.arrived, a.route.MaximumStaleness)
+		need, ok = g.RequiredPosition(a.arrived, a.route.MaximumStaleness)
 		if ok && a.route.Kind == declarer.KindOwnWrites {
-			need = marker.Max(need, g.Lift(a.session.own(a.route.Group)))
+			need = marker.Max(need, g.ToNewestTerm(a.session.own(a.route.Group)))
 		}
-		l, known := g.Latest()
+		l, known := g.LatestConfirmation()
 		old = !known || a.session.Board.Time()-l.Asked > a.route.MaximumStaleness/observeSpare
 	})
 	return need, ok, old
--- a/internal/proxy/executor/judging.go
+++ b/internal/proxy/executor/judging.go
@@ -16,9 +16,9 @@
 	m := a.answer.Position
 	ran := a.answer.Code == declarer.CodeNone
 	a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) {
-		g.Answered(a.server, a.session.Board.Time(), took, m)
+		g.RecordAnswer(a.server, a.session.Board.Time(), took, m)
 		if ran && !a.leads {
-			g.CaughtUp(a.server)
+			g.RecordCaughtUp(a.server)
 		}
 	})
 	switch {
@@ -38,7 +38,7 @@
 	a.answer = declarer.Answer{Body: x.Body[:0]}
 	switch x.Code {
 	case declarer.CodeReadOnly:
-		a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) { g.Refused(a.server) })
+		a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) { g.RecordNotLeading(a.server) })
 		return a.refused(a.server, retrier.CauseDeposed, 0)
 	case declarer.CodeLagging:
 		a.lagging()
@@ -57,7 +57,7 @@
 	if a.request.After == a.session.own(a.route.Group) {
 		return
 	}
-	a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) { g.Lagged(a.server, a.session.Board.Time()) })
+	a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) { g.RecordLag(a.server, a.session.Board.Time()) })
 }
 
 // broken judges an exchange without an answer.
@@ -65,7 +65,7 @@
 	timeout := errors.Is(err, connpooler.ErrTimeout)
 	l.Release(!timeout)
 	if !timeout {
-		a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) { g.Failed(a.server, a.session.Board.Time(), a.session.Board.Time()) })
+		a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) { g.RecordFailure(a.server, a.session.Board.Time(), a.session.Board.Time()) })
 	}
 	a.why = err.Error()
 	switch {
--- a/internal/proxy/executor/model_test.go
+++ b/internal/proxy/executor/model_test.go
@@ -29,7 +29,7 @@
 	world    *world
 	board    *blackboard.Board
 	observer executor.Observer
-	budgets  executor.Budgets
+	budgets  executor.RetryBudgets
 
 	mu    sync.Mutex
 	pools map[string]*connpooler.Pool
@@ -65,7 +65,7 @@
 }
 
 func (d *deployment) Connected(s declarer.Server, m marker.Mark) {
-	d.board.Do(s.Group, func(g *grouptracker.Group) { g.Answered(s.ID, d.board.Time(), 0, m) })
+	d.board.Do(s.Group, func(g *grouptracker.Group) { g.RecordAnswer(s.ID, d.board.Time(), 0, m) })
 }
 
 func (d *deployment) Unreachable(s declarer.Server, err error) {
@@ -142,7 +142,7 @@
 	return nil
 }
 
-func (c *caller) Pass(a *declarer.Answer, s declarer.State) error {
+func (c *caller) Forward(a *declarer.Answer, s declarer.State) error {
 	c.out <- reply{code: a.Code, row: a.Row, state: s}
 	return nil
 }
@@ -162,7 +162,7 @@
 
 func newClient(d *deployment, name, kind string, seed uint64) *client {
 	c := newCaller(kind)
-	s := &executor.Session{Caller: c, Board: d.board, Pools: d, Observer: &d.observer, Budgets: &d.budgets, Reporter: d, Ready: func() bool { return true }}
+	s := &executor.Session{Caller: c, Board: d.board, Pools: d, Observer: &d.observer, RetryBudgets: &d.budgets, Reporter: d, Ready: func() bool { return true }}
 	return &client{name: name, kind: kind, random: rand.New(rand.NewPCG(seed, 1)), history: d.world.history, caller: c, session: s}
 }
 
--- a/internal/proxy/executor/observer.go
+++ b/internal/proxy/executor/observer.go
@@ -112,9 +112,9 @@
 	l.Release(err != nil)
 	switch {
 	case err != nil:
-		f.observer.Board.Do(f.group, func(g *grouptracker.Group) { g.Failed(id, f.observer.Board.Time(), f.observer.Board.Time()) })
+		f.observer.Board.Do(f.group, func(g *grouptracker.Group) { g.RecordFailure(id, f.observer.Board.Time(), f.observer.Board.Time()) })
 	case begun.Code == declarer.CodeReadOnly:
-		f.observer.Board.Do(f.group, func(g *grouptracker.Group) { g.Refused(id) })
+		f.observer.Board.Do(f.group, func(g *grouptracker.Group) { g.RecordNotLeading(id) })
 	case begun.Code == declarer.CodeNone:
 		f.observer.Board.Led(f.group, id, asked, begun.Position)
 	}
--- a/internal/proxy/executor/ports.go
+++ b/internal/proxy/executor/ports.go
@@ -24,7 +24,7 @@
 	// what a backend server answered.
 	Done(s declarer.State) error
 	Fail(c declarer.Code, text string, s declarer.State) error
-	Pass(a *declarer.Answer, s declarer.State) error
+	Forward(a *declarer.Answer, s declarer.State) error
 	Close()
 }
 
@@ -49,13 +49,13 @@
 	// Primary says that the server led its group.
 	Primary bool
 	Code    declarer.Code
-	// Why is the reason for a choice or a refusal.
-	Why string
-	// Need is the position that the server had to have, zero for none.
-	Need marker.Mark
+	// Reason is the reason for a choice or a refusal.
+	Reason string
+	// RequiredPosition is the position that the server had to have, zero for none.
+	RequiredPosition marker.Mark
 	// Version is that of the configuration in force.
 	Version  uint64
 	Attempts int
 	Wait     time.Duration
-	Took     time.Duration
+	Duration time.Duration
 }
--- a/internal/proxy/executor/session.go
+++ b/internal/proxy/executor/session.go
@@ -24,12 +24,12 @@
 
 // Session serves one caller. Its exported fields are set before Run.
 type Session struct {
-	Caller   Caller
-	Board    *blackboard.Board
-	Pools    Pools
-	Reporter Reporter
-	Observer *Observer
-	Budgets  *Budgets
+	Caller       Caller
+	Board        *blackboard.Board
+	Pools        Pools
+	Reporter     Reporter
+	Observer     *Observer
+	RetryBudgets *RetryBudgets
 	// Ready says that the host has what it needs to serve.
 	Ready func() bool
 
@@ -164,8 +164,8 @@
 	}
 }
 
-// Cut ends the session at its next wait for the caller.
-func (s *Session) Cut() {
+// Terminate ends the session at its next wait for the caller.
+func (s *Session) Terminate() {
 	s.stopping.Store(true)
 	s.Caller.Interrupt()
 }
--- a/internal/proxy/executor/transaction.go
+++ b/internal/proxy/executor/transaction.go
@@ -89,7 +89,7 @@
 	if a.answer.State != declarer.StateTransaction {
 		t.fail()
 	}
-	return s.Caller.Pass(&a.answer, s.state())
+	return s.Caller.Forward(&a.answer, s.state())
 }
 
 // further serves a statement on the transaction's connection.
@@ -118,7 +118,7 @@
 		return
 	}
 	t.lose()
-	s.Board.Do(t.route.Group, func(g *grouptracker.Group) { g.Failed(t.server, s.Board.Time(), s.Board.Time()) })
+	s.Board.Do(t.route.Group, func(g *grouptracker.Group) { g.RecordFailure(t.server, s.Board.Time(), s.Board.Time()) })
 }
 
 // repeat sends a statement on the transaction's connection, again while the server is
@@ -182,7 +182,7 @@
 		s.Board.Led(t.route.Group, t.server, asked, a.answer.Position)
 	}
 	a.report(a.answer.Code)
-	return s.Caller.Pass(&a.answer, declarer.StateIdle)
+	return s.Caller.Forward(&a.answer, declarer.StateIdle)
 }
 
 // end gives back the connection of a transaction that has ended.
@@ -204,7 +204,7 @@
 	if l == nil {
 		return s.Caller.Fail(code, text, declarer.StateIdle)
 	}
-	return s.Caller.Pass(&a.answer, declarer.StateIdle)
+	return s.Caller.Forward(&a.answer, declarer.StateIdle)
 }
 
 // uncommitted answers a commit that the server didn't answer.
--- a/internal/proxy/grouptracker/grouptracker.go
+++ b/internal/proxy/grouptracker/grouptracker.go
@@ -35,26 +35,26 @@
 // Server is what is believed of one backend server.
 type Server struct {
 	declarer.Server
-	// LeavingSince is when the server was first seen to be leaving.
-	LeavingSince time.Duration
+	// DrainingSince is when the server was first seen to be leaving.
+	DrainingSince time.Duration
 	// FailingSince is when the first of an unbroken row of failures was seen,
 	// zero if its last answer came after that.
 	FailingSince time.Duration
 	// FailedAt is the last failure.
 	FailedAt time.Duration
-	// RefusedSince is when connections were first refused in an unbroken row of
+	// ConnectionRefusedSince is when connections were first refused in an unbroken row of
 	// failures, zero if none was: no process listens there.
-	RefusedSince time.Duration
+	ConnectionRefusedSince time.Duration
 	// AnsweredAt is its last answer to this host.
 	AnsweredAt time.Duration
 	// NotLeading says that it refused a write and hasn't reported a new lead since.
 	NotLeading bool
-	// Last is the longest log that it was seen to have in its last term.
-	Last marker.Mark
+	// LastPosition is the longest log that it was seen to have in its last term.
+	LastPosition marker.Mark
 	// ServiceTime is the smoothed time of a statement.
 	ServiceTime time.Duration
-	// Busy is how many statements this host has under way at it.
-	Busy int
+	// InFlight is how many statements this host has under way at it.
+	InFlight int
 
 	behindUntil time.Duration
 	behindFor   time.Duration
@@ -83,8 +83,8 @@
 	proved uint64
 }
 
-// Take replaces the list of servers by what the platform lists now.
-func (g *Group) Take(l []declarer.Server, now time.Duration) {
+// SetServers replaces the list of servers by what the platform lists now.
+func (g *Group) SetServers(l []declarer.Server, now time.Duration) {
 	var s []*Server
 	for _, d := range l {
 		s = append(s, g.merge(d, now))
@@ -101,7 +101,7 @@
 		o = &Server{ServiceTime: serviceTime}
 	}
 	if d.Draining && !o.Draining {
-		o.LeavingSince = now
+		o.DrainingSince = now
 	}
 	if d.Primary && !o.Primary {
 		o.NotLeading = false
@@ -151,9 +151,9 @@
 // Primary returns the server that is believed to lead and so takes writes, nil if none is.
 func (g *Group) Primary() *Server { return g.Find(g.primary) }
 
-// Led notes a proof that the server led the group at some time after asked, when
+// ConfirmLeadership notes a proof that the server led the group at some time after asked, when
 // its log ended at m.
-func (g *Group) Led(id string, asked time.Duration, m marker.Mark) {
+func (g *Group) ConfirmLeadership(id string, asked time.Duration, m marker.Mark) {
 	s := g.Find(id)
 	if s == nil || m.IsZero() {
 		return
@@ -174,39 +174,39 @@
 	}
 }
 
-// Refused notes that the server refused a write since it doesn't lead.
-func (g *Group) Refused(id string) {
+// RecordNotLeading notes that the server refused a write since it doesn't lead.
+func (g *Group) RecordNotLeading(id string) {
 	if s := g.Find(id); s != nil {
 		s.NotLeading = true
 		g.follow()
 	}
 }
 
-// Answered notes an answer of the server after took, with its log's end if m isn't zero.
-func (g *Group) Answered(id string, now, took time.Duration, m marker.Mark) {
+// RecordAnswer notes an answer of the server after took, with its log's end if m isn't zero.
+func (g *Group) RecordAnswer(id string, now, took time.Duration, m marker.Mark) {
 	s := g.Find(id)
 	if s == nil {
 		return
 	}
-	s.FailingSince, s.RefusedSince = 0, 0
+	s.FailingSince, s.ConnectionRefusedSince = 0, 0
 	s.AnsweredAt = now
 	if took > 0 {
 		s.ServiceTime += (took - s.ServiceTime) / smoothing
 	}
-	if !m.IsZero() && (m.Term != s.Last.Term || m.Covers(s.Last)) {
-		s.Last = m
+	if !m.IsZero() && (m.Term != s.LastPosition.Term || m.Covers(s.LastPosition)) {
+		s.LastPosition = m
 	}
 }
 
-// CaughtUp notes that the server's log had what a read by age needed.
-func (g *Group) CaughtUp(id string) {
+// RecordCaughtUp notes that the server's log had what a read by age needed.
+func (g *Group) RecordCaughtUp(id string) {
 	if s := g.Find(id); s != nil {
 		s.behindFor = 0
 	}
 }
 
-// Lagged notes that the server's log lacked what a read by age needed.
-func (g *Group) Lagged(id string, now time.Duration) {
+// RecordLag notes that the server's log lacked what a read by age needed.
+func (g *Group) RecordLag(id string, now time.Duration) {
 	s := g.Find(id)
 	if s == nil {
 		return
@@ -215,9 +215,9 @@
 	s.behindUntil = now + s.behindFor
 }
 
-// Failed notes that the server didn't take a connection, or broke one off, in an attempt
+// RecordFailure notes that the server didn't take a connection, or broke one off, in an attempt
 // that began at since.
-func (g *Group) Failed(id string, since, now time.Duration) {
+func (g *Group) RecordFailure(id string, since, now time.Duration) {
 	s := g.Find(id)
 	if s == nil {
 		return
@@ -228,49 +228,49 @@
 	s.FailedAt = now
 }
 
-// Absent notes that the server's host refused a connection to it.
-func (g *Group) Absent(id string, since, now time.Duration) {
-	g.Failed(id, since, now)
-	if s := g.Find(id); s != nil && s.RefusedSince == 0 {
-		s.RefusedSince = now
+// RecordConnectionRefused notes that the server's host refused a connection to it.
+func (g *Group) RecordConnectionRefused(id string, since, now time.Duration) {
+	g.RecordFailure(id, since, now)
+	if s := g.Find(id); s != nil && s.ConnectionRefusedSince == 0 {
+		s.ConnectionRefusedSince = now
 	}
 }
 
-// Began and Ended count the statements that this host has under way.
-func (g *Group) Began(id string) { g.count(id, 1) }
+// StatementStarted and Ended count the statements that this host has under way.
+func (g *Group) StatementStarted(id string) { g.count(id, 1) }
 
-// Ended is the counterpart of Began.
-func (g *Group) Ended(id string) { g.count(id, -1) }
+// StatementEnded is the counterpart of Began.
+func (g *Group) StatementEnded(id string) { g.count(id, -1) }
 
 func (g *Group) count(id string, n int) {
 	if s := g.Find(id); s != nil {
-		s.Busy = max(0, s.Busy+n)
+		s.InFlight = max(0, s.InFlight+n)
 	}
 }
 
-// Latest returns the newest proof of a lead.
-func (g *Group) Latest() (historian.Observation, bool) { return g.history.Latest() }
+// LatestConfirmation returns the newest proof of a lead.
+func (g *Group) LatestConfirmation() (historian.Observation, bool) { return g.history.Latest() }
 
-// Lift returns m in terms of the newest log: of an earlier term it is the first mark
+// ToNewestTerm returns m in terms of the newest log: of an earlier term it is the first mark
 // of the newest one, whose log holds all of the earlier that lasts. The mark itself
 // may have been rolled back, and no server would ever reach it.
-func (g *Group) Lift(m marker.Mark) marker.Mark {
+func (g *Group) ToNewestTerm(m marker.Mark) marker.Mark {
 	if !m.IsZero() && m.Term < g.begun.Term {
 		return g.begun
 	}
 	return m
 }
 
-// Need returns the mark that shows data to be at most age old for a request that
+// RequiredPosition returns the mark that shows data to be at most age old for a request that
 // came at arrived, and false if no proof of a lead is recent enough.
-func (g *Group) Need(arrived, age time.Duration) (marker.Mark, bool) {
+func (g *Group) RequiredPosition(arrived, age time.Duration) (marker.Mark, bool) {
 	m, ok := g.history.Need(arrived, age)
-	return g.Lift(m), ok
+	return g.ToNewestTerm(m), ok
 }
 
-// Read decides which server runs a read that needs the mark. excluded names the
+// ChooseReadServer decides which server runs a read that needs the mark. excluded names the
 // servers that were tried before.
-func (g *Group) Read(need marker.Mark, excluded []string, draw uint64, now time.Duration) (*Server, chooser.Decision) {
+func (g *Group) ChooseReadServer(need marker.Mark, excluded []string, draw uint64, now time.Duration) (*Server, chooser.Decision) {
 	q := chooser.Request{HasMark: true, Mark: need, Aged: true, HasAgeMark: true, AgeMark: need, Draw: draw, Now: now}
 	l := make([]chooser.Candidate, 0, chooser.MaximumCandidates)
 	for i, s := range g.servers[:min(len(g.servers), chooser.MaximumCandidates)] {
@@ -295,10 +295,10 @@
 		Role:         controller.RoleReplica,
 		Unreachable:  s.FailingSince != 0 && now-s.FailedAt < unreachableFor,
 		Leaving:      s.Draining,
-		LeavingSince: s.LeavingSince,
+		LeavingSince: s.DrainingSince,
 		Last:         need,
 		Observed:     now,
-		Busy:         s.Busy,
+		Busy:         s.InFlight,
 		Slots:        max(s.Slots, slotsUnknown),
 		ServiceTime:  s.ServiceTime,
 		RoundTrip:    g.distance(s),
--- a/internal/proxy/promoter/promoter.go
+++ b/internal/proxy/promoter/promoter.go
@@ -223,7 +223,7 @@
 		// Another replica may have an acknowledged commit that the heir lacks. Without a
 		// leader the longest log is looked for anew.
 		p.unmoved = time.Now()
-		p.Board.Do(p.Group, func(g *grouptracker.Group) { g.Refused(s.Primary.ID) })
+		p.Board.Do(p.Group, func(g *grouptracker.Group) { g.RecordNotLeading(s.Primary.ID) })
 		return
 	}
 	p.Counter.Promotion(string(r), p.order(ctx, heir.Server, claim, l))
--- a/internal/proxy/promoter/promoter_test.go
+++ b/internal/proxy/promoter/promoter_test.go
@@ -339,7 +339,7 @@
 		c.servers["a"].primary = false
 		c.servers["b"].gone, c.servers["c"].gone = true, true
 		p := promoterOf(c, "h1")
-		p.Board.Do("db", func(g *grouptracker.Group) { g.Refused("a") })
+		p.Board.Do("db", func(g *grouptracker.Group) { g.RecordNotLeading("a") })
 		steps(p, 10*time.Second)
 		if len(c.steps) > 0 {
 			t.Errorf("steps %q", c.steps)
--- a/internal/proxy/promoter/questions.go
+++ b/internal/proxy/promoter/questions.go
@@ -98,13 +98,13 @@
 	switch {
 	case errors.Is(err, ErrCommand), errors.Is(err, connpooler.ErrTooManyConnections):
 		// It has no room for the question, but it lives.
-		b.Do(q.server.Group, func(g *grouptracker.Group) { g.Answered(q.server.ID, b.Time(), 0, marker.Mark{}) })
+		b.Do(q.server.Group, func(g *grouptracker.Group) { g.RecordAnswer(q.server.ID, b.Time(), 0, marker.Mark{}) })
 		return
 	case err != nil:
 		b.Unreachable(q.server.Group, q.server.ID, asked, err)
 		return
 	}
-	b.Do(q.server.Group, func(g *grouptracker.Group) { g.Answered(q.server.ID, b.Time(), 0, s.Received) })
+	b.Do(q.server.Group, func(g *grouptracker.Group) { g.RecordAnswer(q.server.ID, b.Time(), 0, s.Received) })
 	if s.Primary {
 		b.Led(q.server.Group, q.server.ID, asked, s.Received)
 	}
--- a/internal/proxy/reporter/reporter.go
+++ b/internal/proxy/reporter/reporter.go
@@ -71,14 +71,14 @@
 		Code:          k.code,
 		Server:        r.Server,
 		Role:          role(r),
-		Why:           r.Why,
+		Why:           r.Reason,
 		Attempts:      r.Attempts,
 		Configuration: r.Version,
 		Waited:        r.Wait,
-		Took:          r.Took,
+		Took:          r.Duration,
 	}
-	if !r.Need.IsZero() {
-		l.Need = r.Need.String()
+	if !r.RequiredPosition.IsZero() {
+		l.Need = r.RequiredPosition.String()
 	}
 	o.Lines.Statement(&l)
 }
--- a/internal/proxy/runner/callers.go
+++ b/internal/proxy/runner/callers.go
@@ -34,7 +34,7 @@
 }
 
 func (h *Host) serve(c net.Conn) {
-	s := &executor.Session{Caller: h.Accept(c), Board: h.Board, Pools: &h.pools, Observer: &h.observer, Budgets: &h.budgets, Reporter: h.Reporter, Ready: h.ready}
+	s := &executor.Session{Caller: h.Accept(c), Board: h.Board, Pools: &h.pools, Observer: &h.observer, RetryBudgets: &h.budgets, Reporter: h.Reporter, Ready: h.ready}
 	h.mu.Lock()
 	h.sessions[s] = struct{}{}
 	h.mu.Unlock()
--- a/internal/proxy/runner/draining.go
+++ b/internal/proxy/runner/draining.go
@@ -30,7 +30,7 @@
 	h.each((*executor.Session).Stop)
 	for time.Since(began) < grace-exitSpare && h.Sessions()+int(h.lent.Load()) > 0 {
 		if time.Since(began) > grace*5/8 {
-			h.each((*executor.Session).Cut)
+			h.each((*executor.Session).Terminate)
 		} else {
 			h.each((*executor.Session).Stop)
 		}
--- a/internal/proxy/runner/host.go
+++ b/internal/proxy/runner/host.go
@@ -73,7 +73,7 @@
 
 	pools          pools
 	observer       executor.Observer
-	budgets        executor.Budgets
+	budgets        executor.RetryBudgets
 	configurations follower[*declarer.Configuration]
 	servers        follower[declarer.Server]
 	hosts          follower[declarer.Host]
@@ -287,7 +287,7 @@
 
 // Connected and Unreachable note what pools learn.
 func (h *Host) Connected(s declarer.Server, m marker.Mark) {
-	h.Board.Do(s.Group, func(g *grouptracker.Group) { g.Answered(s.ID, h.Board.Time(), 0, m) })
+	h.Board.Do(s.Group, func(g *grouptracker.Group) { g.RecordAnswer(s.ID, h.Board.Time(), 0, m) })
 }
 
 // Unreachable is the counterpart of Connected.
--- a/internal/proxy/runner/lending.go
+++ b/internal/proxy/runner/lending.go
@@ -21,7 +21,7 @@
 		Answered: func() {
 			s, ok := h.pools.find(server)
 			if ok {
-				h.Board.Do(s.Group, func(g *grouptracker.Group) { g.Answered(server, h.Board.Time(), 0, marker.Mark{}) })
+				h.Board.Do(s.Group, func(g *grouptracker.Group) { g.RecordAnswer(server, h.Board.Time(), 0, marker.Mark{}) })
 			}
 		},
 	}
--- a/internal/proxy/runner/load_test.go
+++ b/internal/proxy/runner/load_test.go
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func (c *caller) Pass(a *declarer.Answer, _ declarer.State) error {
+func (c *caller) Forward(a *declarer.Answer, _ declarer.State) error {
 	c.out <- a.Code
 	return nil
 }
@@ -79,7 +79,7 @@
 	case r.Code == declarer.CodeUnknown || r.Code == declarer.CodeTimeout:
 		l.unknown++
 	case r.Code != declarer.CodeNone:
-		l.refused = append(l.refused, r.Took)
+		l.refused = append(l.refused, r.Duration)
 	}
 }
 
@@ -150,7 +150,7 @@
 	h := d.nodes[draw%uint64(len(d.nodes))].host
 	d.mu.Unlock()
 	c := &caller{database: database, in: make(chan declarer.Statement), out: make(chan declarer.Code, 4)}
-	s := &executor.Session{Caller: c, Board: h.Board, Pools: &h.pools, Reporter: l, Observer: &h.observer, Budgets: &h.budgets, Ready: func() bool { return true }}
+	s := &executor.Session{Caller: c, Board: h.Board, Pools: &h.pools, Reporter: l, Observer: &h.observer, RetryBudgets: &h.budgets, Ready: func() bool { return true }}
 	go s.Run()
 	v := declarer.VerbRead
 	if text[0] == 'W' {
--- a/internal/proxy/successor/successor.go
+++ b/internal/proxy/successor/successor.go
@@ -77,7 +77,7 @@
 	if p == nil {
 		return true
 	}
-	stalled := p.Busy > 0 && s.Now-p.AnsweredAt > stalledAfter
+	stalled := p.InFlight > 0 && s.Now-p.AnsweredAt > stalledAfter
 	return stalled || p.FailingSince != 0
 }
 
@@ -106,7 +106,7 @@
 	failing := p.FailingSince != 0
 	mute := failing && s.Now-max(p.FailingSince, p.AnsweredAt) > silentAfter
 	switch {
-	case failing && p.RefusedSince != 0 && s.Now-p.RefusedSince > absentAfter:
+	case failing && p.ConnectionRefusedSince != 0 && s.Now-p.ConnectionRefusedSince > absentAfter:
 		return ReasonAbsent
 	case mute && s.Now-p.FailingSince <= UnheardAfter:
 		return ReasonSilent
--- a/internal/proxy/successor/successor_test.go
+++ b/internal/proxy/successor/successor_test.go
@@ -36,10 +36,10 @@
 			p.FailingSince, p.AnsweredAt = now-long, now-long
 		}, want: ReasonUnheard},
 		"no process listens": {change: func(p *grouptracker.Server) {
-			p.FailingSince, p.RefusedSince = now-time.Second, now-time.Second
+			p.FailingSince, p.ConnectionRefusedSince = now-time.Second, now-time.Second
 		}, want: ReasonAbsent},
 		"no process listens for a moment": {change: func(p *grouptracker.Server) {
-			p.FailingSince, p.RefusedSince = now-100*time.Millisecond, now-100*time.Millisecond
+			p.FailingSince, p.ConnectionRefusedSince = now-100*time.Millisecond, now-100*time.Millisecond
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
