--- a/internal/proxy/executor/attempt.go
+++ b/internal/proxy/executor/attempt.go
@@ -288,6 +288,6 @@
 		Group: a.route.Group, Database: a.route.Database, Statement: a.request.ID, Verb: a.request.verb,
 		Server: a.server, Primary: a.primary, Code: c, Reason: a.why, Attempts: a.retries.Tries(),
 		RequiredPosition: a.request.After, Version: a.session.version(),
-		Wait: a.waited, Duration: time.Since(a.began),
+		Wait: a.waited, Elapsed: time.Since(a.began),
 	})
 }
--- a/internal/proxy/executor/ports.go
+++ b/internal/proxy/executor/ports.go
@@ -57,5 +57,5 @@
 	Version  uint64
 	Attempts int
 	Wait     time.Duration
-	Duration time.Duration
+	Elapsed  time.Duration
 }
--- a/internal/proxy/reporter/metrics.go
+++ b/internal/proxy/reporter/metrics.go
@@ -86,7 +86,7 @@
 func (m *Metrics) statement(r *executor.Report, k outcome) {
 	op := operations[r.Verb]
 	m.statements.WithLabelValues(op, k.name, k.code).Inc()
-	m.seconds.WithLabelValues(op).Observe(r.Duration.Seconds())
+	m.seconds.WithLabelValues(op).Observe(r.Elapsed.Seconds())
 	m.waits.Observe(r.Wait.Seconds())
 	m.attempts.Add(float64(r.Attempts))
 	if op == "read" && k.name == "ran" {
--- a/internal/proxy/reporter/reporter.go
+++ b/internal/proxy/reporter/reporter.go
@@ -75,7 +75,7 @@
 		Attempts:      r.Attempts,
 		Configuration: r.Version,
 		Waited:        r.Wait,
-		Took:          r.Duration,
+		Took:          r.Elapsed,
 	}
 	if !r.RequiredPosition.IsZero() {
 		l.Need = r.RequiredPosition.String()
--- a/internal/proxy/reporter/reporter_test.go
+++ b/internal/proxy/reporter/reporter_test.go
@@ -61,7 +61,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() { done <- e.Run(ctx) }()
-	o.Statement(&executor.Report{Statement: "ran-1", Verb: declarer.VerbRead, Server: "i-1", Duration: time.Millisecond})
+	o.Statement(&executor.Report{Statement: "ran-1", Verb: declarer.VerbRead, Server: "i-1", Elapsed: time.Millisecond})
 	o.Statement(&executor.Report{Statement: "lost-1", Verb: declarer.VerbWrite, Server: "i-1", Primary: true, Code: declarer.CodeUnknown})
 	cancel()
 	<-done
--- a/internal/proxy/runner/load_test.go
+++ b/internal/proxy/runner/load_test.go
@@ -79,7 +79,7 @@
 	case r.Code == declarer.CodeUnknown || r.Code == declarer.CodeTimeout:
 		l.unknown++
 	case r.Code != declarer.CodeNone:
-		l.refused = append(l.refused, r.Duration)
+		l.refused = append(l.refused, r.Elapsed)
 	}
 }
 
