--- a/internal/limit/admitter/admission.go
+++ b/internal/limit/admitter/admission.go
@@ -7,7 +7,7 @@
 	if e.Deadline != 0 && now >= e.Deadline {
 		return ReasonDeadline
 	}
-	if e.Class == ClassTransaction || e.Holding {
+	if e.Class == ClassTransaction || e.HoldsConnection {
 		// Its connections bound their number, and to refuse one would only hold
 		// the connection longer.
 		if q.Closed == ReasonShutdown {
--- a/internal/limit/admitter/admitter.go
+++ b/internal/limit/admitter/admitter.go
@@ -38,8 +38,8 @@
 	ReasonLeaving
 	// ReasonShutdown is an entry host or pool that stops.
 	ReasonShutdown
-	// ReasonConnections is a server that takes no connection for want of room.
-	ReasonConnections
+	// ReasonNoConnections is a server that takes no connection for want of room.
+	ReasonNoConnections
 	// ReasonCancelled is a request that its caller gave up.
 	ReasonCancelled
 )
@@ -70,9 +70,9 @@
 	// One that would wait longer is refused on arrival: under a standing overload a long
 	// queue answers everybody late.
 	Objective time.Duration
-	// Holding says that the request holds a connection already. It is taken in
+	// HoldsConnection says that the request holds a connection already. It is taken in
 	// whatever the queue's length, and goes before others of its team and class.
-	Holding bool
+	HoldsConnection bool
 	// State and, once it is refused, Reason and RetryAfter are set by the queue.
 	State      State
 	Reason     Reason
@@ -198,8 +198,8 @@
 	q.end(e, d, now)
 }
 
-// Return gives the slot of a granted entry back unused.
-func (q *Queue) Return(e *Entry, now time.Duration) {
+// ReleaseUnused gives the slot of a granted entry back unused.
+func (q *Queue) ReleaseUnused(e *Entry, now time.Duration) {
 	q.clear()
 	if e.State == StateGranted {
 		q.end(e, 0, now)
@@ -249,9 +249,9 @@
 	return q.service
 }
 
-// Forget drops what was learnt of service times, where the slots that it was learnt on are
+// ResetServiceTime drops what was learnt of service times, where the slots that it was learnt on are
 // gone: refused by it, no request could run and correct it.
-func (q *Queue) Forget() { q.service, q.deviation = 0, 0 }
+func (q *Queue) ResetServiceTime() { q.service, q.deviation = 0, 0 }
 
 func (q *Queue) learn(d time.Duration) {
 	if q.service == 0 {
--- a/internal/limit/admitter/admitter_test.go
+++ b/internal/limit/admitter/admitter_test.go
@@ -34,7 +34,7 @@
 		Team:  rapid.SampledFrom([]string{"a", "b", "c"}).Draw(c.t, "team"),
 		Class: Class(rapid.IntRange(0, int(classes)-1).Draw(c.t, "class")),
 		// One in eight has a connection already.
-		Holding: rapid.IntRange(0, 7).Draw(c.t, "holding") == 7,
+		HoldsConnection: rapid.IntRange(0, 7).Draw(c.t, "holding") == 7,
 	}
 	if d := rapid.IntRange(0, 40).Draw(c.t, "deadline"); d > 0 {
 		e.Deadline = c.now + time.Duration(d)*ms
@@ -210,7 +210,7 @@
 	running, waiting := &Entry{Class: ClassRead}, &Entry{Class: ClassRead, Deadline: 90 * ms}
 	q.Offer(running, 0)
 	q.Offer(waiting, 0)
-	holding := &Entry{Class: ClassRead, Holding: true}
+	holding := &Entry{Class: ClassRead, HoldsConnection: true}
 	q.Offer(holding, ms)
 	if holding.State != StateWaiting || waiting.State != StateWaiting {
 		t.Fatalf("states %v, %v after a full queue", holding.State, waiting.State)
--- a/internal/limit/admitter/team.go
+++ b/internal/limit/admitter/team.go
@@ -54,8 +54,8 @@
 // before orders those that hold a connection first, then by deadline, those
 // without one last, then by arrival.
 func (e *Entry) before(o *Entry) bool {
-	if e.Holding != o.Holding {
-		return e.Holding
+	if e.HoldsConnection != o.HoldsConnection {
+		return e.HoldsConnection
 	}
 	if e.Deadline == o.Deadline {
 		return e.order < o.order
@@ -84,7 +84,7 @@
 func (t *team) last(c Class) *Entry {
 	var l *Entry
 	for _, e := range t.heaps[c] {
-		if !e.Holding && (l == nil || l.before(e)) {
+		if !e.HoldsConnection && (l == nil || l.before(e)) {
 			l = e
 		}
 	}
--- a/internal/limit/gate/gate.go
+++ b/internal/limit/gate/gate.go
@@ -58,8 +58,8 @@
 type Request struct {
 	Team  string
 	Class admitter.Class
-	// Holding says that the request holds a connection already.
-	Holding bool
+	// HoldsConnection says that the request holds a connection already.
+	HoldsConnection bool
 	// Timeout is how long the request may take in all, zero for no bound.
 	Timeout time.Duration
 }
@@ -95,7 +95,7 @@
 // refused, and when its time runs out or ctx ends while it waits.
 func (g *Gate) Acquire(ctx context.Context, r Request) (*Slot, error) {
 	w := &waiter{done: make(chan struct{})}
-	w.entry.Team, w.entry.Class, w.entry.Holding = r.Team, r.Class, r.Holding
+	w.entry.Team, w.entry.Class, w.entry.HoldsConnection = r.Team, r.Class, r.HoldsConnection
 	var late <-chan time.Time
 	g.offer(w, r.Timeout)
 	select {
@@ -127,13 +127,13 @@
 	g.deliver()
 }
 
-// Return gives the slot back unused, so that nothing is learnt from how long it
+// ReleaseUnused gives the slot back unused, so that nothing is learnt from how long it
 // was held.
-func (s *Slot) Return() {
+func (s *Slot) ReleaseUnused() {
 	g := s.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.Queue.Return(&s.waiter.entry, g.now())
+	g.Queue.ReleaseUnused(&s.waiter.entry, g.now())
 	g.deliver()
 }
 
@@ -194,7 +194,7 @@
 	if !g.Queue.Cancel(&w.entry, n) {
 		// The grant came at the same moment. Nothing has run yet, so the slot
 		// goes to the next and the answer is the same.
-		g.Queue.Return(&w.entry, n)
+		g.Queue.ReleaseUnused(&w.entry, n)
 		w.entry.State = admitter.StateRefused
 		w.entry.Reason = admitter.ReasonCancelled
 	}
--- a/internal/limit/regulator/regulator.go
+++ b/internal/limit/regulator/regulator.go
@@ -19,9 +19,9 @@
 // and falls by a part when it refuses one. Its exported fields are set before use; it
 // belongs to one goroutine at a time.
 type Regulator struct {
-	// Least and Most bound the limit. It begins at Most.
-	Least int
-	Most  int
+	// Minimum and Most bound the limit. It begins at Most.
+	Minimum int
+	Maximum int
 
 	limit float64
 	// lowered is when the limit fell last, fell whether it has.
@@ -34,19 +34,19 @@
 
 func (r *Regulator) present() float64 {
 	if r.limit == 0 {
-		return float64(r.Most)
+		return float64(r.Maximum)
 	}
-	return min(r.limit, float64(r.Most))
+	return min(r.limit, float64(r.Maximum))
 }
 
-// Taken notes a request that the server took while so many were under way. A limit that
+// Accepted notes a request that the server took while so many were under way. A limit that
 // isn't reached says nothing and stays.
-func (r *Regulator) Taken(running int) {
+func (r *Regulator) Accepted(running int) {
 	l := r.present()
 	if running < int(l) {
 		return
 	}
-	r.limit = min(l+increase/l, float64(r.Most))
+	r.limit = min(l+increase/l, float64(r.Maximum))
 }
 
 // Refused notes one that it refused while so many were under way.
@@ -55,5 +55,5 @@
 		return
 	}
 	r.fell, r.lowered = true, now
-	r.limit = max(float64(r.Least), min(r.present(), float64(running))*decrease)
+	r.limit = max(float64(r.Minimum), min(r.present(), float64(running))*decrease)
 }
--- a/internal/limit/regulator/regulator_test.go
+++ b/internal/limit/regulator/regulator_test.go
@@ -11,7 +11,7 @@
 // their host could have kept them in order: the limit settles where the server refuses.
 func TestLimitSettlesBelowRefusals(t *testing.T) {
 	const room = 18
-	r := Regulator{Least: 4, Most: 28}
+	r := Regulator{Minimum: 4, Maximum: 28}
 	now := time.Duration(0)
 	refused, sent := 0, 0
 	for i := range 20000 {
@@ -22,7 +22,7 @@
 			refused++
 			r.Refused(n, now)
 		} else {
-			r.Taken(n)
+			r.Accepted(n)
 		}
 	}
 	if refused*100 > 3*sent {
@@ -34,11 +34,11 @@
 }
 
 func TestUnusedLimitStays(t *testing.T) {
-	r := Regulator{Least: 4, Most: 28}
+	r := Regulator{Minimum: 4, Maximum: 28}
 	r.Refused(20, time.Second)
 	before := r.Limit()
 	for range 1000 {
-		r.Taken(2)
+		r.Accepted(2)
 	}
 	if r.Limit() != before {
 		t.Errorf("limit %d, was %d", r.Limit(), before)
@@ -47,17 +47,17 @@
 
 func TestLimitStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := Regulator{Least: rapid.IntRange(1, 8).Draw(t, "least"), Most: rapid.IntRange(8, 64).Draw(t, "most")}
+		r := Regulator{Minimum: rapid.IntRange(1, 8).Draw(t, "least"), Maximum: rapid.IntRange(8, 64).Draw(t, "most")}
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond
 			if rapid.Bool().Draw(t, "refused") {
 				r.Refused(rapid.IntRange(0, 64).Draw(t, "running"), now)
 			} else {
-				r.Taken(rapid.IntRange(0, 64).Draw(t, "running"))
+				r.Accepted(rapid.IntRange(0, 64).Draw(t, "running"))
 			}
-			if l := r.Limit(); l < r.Least || l > r.Most {
-				t.Fatalf("limit %d of %d to %d", l, r.Least, r.Most)
+			if l := r.Limit(); l < r.Minimum || l > r.Maximum {
+				t.Fatalf("limit %d of %d to %d", l, r.Minimum, r.Maximum)
 			}
 		}
 	})
@@ -65,9 +65,9 @@
 
 // Guards against a limit that stays where a host's share of a server has shrunk.
 func TestLimitFollowsLowerMost(t *testing.T) {
-	r := Regulator{Least: 1, Most: 16}
+	r := Regulator{Minimum: 1, Maximum: 16}
 	r.Refused(16, time.Second)
-	r.Most = 4
+	r.Maximum = 4
 	if l := r.Limit(); l != 4 {
 		t.Errorf("limit %d, want 4", l)
 	}
--- a/internal/limit/retrier/retrier.go
+++ b/internal/limit/retrier/retrier.go
@@ -35,8 +35,8 @@
 	spent float64
 }
 
-// Count counts a first run, which earns a part of a retry.
-func (b *Budget) Count() {
+// CountRequest counts a first run, which earns a part of a retry.
+func (b *Budget) CountRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.spent = max(0, b.spent-orDefault(b.Share, DefaultShare))
@@ -58,9 +58,9 @@
 	return true
 }
 
-// Spare reports whether at least half of the saved-up retries are left, for
+// HasReserve reports whether at least half of the saved-up retries are left, for
 // requests that go a way on which they may need one and have another.
-func (b *Budget) Spare() bool {
+func (b *Budget) HasReserve() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.spent*2 <= orDefault(b.Burst, DefaultBurst)
--- a/internal/limit/retrier/retrier_test.go
+++ b/internal/limit/retrier/retrier_test.go
@@ -29,7 +29,7 @@
 	var b Budget
 	n := 0
 	for range 10000 {
-		b.Count()
+		b.CountRequest()
 		for b.Allow(OutcomeNotRun, false) {
 			n++
 		}
@@ -42,17 +42,17 @@
 func TestSpare(t *testing.T) {
 	b := Budget{Share: 0.5, Burst: 4}
 	for n := range 3 {
-		if !b.Spare() {
+		if !b.HasReserve() {
 			t.Errorf("nothing to spare after %d of 4 retries", n)
 		}
 		b.Allow(OutcomeNotRun, true)
 	}
-	if b.Spare() {
+	if b.HasReserve() {
 		t.Error("more than half is spent, and there is some to spare")
 	}
-	b.Count()
-	b.Count()
-	if !b.Spare() {
+	b.CountRequest()
+	b.CountRequest()
+	if !b.HasReserve() {
 		t.Error("nothing to spare after traffic has earned a retry")
 	}
 }
--- a/internal/limit/retrier/statement.go
+++ b/internal/limit/retrier/statement.go
@@ -10,17 +10,17 @@
 
 // Causes.
 const (
-	// CauseCapacity is a queue in front of the server that would keep the statement beyond
+	// CauseQueueTooLong is a queue in front of the server that would keep the statement beyond
 	// its deadline.
-	CauseCapacity Cause = iota
+	CauseQueueTooLong Cause = iota
 	// CauseBusy is a server that had no room at that moment.
 	CauseBusy
 	// CauseBehind is a replica whose log lacks what the read needs.
 	CauseBehind
 	// CauseUnreachable is a server to which there is no connection, or whose connection broke.
 	CauseUnreachable
-	// CauseDeposed is a server that doesn't lead, or didn't prove that it does.
-	CauseDeposed
+	// CauseNotPrimary is a server that doesn't lead, or didn't prove that it does.
+	CauseNotPrimary
 )
 
 // Action is what to do next with a statement.
@@ -64,8 +64,8 @@
 type Statement struct {
 	// Deadline is on the clock of now.
 	Deadline time.Duration
-	// Fixed says that only the primary will do.
-	Fixed bool
+	// SingleServer says that only the primary will do.
+	SingleServer bool
 	// Budget bounds the tries at servers that had no room, unbounded if nil.
 	Budget *Budget
 
@@ -86,8 +86,8 @@
 // Excluded returns the servers that aren't to be chosen now.
 func (s *Statement) Excluded() []string { return slices.Concat(s.full, s.passed) }
 
-// Sent counts a try.
-func (s *Statement) Sent() { s.tries++ }
+// CountTry counts a try.
+func (s *Statement) CountTry() { s.tries++ }
 
 // Tries returns how often the statement was sent.
 func (s *Statement) Tries() int { return s.tries }
@@ -102,16 +102,16 @@
 		s.failing = false
 	}
 	switch {
-	case c == CauseCapacity:
+	case c == CauseQueueTooLong:
 		s.offer(retryAfter)
 		s.full = append(s.full, server)
-		if s.Fixed {
+		if s.SingleServer {
 			return s.refuse()
 		}
 		return Step{}
-	case c == CauseDeposed:
+	case c == CauseNotPrimary:
 		return Step{}
-	case s.Fixed:
+	case s.SingleServer:
 		return s.again(c, now, draw)
 	}
 	s.busy = s.busy || c == CauseBusy
@@ -137,9 +137,9 @@
 	return s.again(c, now, draw)
 }
 
-// Unknown decides where nothing is known yet to choose a server by: it has the statement
+// ServersUnknown decides where nothing is known yet to choose a server by: it has the statement
 // wait for pause.
-func (s *Statement) Unknown(now, pause time.Duration) Step {
+func (s *Statement) ServersUnknown(now, pause time.Duration) Step {
 	if now >= s.Deadline {
 		return s.refuse()
 	}
--- a/internal/limit/retrier/statement_test.go
+++ b/internal/limit/retrier/statement_test.go
@@ -13,9 +13,9 @@
 // Guards against statements that are sent again to a server whose queue is too long for
 // them: eight tries of each kept an overload going after its cause had ended.
 func TestFullServerIsNotTriedAgain(t *testing.T) {
-	s := Statement{Deadline: deadline, Fixed: true}
-	s.Sent()
-	if x := s.Refused("a", CauseCapacity, 40*time.Millisecond, time.Millisecond, 1); x.Action != ActionRefuse || x.RetryAfter != 40*time.Millisecond {
+	s := Statement{Deadline: deadline, SingleServer: true}
+	s.CountTry()
+	if x := s.Refused("a", CauseQueueTooLong, 40*time.Millisecond, time.Millisecond, 1); x.Action != ActionRefuse || x.RetryAfter != 40*time.Millisecond {
 		t.Errorf("step %+v", x)
 	}
 }
@@ -23,8 +23,8 @@
 func TestReadGoesElsewhere(t *testing.T) {
 	s := Statement{Deadline: deadline}
 	for i, name := range []string{"a", "b", "c"} {
-		s.Sent()
-		if x := s.Refused(name, CauseCapacity, time.Duration(3-i)*10*time.Millisecond, 0, 1); x.Action != ActionChoose {
+		s.CountTry()
+		if x := s.Refused(name, CauseQueueTooLong, time.Duration(3-i)*10*time.Millisecond, 0, 1); x.Action != ActionChoose {
 			t.Fatalf("step %+v after %s", x, name)
 		}
 		if !slices.Contains(s.Excluded(), name) {
@@ -40,7 +40,7 @@
 func TestReplicaBehindIsTriedAgain(t *testing.T) {
 	s := Statement{Deadline: deadline}
 	s.Refused("a", CauseBehind, 0, 0, 1)
-	s.Refused("b", CauseCapacity, 0, 0, 1)
+	s.Refused("b", CauseQueueTooLong, 0, 0, 1)
 	if x := s.Exhausted(0, 1); x.Action != ActionWait || x.Delay > 2*firstPause {
 		t.Errorf("step %+v", x)
 	}
@@ -52,7 +52,7 @@
 // Guards against a statement that is held for as long as its caller waits though no
 // server can be reached.
 func TestUnreachableServersAreSaidSoon(t *testing.T) {
-	s := Statement{Deadline: deadline, Fixed: true}
+	s := Statement{Deadline: deadline, SingleServer: true}
 	now := time.Duration(0)
 	for {
 		x := s.Exhausted(now, 1)
@@ -72,7 +72,7 @@
 		b := &Budget{Share: 0.5, Burst: 10}
 		s := Statement{Deadline: rapid.Custom(func(t *rapid.T) time.Duration {
 			return time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond
-		}).Draw(r, "deadline"), Fixed: rapid.Bool().Draw(r, "fixed"), Budget: b}
+		}).Draw(r, "deadline"), SingleServer: rapid.Bool().Draw(r, "fixed"), Budget: b}
 		servers := []string{"a", "b", "c"}
 		now := time.Duration(0)
 		for n := 0; ; n++ {
@@ -86,12 +86,12 @@
 				}
 			}
 			var x Step
-			if name == "" || s.Fixed && rapid.Bool().Draw(r, "unknown") {
+			if name == "" || s.SingleServer && rapid.Bool().Draw(r, "unknown") {
 				x = s.Exhausted(now, rapid.Uint64().Draw(r, "draw"))
 			} else {
-				s.Sent()
+				s.CountTry()
 				now += time.Duration(rapid.IntRange(0, 100).Draw(r, "took")) * time.Millisecond
-				x = s.Refused(name, Cause(rapid.IntRange(0, int(CauseDeposed)).Draw(r, "cause")), 0, now, rapid.Uint64().Draw(r, "draw"))
+				x = s.Refused(name, Cause(rapid.IntRange(0, int(CauseNotPrimary)).Draw(r, "cause")), 0, now, rapid.Uint64().Draw(r, "draw"))
 			}
 			if x.Action == ActionRefuse {
 				break
--- a/internal/pool/lender/lender.go
+++ b/internal/pool/lender/lender.go
@@ -104,12 +104,12 @@
 // during a connect of 10 to 30 ms serves nobody; and if all connections are
 // inside transactions, their statements need the slot to come to an end.
 func (l *Lender) await(ctx context.Context, s *gate.Slot, q gate.Request) (*gate.Slot, *keeper.Conn, error) {
-	s.Return()
+	s.ReleaseUnused()
 	c, err := l.Keeper.Acquire(ctx)
 	if err != nil {
 		return nil, nil, limit(ctx, err)
 	}
-	q.Holding = true
+	q.HoldsConnection = true
 	q.Timeout = timeout(ctx, time.Time{})
 	s, err = l.acquire(ctx, q)
 	if err != nil {
@@ -274,7 +274,7 @@
 	if s := e.unused.take(); s != nil {
 		return s, nil
 	}
-	q := gate.Request{Team: e.demand.Team, Class: classOf(e.demand), Holding: true, Timeout: timeout(ctx, time.Time{})}
+	q := gate.Request{Team: e.demand.Team, Class: classOf(e.demand), HoldsConnection: true, Timeout: timeout(ctx, time.Time{})}
 	if inTransaction || e.open {
 		q.Class = admitter.ClassTransaction
 	}
--- a/internal/pool/lender/unused.go
+++ b/internal/pool/lender/unused.go
@@ -42,6 +42,6 @@
 
 func (u *unused) giveBack() {
 	if s := u.take(); s != nil {
-		s.Return()
+		s.ReleaseUnused()
 	}
 }
--- a/internal/proxy/blackboard/blackboard.go
+++ b/internal/proxy/blackboard/blackboard.go
@@ -155,7 +155,7 @@
 	var d time.Duration
 	for _, g := range b.groups {
 		if l, ok := g.Latest(); ok {
-			d = max(d, now-l.Asked)
+			d = max(d, now-l.PolledAt)
 		}
 	}
 	return d
--- a/internal/proxy/connpooler/connpooler.go
+++ b/internal/proxy/connpooler/connpooler.go
@@ -121,7 +121,7 @@
 		return ErrClosed
 	}
 	if p.usable() == 0 {
-		p.queue.Forget()
+		p.queue.ResetServiceTime()
 	}
 	if p.open == 0 && time.Now().Before(p.retryAt) && e.Deadline < sinceEpoch(p.retryAt) {
 		return p.noConnection()
@@ -169,7 +169,7 @@
 		l.borrow(a)
 		return l, nil
 	}
-	p.queue.Return(e, sinceEpoch(time.Now()))
+	p.queue.ReleaseUnused(e, sinceEpoch(time.Now()))
 	p.settle()
 	if p.closed {
 		return nil, ErrClosed
--- a/internal/proxy/connpooler/opening.go
+++ b/internal/proxy/connpooler/opening.go
@@ -126,7 +126,7 @@
 	p.retryAt = time.Now().Add(p.backoff/2 + rand.N(p.backoff))
 	p.refusals++
 	if p.refusals >= maximumRefusals {
-		p.refuse(admitter.ReasonConnections)
+		p.refuse(admitter.ReasonNoConnections)
 	}
 	time.AfterFunc(time.Until(p.retryAt), p.resume)
 }
--- a/internal/proxy/connpooler/permit.go
+++ b/internal/proxy/connpooler/permit.go
@@ -41,9 +41,9 @@
 
 // bound gives the gate the present limit of a pool. The pool's mutex is held.
 func (t *permits) bound(p *Pool) {
-	t.regulator.Least, t.regulator.Most = leastUnderWay, max(p.Limit, leastUnderWay)
+	t.regulator.Minimum, t.regulator.Maximum = leastUnderWay, max(p.Limit, leastUnderWay)
 	if n := p.Server.Slots; n > 0 {
-		t.regulator.Most = n * mostUnderWay
+		t.regulator.Maximum = n * mostUnderWay
 	}
 	if t.gate.BackendServer == "" {
 		t.gate.BackendServer = p.Server.ID // read without the pool's mutex from now on
@@ -91,7 +91,7 @@
 	if c == declarer.CodeBusy {
 		p.permits.regulator.Refused(n, sinceEpoch(time.Now()))
 	} else {
-		p.permits.regulator.Taken(n)
+		p.permits.regulator.Accepted(n)
 	}
 	p.permits.bound(p)
 	p.mu.Unlock()
--- a/internal/proxy/connpooler/refusal.go
+++ b/internal/proxy/connpooler/refusal.go
@@ -40,7 +40,7 @@
 // noConnection is the refusal where there is no connection, and none to be had before the
 // next attempt. The mutex is held.
 func (p *Pool) noConnection() error {
-	return &Refusal{Server: p.Server.ID, Reason: admitter.ReasonConnections, RetryAfter: max(0, time.Until(p.retryAt))}
+	return &Refusal{Server: p.Server.ID, Reason: admitter.ReasonNoConnections, RetryAfter: max(0, time.Until(p.retryAt))}
 }
 
 // refusal tells why the queue refused e. The mutex is held.
@@ -48,7 +48,7 @@
 	switch {
 	case p.closed:
 		return ErrClosed
-	case e.Reason == admitter.ReasonConnections:
+	case e.Reason == admitter.ReasonNoConnections:
 		return p.noConnection()
 	case e.Reason == admitter.ReasonLeaving:
 		return errors.Annotatef(ErrUnreachable, "server %s", p.Server.ID)
--- a/internal/proxy/executor/attempt.go
+++ b/internal/proxy/executor/attempt.go
@@ -46,7 +46,7 @@
 func (s *Session) newAttempt(r declarer.Route, q *request) *attempt {
 	now := time.Now()
 	b := s.Budgets.group(r.Group)
-	b.Count()
+	b.CountRequest()
 	return &attempt{
 		session: s, route: r, request: q, arrived: s.Board.Time(), began: now, deadline: now.Add(r.Timeout),
 		retries: retrier.Statement{Deadline: r.Timeout, Budget: b},
@@ -71,7 +71,7 @@
 // place tries servers until one has answered. It returns the lease that the statement
 // ran on, and an error of ours with its text, where there is no answer to pass on.
 func (a *attempt) place() (*connpooler.Lease, declarer.Code, string) {
-	a.retries.Fixed = a.leads
+	a.retries.SingleServer = a.leads
 	for {
 		changed := a.session.Board.Changed()
 		l, next := a.acquire()
@@ -113,7 +113,7 @@
 		// A position would have to come from a primary that doesn't answer.
 		return nil, a.retries.Exhausted(a.elapsed(), rand.Uint64())
 	case !ok:
-		return nil, a.retries.Unknown(a.elapsed(), unknownPause)
+		return nil, a.retries.ServersUnknown(a.elapsed(), unknownPause)
 	case id == "":
 		return nil, a.retries.Exhausted(a.elapsed(), rand.Uint64())
 	}
@@ -130,7 +130,7 @@
 	}
 	a.why = err.Error()
 	if r, ok := errors.AsType[*connpooler.Refusal](err); ok {
-		return nil, a.refused(id, retrier.CauseCapacity, r.RetryAfter)
+		return nil, a.refused(id, retrier.CauseQueueTooLong, r.RetryAfter)
 	}
 	return nil, a.refused(id, retrier.CauseUnreachable, 0)
 }
@@ -191,7 +191,7 @@
 
 // try sends the statement on l.
 func (a *attempt) try(l *connpooler.Lease) verdict {
-	a.retries.Sent()
+	a.retries.CountTry()
 	asked := a.session.Board.Time()
 	sent := time.Now()
 	a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) { g.Began(a.server) })
@@ -201,7 +201,7 @@
 	if r, ok := errors.AsType[*connpooler.Refusal](err); ok {
 		l.Release(false)
 		a.why = r.Error()
-		return again(a.refused(a.server, retrier.CauseCapacity, r.RetryAfter))
+		return again(a.refused(a.server, retrier.CauseQueueTooLong, r.RetryAfter))
 	}
 	if err != nil {
 		return a.broken(l, err)
@@ -220,7 +220,7 @@
 		if a.deposed {
 			a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) { g.Refused(a.server) })
 		}
-		return again(a.refused(a.server, retrier.CauseDeposed, 0))
+		return again(a.refused(a.server, retrier.CauseNotPrimary, 0))
 	}
 	return verdict{code: a.answer.Code}
 }
--- a/internal/proxy/executor/choosing.go
+++ b/internal/proxy/executor/choosing.go
@@ -42,7 +42,7 @@
 	a.request.After = need
 	a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) {
 		s, d := g.Read(need, a.retries.Excluded(), rand.Uint64(), a.session.Board.Time())
-		a.why = d.Why.String()
+		a.why = d.Reason.String()
 		if s != nil {
 			id = s.ID
 			a.primary = s == g.Primary()
@@ -84,7 +84,7 @@
 			need = marker.Max(need, g.Lift(a.session.own(a.route.Group)))
 		}
 		l, known := g.Latest()
-		old = !known || a.session.Board.Time()-l.Asked > a.route.MaximumStaleness/observeSpare
+		old = !known || a.session.Board.Time()-l.PolledAt > a.route.MaximumStaleness/observeSpare
 	})
 	return need, ok, old
 }
--- a/internal/proxy/executor/judging.go
+++ b/internal/proxy/executor/judging.go
@@ -39,12 +39,12 @@
 	switch x.Code {
 	case declarer.CodeReadOnly:
 		a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) { g.Refused(a.server) })
-		return a.refused(a.server, retrier.CauseDeposed, 0)
+		return a.refused(a.server, retrier.CauseNotPrimary, 0)
 	case declarer.CodeLagging:
 		a.lagging()
 		return a.refused(a.server, retrier.CauseBehind, 0)
 	case declarer.CodeNoLease:
-		return a.refused(a.server, retrier.CauseCapacity, x.RetryAfter)
+		return a.refused(a.server, retrier.CauseQueueTooLong, x.RetryAfter)
 	case declarer.CodeNoServer:
 		return a.refused(a.server, retrier.CauseUnreachable, 0)
 	}
--- a/internal/proxy/executor/transaction.go
+++ b/internal/proxy/executor/transaction.go
@@ -126,9 +126,9 @@
 func (a *attempt) repeat(t *transaction) error {
 	a.server, a.primary = t.server, t.primary
 	// To break the transaction off costs more than the tries do.
-	a.retries.Fixed, a.retries.Budget = true, nil
+	a.retries.SingleServer, a.retries.Budget = true, nil
 	for {
-		a.retries.Sent()
+		a.retries.CountTry()
 		e := &exchange{lease: t.lease, deadline: a.deadline}
 		if err := e.wait(connpooler.Ask{Deadline: a.deadline, Class: admitter.ClassTransaction, Team: a.route.Database}); err != nil {
 			a.why = err.Error()
--- a/internal/proxy/grouptracker/grouptracker.go
+++ b/internal/proxy/grouptracker/grouptracker.go
@@ -166,7 +166,7 @@
 		g.begun = m
 	}
 	g.history.MaximumAge = historyAge
-	g.history.Add(historian.Observation{Asked: asked, Mark: m})
+	g.history.Add(historian.Observation{PolledAt: asked, Mark: m})
 	s.NotLeading = false
 	g.primary = id
 	for _, o := range g.servers {
@@ -264,14 +264,14 @@
 // Need returns the mark that shows data to be at most age old for a request that
 // came at arrived, and false if no proof of a lead is recent enough.
 func (g *Group) Need(arrived, age time.Duration) (marker.Mark, bool) {
-	m, ok := g.history.Need(arrived, age)
+	m, ok := g.history.RequiredMark(arrived, age)
 	return g.Lift(m), ok
 }
 
 // Read decides which server runs a read that needs the mark. excluded names the
 // servers that were tried before.
 func (g *Group) Read(need marker.Mark, excluded []string, draw uint64, now time.Duration) (*Server, chooser.Decision) {
-	q := chooser.Request{HasMark: true, Mark: need, Aged: true, HasAgeMark: true, AgeMark: need, Draw: draw, Now: now}
+	q := chooser.Request{HasMark: true, Mark: need, StaleAllowed: true, HasAgeMark: true, AgeMark: need, Random: draw, Now: now}
 	l := make([]chooser.Candidate, 0, chooser.MaximumCandidates)
 	for i, s := range g.servers[:min(len(g.servers), chooser.MaximumCandidates)] {
 		if slices.Contains(excluded, s.ID) {
--- a/internal/proxy/grouptracker/grouptracker_test.go
+++ b/internal/proxy/grouptracker/grouptracker_test.go
@@ -124,7 +124,7 @@
 			c.happens(g)
 			s, d := g.Read(mark(1, 5), nil, 0, time.Second+time.Millisecond)
 			if s == nil || s.ID != c.want {
-				t.Errorf("chosen %v, %s, want %s", s, d.Why, c.want)
+				t.Errorf("chosen %v, %s, want %s", s, d.Reason, c.want)
 			}
 		})
 	}
--- a/internal/route/chooser/ahead.go
+++ b/internal/route/chooser/ahead.go
@@ -5,9 +5,9 @@
 	"github.com/cuminwick/cuminwick/internal/group/marker"
 )
 
-// Expected returns the read index that the last statuses of the candidates let
+// ExpectedReadIndex returns the read index that the last statuses of the candidates let
 // expect. It isn't one: a write may have been acknowledged since they were asked.
-func Expected(l []Candidate) marker.Mark {
+func ExpectedReadIndex(l []Candidate) marker.Mark {
 	var m marker.Mark
 	for i := range l {
 		m = marker.Max(m, l[i].Last)
@@ -15,7 +15,7 @@
 	return m
 }
 
-// RunsAhead reports whether a read may run while its read index is still being
+// CanSpeculate reports whether a read may run while its read index is still being
 // taken. d was chosen with the index that Expected gives.
 //
 // A read whose index turns out higher than what its server held is run again. So
@@ -23,7 +23,7 @@
 // where a slot is free: a second run for which others queue would cost them more
 // than the read saves. The first run must also be certain not to have written,
 // see MustHold.
-func RunsAhead(d *Decision, l []Candidate) bool {
+func CanSpeculate(d *Decision, l []Candidate) bool {
 	if d.Refused || d.WaitForMark || d.AgeUnknown || d.Index == d.Primary {
 		return false
 	}
@@ -31,10 +31,10 @@
 	if c.Queued > 0 || c.Busy >= c.Slots {
 		return false
 	}
-	return c.Role == controller.RoleReplica && !MustHold(c.Last, c, len(l))
+	return c.Role == controller.RoleReplica && !MustAwaitMajority(c.Last, c, len(l))
 }
 
-// Covers reports whether an answer that was taken ahead of its read index may be
+// SpeculationValid reports whether an answer that was taken ahead of its read index may be
 // shown. mark is the session's, index the read index that began after the read
 // arrived. known is the server's last entry as it was known when the read was
 // sent, before its answer to the question sent ahead of the read over the same
@@ -43,6 +43,6 @@
 // The position asked after the read won't do in their place: a write that the
 // replica applied between the two would count as seen although the answer
 // lacks it, and a caller would miss its own write.
-func Covers(mark, index, known, before marker.Mark) bool {
+func SpeculationValid(mark, index, known, before marker.Mark) bool {
 	return marker.Max(known, before).Covers(marker.Max(mark, index))
 }
--- a/internal/route/chooser/ahead_test.go
+++ b/internal/route/chooser/ahead_test.go
@@ -33,7 +33,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := RunsAhead(&tt.d, tt.l); got != tt.want {
+			if got := CanSpeculate(&tt.d, tt.l); got != tt.want {
 				t.Errorf("RunsAhead = %t", got)
 			}
 		})
@@ -71,10 +71,10 @@
 func (w *world) readAhead(h, i int) {
 	u := &w.sessions[i]
 	l := slices.Clone(w.known[h])
-	q := Request{Now: w.now, Draw: rapid.Uint64().Draw(w.t, "draw"), ReadIndex: Expected(l), HasReadIndex: true}
+	q := Request{Now: w.now, Random: rapid.Uint64().Draw(w.t, "draw"), ReadIndex: ExpectedReadIndex(l), HasReadIndex: true}
 	q.Mark, q.HasMark = u.tracker.Get("g")
 	d := new(Chooser).Choose(&q, l)
-	if !RunsAhead(&d, l) {
+	if !CanSpeculate(&d, l) {
 		return
 	}
 	arrived := len(w.acked)
@@ -103,11 +103,11 @@
 	if rapid.Bool().Draw(w.t, "not asked before") {
 		before = marker.Mark{}
 	}
-	if !ok || !Covers(q.Mark, n, l[d.Index].Last, before) {
+	if !ok || !SpeculationValid(q.Mark, n, l[d.Index].Last, before) {
 		return
 	}
 	after := s.last()
-	if MustHold(after, &l[d.Index], servers) && !w.held(after) {
+	if MustAwaitMajority(after, &l[d.Index], servers) && !w.held(after) {
 		return
 	}
 	w.ahead++
--- a/internal/route/chooser/chooser.go
+++ b/internal/route/chooser/chooser.go
@@ -20,8 +20,8 @@
 	// PrimaryPenalty is what a read at the primary must save, as the primary's
 	// slots are also needed for writes.
 	PrimaryPenalty time.Duration
-	// AgedPrimaryPenalty stands in its place for reads that may be old.
-	AgedPrimaryPenalty time.Duration
+	// StalePrimaryPenalty stands in its place for reads that may be old.
+	StalePrimaryPenalty time.Duration
 	// MaximumCatchUp is the longest expected wait for a replica to catch up.
 	MaximumCatchUp time.Duration
 	// Tolerance is the difference in expected time up to which servers count as
@@ -35,12 +35,12 @@
 
 // Defaults of a Chooser.
 const (
-	DefaultLinkPenalty        = 15 * time.Millisecond
-	DefaultPrimaryPenalty     = 30 * time.Millisecond
-	DefaultAgedPrimaryPenalty = 250 * time.Millisecond
-	DefaultMaximumCatchUp     = 50 * time.Millisecond
-	DefaultTolerance          = 500 * time.Microsecond
-	DefaultLeavingGrace       = 2 * time.Second
+	DefaultLinkPenalty         = 15 * time.Millisecond
+	DefaultPrimaryPenalty      = 30 * time.Millisecond
+	DefaultStalePrimaryPenalty = 250 * time.Millisecond
+	DefaultMaximumCatchUp      = 50 * time.Millisecond
+	DefaultTolerance           = 500 * time.Microsecond
+	DefaultLeavingGrace        = 2 * time.Second
 )
 
 // Candidate is what is known of one backend server.
@@ -84,18 +84,18 @@
 	// arrived, if HasReadIndex.
 	ReadIndex    marker.Mark
 	HasReadIndex bool
-	// Aged says that a rule allows an age; AgeMark is the mark that shows it,
+	// StaleAllowed says that a rule allows an age; AgeMark is the mark that shows it,
 	// from the historian, if HasAgeMark.
-	Aged       bool
-	AgeMark    marker.Mark
-	HasAgeMark bool
+	StaleAllowed bool
+	AgeMark      marker.Mark
+	HasAgeMark   bool
 	// WhenUnconfirmed is the rule's choice. If it is empty, a read without an age
 	// is served when its session's mark is covered, an aged one is refused.
 	WhenUnconfirmed declarer.WhenUnconfirmed
 	// Excluded is a set of bits by candidate index: servers that refused before.
 	Excluded uint32
-	// Draw is any random number.
-	Draw uint64
+	// Random is any random number.
+	Random uint64
 	// Now is the time on the monotonic clock of the candidates' times.
 	Now time.Duration
 }
@@ -116,19 +116,19 @@
 	// Primary is the candidate for a second run after a read-only error, -1 if
 	// no primary is confirmed.
 	Primary int
-	// Need is the mark that the server's log must cover when the request starts.
-	Need marker.Mark
+	// RequiredMark is the mark that the server's log must cover when the request starts.
+	RequiredMark marker.Mark
 	// WaitForMark says that the server isn't known to cover Need yet: it must be
 	// asked again, or waited for, before the request starts.
 	WaitForMark bool
 	// AgeUnknown says that the caller must be told that the age can't be shown.
 	AgeUnknown bool
-	Why        Reason
-	// Expected is the expected time to the answer.
-	Expected time.Duration
+	Reason     Reason
+	// ExpectedTime is the expected time to the answer.
+	ExpectedTime time.Duration
 
-	Passed      [MaximumCandidates]PassedOver
-	PassedCount int
+	PassedOver      [MaximumCandidates]PassedOver
+	PassedOverCount int
 }
 
 // NeedsReadIndex reports whether a read index should be asked for before Choose.
@@ -136,7 +136,7 @@
 	if q.Write || q.HasReadIndex {
 		return false
 	}
-	return !q.HasMark || !q.Aged || !q.HasAgeMark
+	return !q.HasMark || !q.StaleAllowed || !q.HasAgeMark
 }
 
 // Choose decides for q among the candidates l. A read index that can't be had
@@ -159,23 +159,23 @@
 // setNeed sets the mark that the read needs, and reports false if nothing can
 // show that the session would have its own writes.
 func (d *Decision) setNeed(q *Request) bool {
-	d.Need = q.Mark
+	d.RequiredMark = q.Mark
 	switch {
-	case q.Aged && q.HasAgeMark && (q.HasMark || q.HasReadIndex):
-		d.Why = ReasonWithinAge
-		d.Need = marker.Max(d.Need, q.AgeMark)
+	case q.StaleAllowed && q.HasAgeMark && (q.HasMark || q.HasReadIndex):
+		d.Reason = ReasonWithinAge
+		d.RequiredMark = marker.Max(d.RequiredMark, q.AgeMark)
 		if !q.HasMark {
-			d.Need = marker.Max(d.Need, q.ReadIndex)
+			d.RequiredMark = marker.Max(d.RequiredMark, q.ReadIndex)
 		}
 	case q.HasReadIndex:
-		d.Why = ReasonReadIndex
-		d.Need = marker.Max(d.Need, q.ReadIndex)
+		d.Reason = ReasonReadIndex
+		d.RequiredMark = marker.Max(d.RequiredMark, q.ReadIndex)
 	case q.WhenUnconfirmed == declarer.Serve:
 		// A session's own writes are kept even so.
-		d.Why = ReasonUnconfirmedServe
+		d.Reason = ReasonUnconfirmedServe
 		d.AgeUnknown = true
-	case q.HasMark && !q.Aged && q.WhenUnconfirmed == "":
-		d.Why = ReasonUnconfirmedMark
+	case q.HasMark && !q.StaleAllowed && q.WhenUnconfirmed == "":
+		d.Reason = ReasonUnconfirmedMark
 		d.AgeUnknown = true
 	default:
 		return false
@@ -196,8 +196,8 @@
 			d.pass(i, ReasonLeaving)
 		default:
 			d.Index = i
-			d.Why = ReasonWrite
-			d.Expected = l[i].RoundTrip + l[i].wait()
+			d.Reason = ReasonWrite
+			d.ExpectedTime = l[i].RoundTrip + l[i].wait()
 		}
 	}
 	if d.Index < 0 {
@@ -209,12 +209,12 @@
 	d.Refused = true
 	d.AgeUnknown = false
 	d.Index = -1
-	d.Why = r
+	d.Reason = r
 }
 
 func (d *Decision) pass(i int, r Reason) {
-	d.Passed[d.PassedCount] = PassedOver{Index: int8(i), Reason: r}
-	d.PassedCount++
+	d.PassedOver[d.PassedOverCount] = PassedOver{Index: int8(i), Reason: r}
+	d.PassedOverCount++
 }
 
 func primaryOf(l []Candidate) int {
--- a/internal/route/chooser/chooser_test.go
+++ b/internal/route/chooser/chooser_test.go
@@ -41,7 +41,7 @@
 
 func TestChoose(t *testing.T) {
 	fresh := Request{HasMark: true, HasReadIndex: true, ReadIndex: mark(2, 100)}
-	aged := Request{HasMark: true, Aged: true, HasAgeMark: true, AgeMark: mark(2, 50)}
+	aged := Request{HasMark: true, StaleAllowed: true, HasAgeMark: true, AgeMark: mark(2, 50)}
 	tests := []struct {
 		name   string
 		q      Request
@@ -76,10 +76,10 @@
 		{name: "aged read at a replica far behind", q: aged, want: "own", why: ReasonWithinAge,
 			change: func(l []Candidate) { l[1].Last.Position = 50 }},
 		{name: "aged read keeps the session's mark", want: "primary", why: ReasonOnlyPrimary,
-			q:      Request{Mark: mark(2, 100), HasMark: true, Aged: true, HasAgeMark: true, AgeMark: mark(2, 50)},
+			q:      Request{Mark: mark(2, 100), HasMark: true, StaleAllowed: true, HasAgeMark: true, AgeMark: mark(2, 50)},
 			change: func(l []Candidate) { l[1].Last.Position, l[2].Last.Position = 49, 49 }},
 		{name: "aged read of a new session needs a read index", why: ReasonNoFreshness,
-			q: Request{Aged: true, HasAgeMark: true, AgeMark: mark(2, 50)}},
+			q: Request{StaleAllowed: true, HasAgeMark: true, AgeMark: mark(2, 50)}},
 		{name: "cut off with a mark", q: Request{HasMark: true, Mark: mark(2, 100)}, want: "own", why: ReasonUnconfirmedMark, age: true,
 			change: func(l []Candidate) { l[0].Confirmed = false }},
 		{name: "cut off with a mark that nobody covers", q: Request{HasMark: true, Mark: mark(3, 1)}, why: ReasonNoServer,
@@ -87,7 +87,7 @@
 		{name: "cut off without a mark", q: Request{}, why: ReasonNoFreshness},
 		{name: "cut off, rule serves", q: Request{WhenUnconfirmed: declarer.Serve}, want: "own", why: ReasonUnconfirmedServe, age: true},
 		{name: "cut off, rule refuses", q: Request{HasMark: true, WhenUnconfirmed: declarer.Refuse}, why: ReasonNoFreshness},
-		{name: "cut off, age no longer shown", q: Request{HasMark: true, Aged: true}, why: ReasonNoFreshness},
+		{name: "cut off, age no longer shown", q: Request{HasMark: true, StaleAllowed: true}, why: ReasonNoFreshness},
 		{name: "superseded primary isn't read", q: fresh, why: ReasonNoServer,
 			change: func(l []Candidate) {
 				l[0].Confirmed, l[1].Unreachable, l[2].Unreachable = false, true, true
@@ -107,11 +107,11 @@
 			if d.Index >= 0 {
 				got = l[d.Index].Name
 			}
-			if got != tt.want || d.Refused != (tt.want == "") || d.Why != tt.why || d.WaitForMark != tt.wait || d.AgeUnknown != tt.age {
-				t.Errorf("server %q, why %v, wait %t, age unknown %t: %+v", got, d.Why, d.WaitForMark, d.AgeUnknown, d)
+			if got != tt.want || d.Refused != (tt.want == "") || d.Reason != tt.why || d.WaitForMark != tt.wait || d.AgeUnknown != tt.age {
+				t.Errorf("server %q, why %v, wait %t, age unknown %t: %+v", got, d.Reason, d.WaitForMark, d.AgeUnknown, d)
 			}
-			if want := len(l) - min(1, len(got)); d.PassedCount != want && d.Why != ReasonNoFreshness {
-				t.Errorf("%d servers passed over with a reason, want %d", d.PassedCount, want)
+			if want := len(l) - min(1, len(got)); d.PassedOverCount != want && d.Reason != ReasonNoFreshness {
+				t.Errorf("%d servers passed over with a reason, want %d", d.PassedOverCount, want)
 			}
 		})
 	}
@@ -124,7 +124,7 @@
 	l[2] = l[1]
 	var n [3]int
 	for i := range 1000 {
-		q := Request{HasMark: true, HasReadIndex: true, Draw: uint64(i) * 0x9e3779b97f4a7c15 >> 7, Now: now}
+		q := Request{HasMark: true, HasReadIndex: true, Random: uint64(i) * 0x9e3779b97f4a7c15 >> 7, Now: now}
 		n[new(Chooser).Choose(&q, l).Index]++
 	}
 	if n[0] != 0 || n[1] < 400 || n[2] < 400 {
@@ -147,7 +147,7 @@
 	q := Request{HasMark: true, HasReadIndex: true, ReadIndex: mark(2, 101), Now: now}
 	b.ReportAllocs()
 	for b.Loop() {
-		q.Draw++
+		q.Random++
 		c.Choose(&q, l)
 	}
 }
@@ -173,7 +173,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := MustHold(tt.answered, &tt.known, tt.size); got != tt.want {
+			if got := MustAwaitMajority(tt.answered, &tt.known, tt.size); got != tt.want {
 				t.Errorf("MustHold = %t, want %t", got, tt.want)
 			}
 		})
--- a/internal/route/chooser/hold.go
+++ b/internal/route/chooser/hold.go
@@ -9,7 +9,7 @@
 // majority holds: the replica itself and the primary that the record came from.
 const maximumSafeGroup = 3
 
-// MustHold reports whether the answer to a read must be kept back until a
+// MustAwaitMajority reports whether the answer to a read must be kept back until a
 // majority of the group is known to hold answered, the end of the server's log
 // when it answered. known is the server as last observed, size the group's.
 //
@@ -18,7 +18,7 @@
 // alone doesn't tell: a replica may have been promoted since it was observed.
 // But a server that was seen as a replica with a record of a term is never that
 // term's primary, and each term has only one.
-func MustHold(answered marker.Mark, known *Candidate, size int) bool {
+func MustAwaitMajority(answered marker.Mark, known *Candidate, size int) bool {
 	if answered.IsZero() {
 		return false
 	}
--- a/internal/route/chooser/read.go
+++ b/internal/route/chooser/read.go
@@ -42,10 +42,10 @@
 		d.refuse(ReasonNoServer)
 		return
 	}
-	i := c.draw(q.Draw, o[:len(l)], best, d.Primary)
+	i := c.draw(q.Random, o[:len(l)], best, d.Primary)
 	d.take(i, o[:len(l)])
 	if i == d.Primary {
-		d.Why = primaryReason(d, o[:len(l)])
+		d.Reason = primaryReason(d, o[:len(l)])
 	}
 }
 
@@ -79,7 +79,7 @@
 
 func (d *Decision) take(i int, o []offer) {
 	d.Index = i
-	d.Expected = o[i].expected
+	d.ExpectedTime = o[i].expected
 	d.WaitForMark = o[i].behind
 	for j := range o {
 		if o[j].fit && j != i {
@@ -90,7 +90,7 @@
 
 func primaryReason(d *Decision, o []offer) Reason {
 	if d.AgeUnknown {
-		return d.Why
+		return d.Reason
 	}
 	for j := range o {
 		if o[j].fit && j != d.Primary {
@@ -111,15 +111,15 @@
 	case s.Leaving && (i != d.Primary || q.Now-s.LeavingSince >= orDefault(c.LeavingGrace, DefaultLeavingGrace)):
 		return offer{}, ReasonLeaving
 	}
-	if i != d.Primary && s.Role != controller.RoleReplica && d.Why != ReasonUnconfirmedServe {
+	if i != d.Primary && s.Role != controller.RoleReplica && d.Reason != ReasonUnconfirmedServe {
 		// Its log may end in writes that were never acknowledged.
 		return offer{}, ReasonNotConfirmed
 	}
-	w, r := c.catchUp(q, s, d.Need, i == d.Primary)
+	w, r := c.catchUp(q, s, d.RequiredMark, i == d.Primary)
 	if r != ReasonNone {
 		return offer{}, r
 	}
-	o := offer{fit: true, behind: i != d.Primary && !s.Last.Covers(d.Need)}
+	o := offer{fit: true, behind: i != d.Primary && !s.Last.Covers(d.RequiredMark)}
 	// The queue is worked off while the server catches up.
 	o.wait = max(w, s.wait())
 	o.expected = s.RoundTrip + o.wait
@@ -135,8 +135,8 @@
 	if s.Role != controller.RolePrimary {
 		return p
 	}
-	if q.Aged {
-		return p + orDefault(c.AgedPrimaryPenalty, DefaultAgedPrimaryPenalty)
+	if q.StaleAllowed {
+		return p + orDefault(c.StalePrimaryPenalty, DefaultStalePrimaryPenalty)
 	}
 	return p + orDefault(c.PrimaryPenalty, DefaultPrimaryPenalty)
 }
--- a/internal/route/chooser/session_test.go
+++ b/internal/route/chooser/session_test.go
@@ -82,7 +82,7 @@
 		Busy: rapid.IntRange(0, 40).Draw(w.t, "busy"),
 	}
 	if i == w.primary && w.confirmed {
-		w.history[h].Add(historian.Observation{Asked: w.now, Mark: s.last()})
+		w.history[h].Add(historian.Observation{PolledAt: w.now, Mark: s.last()})
 	}
 }
 
@@ -135,7 +135,7 @@
 	if acknowledge && w.held(m) {
 		u.must = append(u.must, m)
 		u.tracker.Raise("g", m)
-		w.acked = append(w.acked, historian.Observation{Asked: w.now, Mark: m})
+		w.acked = append(w.acked, historian.Observation{PolledAt: w.now, Mark: m})
 	}
 }
 
@@ -179,10 +179,10 @@
 
 // read runs one read of session u through host h and checks its answer.
 func (w *world) read(h int, u *fakeSession, aged, index bool) {
-	q := Request{Now: w.now, Draw: rapid.Uint64().Draw(w.t, "draw"), Aged: aged}
+	q := Request{Now: w.now, Random: rapid.Uint64().Draw(w.t, "draw"), StaleAllowed: aged}
 	q.Mark, q.HasMark = u.tracker.Get("g")
 	if aged {
-		q.AgeMark, q.HasAgeMark = w.history[h].Need(w.now, age)
+		q.AgeMark, q.HasAgeMark = w.history[h].RequiredMark(w.now, age)
 	}
 	if index && w.confirmed && NeedsReadIndex(&q) {
 		q.ReadIndex, q.HasReadIndex = w.servers[w.primary].last(), true
@@ -192,10 +192,10 @@
 		return
 	}
 	s := &w.servers[d.Index]
-	if d.WaitForMark && !s.last().Covers(d.Need) {
+	if d.WaitForMark && !s.last().Covers(d.RequiredMark) {
 		return
 	}
-	if MustHold(s.last(), &w.known[h][d.Index], servers) && !w.held(s.last()) {
+	if MustAwaitMajority(s.last(), &w.known[h][d.Index], servers) && !w.held(s.last()) {
 		return
 	}
 	w.answers++
@@ -205,8 +205,8 @@
 		}
 	}
 	for _, a := range w.acked {
-		if !d.AgeUnknown && a.Asked < w.now-age && !slices.Contains(s.log, a.Mark) {
-			w.t.Fatalf("server %d lacks %v, acknowledged %v ago: %+v", d.Index, a.Mark, w.now-a.Asked, d)
+		if !d.AgeUnknown && a.PolledAt < w.now-age && !slices.Contains(s.log, a.Mark) {
+			w.t.Fatalf("server %d lacks %v, acknowledged %v ago: %+v", d.Index, a.Mark, w.now-a.PolledAt, d)
 		}
 	}
 	u.must = append(u.must[:0], s.log...)
--- a/internal/route/director/ahead.go
+++ b/internal/route/director/ahead.go
@@ -13,7 +13,7 @@
 // ahead chooses a replica for a read before the read index is known, if the
 // answer can be kept back until then. Otherwise the index goes on being taken.
 func (s *search) ahead(ctx context.Context) (server.Choice, bool) {
-	if !s.query.Repeatable || s.request.Aged || !chooser.NeedsReadIndex(&s.request) || !s.group.Driver.View().HasMajority() {
+	if !s.query.Repeatable || s.request.StaleAllowed || !chooser.NeedsReadIndex(&s.request) || !s.group.Driver.View().HasMajority() {
 		return server.Choice{}, false
 	}
 	if s.group.Driver.HandingOver() {
@@ -21,19 +21,19 @@
 		return server.Choice{}, false
 	}
 	s.pending = s.group.Driver.BeginReadIndex(ctx)
-	if !s.runtime.budget.Spare() {
+	if !s.runtime.budget.HasReserve() {
 		return server.Choice{}, false
 	}
 	l := s.group.candidates(s.director, s.group.knowledge.Load(), s.candidates[:0])
-	s.request.ReadIndex, s.request.HasReadIndex = chooser.Expected(l), true
+	s.request.ReadIndex, s.request.HasReadIndex = chooser.ExpectedReadIndex(l), true
 	x, l := s.look()
 	s.request.ReadIndex, s.request.HasReadIndex = marker.Mark{}, false
-	if !chooser.RunsAhead(&x, l) {
+	if !chooser.CanSpeculate(&x, l) {
 		return server.Choice{}, false
 	}
 	b := s.group.servers[x.Index].repeats
-	b.Count()
-	if !b.Spare() {
+	b.CountRequest()
+	if !b.HasReserve() {
 		return server.Choice{}, false
 	}
 	c := s.chosen(&x, l)
@@ -56,7 +56,7 @@
 	if err != nil {
 		return server.Confirmation{}
 	}
-	ok := chooser.Covers(a.mark, m, a.known, before)
+	ok := chooser.SpeculationValid(a.mark, m, a.known, before)
 	if !ok {
 		a.repeats.Allow(retrier.OutcomeNotRun, true)
 	}
--- a/internal/route/director/decisions.go
+++ b/internal/route/director/decisions.go
@@ -40,8 +40,8 @@
 		p.Rule = s.rule.Name
 	}
 	if x != nil {
-		n := x.PassedCount
-		for i, o := range x.Passed[:n] {
+		n := x.PassedOverCount
+		for i, o := range x.PassedOver[:n] {
 			p.passed[i] = encoder.PassedOver{Name: l[o.Index].Name, Why: o.Reason.String()}
 		}
 		p.PassedOver = p.passed[:n]
--- a/internal/route/director/director.go
+++ b/internal/route/director/director.go
@@ -187,7 +187,7 @@
 // was a read.
 func (d *Director) admitRetry(b *retrier.Budget, q server.Query) error {
 	if q.Attempt == 0 {
-		b.Count()
+		b.CountRequest()
 		return nil
 	}
 	if !b.Allow(retrier.OutcomeNotRun, true) {
--- a/internal/route/director/director_test.go
+++ b/internal/route/director/director_test.go
@@ -217,8 +217,8 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			o, ok := observation(&observer.View{Servers: tt.l})
-			if ok != (tt.want > 0) || o.Asked != tt.want || o.Mark != tt.mark {
-				t.Errorf("observation %v of %v, %t", o.Mark, o.Asked, ok)
+			if ok != (tt.want > 0) || o.PolledAt != tt.want || o.Mark != tt.mark {
+				t.Errorf("observation %v of %v, %t", o.Mark, o.PolledAt, ok)
 			}
 		})
 	}
--- a/internal/route/director/group.go
+++ b/internal/route/director/group.go
@@ -170,7 +170,7 @@
 func (g *Group) waited(i int, t time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.estimators[i].Waited(t)
+	g.estimators[i].ObserveWait(t)
 }
 
 // observation returns the latest mark that covers all writes acknowledged
@@ -189,7 +189,7 @@
 		return historian.Observation{}, false
 	}
 	slices.SortFunc(l, func(a, b observer.Observation) int { return cmp.Compare(b.At, a.At) })
-	o := historian.Observation{Asked: l[n-1].At}
+	o := historian.Observation{PolledAt: l[n-1].At}
 	for i := range n {
 		o.Mark = marker.Max(o.Mark, l[i].Status.Last)
 	}
--- a/internal/route/director/search.go
+++ b/internal/route/director/search.go
@@ -48,7 +48,7 @@
 	g := s.group
 	l := g.candidates(s.director, g.knowledge.Load(), s.candidates[:0])
 	s.request.Excluded = s.excluded
-	s.request.Draw = s.director.Draw()
+	s.request.Random = s.director.Draw()
 	s.request.Now = g.Driver.Now()
 	return s.director.Chooser.Choose(&s.request, l), l
 }
@@ -116,12 +116,12 @@
 			// It is behind for longer than expected, so another one may do.
 			s.excluded |= 1 << x.Index
 			continue
-		case !s.mayCome(x.Why, since):
-			return s.refused(x.Why, &x, l, refusals[x.Why])
+		case !s.mayCome(x.Reason, since):
+			return s.refused(x.Reason, &x, l, refusals[x.Reason])
 		}
 		s.excluded = 0
 		if err := scheduler.Pause(ctx, backoff(n)); err != nil {
-			return s.refused(x.Why, &x, l, errors.WithType(err, ErrNoServer))
+			return s.refused(x.Reason, &x, l, errors.WithType(err, ErrNoServer))
 		}
 	}
 }
@@ -156,9 +156,9 @@
 	if !ok {
 		return
 	}
-	s.request.Aged = true
+	s.request.StaleAllowed = true
 	k := s.group.knowledge.Load()
-	s.request.AgeMark, s.request.HasAgeMark = k.historian.Need(s.group.Driver.Now(), a)
+	s.request.AgeMark, s.request.HasAgeMark = k.historian.RequiredMark(s.group.Driver.Now(), a)
 }
 
 // index asks for a read index if the read needs one and a majority can give it.
@@ -182,7 +182,7 @@
 	y, cancel := context.WithTimeout(ctx, coverTimeout)
 	defer cancel()
 	t := s.group.Driver.Now()
-	err := s.group.Driver.WaitCovered(y, s.group.servers[x.Index].declared.Name, x.Need)
+	err := s.group.Driver.WaitCovered(y, s.group.servers[x.Index].declared.Name, x.RequiredMark)
 	s.group.waited(x.Index, s.group.Driver.Now()-t)
 	return err
 }
@@ -204,7 +204,7 @@
 	}
 	s.director.Metrics.read(c.Confirmed)
 	r.Lessor = b.reader
-	if !chooser.MustHold(c.Last, c, len(s.group.servers)) {
+	if !chooser.MustAwaitMajority(c.Last, c, len(s.group.servers)) {
 		r.SafeTerm = c.Last.Term
 	}
 	return r
@@ -224,8 +224,8 @@
 }
 
 func (s *search) note(x *chooser.Decision, l []chooser.Candidate) {
-	s.log(l[x.Index].Name, x.Why, x, l)
-	s.director.Metrics.decided(x.Why)
+	s.log(l[x.Index].Name, x.Reason, x, l)
+	s.director.Metrics.decided(x.Reason)
 }
 
 // backoff returns the time before the servers are looked at again for the nth time.
--- a/internal/route/estimator/estimator.go
+++ b/internal/route/estimator/estimator.go
@@ -12,8 +12,8 @@
 	// DefaultRate is assumed until the replica has been seen to catch up, in
 	// records a second.
 	DefaultRate = 2000
-	// DefaultPatience is how long a replica that lags may show no progress.
-	DefaultPatience = 250 * time.Millisecond
+	// DefaultStallTimeout is how long a replica that lags may show no progress.
+	DefaultStallTimeout = 250 * time.Millisecond
 	// smoothing is the weight of a new sample, as one part in this many.
 	smoothing = 8
 )
@@ -21,7 +21,7 @@
 // Estimator estimates one replica. Patience is set before use, default if zero;
 // it belongs to one goroutine.
 type Estimator struct {
-	Patience time.Duration
+	StallTimeout time.Duration
 
 	rate    float64
 	lag     time.Duration
@@ -69,17 +69,17 @@
 	}
 }
 
-// Waited notes how long a read waited for the replica to cover a read index.
-func (e *Estimator) Waited(d time.Duration) {
+// ObserveWait notes how long a read waited for the replica to cover a read index.
+func (e *Estimator) ObserveWait(d time.Duration) {
 	e.lag += (d - e.lag) / smoothing
 }
 
 // Rate returns how many records the replica applies in a second when it lags,
 // zero if it has stopped.
 func (e *Estimator) Rate(now time.Duration) float64 {
-	p := e.Patience
+	p := e.StallTimeout
 	if p == 0 {
-		p = DefaultPatience
+		p = DefaultStallTimeout
 	}
 	if e.isStalled && now-e.stalled >= p {
 		return 0
--- a/internal/route/estimator/estimator_test.go
+++ b/internal/route/estimator/estimator_test.go
@@ -50,7 +50,7 @@
 func TestLagFollowsTheWaits(t *testing.T) {
 	var e Estimator
 	for range 100 {
-		e.Waited(8 * ms)
+		e.ObserveWait(8 * ms)
 	}
 	if l := e.Lag(); l < 7*ms || l > 8*ms {
 		t.Errorf("lag %v after waits of 8ms", l)
--- a/internal/route/historian/historian.go
+++ b/internal/route/historian/historian.go
@@ -13,11 +13,11 @@
 // Observation is the mark that a confirmed primary gave. It covers all writes
 // that were acknowledged before Asked.
 type Observation struct {
-	// Asked is when the question was sent, on this host's monotonic clock. The
+	// PolledAt is when the question was sent, on this host's monotonic clock. The
 	// time of the answer would be wrong: a write acknowledged between the two
 	// may be missing from the mark.
-	Asked time.Duration
-	Mark  marker.Mark
+	PolledAt time.Duration
+	Mark     marker.Mark
 }
 
 // Historian remembers the observations of one database group. Its fields are
@@ -37,12 +37,12 @@
 // Add remembers o. Observations come in the order in which they were asked;
 // one that is late adds nothing and is left out.
 func (h *Historian) Add(o Observation) {
-	if h.known && o.Asked <= h.latest.Asked {
+	if h.known && o.PolledAt <= h.latest.PolledAt {
 		return
 	}
 	h.latest = o
 	h.known = true
-	if h.count > 0 && o.Asked-h.at(h.count-1).Asked < h.MaximumAge/(size-1) {
+	if h.count > 0 && o.PolledAt-h.at(h.count-1).PolledAt < h.MaximumAge/(size-1) {
 		return
 	}
 	if h.count == size {
@@ -58,17 +58,17 @@
 	return h.latest, h.known
 }
 
-// Need returns the lowest remembered mark that shows data to be at most age
+// RequiredMark returns the lowest remembered mark that shows data to be at most age
 // old, and false if no observation is recent enough to show it.
-func (h *Historian) Need(now, age time.Duration) (marker.Mark, bool) {
+func (h *Historian) RequiredMark(now, age time.Duration) (marker.Mark, bool) {
 	oldest := now - age
-	if !h.known || h.latest.Asked < oldest {
+	if !h.known || h.latest.PolledAt < oldest {
 		return marker.Mark{}, false
 	}
 	low, high := 0, h.count
 	for low < high {
 		m := (low + high) / 2
-		if h.at(m).Asked >= oldest {
+		if h.at(m).PolledAt >= oldest {
 			high = m
 		} else {
 			low = m + 1
--- a/internal/route/historian/historian_test.go
+++ b/internal/route/historian/historian_test.go
@@ -35,11 +35,11 @@
 			if rapid.IntRange(0, 50).Draw(t, "change") == 0 {
 				m.Term++
 			}
-			all = append(all, Observation{Asked: now, Mark: m})
+			all = append(all, Observation{PolledAt: now, Mark: m})
 			h.Add(all[len(all)-1])
 			age := time.Duration(rapid.IntRange(0, int(maximum/time.Millisecond)).Draw(t, "age")) * time.Millisecond
 			later := now + time.Duration(rapid.IntRange(0, 500).Draw(t, "later"))*time.Millisecond
-			got, ok := h.Need(later, age)
+			got, ok := h.RequiredMark(later, age)
 			if (later-now <= age) != ok {
 				t.Fatalf("ok = %t with the latest observation %v ago and age %v", ok, later-now, age)
 			}
@@ -49,7 +49,7 @@
 			// The best answer is the first observation within the age; a thinned
 			// ring may ask for one up to two of its steps later, never earlier.
 			for i, o := range all {
-				if o.Asked < later-age {
+				if o.PolledAt < later-age {
 					continue
 				}
 				if !got.Covers(o.Mark) {
@@ -57,9 +57,9 @@
 				}
 				step := 2 * maximum / (size - 1)
 				for _, p := range all[i:] {
-					if p.Asked >= o.Asked+step {
+					if p.PolledAt >= o.PolledAt+step {
 						if !p.Mark.Covers(got) {
-							t.Fatalf("need %v is above %v, observed %v later", got, p.Mark, p.Asked-o.Asked)
+							t.Fatalf("need %v is above %v, observed %v later", got, p.Mark, p.PolledAt-o.PolledAt)
 						}
 						break
 					}
