--- a/internal/bench/runner/baseline.go
+++ b/internal/bench/runner/baseline.go
@@ -67,10 +67,10 @@
 // themselves where a primary is lost.
 func patientDriver() driver.Settings {
 	s := driver.Defaults()
-	s.Observer.Suspicion = never
-	s.Observer.Isolation = never
-	s.Observer.NoPrimary = never
-	s.Observer.Ahead = never
+	s.Observer.SuspicionTimeout = never
+	s.Observer.IsolationTimeout = never
+	s.Observer.NoPrimaryTimeout = never
+	s.Observer.TermAheadTimeout = never
 	return s
 }
 
--- a/internal/group/acknowledger/acknowledger.go
+++ b/internal/group/acknowledger/acknowledger.go
@@ -7,30 +7,30 @@
 	"github.com/cuminwick/cuminwick/internal/group/observer"
 )
 
-// Verdict is what is known of one commit.
-type Verdict string
+// CommitState is what is known of one commit.
+type CommitState string
 
 // Verdicts on a commit.
 const (
 	// Waiting: not enough instances have reported it yet.
-	Waiting Verdict = "waiting"
+	Waiting CommitState = "waiting"
 	// Acknowledged: a majority of the instances held it under its term, so that
 	// every later primary has it.
-	Acknowledged Verdict = "acknowledged"
+	Acknowledged CommitState = "acknowledged"
 	// Superseded: a later term is confirmed without it, so that it did not run
 	// and never will.
-	Superseded Verdict = "superseded"
+	Superseded CommitState = "superseded"
 	// Undetermined: a later term is confirmed, and the positions don't tell
 	// whether it has the commit. Its idempotency key may.
-	Undetermined Verdict = "undetermined"
+	Undetermined CommitState = "undetermined"
 )
 
 // keptTerms is how many terms of one instance a ledger remembers. Commits of
 // older terms that still wait become undetermined, which is true of them.
 const keptTerms = 8
 
-// Holding is what one instance was seen to hold of one term.
-type Holding struct {
+// TermProgress is what one instance was seen to hold of one term.
+type TermProgress struct {
 	Term marker.Term
 	// Position is the highest position seen under Term.
 	Position marker.Position
@@ -42,13 +42,13 @@
 
 // account is what a ledger remembers of one instance.
 type account struct {
-	holdings []Holding
+	holdings []TermProgress
 }
 
-// Ledger remembers what the instances of one group were seen to hold. What an
+// ReplicationTracker remembers what the instances of one group were seen to hold. What an
 // instance once reported counts for good: if it drops the record later, no
-// majority had reported it. The zero Ledger with Instances set is ready.
-type Ledger struct {
+// majority had reported it. The zero ReplicationTracker with Instances set is ready.
+type ReplicationTracker struct {
 	// Instances is how many instances the group has.
 	Instances int
 
@@ -56,7 +56,7 @@
 }
 
 // Observe folds one instance's status into the ledger.
-func (l *Ledger) Observe(s controller.Status) {
+func (l *ReplicationTracker) Observe(s controller.Status) {
 	if l.accounts == nil {
 		l.accounts = make(map[string]*account)
 	}
@@ -69,15 +69,15 @@
 }
 
 // Forget drops what a server reported that turned out not to be the instance so named.
-func (l *Ledger) Forget(instance string) {
+func (l *ReplicationTracker) Forget(instance string) {
 	delete(l.accounts, instance)
 }
 
 func (a *account) observe(s controller.Status) {
-	a.hold(Holding{Term: s.Last.Term, Position: s.Last.Position, Start: s.TermStart, Previous: s.PreviousTerm})
+	a.hold(TermProgress{Term: s.Last.Term, Position: s.Last.Position, Start: s.TermStart, Previous: s.PreviousTerm})
 }
 
-func (a *account) hold(h Holding) {
+func (a *account) hold(h TermProgress) {
 	for i := range a.holdings {
 		if a.holdings[i].Term == h.Term {
 			a.holdings[i].Position = max(a.holdings[i].Position, h.Position)
@@ -101,16 +101,16 @@
 // term that begins at or before m proves nothing here: the commit itself may be
 // earlier and part of it. To take it for superseded would tell "not run" falsely,
 // and a rerun would double the write.
-func (l *Ledger) Decide(m marker.Mark) Verdict {
+func (l *ReplicationTracker) Decide(m marker.Mark) CommitState {
 	return l.decide(m, false)
 }
 
 // DecideExact returns the verdict on the commit at m itself.
-func (l *Ledger) DecideExact(m marker.Mark) Verdict {
+func (l *ReplicationTracker) DecideExact(m marker.Mark) CommitState {
 	return l.decide(m, true)
 }
 
-func (l *Ledger) decide(m marker.Mark, exact bool) Verdict {
+func (l *ReplicationTracker) decide(m marker.Mark, exact bool) CommitState {
 	if l.holders(m) >= observer.Majority(l.Instances) {
 		return Acknowledged
 	}
@@ -130,7 +130,7 @@
 }
 
 // holders counts the instances that reported the record at m under its term.
-func (l *Ledger) holders(m marker.Mark) int {
+func (l *ReplicationTracker) holders(m marker.Mark) int {
 	n := 0
 	for _, a := range l.accounts {
 		if a.held(m) {
@@ -141,7 +141,7 @@
 }
 
 // Held reports whether the server reported the record at m under its term.
-func (l *Ledger) Held(server string, m marker.Mark) bool {
+func (l *ReplicationTracker) Held(server string, m marker.Mark) bool {
 	a := l.accounts[server]
 	return a != nil && a.held(m)
 }
@@ -157,7 +157,7 @@
 
 // Confirmed reports whether a majority was seen to hold records of term t, and
 // so its term-start record. Every later log begins with that record's log.
-func (l *Ledger) Confirmed(t marker.Term) bool {
+func (l *ReplicationTracker) Confirmed(t marker.Term) bool {
 	n := 0
 	for _, a := range l.accounts {
 		for _, h := range a.holdings {
@@ -171,7 +171,7 @@
 
 // decideLater tells whether the confirmed later term that h belongs to has the
 // commit at m. All logs that reach the term are equal up to its start.
-func decideLater(m marker.Mark, h Holding, exact bool) Verdict {
+func decideLater(m marker.Mark, h TermProgress, exact bool) CommitState {
 	switch {
 	case exact && m.Position >= h.Start:
 		return Superseded // that position belongs to a later term's record for good
--- a/internal/group/acknowledger/acknowledger_test.go
+++ b/internal/group/acknowledger/acknowledger_test.go
@@ -22,7 +22,7 @@
 	tests := []struct {
 		name        string
 		seen        []controller.Status
-		upTo, exact Verdict
+		upTo, exact CommitState
 	}{
 		{"at the primary alone", []controller.Status{alone}, Waiting, Waiting},
 		{"at a majority", []controller.Status{alone, log("db-2", marker.Mark{Term: 1, Position: 13}, 1, 0)}, Acknowledged, Acknowledged},
@@ -37,7 +37,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			l := Ledger{Instances: 3}
+			l := ReplicationTracker{Instances: 3}
 			for _, s := range tt.seen {
 				l.Observe(s)
 			}
@@ -52,7 +52,7 @@
 }
 
 func TestDecideTermThatLeftNothing(t *testing.T) {
-	l := Ledger{Instances: 3}
+	l := ReplicationTracker{Instances: 3}
 	l.Observe(log("db-2", marker.Mark{Term: 4, Position: 20}, 20, 2))
 	l.Observe(log("db-3", marker.Mark{Term: 4, Position: 20}, 20, 2))
 	if got := l.Decide(marker.Mark{Term: 3, Position: 12}); got != Superseded {
--- a/internal/group/appointer/appointer.go
+++ b/internal/group/appointer/appointer.go
@@ -20,7 +20,7 @@
 	Owners(s assigner.Server, n int) assigner.Owners
 }
 
-// Serving returns the names of the group's serving hosts, none where no host is
+// ServingHosts returns the names of the group's serving hosts, none where no host is
 // known yet. For each backend server they are the owner of its pool and the next
 // ones in the same availability zone, perServer in all. A zone with fewer hosts
 // has fewer; where it has none, the owner in another zone serves.
@@ -28,7 +28,7 @@
 // Each owner of a pool is among them, so that whoever lends the connections to a
 // server knows its state without asking anybody. And as each zone that has both
 // is covered, a zone that is cut off still sees its own servers.
-func Serving(o Owners, zones map[string]string, g declarer.DatabaseGroup, perServer int) []string {
+func ServingHosts(o Owners, zones map[string]string, g declarer.DatabaseGroup, perServer int) []string {
 	var l []string
 	for _, b := range g.BackendServers {
 		s := assigner.Server{DatabaseGroup: g.Name, Name: b.Name, AvailabilityZone: b.AvailabilityZone, Region: b.Region}
@@ -43,19 +43,19 @@
 	return l
 }
 
-// Place is where an entry host stands.
-type Place struct {
+// Location is where an entry host stands.
+type Location struct {
 	Name             string
 	AvailabilityZone string
 	Region           string
 }
 
-// Order sorts serving hosts by the order in which a host at the given place turns
+// OrderByDistance sorts serving hosts by the order in which a host at the given place turns
 // to them: those of its zone, of its region, others. Equals are ordered by a hash
 // of both names, so that the hosts of a zone spread over its serving hosts.
-func Order(at Place, serving []Place) []string {
+func OrderByDistance(at Location, serving []Location) []string {
 	l := slices.Clone(serving)
-	slices.SortFunc(l, func(a, b Place) int {
+	slices.SortFunc(l, func(a, b Location) int {
 		return cmp.Or(cmp.Compare(distance(at, a), distance(at, b)), cmp.Compare(weight(at, a), weight(at, b)), cmp.Compare(a.Name, b.Name))
 	})
 	var n []string
@@ -67,7 +67,7 @@
 	return n
 }
 
-func distance(a, b Place) int {
+func distance(a, b Location) int {
 	switch {
 	case a.AvailabilityZone == b.AvailabilityZone:
 		return 0
@@ -78,6 +78,6 @@
 	}
 }
 
-func weight(a, b Place) uint64 {
+func weight(a, b Location) uint64 {
 	return xxhash.Sum64String(a.Name + "\x00" + b.Name)
 }
--- a/internal/group/appointer/appointer_test.go
+++ b/internal/group/appointer/appointer_test.go
@@ -47,7 +47,7 @@
 }
 
 func serving(l []assigner.Host, g declarer.DatabaseGroup) []string {
-	return Serving(assigner.Compile(l), zonesOf(l), g, DefaultHostsPerServer)
+	return ServingHosts(assigner.Compile(l), zonesOf(l), g, DefaultHostsPerServer)
 }
 
 // An entry host is lost or joins. If serving hosts that aren't concerned changed
@@ -109,9 +109,9 @@
 }
 
 func TestOrder(t *testing.T) {
-	at := Place{Name: "a1", AvailabilityZone: "a", Region: "one"}
-	l := []Place{{"c1", "c", "two"}, {"b1", "b", "one"}, {"a1", "a", "one"}, {"a2", "a", "one"}}
-	if got := Order(at, l); !slices.Equal(got, []string{"a2", "b1", "c1"}) {
+	at := Location{Name: "a1", AvailabilityZone: "a", Region: "one"}
+	l := []Location{{"c1", "c", "two"}, {"b1", "b", "one"}, {"a1", "a", "one"}, {"a2", "a", "one"}}
+	if got := OrderByDistance(at, l); !slices.Equal(got, []string{"a2", "b1", "c1"}) {
 		t.Errorf("order %v", got)
 	}
 }
--- a/internal/group/driver/changes.go
+++ b/internal/group/driver/changes.go
@@ -15,8 +15,8 @@
 func (d *Driver) Thresholds() Settings { return d.Settings }
 
 // Word returns this host's word on the primary, to be passed on to other hosts.
-func (d *Driver) Word() observer.Word {
-	return d.View().Word(d.Host, d.Settings.Observer)
+func (d *Driver) Word() observer.PrimaryReport {
+	return d.View().Report(d.Host, d.Settings.Observer)
 }
 
 // Snapshot returns the view with its version. That numbers the changes of which
--- a/internal/group/driver/driver.go
+++ b/internal/group/driver/driver.go
@@ -46,7 +46,7 @@
 // Peers gives other entry hosts' knowledge, from memory and without waiting.
 type Peers interface {
 	// Words returns the recent words of other entry hosts on the group's primary.
-	Words(group string) []observer.Word
+	Words(group string) []observer.PrimaryReport
 	// Hosts returns the names of the live entry hosts that promote the group's
 	// servers unasked.
 	Hosts(group string) []string
@@ -98,16 +98,16 @@
 func Defaults() Settings {
 	return Settings{
 		Observer: observer.Settings{
-			Suspicion: 400 * time.Millisecond,
-			Refusal:   200 * time.Millisecond,
-			Isolation: 600 * time.Millisecond,
-			NoPrimary: 200 * time.Millisecond,
-			Freshness: 500 * time.Millisecond,
-			Ahead:     time.Second,
+			SuspicionTimeout: 400 * time.Millisecond,
+			RefusalTimeout:   200 * time.Millisecond,
+			IsolationTimeout: 600 * time.Millisecond,
+			NoPrimaryTimeout: 200 * time.Millisecond,
+			MaximumStatusAge: 500 * time.Millisecond,
+			TermAheadTimeout: time.Second,
 			// Looks are 20 ms apart, answers at rest 100 ms and a round trip.
-			LookLimit:   50 * time.Millisecond,
-			AnswerLimit: 200 * time.Millisecond,
-			EvidenceAge: 400 * time.Millisecond,
+			MaximumViewInterval:   50 * time.Millisecond,
+			MaximumAnswerInterval: 200 * time.Millisecond,
+			MaximumEvidenceAge:    400 * time.Millisecond,
 		},
 		Promoter: promoter.Settings{
 			ClaimTimeout:   150 * time.Millisecond,
@@ -161,7 +161,7 @@
 	// Promotions counts the promotions that this host completed.
 	Promotions atomic.Uint64
 	// Polls counts the polls that this host began, by cause.
-	Polls [pacer.Causes]atomic.Uint64
+	Polls [pacer.CauseCount]atomic.Uint64
 
 	once      sync.Once
 	instances []*instance
@@ -176,7 +176,7 @@
 	calls     sync.WaitGroup
 
 	mu     sync.Mutex
-	ledger acknowledger.Ledger
+	ledger acknowledger.ReplicationTracker
 	// identities tells strangers at the instances' addresses.
 	identities identities
 	waiters    map[*waiter]struct{}
@@ -191,7 +191,7 @@
 	// changed is closed at the next change of version.
 	changed chan struct{}
 	// table and polled are kept for their slices.
-	table  pacer.Table
+	table  pacer.State
 	polled []marker.Mark
 }
 
@@ -215,7 +215,7 @@
 	// hurried says that a caller has seen a server fail and the next poll is due.
 	hurried bool
 	delays  pacer.Delays
-	turn    pacer.Turn
+	turn    pacer.ScheduledPoll
 }
 
 func (d *Driver) init() {
@@ -317,7 +317,7 @@
 	d.schedule()
 }
 
-func (d *Driver) words() []observer.Word {
+func (d *Driver) words() []observer.PrimaryReport {
 	if d.Peers == nil {
 		return nil
 	}
--- a/internal/group/driver/driver_test.go
+++ b/internal/group/driver/driver_test.go
@@ -340,7 +340,7 @@
 func (r *rig) awaitStale(d *Driver, before time.Duration) {
 	ctx, stop := context.WithTimeout(r.ctx, limit)
 	defer stop()
-	for v := d.View(); v.HasMajority() || v.At <= before+d.Settings.Observer.Freshness; v = d.View() {
+	for v := d.View(); v.HasMajority() || v.At <= before+d.Settings.Observer.MaximumStatusAge; v = d.View() {
 		if ctx.Err() != nil {
 			r.tb.Fatalf("a majority still answers: %+v", v)
 		}
--- a/internal/group/driver/lease_test.go
+++ b/internal/group/driver/lease_test.go
@@ -85,9 +85,9 @@
 		b.Run(p.Name, func(b *testing.B) {
 			r := newRig(b, hosts, p)
 			for _, d := range r.drivers {
-				d.Settings.Observer.Suspicion = time.Hour
-				d.Settings.Observer.Refusal = time.Hour
-				d.Settings.Observer.NoPrimary = time.Hour
+				d.Settings.Observer.SuspicionTimeout = time.Hour
+				d.Settings.Observer.RefusalTimeout = time.Hour
+				d.Settings.Observer.NoPrimaryTimeout = time.Hour
 			}
 			l := &leaser{platform: r.store, controls: r.controls(r.dialer(0)), servers: map[string]string{}, primary: r.primary().Name, renewed: time.Now()}
 			for _, s := range r.group.Servers {
--- a/internal/group/driver/poller.go
+++ b/internal/group/driver/poller.go
@@ -52,7 +52,7 @@
 	return 0, false
 }
 
-func (d *Driver) turn(i *instance) pacer.Turn {
+func (d *Driver) turn(i *instance) pacer.ScheduledPoll {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return i.turn
@@ -81,7 +81,7 @@
 	i.polling = true
 	i.hurried = false
 	i.begun, i.began = n, at
-	i.turn = pacer.Turn{At: pacer.Never}
+	i.turn = pacer.ScheduledPoll{At: pacer.Never}
 	return n, at
 }
 
@@ -117,7 +117,7 @@
 	if n > i.polled {
 		i.polled = n
 		r := smooth(i.observation.RoundTrip, d.now()-at)
-		i.observation = observer.Observation{Status: s, Answered: true, At: at, RoundTrip: r}
+		i.observation = observer.Observation{Status: s, Answered: true, PolledAt: at, RoundTrip: r}
 	}
 	d.learn(i, at)
 	d.observe()
--- a/internal/group/driver/polls_test.go
+++ b/internal/group/driver/polls_test.go
@@ -155,7 +155,7 @@
 			go r.run(rand.New(rand.NewPCG(2, uint64(n))))
 		}
 		r.done.Wait()
-		if n := d.Polls[pacer.CauseIndex].Load(); n > 1100 {
+		if n := d.Polls[pacer.CauseReadIndex].Load(); n > 1100 {
 			t.Errorf("%d polls for 1600 reads", n)
 		}
 		rests := time.Since(began)/d.Settings.StatusInterval + 1
--- a/internal/group/driver/scheduler.go
+++ b/internal/group/driver/scheduler.go
@@ -14,7 +14,7 @@
 	t := d.fillTable()
 	t.Demands = t.Demands[:0]
 	for w := range d.waiters {
-		t.Demands = pacer.Join(t.Demands, w.demand)
+		t.Demands = pacer.AddDemand(t.Demands, w.demand)
 	}
 	if len(t.Demands) > 0 {
 		d.demanded = d.now()
@@ -31,12 +31,12 @@
 	t := d.fillTable()
 	t.Demands = append(t.Demands[:0], w.demand)
 	for n, i := range d.instances {
-		i.take(pacer.Sooner(i.turn, pacer.Next(t, n)))
+		i.take(pacer.Earlier(i.turn, pacer.Next(t, n)))
 	}
 }
 
 // take sets the instance's turn and wakes its loop where it is earlier than before.
-func (i *instance) take(t pacer.Turn) {
+func (i *instance) take(t pacer.ScheduledPoll) {
 	before := i.turn.At
 	i.turn = t
 	if t.At < before {
@@ -44,19 +44,19 @@
 	}
 }
 
-func (d *Driver) fillTable() *pacer.Table {
+func (d *Driver) fillTable() *pacer.State {
 	v := d.view.Load()
 	t := &d.table
 	t.Settings = pacer.Settings{
-		Rest:    d.Settings.StatusInterval,
-		Failure: d.Settings.FailureInterval,
-		Gap:     d.Settings.GapInterval,
-		Held:    d.Settings.HeldInterval,
-		Busy:    d.Settings.BusyInterval,
+		IdleInterval:      d.Settings.StatusInterval,
+		FailureInterval:   d.Settings.FailureInterval,
+		NoPrimaryInterval: d.Settings.GapInterval,
+		UrgentInterval:    d.Settings.HeldInterval,
+		MinimumInterval:   d.Settings.BusyInterval,
 	}
 	t.Busy = d.demanded > 0 && d.now()-d.demanded <= d.Settings.StatusInterval
 	t.Promoting = d.promoting > 0
-	t.Gap = !v.Confirmed && v.HasMajority() || alarming(v, d.Settings.Observer.Suspicion/2)
+	t.NoPrimary = !v.Confirmed && v.HasMajority() || alarming(v, d.Settings.Observer.SuspicionTimeout/2)
 	t.Servers = t.Servers[:0]
 	for _, i := range d.instances {
 		t.Servers = append(t.Servers, i.paced(v))
@@ -66,17 +66,17 @@
 
 func (i *instance) paced(v *observer.View) pacer.Server {
 	return pacer.Server{
-		Primary:   i.name == v.Primary,
-		Known:     i.observation.Answered,
-		Failures:  i.observation.Failures,
-		Hurried:   i.hurried,
-		Polling:   i.polling,
-		Begun:     i.begun,
-		Began:     i.began,
-		Ended:     i.ended,
-		Answered:  i.polled,
-		RoundTrip: i.observation.RoundTrip,
-		Delays:    i.delays,
+		Primary:      i.name == v.Primary,
+		HasAnswered:  i.observation.Answered,
+		Failures:     i.observation.Failures,
+		PollNow:      i.hurried,
+		Polling:      i.polling,
+		LastPoll:     i.begun,
+		PollStarted:  i.began,
+		PollEnded:    i.ended,
+		LastAnswered: i.polled,
+		RoundTrip:    i.observation.RoundTrip,
+		Delays:       i.delays,
 	}
 }
 
@@ -111,9 +111,9 @@
 		w.demand.Holders = w.demand.Holders.With(n)
 	}
 	switch {
-	case at < w.demand.Since:
+	case at < w.demand.ArrivedAt:
 	case shows:
-		i.delays[k] = pacer.Learn(i.delays[k], at-w.demand.Since, w.missed.Has(n), d.Settings.GapInterval)
+		i.delays[k] = pacer.UpdateDelay(i.delays[k], at-w.demand.ArrivedAt, w.missed.Has(n), d.Settings.GapInterval)
 	default:
 		w.missed = w.missed.With(n)
 	}
@@ -150,7 +150,7 @@
 
 // demanding sets what the waiter demands of the polls.
 func (d *Driver) demanding(w *waiter) {
-	w.demand = pacer.Demand{Kind: demands[w.kind], Since: d.now(), Arrived: d.sequence, Server: d.number(w.server)}
+	w.demand = pacer.Demand{Kind: demands[w.kind], ArrivedAt: d.now(), AfterPoll: d.sequence, Server: d.number(w.server)}
 	if w.demand.Kind == pacer.KindAcknowledgement {
 		w.demand.Holders = d.holders(w.mark)
 	}
--- a/internal/group/driver/waiter.go
+++ b/internal/group/driver/waiter.go
@@ -28,7 +28,7 @@
 var demands = [...]pacer.Kind{
 	waitAcknowledged: pacer.KindAcknowledgement,
 	waitCommit:       pacer.KindAcknowledgement,
-	waitIndex:        pacer.KindIndex,
+	waitIndex:        pacer.KindReadIndex,
 	waitCovered:      pacer.KindCover,
 	waitPrimary:      pacer.KindPrimary,
 	waitDrained:      pacer.KindDrain,
@@ -233,19 +233,19 @@
 	case waitCommit:
 		return answerVerdict(d.ledger.DecideExact(w.mark))
 	case waitIndex:
-		m, ok := indexer.Index(len(d.instances), d.polledAfter(w.demand.Arrived))
+		m, ok := indexer.Index(len(d.instances), d.polledAfter(w.demand.AfterPoll))
 		return answer{mark: m}, ok
 	case waitCovered:
 		return answer{}, mark(v, w.server).Covers(w.mark)
 	case waitDrained:
 		i := d.instance(w.server)
-		return answer{}, i.polled > w.demand.Arrived && i.observation.Status.Writing == 0
+		return answer{}, i.polled > w.demand.AfterPoll && i.observation.Status.Writing == 0
 	default:
 		return d.answerPrimary(v)
 	}
 }
 
-func answerVerdict(v acknowledger.Verdict) (answer, bool) {
+func answerVerdict(v acknowledger.CommitState) (answer, bool) {
 	switch v {
 	case acknowledger.Acknowledged:
 		return answer{}, true
--- a/internal/group/follower/follower.go
+++ b/internal/group/follower/follower.go
@@ -83,7 +83,7 @@
 	mu sync.Mutex
 	// fresh is closed at the next answer.
 	fresh  chan struct{}
-	ledger acknowledger.Ledger
+	ledger acknowledger.ReplicationTracker
 	lanes  [laneCount]lane
 	avoid  map[string]time.Duration
 	// source is the host whose version the view is of.
--- a/internal/group/follower/follower_test.go
+++ b/internal/group/follower/follower_test.go
@@ -168,8 +168,8 @@
 			}
 			for i, r := range s {
 				written := time.Duration(v.Servers[i].Status.Last.Position) * time.Microsecond
-				if begun := written + r.lag - r.trip/2; v.Servers[i].At > begun+time.Microsecond {
-					t.Errorf("%s: status seems to be of %v, it is of %v", r.name, v.Servers[i].At, begun)
+				if begun := written + r.lag - r.trip/2; v.Servers[i].PolledAt > begun+time.Microsecond {
+					t.Errorf("%s: status seems to be of %v, it is of %v", r.name, v.Servers[i].PolledAt, begun)
 				}
 			}
 		}
--- a/internal/group/follower/lane.go
+++ b/internal/group/follower/lane.go
@@ -107,7 +107,7 @@
 }
 
 // verdict leaves what isn't determined here to the serving host, which sees more.
-func verdict(v acknowledger.Verdict) (answer, bool) {
+func verdict(v acknowledger.CommitState) (answer, bool) {
 	switch v {
 	case acknowledger.Acknowledged:
 		return answer{}, true
--- a/internal/group/follower/view.go
+++ b/internal/group/follower/view.go
@@ -91,8 +91,8 @@
 	o := f.view.Load()
 	for i := range v.Servers {
 		s, p := &v.Servers[i], &o.Servers[i]
-		if s.Answered && p.Answered && s.Status.Term == p.Status.Term && s.Status.Role == p.Status.Role && p.Status.Last.Compare(s.Status.Last) > 0 && p.At > s.At {
-			s.Status.Last, s.At = p.Status.Last, p.At
+		if s.Answered && p.Answered && s.Status.Term == p.Status.Term && s.Status.Role == p.Status.Role && p.Status.Last.Compare(s.Status.Last) > 0 && p.PolledAt > s.PolledAt {
+			s.Status.Last, s.PolledAt = p.Status.Last, p.PolledAt
 		}
 	}
 }
--- a/internal/group/informer/informer.go
+++ b/internal/group/informer/informer.go
@@ -174,7 +174,7 @@
 
 func polledSince(before, v *observer.View, since time.Duration) bool {
 	for i := range v.Servers {
-		if v.Servers[i].At < since && v.Servers[i].Failures <= before.Servers[i].Failures {
+		if v.Servers[i].PolledAt < since && v.Servers[i].Failures <= before.Servers[i].Failures {
 			return false
 		}
 	}
--- a/internal/group/informer/message.go
+++ b/internal/group/informer/message.go
@@ -165,7 +165,7 @@
 		NoMajoritySince: v.NoMajoritySince - arrival,
 	}
 	for _, s := range v.Servers {
-		o := Server{Status: s.Status, Answered: s.Answered, At: s.At - arrival, RoundTrip: s.RoundTrip, Failures: s.Failures, Refused: s.Refused, Fresh: s.Fresh}
+		o := Server{Status: s.Status, Answered: s.Answered, At: s.PolledAt - arrival, RoundTrip: s.RoundTrip, Failures: s.Failures, Refused: s.Refused, Fresh: s.Fresh}
 		o.Status.BackendServer = s.Name
 		m.Servers = append(m.Servers, o)
 	}
@@ -176,7 +176,7 @@
 func PackPositions(v *observer.View, arrival time.Duration) []Position {
 	l := make([]Position, len(v.Servers))
 	for i, s := range v.Servers {
-		l[i] = Position{Term: s.Status.Last.Term, Last: s.Status.Last.Position, At: s.At - arrival}
+		l[i] = Position{Term: s.Status.Last.Term, Last: s.Status.Last.Position, At: s.PolledAt - arrival}
 	}
 	return l
 }
@@ -190,8 +190,8 @@
 		s := &v.Servers[i]
 		// Answers may overtake each other. A position of one term taken for one of
 		// another would have a write acknowledged that nobody holds.
-		if at := l[i].At + sent; s.Answered && at > s.At && l[i].Term == s.Status.Last.Term {
-			s.At, s.Status.Last.Position = at, l[i].Last
+		if at := l[i].At + sent; s.Answered && at > s.PolledAt && l[i].Term == s.Status.Last.Term {
+			s.PolledAt, s.Status.Last.Position = at, l[i].Last
 		}
 	}
 	return &v
@@ -234,7 +234,7 @@
 		}
 		o := observer.Observation{Status: s.Status, Answered: s.Answered, RoundTrip: s.RoundTrip, Failures: s.Failures, Refused: s.Refused}
 		if s.Answered {
-			o.At = s.At + sent
+			o.PolledAt = s.At + sent
 		}
 		return observer.Server{Name: name, Observation: o, Fresh: s.Fresh}
 	}
--- a/internal/group/informer/message_test.go
+++ b/internal/group/informer/message_test.go
@@ -14,7 +14,7 @@
 // that a write lasts which is lost; an answer that was overtaken would hide one.
 func TestPositionsOfAnotherTermOrOlder(t *testing.T) {
 	o := &observer.View{Servers: []observer.Server{{Name: "a", Observation: observer.Observation{
-		Answered: true, At: time.Second, Status: controller.Status{Last: marker.Mark{Term: 1, Position: 10}},
+		Answered: true, PolledAt: time.Second, Status: controller.Status{Last: marker.Mark{Term: 1, Position: 10}},
 	}}}}
 	tests := []struct {
 		name string
--- a/internal/group/observer/observer.go
+++ b/internal/group/observer/observer.go
@@ -15,29 +15,29 @@
 
 // Settings are the thresholds of an observer.
 type Settings struct {
-	// Suspicion is how long a primary must be silent before it is suspected.
-	Suspicion time.Duration
-	// Refusal is the same for a primary whose machine refuses connections, zero for
+	// SuspicionTimeout is how long a primary must be silent before it is suspected.
+	SuspicionTimeout time.Duration
+	// RefusalTimeout is the same for a primary whose machine refuses connections, zero for
 	// Suspicion. It is shorter, since silence may be a pause and a refusal isn't.
-	Refusal time.Duration
-	// Isolation is how long a majority of the replicas must not have heard a
+	RefusalTimeout time.Duration
+	// IsolationTimeout is how long a majority of the replicas must not have heard a
 	// primary before it is suspected though it answers. It is longer, since it is
 	// the only evidence.
-	Isolation time.Duration
-	// NoPrimary is how long no instance may be primary; a promotion in progress at
+	IsolationTimeout time.Duration
+	// NoPrimaryTimeout is how long no instance may be primary; a promotion in progress at
 	// another host takes less.
-	NoPrimary time.Duration
-	// Freshness is how old a status may be and still count.
-	Freshness time.Duration
-	// Ahead is how long a replica may be fenced at a higher term than a working
+	NoPrimaryTimeout time.Duration
+	// MaximumStatusAge is how old a status may be and still count.
+	MaximumStatusAge time.Duration
+	// TermAheadTimeout is how long a replica may be fenced at a higher term than a working
 	// primary's before the group is moved to a term above both.
-	Ahead time.Duration
-	// LookLimit is the most time between two looks of a host that counts as
+	TermAheadTimeout time.Duration
+	// MaximumViewInterval is the most time between two looks of a host that counts as
 	// evidence; for the rest it stood still. Zero is no limit.
-	LookLimit time.Duration
-	// AnswerLimit is the same between two answers of a replica, and EvidenceAge
+	MaximumViewInterval time.Duration
+	// MaximumAnswerInterval is the same between two answers of a replica, and MaximumEvidenceAge
 	// how old an answer may be that says that it doesn't hear the primary.
-	AnswerLimit, EvidenceAge time.Duration
+	MaximumAnswerInterval, MaximumEvidenceAge time.Duration
 }
 
 // Observation is what one entry host knows of one backend server. Times are
@@ -47,8 +47,8 @@
 	Status controller.Status
 	// Answered says whether there was an answer at all.
 	Answered bool
-	// At is when the call that was answered last began.
-	At time.Duration
+	// PolledAt is when the call that was answered last began.
+	PolledAt time.Duration
 	// RoundTrip is the smoothed time of a call.
 	RoundTrip time.Duration
 	// Failures counts the failed calls since the last answer. The first one may
@@ -60,11 +60,11 @@
 
 // Fresh reports whether the observation is at most f old.
 func (o Observation) Fresh(now, f time.Duration) bool {
-	return o.Answered && now-o.At <= f
+	return o.Answered && now-o.PolledAt <= f
 }
 
-// Word is another entry host's word on the primary.
-type Word struct {
+// PrimaryReport is another entry host's word on the primary.
+type PrimaryReport struct {
 	// Host is the entry host that gives its word.
 	Host string
 	// Primary and Term name the primary that it speaks of.
@@ -141,8 +141,8 @@
 	Term marker.Term
 	// HighestTerm is the highest term that any instance accepted.
 	HighestTerm marker.Term
-	// RaisedSince is when this host first saw HighestTerm.
-	RaisedSince time.Duration
+	// HighestTermSince is when this host first saw HighestTerm.
+	HighestTermSince time.Duration
 	// Confirmed says that the primary may be sent writes and that no record of
 	// an earlier term that it lacks can ever come back.
 	Confirmed bool
@@ -189,10 +189,10 @@
 
 // Observe folds the present observations into a view; p is the view before.
 // The servers of s carry Name and Observation.
-func Observe(now time.Duration, c Settings, s []Server, w []Word, p View) View {
+func Observe(now time.Duration, c Settings, s []Server, w []PrimaryReport, p View) View {
 	v := View{At: now, Servers: s}
 	for i := range v.Servers {
-		v.Servers[i].Fresh = v.Servers[i].Observation.Fresh(now, c.Freshness)
+		v.Servers[i].Fresh = v.Servers[i].Observation.Fresh(now, c.MaximumStatusAge)
 	}
 	v.leaveOut(c, &p)
 	v.findPrimary()
@@ -246,7 +246,7 @@
 	v.PrimarySince = began(v.Primary != "", same, p.PrimarySince, v.At)
 	v.noPrimarySince = began(v.Primary == "", p.Primary == "" && len(p.Servers) > 0, p.noPrimarySince, v.At)
 	v.aheadSince = began(v.ahead(), p.ahead() && same, p.aheadSince, v.At)
-	v.RaisedSince = began(true, p.HighestTerm == v.HighestTerm, p.RaisedSince, v.At)
+	v.HighestTermSince = began(true, p.HighestTerm == v.HighestTerm, p.HighestTermSince, v.At)
 	s, _ := v.Server(v.Primary)
 	v.Leaving = s.Status.Leaving
 	v.LeavingSince = began(v.Leaving, p.Leaving && same, p.LeavingSince, v.At)
--- a/internal/group/observer/observer_test.go
+++ b/internal/group/observer/observer_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-var settings = Settings{Suspicion: 400 * ms, Refusal: 200 * ms, Isolation: 600 * ms, NoPrimary: 200 * ms, Freshness: 500 * ms, Ahead: time.Second}
+var settings = Settings{SuspicionTimeout: 400 * ms, RefusalTimeout: 200 * ms, IsolationTimeout: 600 * ms, NoPrimaryTimeout: 200 * ms, MaximumStatusAge: 500 * ms, TermAheadTimeout: time.Second}
 
 // replica is the status of a replica of db-1 that last heard it d ago.
 func replica(d time.Duration) controller.Status {
@@ -19,7 +19,7 @@
 
 // seen is an observation of age a after n failed calls.
 func seen(s controller.Status, a time.Duration, n int) Observation {
-	return Observation{Status: s, Answered: true, At: 10*time.Second - a, Failures: n}
+	return Observation{Status: s, Answered: true, PolledAt: 10*time.Second - a, Failures: n}
 }
 
 // refused is an observation of a server whose machine refuses connections.
@@ -32,30 +32,30 @@
 	primary := controller.Status{Role: controller.RolePrimary, Term: 2, Last: marker.Mark{Term: 2, Position: 9}, TermStart: 5}
 	fenced := controller.Status{Role: controller.RoleReplica, Term: 3, Last: marker.Mark{Term: 2, Position: 9}}
 	fresh := controller.Status{Role: controller.RolePrimary, Term: 3, Last: marker.Mark{Term: 3, Position: 10}, TermStart: 10}
-	lost := Word{Host: "entry-1", Primary: "db-1", Term: 2, Lost: true}
-	reached := Word{Host: "entry-2", Primary: "db-1", Term: 2}
-	old := Word{Host: "entry-3", Primary: "db-1", Term: 1}
+	lost := PrimaryReport{Host: "entry-1", Primary: "db-1", Term: 2, Lost: true}
+	reached := PrimaryReport{Host: "entry-2", Primary: "db-1", Term: 2}
+	old := PrimaryReport{Host: "entry-3", Primary: "db-1", Term: 1}
 	tests := []struct {
 		name     string
 		seen     [3]Observation
-		words    []Word
+		words    []PrimaryReport
 		reason   Reason
 		obstacle Obstacle
 	}{
 		{"healthy", [3]Observation{seen(primary, 0, 0), seen(replica(0), 0, 0), seen(replica(0), 0, 0)}, nil, ReasonNone, ObstacleNone},
 		{"crashed", [3]Observation{seen(primary, 600*ms, 5), seen(replica(450*ms), 0, 0), seen(replica(450*ms), 0, 0)}, nil, ReasonUnreachable, ObstaclePrimarySilent},
-		{"another host agrees", [3]Observation{seen(primary, 600*ms, 5), seen(replica(450*ms), 0, 0), seen(replica(450*ms), 0, 0)}, []Word{reached, lost}, ReasonUnreachable, ObstaclePrimarySilent},
-		{"all other hosts reach it", [3]Observation{seen(primary, 600*ms, 5), seen(replica(450*ms), 0, 0), seen(replica(450*ms), 0, 0)}, []Word{reached}, ReasonNone, ObstaclePrimarySilent},
-		{"words of an old term don't count", [3]Observation{seen(primary, 600*ms, 5), seen(replica(450*ms), 0, 0), seen(replica(450*ms), 0, 0)}, []Word{old}, ReasonUnreachable, ObstaclePrimarySilent},
+		{"another host agrees", [3]Observation{seen(primary, 600*ms, 5), seen(replica(450*ms), 0, 0), seen(replica(450*ms), 0, 0)}, []PrimaryReport{reached, lost}, ReasonUnreachable, ObstaclePrimarySilent},
+		{"all other hosts reach it", [3]Observation{seen(primary, 600*ms, 5), seen(replica(450*ms), 0, 0), seen(replica(450*ms), 0, 0)}, []PrimaryReport{reached}, ReasonNone, ObstaclePrimarySilent},
+		{"words of an old term don't count", [3]Observation{seen(primary, 600*ms, 5), seen(replica(450*ms), 0, 0), seen(replica(450*ms), 0, 0)}, []PrimaryReport{old}, ReasonUnreachable, ObstaclePrimarySilent},
 		{"own link broken", [3]Observation{seen(primary, 5*time.Second, 50), seen(replica(0), 0, 0), seen(replica(10*ms), 0, 0)}, nil, ReasonNone, ObstaclePrimarySilent},
 		{"one replica hears it", [3]Observation{seen(primary, 5*time.Second, 50), seen(replica(5*time.Second), 0, 0), seen(replica(10*ms), 0, 0)}, nil, ReasonNone, ObstaclePrimarySilent},
 		{"one failure on an old connection", [3]Observation{seen(primary, 450*ms, 1), seen(replica(450*ms), 0, 0), seen(replica(450*ms), 0, 0)}, nil, ReasonNone, ObstacleNone},
 		{"ended, connections refused", [3]Observation{refused(seen(primary, 300*ms, 2)), seen(replica(250*ms), 0, 0), seen(replica(250*ms), 0, 0)}, nil, ReasonUnreachable, ObstacleSuspected},
 		{"silent for as long", [3]Observation{seen(primary, 300*ms, 2), seen(replica(250*ms), 0, 0), seen(replica(250*ms), 0, 0)}, nil, ReasonNone, ObstacleNone},
-		{"refused here, reached from elsewhere", [3]Observation{refused(seen(primary, 300*ms, 2)), seen(replica(250*ms), 0, 0), seen(replica(250*ms), 0, 0)}, []Word{reached}, ReasonNone, ObstacleNone},
+		{"refused here, reached from elsewhere", [3]Observation{refused(seen(primary, 300*ms, 2)), seen(replica(250*ms), 0, 0), seen(replica(250*ms), 0, 0)}, []PrimaryReport{reached}, ReasonNone, ObstacleNone},
 		{"refused here, heard by the replicas", [3]Observation{refused(seen(primary, 5*time.Second, 50)), seen(replica(20*ms), 0, 0), seen(replica(20*ms), 0, 0)}, nil, ReasonNone, ObstaclePrimarySilent},
 		{"refused once", [3]Observation{refused(seen(primary, 300*ms, 1)), seen(replica(250*ms), 0, 0), seen(replica(250*ms), 0, 0)}, nil, ReasonNone, ObstacleNone},
-		{"answers but isolated", [3]Observation{seen(primary, 0, 0), seen(replica(850*ms), 0, 0), seen(replica(850*ms), 0, 0)}, []Word{reached}, ReasonIsolated, ObstacleSuspected},
+		{"answers but isolated", [3]Observation{seen(primary, 0, 0), seen(replica(850*ms), 0, 0), seen(replica(850*ms), 0, 0)}, []PrimaryReport{reached}, ReasonIsolated, ObstacleSuspected},
 		{"majority lost", [3]Observation{seen(primary, 0, 0), seen(replica(0), time.Second, 9), seen(replica(0), time.Second, 9)}, nil, ReasonNone, ObstacleNoMajority},
 		{"fenced, nobody promoted", [3]Observation{seen(primary, 0, 0), seen(fenced, 0, 0), seen(fenced, 0, 0)}, nil, ReasonNoPrimary, ObstacleNoPrimary},
 		{"a raise left behind", [3]Observation{seen(primary, 0, 0), seen(replica(0), 0, 0), seen(fenced, 0, 0)}, nil, ReasonTermAhead, ObstacleNone},
@@ -81,7 +81,7 @@
 func servers(o [3]Observation, at time.Duration) []Server {
 	var s []Server
 	for i, n := range []string{"db-1", "db-2", "db-3"} {
-		o[i].At += at - 10*time.Second
+		o[i].PolledAt += at - 10*time.Second
 		s = append(s, Server{Name: n, Observation: o[i]})
 	}
 	return s
--- a/internal/group/observer/pause.go
+++ b/internal/group/observer/pause.go
@@ -23,9 +23,9 @@
 	if len(p.Servers) == 0 {
 		return
 	}
-	d := excess(v.At-p.At, c.LookLimit)
+	d := excess(v.At-p.At, c.MaximumViewInterval)
 	for _, t := range []*time.Duration{
-		&p.RaisedSince, &p.SuspectedSince, &p.PrimarySince, &p.LeavingSince,
+		&p.HighestTermSince, &p.SuspectedSince, &p.PrimarySince, &p.LeavingSince,
 		&p.NoMajoritySince, &p.noPrimarySince, &p.aheadSince,
 	} {
 		*t = min(*t+d, v.At)
@@ -33,11 +33,11 @@
 	for i := range v.Servers {
 		s := &v.Servers[i]
 		o, _ := p.Server(s.Name)
-		s.unwatched = min(d, v.At-s.At)
-		if s.At == o.At {
-			s.unwatched = min(o.unwatched+d, v.At-s.At)
+		s.unwatched = min(d, v.At-s.PolledAt)
+		if s.PolledAt == o.PolledAt {
+			s.unwatched = min(o.unwatched+d, v.At-s.PolledAt)
 		}
-		s.weigh(o, v.At, c.AnswerLimit)
+		s.weigh(o, v.At, c.MaximumAnswerInterval)
 	}
 }
 
@@ -47,11 +47,11 @@
 // of the whole silence: otherwise lost polls would delay a suspicion for long.
 func (s *Server) weigh(o Server, now, limit time.Duration) {
 	s.answered, s.resumed, s.unwitnessed = o.answered, o.resumed, o.unwitnessed
-	if limit <= 0 || !s.Answered || s.At == o.At && o.Answered {
+	if limit <= 0 || !s.Answered || s.PolledAt == o.PolledAt && o.Answered {
 		return
 	}
 	// An answer that waited for a host that stood still was made long before.
-	s.answered = min(now, s.At+limit/2)
+	s.answered = min(now, s.PolledAt+limit/2)
 	d := now - o.answered
 	if s.Status.SinceHeard < d {
 		// It heard its primary after the answer before: a new silence.
@@ -76,5 +76,5 @@
 
 // unanswered is how long the server hasn't answered while this host was asking.
 func (s *Server) unanswered(now time.Duration) time.Duration {
-	return now - s.At - s.unwatched
+	return now - s.PolledAt - s.unwatched
 }
--- a/internal/group/observer/pause_test.go
+++ b/internal/group/observer/pause_test.go
@@ -35,7 +35,7 @@
 // limited are the settings with the limits of what a pause may prove.
 func limited() Settings {
 	c := settings
-	c.LookLimit, c.AnswerLimit, c.EvidenceAge = 50*ms, 200*ms, 400*ms
+	c.MaximumViewInterval, c.MaximumAnswerInterval, c.MaximumEvidenceAge = 50*ms, 200*ms, 400*ms
 	return c
 }
 
@@ -135,7 +135,7 @@
 	p, o := &r.polls[i], &r.seen[i].Observation
 	p.open = false
 	if p.said != 0 && p.said <= p.ends {
-		*o = Observation{Status: p.status, Answered: true, At: p.begun}
+		*o = Observation{Status: p.status, Answered: true, PolledAt: p.begun}
 		p.begun = r.now + pollEvery
 	} else {
 		o.Failures++
@@ -274,8 +274,8 @@
 			s := servers([3]Observation{seen(fenced, 0, 0), seen(fenced, 0, 0), seen(fenced, 0, 0)}, 10*time.Second)
 			v = Observe(at, c, s, nil, v)
 		}
-		if v.Suspected() != (c.LookLimit == 0) {
-			t.Errorf("limit %v: suspicion %q", c.LookLimit, v.Reason)
+		if v.Suspected() != (c.MaximumViewInterval == 0) {
+			t.Errorf("limit %v: suspicion %q", c.MaximumViewInterval, v.Reason)
 		}
 	}
 }
@@ -283,14 +283,14 @@
 // All calls of a host to a new primary are lost, while its replicas hear it: the
 // fault is the host's own, and promoting would interrupt everybody's writes.
 func TestPrimaryThatOnlyReplicasHearIsNoLackOfOne(t *testing.T) {
-	for _, heard := range []time.Duration{20 * ms, settings.Suspicion} {
+	for _, heard := range []time.Duration{20 * ms, settings.SuspicionTimeout} {
 		old := controller.Status{Role: controller.RoleFenced, Term: 1, Last: marker.Mark{Term: 1, Position: 9}}
 		follows := controller.Status{Role: controller.RoleReplica, Term: 2, Last: marker.Mark{Term: 2, Position: 10}, Following: "db-1", SinceHeard: heard}
 		var v View
 		for _, at := range []time.Duration{9 * time.Second, 10 * time.Second} {
 			v = Observe(at, settings, servers([3]Observation{seen(old, 2*time.Second, 9), seen(follows, 0, 0), seen(follows, 0, 0)}, at), nil, v)
 		}
-		if v.Suspected() != (heard >= settings.Suspicion) {
+		if v.Suspected() != (heard >= settings.SuspicionTimeout) {
 			t.Errorf("heard %v ago: suspicion %q", heard, v.Reason)
 		}
 	}
--- a/internal/group/observer/suspicion.go
+++ b/internal/group/observer/suspicion.go
@@ -11,7 +11,7 @@
 const freshFailures = 2
 
 // suspect returns why the group needs a promotion, if it does.
-func (v *View) suspect(c Settings, w []Word) Reason {
+func (v *View) suspect(c Settings, w []PrimaryReport) Reason {
 	if !v.HasMajority() {
 		return ReasonNone
 	}
@@ -19,13 +19,13 @@
 		return ReasonNone
 	}
 	if v.Primary == "" {
-		return lasting(ReasonNoPrimary, v.At-v.noPrimarySince, c.NoPrimary)
+		return lasting(ReasonNoPrimary, v.At-v.noPrimarySince, c.NoPrimaryTimeout)
 	}
 	if r := v.suspectSilence(c, w); r != ReasonNone {
 		return r
 	}
 	if v.ahead() {
-		return lasting(ReasonTermAhead, v.At-v.aheadSince, c.Ahead)
+		return lasting(ReasonTermAhead, v.At-v.aheadSince, c.TermAheadTimeout)
 	}
 	return ReasonNone
 }
@@ -36,7 +36,7 @@
 	for i := range v.Servers {
 		s := &v.Servers[i]
 		follows := s.Status.Role == controller.RoleReplica && s.Status.Following != "" && s.Status.Term == v.HighestTerm
-		if s.Fresh && follows && s.silence() < c.Suspicion {
+		if s.Fresh && follows && s.silence() < c.SuspicionTimeout {
 			return true
 		}
 	}
@@ -50,11 +50,11 @@
 	return r
 }
 
-func (v *View) suspectSilence(c Settings, w []Word) Reason {
-	if v.At-v.PrimarySince < c.Isolation && !v.lost(c) {
+func (v *View) suspectSilence(c Settings, w []PrimaryReport) Reason {
+	if v.At-v.PrimarySince < c.IsolationTimeout && !v.lost(c) {
 		return ReasonNone // its replicas may not have been pointed at it yet
 	}
-	if v.silentReplicas(c, c.Isolation) {
+	if v.silentReplicas(c, c.IsolationTimeout) {
 		return ReasonIsolated
 	}
 	if v.silentReplicas(c, v.patience(c)) && v.lost(c) && !contradicted(v, w) {
@@ -72,10 +72,10 @@
 // patience returns how long the primary must be silent before it is suspected.
 func (v *View) patience(c Settings) time.Duration {
 	s, _ := v.Server(v.Primary)
-	if s.Refused && c.Refusal > 0 {
-		return c.Refusal
+	if s.Refused && c.RefusalTimeout > 0 {
+		return c.RefusalTimeout
 	}
-	return c.Suspicion
+	return c.SuspicionTimeout
 }
 
 // silentReplicas reports whether a majority of the replicas answers and hasn't
@@ -86,7 +86,7 @@
 	n := 0
 	for i := range v.Servers {
 		s := &v.Servers[i]
-		recent := s.Fresh && excess(v.At-s.At, c.EvidenceAge) == 0
+		recent := s.Fresh && excess(v.At-s.PolledAt, c.MaximumEvidenceAge) == 0
 		if recent && s.Name != v.Primary && s.silent(v.Primary, d) {
 			n++
 		}
@@ -100,7 +100,7 @@
 
 // contradicted reports whether other hosts gave their word on this primary and
 // none of them finds it lost.
-func contradicted(v *View, w []Word) bool {
+func contradicted(v *View, w []PrimaryReport) bool {
 	n := 0
 	for _, o := range w {
 		if o.Primary != v.Primary || o.Term != v.Term {
@@ -114,7 +114,7 @@
 	return n > 0
 }
 
-// Word returns this host's own word on the primary for other hosts.
-func (v *View) Word(host string, c Settings) Word {
-	return Word{Host: host, Primary: v.Primary, Term: v.Term, Lost: v.Primary != "" && v.lost(c)}
+// Report returns this host's own word on the primary for other hosts.
+func (v *View) Report(host string, c Settings) PrimaryReport {
+	return PrimaryReport{Host: host, Primary: v.Primary, Term: v.Term, Lost: v.Primary != "" && v.lost(c)}
 }
--- a/internal/group/pacer/demand.go
+++ b/internal/group/pacer/demand.go
@@ -20,13 +20,13 @@
 	hedgeSteps = 16
 )
 
-// Join adds d to the demands. Read indexes that came between the same two polls
+// AddDemand adds d to the demands. Read indexes that came between the same two polls
 // need the same ones, soonest for the first; of 32 reads that wait, few differ. The
 // decision on each of them apart would be made with each poll while all wait for it.
-func Join(l []Demand, d Demand) []Demand {
+func AddDemand(l []Demand, d Demand) []Demand {
 	for i := range l {
-		if o := &l[i]; d.Kind == KindIndex && o.Kind == KindIndex && o.Arrived == d.Arrived {
-			o.Since = min(o.Since, d.Since)
+		if o := &l[i]; d.Kind == KindReadIndex && o.Kind == KindReadIndex && o.AfterPoll == d.AfterPoll {
+			o.ArrivedAt = min(o.ArrivedAt, d.ArrivedAt)
 			return l
 		}
 	}
@@ -40,14 +40,14 @@
 
 // usable reports whether the server can be expected to answer.
 func (s *Server) usable() bool {
-	return s.Known && s.Failures == 0
+	return s.HasAnswered && s.Failures == 0
 }
 
 // open are the servers that could still contribute to a demand.
-func (t *Table) open(d *Demand) Set {
+func (t *State) open(d *Demand) Set {
 	var o Set
 	for i := range t.Servers {
-		if d.Kind == KindIndex && t.Servers[i].Answered <= d.Arrived ||
+		if d.Kind == KindReadIndex && t.Servers[i].LastAnswered <= d.AfterPoll ||
 			d.Kind == KindAcknowledgement && !d.Holders.Has(i) {
 			o = o.With(i)
 		}
@@ -56,15 +56,15 @@
 }
 
 // cost is what the servers are chosen by: how soon they can be expected to contribute.
-func (t *Table) cost(d *Demand, i int) time.Duration {
-	if d.Kind == KindIndex {
+func (t *State) cost(d *Demand, i int) time.Duration {
+	if d.Kind == KindReadIndex {
 		return t.Servers[i].RoundTrip
 	}
 	return t.Servers[i].expected(d.Kind)
 }
 
 // before orders the servers by how soon they can be expected to contribute.
-func (t *Table) before(d *Demand, i, j int) bool {
+func (t *State) before(d *Demand, i, j int) bool {
 	if a, b := t.Servers[i].usable(), t.Servers[j].usable(); a != b {
 		return a
 	}
@@ -76,7 +76,7 @@
 
 // chosen returns those of the open servers that make up a majority soonest, and
 // the largest cost among them.
-func (t *Table) chosen(d *Demand) (chosen Set, horizon time.Duration) {
+func (t *State) chosen(d *Demand) (chosen Set, horizon time.Duration) {
 	o := t.open(d)
 	need := majority(len(t.Servers))
 	for i := range t.Servers {
@@ -95,7 +95,7 @@
 }
 
 // rank counts the servers of o before i.
-func (t *Table) rank(d *Demand, o Set, i int) int {
+func (t *State) rank(d *Demand, o Set, i int) int {
 	n := 0
 	for j := range t.Servers {
 		if o.Has(j) && t.before(d, j, i) {
@@ -106,16 +106,16 @@
 }
 
 // spare is when a server is asked that isn't needed as things usually go.
-func (t *Table) spare(d *Demand, horizon time.Duration) time.Duration {
-	return d.Since + hedge*horizon + hedgeSteps*t.Settings.Busy
+func (t *State) spare(d *Demand, horizon time.Duration) time.Duration {
+	return d.ArrivedAt + hedge*horizon + hedgeSteps*t.Settings.MinimumInterval
 }
 
 // spareIndex is the same for a read index. Beside near servers hedgeSteps is many
 // times their usual time, and all reads that come meanwhile wait for the one late
 // answer too: entry hosts then serve fewer reads, without any server being busy. The
 // usual time of a poll holds what a busy machine takes, so as much again will do.
-func (t *Table) spareIndex(d *Demand, horizon time.Duration) time.Duration {
-	return min(t.spare(d, horizon), d.Since+2*hedge*horizon)
+func (t *State) spareIndex(d *Demand, horizon time.Duration) time.Duration {
+	return min(t.spare(d, horizon), d.ArrivedAt+2*hedge*horizon)
 }
 
 // index returns when a read index needs a poll of server i.
@@ -124,20 +124,20 @@
 // is of a distant server, polling the near one at once would gain nothing, and
 // the near one would be asked once for each read that comes meanwhile. So it
 // waits until the distant one is expected back.
-func (t *Table) index(d *Demand, i int) time.Duration {
+func (t *State) index(d *Demand, i int) time.Duration {
 	s := &t.Servers[i]
 	c, horizon := t.chosen(d)
-	if s.Answered > d.Arrived || c == 0 {
+	if s.LastAnswered > d.AfterPoll || c == 0 {
 		return Never
 	}
 	if !c.Has(i) {
 		return t.spareIndex(d, horizon)
 	}
-	at := d.Since
+	at := d.ArrivedAt
 	for j := range t.Servers {
 		o := &t.Servers[j]
-		if c.Has(j) && o.Polling && o.Begun <= d.Arrived && o.RoundTrip > s.RoundTrip {
-			at = max(at, o.Began+o.RoundTrip)
+		if c.Has(j) && o.Polling && o.LastPoll <= d.AfterPoll && o.RoundTrip > s.RoundTrip {
+			at = max(at, o.PollStarted+o.RoundTrip)
 		}
 	}
 	return at
@@ -147,23 +147,23 @@
 // i: when it is expected to hold the commit. One that holds it long before the
 // others, as the primary does, is asked later, so that one poll may serve several
 // commits, but early enough not to be what the commit waits for.
-func (t *Table) acknowledgement(d *Demand, i int) time.Duration {
+func (t *State) acknowledgement(d *Demand, i int) time.Duration {
 	s := &t.Servers[i]
 	c, horizon := t.chosen(d)
 	switch {
 	case d.Holders.Has(i) || c == 0:
 		return Never
 	case c.Has(i):
-		return t.again(d, s, d.Since+max(s.Delays[d.Kind], horizon/early-s.RoundTrip))
+		return t.again(d, s, d.ArrivedAt+max(s.Delays[d.Kind], horizon/early-s.RoundTrip))
 	default:
 		return t.again(d, s, t.spare(d, horizon))
 	}
 }
 
 // single returns when a demand on the one server i needs a poll.
-func (t *Table) single(d *Demand, i int) time.Duration {
+func (t *State) single(d *Demand, i int) time.Duration {
 	s := &t.Servers[i]
-	at := d.Since
+	at := d.ArrivedAt
 	if d.Kind < learnt {
 		at += s.Delays[d.Kind]
 	}
@@ -173,14 +173,14 @@
 // again returns when the server is asked for a demand that expects an answer
 // from a poll that begins at first: then, or, if that one didn't meet the demand,
 // after a time that grows.
-func (t *Table) again(d *Demand, s *Server, first time.Duration) time.Duration {
-	if s.Begun > d.Arrived && s.Began >= first {
-		w := (s.Ended - d.Since) / repeatShare
-		return s.Ended + min(max(w, t.Settings.Busy), t.Settings.Gap)
+func (t *State) again(d *Demand, s *Server, first time.Duration) time.Duration {
+	if s.LastPoll > d.AfterPoll && s.PollStarted >= first {
+		w := (s.PollEnded - d.ArrivedAt) / repeatShare
+		return s.PollEnded + min(max(w, t.Settings.MinimumInterval), t.Settings.NoPrimaryInterval)
 	}
 	var usual time.Duration
 	if d.Kind < learnt {
 		usual = s.expected(d.Kind)
 	}
-	return max(first, s.Began+max(usual/spacingShare, t.Settings.Busy))
+	return max(first, s.PollStarted+max(usual/spacingShare, t.Settings.MinimumInterval))
 }
--- a/internal/group/pacer/join_test.go
+++ b/internal/group/pacer/join_test.go
@@ -17,11 +17,11 @@
 		var all, joined []pacer.Demand
 		for range rapid.IntRange(0, 12).Draw(t, "demands") {
 			d := pacer.Demand{
-				Kind:    pacer.Kind(rapid.IntRange(0, int(pacer.KindPrimary)).Draw(t, "kind")),
-				Since:   spans.Draw(t, "since"),
-				Arrived: uint64(rapid.IntRange(0, 3).Draw(t, "arrived")),
+				Kind:      pacer.Kind(rapid.IntRange(0, int(pacer.KindPrimary)).Draw(t, "kind")),
+				ArrivedAt: spans.Draw(t, "since"),
+				AfterPoll: uint64(rapid.IntRange(0, 3).Draw(t, "arrived")),
 			}
-			all, joined = append(all, d), pacer.Join(joined, d)
+			all, joined = append(all, d), pacer.AddDemand(joined, d)
 		}
 		for i := range g.Servers {
 			g.Demands = all
--- a/internal/group/pacer/late_test.go
+++ b/internal/group/pacer/late_test.go
@@ -43,9 +43,9 @@
 // readers has 32 callers read for a second of virtual time.
 func readers(all bool) served {
 	c := &scene{all: all, random: rand.New(rand.NewPCG(1, 2)), sequence: 1, readers: make([]reader, 32)}
-	c.table = pacer.Table{Settings: settings, Busy: true}
+	c.table = pacer.State{Settings: settings, Busy: true}
 	for i := range c.ends {
-		c.table.Servers = append(c.table.Servers, pacer.Server{Primary: i == 0, Known: true, Begun: 1, RoundTrip: poll})
+		c.table.Servers = append(c.table.Servers, pacer.Server{Primary: i == 0, HasAnswered: true, LastPoll: 1, RoundTrip: poll})
 	}
 	for c.now < time.Second {
 		c.now = max(c.now, min(c.polls(), c.arrival()))
@@ -62,7 +62,7 @@
 	random   *rand.Rand
 	now      time.Duration
 	sequence uint64
-	table    pacer.Table
+	table    pacer.State
 	ends     [3]time.Duration
 	readers  []reader
 	served   served
@@ -80,7 +80,7 @@
 	g.Demands = g.Demands[:0]
 	for i := range c.readers {
 		if k := &c.readers[i]; k.waits {
-			g.Demands = pacer.Join(g.Demands, k.demand)
+			g.Demands = pacer.AddDemand(g.Demands, k.demand)
 		}
 	}
 	next := pacer.Never
@@ -101,7 +101,7 @@
 	}
 	c.sequence++
 	c.served.polls++
-	s.Polling, s.Begun, s.Began = true, c.sequence, c.now
+	s.Polling, s.LastPoll, s.PollStarted = true, c.sequence, c.now
 	c.ends[i] = c.now + c.late(poll)
 	return c.ends[i]
 }
@@ -122,8 +122,8 @@
 	for i := range c.ends {
 		s := &c.table.Servers[i]
 		if s.Polling && c.ends[i] <= c.now {
-			s.Polling, s.Ended, s.Answered = false, c.now, s.Begun
-			s.RoundTrip += (c.now - s.Began - s.RoundTrip) / 8
+			s.Polling, s.PollEnded, s.LastAnswered = false, c.now, s.LastPoll
+			s.RoundTrip += (c.now - s.PollStarted - s.RoundTrip) / 8
 		}
 	}
 }
@@ -137,7 +137,7 @@
 			c.served.reads++
 			*k = reader{done: max(c.now, k.done) + c.late(think)}
 		case !k.waits && k.done <= c.now:
-			d := pacer.Demand{Kind: pacer.KindIndex, Since: c.now, Arrived: c.sequence}
+			d := pacer.Demand{Kind: pacer.KindReadIndex, ArrivedAt: c.now, AfterPoll: c.sequence}
 			*k = reader{waits: true, demand: d, done: c.now + c.late(exchange)}
 		}
 	}
@@ -147,7 +147,7 @@
 func (c *scene) fresh(d pacer.Demand) int {
 	n := 0
 	for _, s := range c.table.Servers {
-		if s.Answered > d.Arrived {
+		if s.LastAnswered > d.AfterPoll {
 			n++
 		}
 	}
--- a/internal/group/pacer/learner.go
+++ b/internal/group/pacer/learner.go
@@ -11,11 +11,11 @@
 	probe = 32
 )
 
-// Learn returns a server's usual delay after a poll showed what a demand waited
+// UpdateDelay returns a server's usual delay after a poll showed what a demand waited
 // for. The poll began at shown after the demand came; missed says that one before
 // it didn't show it. The delay is kept below most: beyond it a server lags, and
 // how long differs each time.
-func Learn(usual, shown time.Duration, missed bool, most time.Duration) time.Duration {
+func UpdateDelay(usual, shown time.Duration, missed bool, most time.Duration) time.Duration {
 	if !missed {
 		usual = min(usual, shown)
 		return usual - usual/probe
--- a/internal/group/pacer/pacer.go
+++ b/internal/group/pacer/pacer.go
@@ -11,29 +11,29 @@
 
 // Causes of polls.
 const (
-	// CauseRest: the server wasn't asked for the interval at rest.
-	CauseRest Cause = iota
+	// CauseIdle: the server wasn't asked for the interval at rest.
+	CauseIdle Cause = iota
 	// CauseFailure: the last poll failed.
 	CauseFailure
-	// CauseGap: no primary is confirmed, or it may be lost.
-	CauseGap
-	// CauseHurry: a request has seen a server fail.
-	CauseHurry
+	// CauseNoPrimary: no primary is confirmed, or it may be lost.
+	CauseNoPrimary
+	// CauseRequestFailure: a request has seen a server fail.
+	CauseRequestFailure
 	// CausePromotion: this host is promoting.
 	CausePromotion
 	// CauseAcknowledgement: a commit waits until a majority holds it.
 	CauseAcknowledgement
-	// CauseIndex: a read waits for its index.
-	CauseIndex
+	// CauseReadIndex: a read waits for its index.
+	CauseReadIndex
 	// CauseCover: a read waits for the server to hold what it must see.
 	CauseCover
 	// CauseDrain: a hand-over waits for the end of transactions.
 	CauseDrain
-	// Causes is the number of causes.
-	Causes
+	// CauseCount is the number of causes.
+	CauseCount
 )
 
-var causeNames = [Causes]string{"rest", "failure", "gap", "hurry", "promotion", "acknowledgement", "read-index", "cover", "drain"}
+var causeNames = [CauseCount]string{"rest", "failure", "gap", "hurry", "promotion", "acknowledgement", "read-index", "cover", "drain"}
 
 // String returns the cause's name as a metric's label.
 func (c Cause) String() string {
@@ -49,8 +49,8 @@
 	KindAcknowledgement Kind = iota
 	// KindCover waits until one server holds a position.
 	KindCover
-	// KindIndex waits until a majority has answered polls that began after it came.
-	KindIndex
+	// KindReadIndex waits until a majority has answered polls that began after it came.
+	KindReadIndex
 	// KindDrain waits for one server's answer that no transaction is open.
 	KindDrain
 	// KindPrimary waits for a confirmed primary.
@@ -60,9 +60,9 @@
 var causes = [...]Cause{
 	KindAcknowledgement: CauseAcknowledgement,
 	KindCover:           CauseCover,
-	KindIndex:           CauseIndex,
+	KindReadIndex:       CauseReadIndex,
 	KindDrain:           CauseDrain,
-	KindPrimary:         CauseGap,
+	KindPrimary:         CauseNoPrimary,
 }
 
 // learnt is the number of kinds for which a server's usual delay is learnt.
@@ -70,18 +70,18 @@
 
 // Settings are the intervals between polls of one server.
 type Settings struct {
-	// Rest is the time between two polls while nobody waits.
-	Rest time.Duration
-	// Failure is the time after a poll that failed, from the second one in a row on.
-	Failure time.Duration
-	// Gap is the time between two polls while no primary is confirmed, and the
+	// IdleInterval is the time between two polls while nobody waits.
+	IdleInterval time.Duration
+	// FailureInterval is the time after a poll that failed, from the second one in a row on.
+	FailureInterval time.Duration
+	// NoPrimaryInterval is the time between two polls while no primary is confirmed, and the
 	// longest one between two for the same demand.
-	Gap time.Duration
-	// Held is the time between two polls in a gap of a busy group, and the time
+	NoPrimaryInterval time.Duration
+	// UrgentInterval is the time between two polls in a gap of a busy group, and the time
 	// after the first poll that failed.
-	Held time.Duration
-	// Busy is the least time between two polls for the same demand.
-	Busy time.Duration
+	UrgentInterval time.Duration
+	// MinimumInterval is the least time between two polls for the same demand.
+	MinimumInterval time.Duration
 }
 
 // Set is a set of servers by their number.
@@ -107,20 +107,20 @@
 type Server struct {
 	// Primary says that the server is taken for the primary.
 	Primary bool
-	// Known says that it has answered at all.
-	Known bool
+	// HasAnswered says that it has answered at all.
+	HasAnswered bool
 	// Failures counts the polls that have failed since the last answer.
 	Failures int
-	// Hurried says that a request has seen a server fail and the next poll is due.
-	Hurried bool
+	// PollNow says that a request has seen a server fail and the next poll is due.
+	PollNow bool
 	// Polling says that a poll is under way.
 	Polling bool
-	// Begun and Began are the number and time of the last poll that began, Ended
+	// LastPoll and Began are the number and time of the last poll that began, Ended
 	// is when the last one ended.
-	Begun        uint64
-	Began, Ended time.Duration
-	// Answered is the number of the last poll that was answered.
-	Answered uint64
+	LastPoll               uint64
+	PollStarted, PollEnded time.Duration
+	// LastAnswered is the number of the last poll that was answered.
+	LastAnswered uint64
 	// RoundTrip is the usual time of a poll.
 	RoundTrip time.Duration
 	Delays    Delays
@@ -129,9 +129,9 @@
 // Demand is what one request waits for.
 type Demand struct {
 	Kind Kind
-	// Since is when the request came, Arrived the number of the last poll begun before.
-	Since   time.Duration
-	Arrived uint64
+	// ArrivedAt is when the request came, Arrived the number of the last poll begun before.
+	ArrivedAt time.Duration
+	AfterPoll uint64
 	// Server is the number of the one server that can meet the demand, for
 	// KindCover and KindDrain.
 	Server int
@@ -139,8 +139,8 @@
 	Holders Set
 }
 
-// Table is what the decision is made from.
-type Table struct {
+// State is what the decision is made from.
+type State struct {
 	Settings Settings
 	Servers  []Server
 	Demands  []Demand
@@ -148,13 +148,13 @@
 	Busy bool
 	// Promoting says that this host is promoting.
 	Promoting bool
-	// Gap says that no primary is confirmed though a majority answers, or that the
+	// NoPrimary says that no primary is confirmed though a majority answers, or that the
 	// primary may be lost.
-	Gap bool
+	NoPrimary bool
 }
 
-// Turn is when a server is polled next, and why.
-type Turn struct {
+// ScheduledPoll is when a server is polled next, and why.
+type ScheduledPoll struct {
 	At    time.Duration
 	Cause Cause
 }
@@ -162,8 +162,8 @@
 // Never is later than any poll.
 const Never = time.Duration(math.MaxInt64)
 
-// Sooner returns the earlier one of two turns.
-func Sooner(a, b Turn) Turn {
+// Earlier returns the earlier one of two turns.
+func Earlier(a, b ScheduledPoll) ScheduledPoll {
 	if b.At < a.At {
 		return b
 	}
@@ -174,21 +174,21 @@
 // no turn: its end is when the next one is decided. A server that failed keeps to
 // the times after failures, whoever waits, so that as much time passes before its
 // loss is noticed as for a server that nobody waits for.
-func Next(t *Table, i int) Turn {
+func Next(t *State, i int) ScheduledPoll {
 	s := &t.Servers[i]
 	switch {
 	case s.Polling:
-		return Turn{At: Never}
-	case s.Hurried:
-		return Turn{At: s.Ended, Cause: CauseHurry}
-	case s.Begun == 0:
-		return Turn{}
+		return ScheduledPoll{At: Never}
+	case s.PollNow:
+		return ScheduledPoll{At: s.PollEnded, Cause: CauseRequestFailure}
+	case s.LastPoll == 0:
+		return ScheduledPoll{}
 	case s.Failures > 0:
-		return Turn{At: s.Ended + t.failure(s), Cause: CauseFailure}
+		return ScheduledPoll{At: s.PollEnded + t.failure(s), Cause: CauseFailure}
 	}
 	n := t.unasked(s)
 	for d := range t.Demands {
-		n = Sooner(n, t.demanded(&t.Demands[d], i))
+		n = Earlier(n, t.demanded(&t.Demands[d], i))
 	}
 	return n
 }
@@ -196,11 +196,11 @@
 // failure is the time after a failed poll. The first failure may be that of an old
 // connection gone silent. A fresh one is tried nearly at once: a lost primary that
 // was asked late would else be suspected late.
-func (t *Table) failure(s *Server) time.Duration {
+func (t *State) failure(s *Server) time.Duration {
 	if s.Failures == 1 {
-		return t.Settings.Held
+		return t.Settings.UrgentInterval
 	}
-	return t.Settings.Failure
+	return t.Settings.FailureInterval
 }
 
 // unasked returns the turn of a server that no demand needs.
@@ -209,34 +209,34 @@
 // each server for each request. Two polls that time out and the pause between them
 // have to be over by the time from which it may be suspected, so a busy primary is
 // asked twice as often as at rest.
-func (t *Table) unasked(s *Server) Turn {
-	n := Turn{At: s.Ended + t.Settings.Rest, Cause: CauseRest}
+func (t *State) unasked(s *Server) ScheduledPoll {
+	n := ScheduledPoll{At: s.PollEnded + t.Settings.IdleInterval, Cause: CauseIdle}
 	if t.Busy && s.Primary {
-		n.At = s.Ended + t.Settings.Rest/2
+		n.At = s.PollEnded + t.Settings.IdleInterval/2
 	}
 	if t.Promoting {
-		n = Sooner(n, Turn{At: s.Ended + t.Settings.Busy, Cause: CausePromotion})
+		n = Earlier(n, ScheduledPoll{At: s.PollEnded + t.Settings.MinimumInterval, Cause: CausePromotion})
 	}
-	if t.Gap {
-		n = Sooner(n, Turn{At: s.Ended + t.gap(), Cause: CauseGap})
+	if t.NoPrimary {
+		n = Earlier(n, ScheduledPoll{At: s.PollEnded + t.gap(), Cause: CauseNoPrimary})
 	}
 	return n
 }
 
-func (t *Table) gap() time.Duration {
+func (t *State) gap() time.Duration {
 	if t.Busy {
-		return t.Settings.Held
+		return t.Settings.UrgentInterval
 	}
-	return t.Settings.Gap
+	return t.Settings.NoPrimaryInterval
 }
 
 // demanded returns when d needs a poll of server i.
-func (t *Table) demanded(d *Demand, i int) Turn {
-	n := Turn{At: Never, Cause: causes[d.Kind]}
+func (t *State) demanded(d *Demand, i int) ScheduledPoll {
+	n := ScheduledPoll{At: Never, Cause: causes[d.Kind]}
 	switch d.Kind {
 	case KindAcknowledgement:
 		n.At = t.acknowledgement(d, i)
-	case KindIndex:
+	case KindReadIndex:
 		n.At = t.index(d, i)
 	case KindCover, KindDrain:
 		if d.Server == i {
--- a/internal/group/pacer/pacer_test.go
+++ b/internal/group/pacer/pacer_test.go
@@ -13,7 +13,7 @@
 
 const ms = time.Millisecond
 
-var settings = pacer.Settings{Rest: 100 * ms, Failure: 50 * ms, Gap: 20 * ms, Held: 5 * ms, Busy: ms / 4}
+var settings = pacer.Settings{IdleInterval: 100 * ms, FailureInterval: 50 * ms, NoPrimaryInterval: 20 * ms, UrgentInterval: 5 * ms, MinimumInterval: ms / 4}
 
 func TestMain(m *testing.M) {
 	flag.Parse()
@@ -34,10 +34,10 @@
 
 // group is a primary beside the host, a replica in the next zone and one in
 // another region, all polled last from 990 to 995 ms.
-func group() *pacer.Table {
-	t := &pacer.Table{Settings: settings}
+func group() *pacer.State {
+	t := &pacer.State{Settings: settings}
 	for i, r := range []time.Duration{ms / 2, 3 * ms, 16 * ms} {
-		s := pacer.Server{Primary: i == 0, Known: true, Begun: uint64(i + 1), Began: 990 * ms, Ended: 995 * ms, Answered: uint64(i + 1), RoundTrip: r}
+		s := pacer.Server{Primary: i == 0, HasAnswered: true, LastPoll: uint64(i + 1), PollStarted: 990 * ms, PollEnded: 995 * ms, LastAnswered: uint64(i + 1), RoundTrip: r}
 		s.Delays[pacer.KindAcknowledgement] = time.Duration(i) * 4 * ms
 		t.Servers = append(t.Servers, s)
 	}
@@ -46,86 +46,86 @@
 
 func TestNext(t *testing.T) {
 	const now = 1000 * ms
-	read := pacer.Demand{Kind: pacer.KindIndex, Since: now, Arrived: 3}
-	commit := pacer.Demand{Kind: pacer.KindAcknowledgement, Since: now, Arrived: 3}
-	cover := pacer.Demand{Kind: pacer.KindCover, Since: now, Arrived: 3, Server: 2}
-	rest := pacer.Turn{At: 1095 * ms, Cause: pacer.CauseRest}
+	read := pacer.Demand{Kind: pacer.KindReadIndex, ArrivedAt: now, AfterPoll: 3}
+	commit := pacer.Demand{Kind: pacer.KindAcknowledgement, ArrivedAt: now, AfterPoll: 3}
+	cover := pacer.Demand{Kind: pacer.KindCover, ArrivedAt: now, AfterPoll: 3, Server: 2}
+	rest := pacer.ScheduledPoll{At: 1095 * ms, Cause: pacer.CauseIdle}
 	tests := []struct {
 		name    string
-		change  func(t *pacer.Table)
+		change  func(t *pacer.State)
 		demands []pacer.Demand
-		want    [3]pacer.Turn
+		want    [3]pacer.ScheduledPoll
 	}{
-		{name: "nobody waits", want: [3]pacer.Turn{rest, rest, rest}},
+		{name: "nobody waits", want: [3]pacer.ScheduledPoll{rest, rest, rest}},
 		{
 			name:   "primary of a busy group",
-			change: func(t *pacer.Table) { t.Busy = true },
-			want:   [3]pacer.Turn{{At: 1045 * ms}, rest, rest},
+			change: func(t *pacer.State) { t.Busy = true },
+			want:   [3]pacer.ScheduledPoll{{At: 1045 * ms}, rest, rest},
 		},
 		{
 			name:    "a read asks the two nearest, the third if they don't answer",
 			demands: []pacer.Demand{read},
-			want:    [3]pacer.Turn{{At: now, Cause: pacer.CauseIndex}, {At: now, Cause: pacer.CauseIndex}, {At: 1010 * ms, Cause: pacer.CauseIndex}},
+			want:    [3]pacer.ScheduledPoll{{At: now, Cause: pacer.CauseReadIndex}, {At: now, Cause: pacer.CauseReadIndex}, {At: 1010 * ms, Cause: pacer.CauseReadIndex}},
 		},
 		{
 			name: "a read that came during a poll of the next zone",
-			change: func(t *pacer.Table) {
-				t.Servers[1].Polling, t.Servers[1].Began, t.Servers[1].Begun = true, 999*ms, 3
+			change: func(t *pacer.State) {
+				t.Servers[1].Polling, t.Servers[1].PollStarted, t.Servers[1].LastPoll = true, 999*ms, 3
 			},
 			demands: []pacer.Demand{read},
-			want:    [3]pacer.Turn{{At: 1002 * ms, Cause: pacer.CauseIndex}, {At: pacer.Never}, {At: 1010 * ms, Cause: pacer.CauseIndex}},
+			want:    [3]pacer.ScheduledPoll{{At: 1002 * ms, Cause: pacer.CauseReadIndex}, {At: pacer.Never}, {At: 1010 * ms, Cause: pacer.CauseReadIndex}},
 		},
 		{
 			name:    "a read while the nearest one fails",
-			change:  func(t *pacer.Table) { t.Servers[0].Failures = 2 },
+			change:  func(t *pacer.State) { t.Servers[0].Failures = 2 },
 			demands: []pacer.Demand{read},
-			want:    [3]pacer.Turn{{At: 1045 * ms, Cause: pacer.CauseFailure}, {At: now, Cause: pacer.CauseIndex}, {At: now, Cause: pacer.CauseIndex}},
+			want:    [3]pacer.ScheduledPoll{{At: 1045 * ms, Cause: pacer.CauseFailure}, {At: now, Cause: pacer.CauseReadIndex}, {At: now, Cause: pacer.CauseReadIndex}},
 		},
 		{
 			name:    "a read that has two answers",
-			change:  func(t *pacer.Table) { t.Servers[0].Answered, t.Servers[2].Answered = 4, 5 },
+			change:  func(t *pacer.State) { t.Servers[0].LastAnswered, t.Servers[2].LastAnswered = 4, 5 },
 			demands: []pacer.Demand{read},
-			want:    [3]pacer.Turn{rest, rest, rest},
+			want:    [3]pacer.ScheduledPoll{rest, rest, rest},
 		},
 		{
 			name:    "a commit asks when the replica is expected to hold it, and the primary well before",
 			demands: []pacer.Demand{commit},
-			want:    [3]pacer.Turn{{At: 1003 * ms, Cause: pacer.CauseAcknowledgement}, {At: 1004 * ms, Cause: pacer.CauseAcknowledgement}, {At: 1018 * ms, Cause: pacer.CauseAcknowledgement}},
+			want:    [3]pacer.ScheduledPoll{{At: 1003 * ms, Cause: pacer.CauseAcknowledgement}, {At: 1004 * ms, Cause: pacer.CauseAcknowledgement}, {At: 1018 * ms, Cause: pacer.CauseAcknowledgement}},
 		},
 		{
 			name: "a commit that the replica didn't hold yet",
-			change: func(t *pacer.Table) {
+			change: func(t *pacer.State) {
 				s := &t.Servers[1]
-				s.Begun, s.Answered, s.Began, s.Ended = 4, 4, 1005*ms, 1008*ms
+				s.LastPoll, s.LastAnswered, s.PollStarted, s.PollEnded = 4, 4, 1005*ms, 1008*ms
 			},
-			demands: []pacer.Demand{{Kind: pacer.KindAcknowledgement, Since: now, Arrived: 3, Holders: pacer.Set(0).With(0)}},
-			want:    [3]pacer.Turn{rest, {At: 1010 * ms, Cause: pacer.CauseAcknowledgement}, {At: 1018 * ms, Cause: pacer.CauseAcknowledgement}},
+			demands: []pacer.Demand{{Kind: pacer.KindAcknowledgement, ArrivedAt: now, AfterPoll: 3, Holders: pacer.Set(0).With(0)}},
+			want:    [3]pacer.ScheduledPoll{rest, {At: 1010 * ms, Cause: pacer.CauseAcknowledgement}, {At: 1018 * ms, Cause: pacer.CauseAcknowledgement}},
 		},
 		{
 			name:    "a read that waits for one server",
 			demands: []pacer.Demand{cover},
-			want:    [3]pacer.Turn{rest, rest, {At: now, Cause: pacer.CauseCover}},
+			want:    [3]pacer.ScheduledPoll{rest, rest, {At: now, Cause: pacer.CauseCover}},
 		},
 		{
 			name:   "a server that fails for the first time and for the second",
-			change: func(t *pacer.Table) { t.Servers[0].Failures, t.Servers[1].Failures = 1, 2 },
-			want:   [3]pacer.Turn{{At: 1000 * ms, Cause: pacer.CauseFailure}, {At: 1045 * ms, Cause: pacer.CauseFailure}, rest},
+			change: func(t *pacer.State) { t.Servers[0].Failures, t.Servers[1].Failures = 1, 2 },
+			want:   [3]pacer.ScheduledPoll{{At: 1000 * ms, Cause: pacer.CauseFailure}, {At: 1045 * ms, Cause: pacer.CauseFailure}, rest},
 		},
 		{
 			name:    "no primary, and a request waits for one",
-			change:  func(t *pacer.Table) { t.Gap, t.Busy = true, true },
-			demands: []pacer.Demand{{Kind: pacer.KindPrimary, Since: now}},
-			want:    [3]pacer.Turn{{At: now, Cause: pacer.CauseGap}, {At: now, Cause: pacer.CauseGap}, {At: now, Cause: pacer.CauseGap}},
+			change:  func(t *pacer.State) { t.NoPrimary, t.Busy = true, true },
+			demands: []pacer.Demand{{Kind: pacer.KindPrimary, ArrivedAt: now}},
+			want:    [3]pacer.ScheduledPoll{{At: now, Cause: pacer.CauseNoPrimary}, {At: now, Cause: pacer.CauseNoPrimary}, {At: now, Cause: pacer.CauseNoPrimary}},
 		},
 		{
 			name:   "no primary, and nobody waits",
-			change: func(t *pacer.Table) { t.Gap = true },
-			want:   [3]pacer.Turn{{At: 1015 * ms, Cause: pacer.CauseGap}, {At: 1015 * ms, Cause: pacer.CauseGap}, {At: 1015 * ms, Cause: pacer.CauseGap}},
+			change: func(t *pacer.State) { t.NoPrimary = true },
+			want:   [3]pacer.ScheduledPoll{{At: 1015 * ms, Cause: pacer.CauseNoPrimary}, {At: 1015 * ms, Cause: pacer.CauseNoPrimary}, {At: 1015 * ms, Cause: pacer.CauseNoPrimary}},
 		},
 		{
 			name:   "promoting, after a request has seen the primary fail",
-			change: func(t *pacer.Table) { t.Promoting, t.Servers[0].Hurried = true, true },
-			want:   [3]pacer.Turn{{At: 995 * ms, Cause: pacer.CauseHurry}, {At: 995250 * time.Microsecond, Cause: pacer.CausePromotion}, {At: 995250 * time.Microsecond, Cause: pacer.CausePromotion}},
+			change: func(t *pacer.State) { t.Promoting, t.Servers[0].PollNow = true, true },
+			want:   [3]pacer.ScheduledPoll{{At: 995 * ms, Cause: pacer.CauseRequestFailure}, {At: 995250 * time.Microsecond, Cause: pacer.CausePromotion}, {At: 995250 * time.Microsecond, Cause: pacer.CausePromotion}},
 		},
 	}
 	for _, tt := range tests {
@@ -150,23 +150,23 @@
 
 func drawServer(t *rapid.T) pacer.Server {
 	s := pacer.Server{
-		Known:     rapid.Bool().Draw(t, "known"),
-		Failures:  rapid.IntRange(0, 2).Draw(t, "failures"),
-		Begun:     uint64(rapid.IntRange(1, 20).Draw(t, "begun")),
-		Began:     spans.Draw(t, "began"),
-		RoundTrip: spans.Draw(t, "round trip"),
+		HasAnswered: rapid.Bool().Draw(t, "known"),
+		Failures:    rapid.IntRange(0, 2).Draw(t, "failures"),
+		LastPoll:    uint64(rapid.IntRange(1, 20).Draw(t, "begun")),
+		PollStarted: spans.Draw(t, "began"),
+		RoundTrip:   spans.Draw(t, "round trip"),
 	}
-	s.Ended = s.Began + spans.Draw(t, "took")
-	s.Answered = uint64(rapid.IntRange(0, int(s.Begun)).Draw(t, "answered"))
+	s.PollEnded = s.PollStarted + spans.Draw(t, "took")
+	s.LastAnswered = uint64(rapid.IntRange(0, int(s.LastPoll)).Draw(t, "answered"))
 	s.Polling = rapid.Bool().Draw(t, "polling")
 	for k := range s.Delays {
-		s.Delays[k] = min(spans.Draw(t, "delay"), settings.Gap)
+		s.Delays[k] = min(spans.Draw(t, "delay"), settings.NoPrimaryInterval)
 	}
 	return s
 }
 
-func drawTable(t *rapid.T) *pacer.Table {
-	g := &pacer.Table{Settings: settings, Busy: rapid.Bool().Draw(t, "busy"), Gap: rapid.Bool().Draw(t, "gap")}
+func drawTable(t *rapid.T) *pacer.State {
+	g := &pacer.State{Settings: settings, Busy: rapid.Bool().Draw(t, "busy"), NoPrimary: rapid.Bool().Draw(t, "gap")}
 	for range rapid.IntRange(1, 5).Draw(t, "servers") {
 		g.Servers = append(g.Servers, drawServer(t))
 	}
@@ -181,17 +181,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		g := drawTable(t)
 		d := pacer.Demand{
-			Kind:    pacer.Kind(rapid.IntRange(int(pacer.KindAcknowledgement), int(pacer.KindIndex)).Draw(t, "kind")),
-			Since:   spans.Draw(t, "since"),
-			Arrived: uint64(rapid.IntRange(0, 20).Draw(t, "arrived")),
-			Server:  rapid.IntRange(0, len(g.Servers)-1).Draw(t, "server"),
-			Holders: pacer.Set(rapid.IntRange(0, 1<<len(g.Servers)-1).Draw(t, "holders")),
+			Kind:      pacer.Kind(rapid.IntRange(int(pacer.KindAcknowledgement), int(pacer.KindReadIndex)).Draw(t, "kind")),
+			ArrivedAt: spans.Draw(t, "since"),
+			AfterPoll: uint64(rapid.IntRange(0, 20).Draw(t, "arrived")),
+			Server:    rapid.IntRange(0, len(g.Servers)-1).Draw(t, "server"),
+			Holders:   pacer.Set(rapid.IntRange(0, 1<<len(g.Servers)-1).Draw(t, "holders")),
 		}
 		g.Demands = []pacer.Demand{d}
 		var most time.Duration
 		done := 0
 		for i, s := range g.Servers {
-			most = max(most, s.RoundTrip+settings.Gap)
+			most = max(most, s.RoundTrip+settings.NoPrimaryInterval)
 			if contributed(d, s, i) {
 				done++
 			}
@@ -202,13 +202,13 @@
 			if s.Polling || s.Failures > 0 {
 				continue
 			}
-			if n.At > s.Ended+settings.Rest {
-				t.Errorf("server %d polled at %v, more than the rest after %v", i, n.At, s.Ended)
+			if n.At > s.PollEnded+settings.IdleInterval {
+				t.Errorf("server %d polled at %v, more than the rest after %v", i, n.At, s.PollEnded)
 			}
 			if met || contributed(d, s, i) || d.Kind == pacer.KindCover && d.Server != i {
 				continue
 			}
-			if l := max(d.Since+2*most+16*settings.Busy, s.Ended+max(settings.Gap, most), d.Since+s.RoundTrip+maximumFlight(g)); n.At > l {
+			if l := max(d.ArrivedAt+2*most+16*settings.MinimumInterval, s.PollEnded+max(settings.NoPrimaryInterval, most), d.ArrivedAt+s.RoundTrip+maximumFlight(g)); n.At > l {
 				t.Errorf("server %d polled at %v, want %v at the latest", i, n.At, l)
 			}
 		}
@@ -218,8 +218,8 @@
 // contributed reports whether server i has done for d what it can.
 func contributed(d pacer.Demand, s pacer.Server, i int) bool {
 	switch d.Kind {
-	case pacer.KindIndex:
-		return s.Answered > d.Arrived
+	case pacer.KindReadIndex:
+		return s.LastAnswered > d.AfterPoll
 	case pacer.KindAcknowledgement:
 		return d.Holders.Has(i)
 	default:
@@ -228,11 +228,11 @@
 }
 
 // maximumFlight is when the last poll under way is expected back.
-func maximumFlight(g *pacer.Table) time.Duration {
+func maximumFlight(g *pacer.State) time.Duration {
 	var m time.Duration
 	for _, s := range g.Servers {
 		if s.Polling {
-			m = max(m, s.Began+s.RoundTrip)
+			m = max(m, s.PollStarted+s.RoundTrip)
 		}
 	}
 	return m
@@ -242,16 +242,16 @@
 func TestNoNeedlessPoll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := drawTable(t)
-		g.Gap = false
+		g.NoPrimary = false
 		i := rapid.IntRange(0, len(g.Servers)-1).Draw(t, "server")
 		without := pacer.Next(g, i)
 		g.Demands = []pacer.Demand{
-			{Kind: pacer.KindAcknowledgement, Since: spans.Draw(t, "commit"), Holders: pacer.Set(0).With(i)},
-			{Kind: pacer.KindCover, Since: spans.Draw(t, "cover"), Server: i + 1},
-			{Kind: pacer.KindPrimary, Since: spans.Draw(t, "write")},
+			{Kind: pacer.KindAcknowledgement, ArrivedAt: spans.Draw(t, "commit"), Holders: pacer.Set(0).With(i)},
+			{Kind: pacer.KindCover, ArrivedAt: spans.Draw(t, "cover"), Server: i + 1},
+			{Kind: pacer.KindPrimary, ArrivedAt: spans.Draw(t, "write")},
 		}
-		if g.Servers[i].Answered > 0 {
-			g.Demands = append(g.Demands, pacer.Demand{Kind: pacer.KindIndex, Since: spans.Draw(t, "read"), Arrived: g.Servers[i].Answered - 1})
+		if g.Servers[i].LastAnswered > 0 {
+			g.Demands = append(g.Demands, pacer.Demand{Kind: pacer.KindReadIndex, ArrivedAt: spans.Draw(t, "read"), AfterPoll: g.Servers[i].LastAnswered - 1})
 		}
 		if got := pacer.Next(g, i); got != without {
 			t.Errorf("server %d polled at %v for %s, want %v for %s", i, got.At, got.Cause, without.At, without.Cause)
@@ -270,7 +270,7 @@
 			for shown < actual {
 				shown += step
 			}
-			usual = pacer.Learn(usual, shown, shown > usual, 20*ms)
+			usual = pacer.UpdateDelay(usual, shown, shown > usual, 20*ms)
 		}
 		if usual < actual-step || usual > actual+step {
 			t.Errorf("from %v: learnt %v, want about %v", first, usual, actual)
--- a/internal/group/promoter/host_test.go
+++ b/internal/group/promoter/host_test.go
@@ -35,7 +35,7 @@
 	until     time.Duration
 	view      observer.View
 	servers   []observer.Server
-	ledger    acknowledger.Ledger
+	ledger    acknowledger.ReplicationTracker
 	memory    promoter.ClaimMemory
 	attempt   *promoter.Attempt
 	notBefore time.Duration
@@ -79,11 +79,11 @@
 	h.write()
 }
 
-func (h *host) words(c observer.Settings) []observer.Word {
-	var s []observer.Word
+func (h *host) words(c observer.Settings) []observer.PrimaryReport {
+	var s []observer.PrimaryReport
 	for _, o := range h.w.hosts {
 		if o != h && !o.dead && !h.w.cut(h.name, o.name) {
-			s = append(s, o.view.Word(o.name, c))
+			s = append(s, o.view.Report(o.name, c))
 		}
 	}
 	return s
@@ -113,8 +113,8 @@
 		return
 	}
 	h.ledger.Observe(s)
-	if at >= o.At {
-		*o = observer.Observation{Status: s, Answered: true, At: at}
+	if at >= o.PolledAt {
+		*o = observer.Observation{Status: s, Answered: true, PolledAt: at}
 	}
 }
 
--- a/internal/group/promoter/promoter.go
+++ b/internal/group/promoter/promoter.go
@@ -133,7 +133,7 @@
 // now. While a term was raised only just, another host is promoting: to raise a
 // higher one would take the primary away that it is about to give.
 func Due(v *observer.View, c observer.Settings, delay time.Duration) bool {
-	return v.Suspected() && v.At-v.SuspectedSince >= delay && v.At-v.RaisedSince >= c.NoPrimary
+	return v.Suspected() && v.At-v.SuspectedSince >= delay && v.At-v.HighestTermSince >= c.NoPrimaryTimeout
 }
 
 // New returns an attempt that answers the suspicion of v. A primary whose
--- a/internal/group/promoter/promoter_test.go
+++ b/internal/group/promoter/promoter_test.go
@@ -214,7 +214,7 @@
 		// instances is how many the ledger counts: with one, the term-start
 		// record of the new primary alone is enough, as without that step.
 		instances int
-		want      acknowledger.Verdict
+		want      acknowledger.CommitState
 	}{
 		{name: "term-start record held by a majority", instances: 3, want: acknowledger.Waiting},
 		{name: "without the term-start step", instances: 1, want: acknowledger.Superseded},
@@ -231,7 +231,7 @@
 				t.Fatal(err)
 			}
 			elect(t, 2, b, c)
-			l := acknowledger.Ledger{Instances: tt.instances}
+			l := acknowledger.ReplicationTracker{Instances: tt.instances}
 			l.Observe(b.status())
 			l.Observe(c.status())
 			if got := l.DecideExact(r.mark); got != tt.want {
--- a/internal/group/switcher/switcher.go
+++ b/internal/group/switcher/switcher.go
@@ -297,7 +297,7 @@
 
 // Counts are what a host has done for a group.
 type Counts struct {
-	Polls         [pacer.Causes]uint64
+	Polls         [pacer.CauseCount]uint64
 	Asked, Failed uint64
 }
 
--- a/internal/host/deployer/deployer_test.go
+++ b/internal/host/deployer/deployer_test.go
@@ -29,11 +29,11 @@
 // tests isn't taken for a lost primary. Tests of failover use the defaults.
 func patient() driver.Settings {
 	s := driver.Defaults()
-	s.Observer.Suspicion = 10 * time.Second
-	s.Observer.Refusal = 10 * time.Second
-	s.Observer.Isolation = 10 * time.Second
-	s.Observer.NoPrimary = 10 * time.Second
-	s.Observer.Freshness = 10 * time.Second
+	s.Observer.SuspicionTimeout = 10 * time.Second
+	s.Observer.RefusalTimeout = 10 * time.Second
+	s.Observer.IsolationTimeout = 10 * time.Second
+	s.Observer.NoPrimaryTimeout = 10 * time.Second
+	s.Observer.MaximumStatusAge = 10 * time.Second
 	s.Patience = 20 * time.Second
 	return s
 }
--- a/internal/host/deployer/serving_test.go
+++ b/internal/host/deployer/serving_test.go
@@ -74,7 +74,7 @@
 func polls(h *runner.Host) uint64 {
 	var n uint64
 	c := h.Director().Runtime().Groups["db"].Driver.(*switcher.Switcher).Counts()
-	for i := range pacer.Causes {
+	for i := range pacer.CauseCount {
 		n += c.Polls[i]
 	}
 	return n
--- a/internal/host/runner/meter.go
+++ b/internal/host/runner/meter.go
@@ -130,5 +130,5 @@
 		g.collector.WriteGapSeconds.Observe((v.At - g.answered).Seconds())
 	}
 	p, _ := v.Server(v.Primary)
-	g.term, g.answered, g.open = v.Term, p.At, false
+	g.term, g.answered, g.open = v.Term, p.PolledAt, false
 }
--- a/internal/host/runner/meter_test.go
+++ b/internal/host/runner/meter_test.go
@@ -17,7 +17,7 @@
 func TestGap(t *testing.T) {
 	const ms = time.Millisecond
 	at := func(now time.Duration, confirmed bool, term marker.Term, answered time.Duration) *observer.View {
-		s := observer.Server{Name: "a", Observation: observer.Observation{At: answered}}
+		s := observer.Server{Name: "a", Observation: observer.Observation{PolledAt: answered}}
 		return &observer.View{At: now, Confirmed: confirmed, Term: term, Primary: "a", Servers: []observer.Server{s}}
 	}
 	tests := []struct {
--- a/internal/host/runner/polls.go
+++ b/internal/host/runner/polls.go
@@ -12,7 +12,7 @@
 // over into the metrics.
 type polls struct {
 	switcher      *switcher.Switcher
-	counters      [pacer.Causes]prometheus.Counter
+	counters      [pacer.CauseCount]prometheus.Counter
 	asked, failed prometheus.Counter
 	last          switcher.Counts
 }
--- a/internal/host/runner/serving.go
+++ b/internal/host/runner/serving.go
@@ -92,13 +92,13 @@
 func (n *node) turns() []string {
 	p := n.host.peers
 	m := p.places()
-	var l []appointer.Place
+	var l []appointer.Location
 	for _, h := range p.serving(n.group) {
 		o := m[h]
-		l = append(l, appointer.Place{Name: h, AvailabilityZone: o.AvailabilityZone, Region: o.Region})
+		l = append(l, appointer.Location{Name: h, AvailabilityZone: o.AvailabilityZone, Region: o.Region})
 	}
 	s := n.host.Settings
-	return appointer.Order(appointer.Place{Name: s.HostName, AvailabilityZone: s.AvailabilityZone, Region: s.Region}, l)
+	return appointer.OrderByDistance(appointer.Location{Name: s.HostName, AvailabilityZone: s.AvailabilityZone, Region: s.Region}, l)
 }
 
 // places returns the live entry hosts by name.
@@ -120,7 +120,7 @@
 	for n, h := range m {
 		z[n] = h.AvailabilityZone
 	}
-	return appointer.Serving(p.ranker, z, g, p.host.servingHosts())
+	return appointer.ServingHosts(p.ranker, z, g, p.host.servingHosts())
 }
 
 // servingHosts returns how many hosts serve for each backend server.
--- a/internal/host/runner/watch.go
+++ b/internal/host/runner/watch.go
@@ -37,7 +37,7 @@
 	g := &gap{collector: p.reconciler.host.collector}
 	for {
 		n.step()
-		p.group.group.Learn()
+		p.group.group.Sample()
 		v := p.group.group.Driver.View()
 		g.step(v)
 		for i := range w {
--- a/internal/outcome/settler/settler.go
+++ b/internal/outcome/settler/settler.go
@@ -32,7 +32,7 @@
 	CommitSent bool
 	Answer     Answer
 	// Commit is the verdict on the committed mark, with AnswerCommitted.
-	Commit acknowledger.Verdict
+	Commit acknowledger.CommitState
 	// Key is the idempotency key, empty if there is none.
 	Key string
 	// Row is what the key's row says, found or inserted as a tombstone at a
@@ -40,7 +40,7 @@
 	Row recorder.Outcome
 	// RowHeld is the verdict on the mark that the primary's log had reached when
 	// Row was read or inserted.
-	RowHeld acknowledger.Verdict
+	RowHeld acknowledger.CommitState
 	// Expired says that the caller's deadline has passed.
 	Expired bool
 }
--- a/internal/peer/witness/witness.go
+++ b/internal/peer/witness/witness.go
@@ -35,13 +35,13 @@
 
 // Answer is a host's word, if it serves the group.
 type Answer struct {
-	Known bool          `cbor:"1,keyasint"`
-	Word  observer.Word `cbor:"2,keyasint"`
+	Known bool                   `cbor:"1,keyasint"`
+	Word  observer.PrimaryReport `cbor:"2,keyasint"`
 }
 
 // Group is a database group as this host sees it, usually a driver.Driver.
 type Group interface {
-	Word() observer.Word
+	Word() observer.PrimaryReport
 	// Hurry looks at all instances at once.
 	Hurry()
 }
@@ -66,7 +66,7 @@
 
 // kept is a word with the time at which it was asked for.
 type kept struct {
-	word observer.Word
+	word observer.PrimaryReport
 	at   time.Time
 }
 
@@ -85,10 +85,10 @@
 }
 
 // Words implements driver.Peers.
-func (w *Witness) Words(group string) []observer.Word {
+func (w *Witness) Words(group string) []observer.PrimaryReport {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var l []observer.Word
+	var l []observer.PrimaryReport
 	now := time.Now()
 	for _, k := range w.words[group] {
 		if now.Sub(k.at) < lifetime {
--- a/internal/peer/witness/witness_test.go
+++ b/internal/peer/witness/witness_test.go
@@ -17,8 +17,8 @@
 	lost atomic.Bool
 }
 
-func (g *group) Word() observer.Word {
-	return observer.Word{Host: "a", Primary: "db-a", Term: 1, Lost: g.lost.Load()}
+func (g *group) Word() observer.PrimaryReport {
+	return observer.PrimaryReport{Host: "a", Primary: "db-a", Term: 1, Lost: g.lost.Load()}
 }
 
 func (g *group) Hurry() {}
@@ -39,7 +39,7 @@
 					return witness.Answer{}, errors.New("not reached")
 				}
 				asked.Add(1)
-				return witness.Answer{Known: true, Word: observer.Word{Host: h, Primary: "db-a", Term: 1}}, nil
+				return witness.Answer{Known: true, Word: observer.PrimaryReport{Host: h, Primary: "db-a", Term: 1}}, nil
 			},
 		}
 		ended := make(chan error)
--- a/internal/route/director/decisions.go
+++ b/internal/route/director/decisions.go
@@ -7,8 +7,8 @@
 	"github.com/cuminwick/cuminwick/internal/route/chooser"
 )
 
-// Decisions takes one line for each routing decision. It keeps no reference to d.
-type Decisions interface {
+// DecisionLog takes one line for each routing decision. It keeps no reference to d.
+type DecisionLog interface {
 	Decide(d *encoder.Decision)
 }
 
--- a/internal/route/director/director.go
+++ b/internal/route/director/director.go
@@ -95,7 +95,7 @@
 	Region           string
 	// PrimaryReads sends all reads to the primary, as a baseline to measure against.
 	PrimaryReads bool
-	Decisions    Decisions
+	Decisions    DecisionLog
 	// Draw returns random numbers, among others for the draw between equal servers.
 	Draw    func() uint64
 	Chooser chooser.Chooser
--- a/internal/route/director/director_test.go
+++ b/internal/route/director/director_test.go
@@ -48,7 +48,7 @@
 	r := &Runtime{Revision: 1, File: f, Groups: map[string]*Group{"g": n}, Names: []string{"g"}}
 	r.Compile(nil)
 	d.Configuration = func() *Runtime { return r }
-	n.Learn()
+	n.Sample()
 	return d, l
 }
 
@@ -71,7 +71,7 @@
 		n.Lessors[b.Name] = noLessor{}
 	}
 	// Nothing here is about silence, and a busy machine polls late.
-	o.Settings.Observer.Freshness = time.Hour
+	o.Settings.Observer.MaximumStatusAge = time.Hour
 	n.Driver = o
 	go o.Run(ctx)
 	// A primary is confirmed by a majority, so the third answer may still be out.
@@ -202,7 +202,7 @@
 // position. An age measured by it would miss what its successor acknowledged.
 func TestObservationTakesAMajority(t *testing.T) {
 	at := func(ms int, term marker.Term, p marker.Position) observer.Server {
-		return observer.Server{Observation: observer.Observation{Answered: true, At: time.Duration(ms) * time.Millisecond, Status: controller.Status{Last: marker.Mark{Term: term, Position: p}}}}
+		return observer.Server{Observation: observer.Observation{Answered: true, PolledAt: time.Duration(ms) * time.Millisecond, Status: controller.Status{Last: marker.Mark{Term: term, Position: p}}}}
 	}
 	tests := []struct {
 		name string
--- a/internal/route/director/group.go
+++ b/internal/route/director/group.go
@@ -20,9 +20,9 @@
 	"github.com/cuminwick/cuminwick/internal/route/historian"
 )
 
-// Gauge tells what waits and runs at a backend server. A lessor that has one is
+// LoadReporter tells what waits and runs at a backend server. A lessor that has one is
 // asked for it with each choice.
-type Gauge interface {
+type LoadReporter interface {
 	Load() gate.Load
 }
 
@@ -76,7 +76,7 @@
 	declared declarer.BackendServer
 	writer   lessor.Lessor
 	reader   lessor.Lessor
-	gauge    Gauge
+	gauge    LoadReporter
 	// repeats bounds the reads that are run again, see search.ahead.
 	repeats *retrier.Budget
 }
@@ -119,7 +119,7 @@
 func (g *Group) Prepare() {
 	for _, b := range g.Declared.BackendServers {
 		l := g.Lessors[b.Name]
-		o, _ := l.(Gauge)
+		o, _ := l.(LoadReporter)
 		g.servers = append(g.servers, serverOf{declared: b, writer: l, reader: readLessor{l}, gauge: o, repeats: &retrier.Budget{Share: repeatShare, Burst: repeatBurst}})
 	}
 	g.estimators = make([]estimator.Estimator, len(g.servers))
@@ -127,9 +127,9 @@
 	g.publish(g.Driver.Now())
 }
 
-// Learn takes in what the driver's view shows. It is called a few times within
+// Sample takes in what the driver's view shows. It is called a few times within
 // the shortest age that rules allow.
-func (g *Group) Learn() {
+func (g *Group) Sample() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	v := g.Driver.View()
@@ -146,7 +146,7 @@
 
 func (g *Group) learn(i int, s *observer.Server, primary marker.Mark, now time.Duration) {
 	if s.Answered && !primary.IsZero() {
-		g.estimators[i].Observe(s.At, s.Status.Last, primary)
+		g.estimators[i].Observe(s.PolledAt, s.Status.Last, primary)
 	}
 	switch {
 	case !s.Status.Leaving:
@@ -188,8 +188,8 @@
 	if len(l) < n {
 		return historian.Observation{}, false
 	}
-	slices.SortFunc(l, func(a, b observer.Observation) int { return cmp.Compare(b.At, a.At) })
-	o := historian.Observation{Asked: l[n-1].At}
+	slices.SortFunc(l, func(a, b observer.Observation) int { return cmp.Compare(b.PolledAt, a.PolledAt) })
+	o := historian.Observation{Asked: l[n-1].PolledAt}
 	for i := range n {
 		o.Mark = marker.Max(o.Mark, l[i].Status.Last)
 	}
@@ -210,7 +210,7 @@
 			Leaving:      s.Status.Leaving,
 			LeavingSince: k.servers[i].leavingSince,
 			Last:         s.Status.Last,
-			Observed:     s.At,
+			Observed:     s.PolledAt,
 			CatchUpRate:  k.servers[i].rate,
 			Lag:          k.servers[i].lag,
 			Slots:        b.declared.Slots,
--- a/internal/route/director/refusal.go
+++ b/internal/route/director/refusal.go
@@ -37,7 +37,7 @@
 		return s.Patience
 	case errors.Is(err, driver.ErrNoPrimary):
 		// The loss of a primary is noticed within this time, then it is replaced.
-		return s.Observer.Isolation
+		return s.Observer.IsolationTimeout
 	default:
 		// By then each server has been asked for its status again.
 		return s.StatusInterval
--- a/internal/route/director/refusal_test.go
+++ b/internal/route/director/refusal_test.go
@@ -22,7 +22,7 @@
 		{name: "no majority", err: driver.ErrNoMajority, want: s.Patience},
 		{name: "read in a zone that is cut off", err: ErrUnconfirmed, cut: true, want: s.Patience},
 		{name: "no server in a zone that is cut off", err: ErrNoServer, cut: true, want: s.Patience},
-		{name: "no primary", err: driver.ErrNoPrimary, want: s.Observer.Isolation},
+		{name: "no primary", err: driver.ErrNoPrimary, want: s.Observer.IsolationTimeout},
 		{name: "no server reaches the mark", err: ErrNoServer, want: s.StatusInterval},
 		{name: "retry budget", err: ErrRetryBudget, want: s.StatusInterval},
 	}
