--- a/internal/proxy/assembler/assembler_test.go
+++ b/internal/proxy/assembler/assembler_test.go
@@ -349,7 +349,7 @@
 	}
 	defer l.Close()
 	end := time.Now().Add(30 * time.Second)
-	l.Borrow(connpooler.Ask{Deadline: end, Class: admitter.ClassWrite, Team: "books"})
+	l.Borrow(connpooler.AcquireRequest{Deadline: end, Class: admitter.ClassWrite, Team: "books"})
 	exchange := func(text string) {
 		t.Helper()
 		if err := l.Send([]declarer.Request{{ID: "x", Text: text}}, end); err != nil {
--- a/internal/proxy/connpooler/connpooler.go
+++ b/internal/proxy/connpooler/connpooler.go
@@ -32,8 +32,8 @@
 	Observer Observer
 	// Limit is the most connections that this host may open, and Keep how many stay open
 	// though unused. Resize changes both later.
-	Limit int
-	Keep  int
+	Limit   int
+	MinOpen int
 	// OnDemand opens a connection for whoever waits: those to another entry host take
 	// nothing of the server's.
 	OnDemand bool
@@ -55,8 +55,8 @@
 	refusals int
 }
 
-// Ask is what a lease is wanted for.
-type Ask struct {
+// AcquireRequest is what a lease is wanted for.
+type AcquireRequest struct {
 	Deadline time.Time
 	// Objective is by when it should be given, zero for none: a longer wait that is foreseen
 	// is refused.
@@ -77,7 +77,7 @@
 }
 
 // Acquire waits for a connection until the deadline.
-func (p *Pool) Acquire(a Ask) (*Lease, error) {
+func (p *Pool) Acquire(a AcquireRequest) (*Lease, error) {
 	for {
 		l, err := p.acquire(a)
 		if !errors.Is(err, errEnded) {
@@ -90,7 +90,7 @@
 // are dropped, so that the next attempt waits for a new one.
 const errEnded = errors.ConstError("connections ended")
 
-func (p *Pool) acquire(a Ask) (*Lease, error) {
+func (p *Pool) acquire(a AcquireRequest) (*Lease, error) {
 	e := &admitter.Entry{Team: a.Team, Class: a.Class, Deadline: sinceEpoch(a.Deadline)}
 	w := &waiter{done: make(chan error, 1)}
 	e.Owner = w
@@ -152,7 +152,7 @@
 }
 
 // granted hands out an idle connection; each grant has one.
-func (p *Pool) granted(a Ask, e *admitter.Entry, err error) (*Lease, error) {
+func (p *Pool) granted(a AcquireRequest, e *admitter.Entry, err error) (*Lease, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -246,10 +246,10 @@
 func (p *Pool) Resize(limit, keep int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if limit == p.Limit && keep == p.Keep {
+	if limit == p.Limit && keep == p.MinOpen {
 		return
 	}
-	p.Limit, p.Keep = limit, keep
+	p.Limit, p.MinOpen = limit, keep
 	p.grow()
 }
 
@@ -261,7 +261,7 @@
 	if p.OnDemand {
 		keep = linkIdleFor
 	}
-	for len(p.idle) > 0 && p.open > p.Keep && (p.open > p.Limit || now.Sub(p.idle[0].used) > keep) {
+	for len(p.idle) > 0 && p.open > p.MinOpen && (p.open > p.Limit || now.Sub(p.idle[0].used) > keep) {
 		l := p.idle[0]
 		p.idle = p.idle[1:]
 		p.drop(l)
--- a/internal/proxy/connpooler/connpooler_test.go
+++ b/internal/proxy/connpooler/connpooler_test.go
@@ -89,8 +89,8 @@
 	return l.err
 }
 
-func (l *link) Owed() int   { return l.owed }
-func (l *link) Ended() bool { return l.ended }
+func (l *link) PendingAnswers() int { return l.owed }
+func (l *link) Ended() bool         { return l.ended }
 
 func (l *link) Close() {
 	l.fake.mu.Lock()
@@ -99,11 +99,11 @@
 }
 
 func newPool(f *fake) *Pool {
-	return &Pool{Server: declarer.Server{ID: "i"}, Dialer: f, Observer: f, Limit: 5, Keep: 1}
+	return &Pool{Server: declarer.Server{ID: "i"}, Dialer: f, Observer: f, Limit: 5, MinOpen: 1}
 }
 
-func ask(wait time.Duration) Ask {
-	return Ask{Deadline: time.Now().Add(wait), Class: admitter.ClassRead}
+func ask(wait time.Duration) AcquireRequest {
+	return AcquireRequest{Deadline: time.Now().Add(wait), Class: admitter.ClassRead}
 }
 
 // acquire gets a lease or ends the test.
--- a/internal/proxy/connpooler/full_test.go
+++ b/internal/proxy/connpooler/full_test.go
@@ -18,7 +18,7 @@
 		var borrowers []*Pool
 		for range 4 {
 			p := newPool(f)
-			p.Keep = 0
+			p.MinOpen = 0
 			acquire(t, p).Release(false)
 			borrowers = append(borrowers, p)
 		}
--- a/internal/proxy/connpooler/lease.go
+++ b/internal/proxy/connpooler/lease.go
@@ -15,17 +15,17 @@
 	Send(r []declarer.Request, deadline time.Time) error
 	// Receive reads the next answer. It can be called again after a timeout.
 	Receive(a *declarer.Answer, deadline time.Time) error
-	// Owed returns how many answers are still to come.
-	Owed() int
+	// PendingAnswers returns how many answers are still to come.
+	PendingAnswers() int
 	// Ended reports whether the server has closed the connection.
 	Ended() bool
 	Close()
 }
 
-// Borrowing is a connection that belongs to another host for each use.
-type Borrowing interface {
+// BorrowedConnection is a connection that belongs to another host for each use.
+type BorrowedConnection interface {
 	// Borrow begins a use, with what is sent next.
-	Borrow(a Ask)
+	Borrow(a AcquireRequest)
 	// Return ends it, whatever state the connection is in.
 	Return() error
 }
@@ -49,14 +49,14 @@
 // transaction, is brought in order first; a broken one is closed.
 func (l *Lease) Release(broken bool) {
 	p := l.pool
-	b, borrowed := l.Connection.(Borrowing)
+	b, borrowed := l.Connection.(BorrowedConnection)
 	switch {
 	case borrowed:
 		// Its owner puts it in order; an answer still to come would be the next use's.
-		p.finish(l, broken || l.Owed() > 0 || b.Return() != nil)
+		p.finish(l, broken || l.PendingAnswers() > 0 || b.Return() != nil)
 	case broken:
 		p.finish(l, true)
-	case l.Owed() > 0 || l.State != declarer.StateIdle:
+	case l.PendingAnswers() > 0 || l.State != declarer.StateIdle:
 		p.suspend(l)
 		go l.run()
 	default:
@@ -66,8 +66,8 @@
 
 // borrow begins a use of a connection that belongs to another host. What is set up on it
 // is that host's to know.
-func (l *Lease) borrow(a Ask) {
-	b, ok := l.Connection.(Borrowing)
+func (l *Lease) borrow(a AcquireRequest) {
+	b, ok := l.Connection.(BorrowedConnection)
 	if !ok {
 		return
 	}
@@ -85,7 +85,7 @@
 func (l *Lease) recover() error {
 	t := time.Now().Add(recoverFor)
 	var a declarer.Answer
-	for l.Owed() > 0 {
+	for l.PendingAnswers() > 0 {
 		if err := l.Receive(&a, t); err != nil {
 			return err
 		}
--- a/internal/proxy/connpooler/opening.go
+++ b/internal/proxy/connpooler/opening.go
@@ -44,13 +44,13 @@
 	// ErrNoRoute is a server to which no connection of the network can be made. It is
 	// not the server's word, but that of whoever tried.
 	ErrNoRoute = errors.ConstError("no route to the server")
-	// ErrLost is ErrNoRoute where other entry hosts say so as well.
-	ErrLost = errors.ConstError("no host has a route to the server")
-	// ErrAlive is ErrNoRoute from a host that the server has just answered on another
+	// ErrNoRouteAnywhere is ErrNoRoute where other entry hosts say so as well.
+	ErrNoRouteAnywhere = errors.ConstError("no host has a route to the server")
+	// ErrServerAlive is ErrNoRoute from a host that the server has just answered on another
 	// connection: it takes no new ones now.
-	ErrAlive = errors.ConstError("server lives, but takes no connection")
-	// ErrTurnedAway is a server that refuses, as it isn't the one that is meant.
-	ErrTurnedAway = errors.ConstError("server turned the connection away")
+	ErrServerAlive = errors.ConstError("server lives, but takes no connection")
+	// ErrConnectionRejected is a server that refuses, as it isn't the one that is meant.
+	ErrConnectionRejected = errors.ConstError("server turned the connection away")
 )
 
 // Observer is told what is learnt of the server.
--- a/internal/proxy/connpooler/permit.go
+++ b/internal/proxy/connpooler/permit.go
@@ -56,9 +56,9 @@
 	t.gate.Adjust(func(q *admitter.Queue) { q.Slots = n })
 }
 
-// Permit waits until a statement of the caller that has the lease may be sent. On a
+// AcquirePermit waits until a statement of the caller that has the lease may be sent. On a
 // connection that belongs to another host, that host sees to it.
-func (l *Lease) Permit(a Ask) (*Permit, error) {
+func (l *Lease) AcquirePermit(a AcquireRequest) (*Permit, error) {
 	p := l.pool
 	if p.OnDemand {
 		return &Permit{}, nil
--- a/internal/proxy/connpooler/permit_test.go
+++ b/internal/proxy/connpooler/permit_test.go
@@ -18,7 +18,7 @@
 	l := acquire(t, p)
 	var permits []*Permit
 	for range mostUnderWay {
-		x, err := l.Permit(ask(time.Second))
+		x, err := l.AcquirePermit(ask(time.Second))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -38,7 +38,7 @@
 			a := ask(time.Second)
 			a.Class = class
 			go func() {
-				x, err := l.Permit(a)
+				x, err := l.AcquirePermit(a)
 				if err != nil {
 					t.Error(err)
 					return
@@ -70,7 +70,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(&fake{limit: 16})
 		l, permits := exhaust(t, p)
-		if _, err := l.Permit(ask(-time.Millisecond)); !errors.Is(err, ErrRefused) {
+		if _, err := l.AcquirePermit(ask(-time.Millisecond)); !errors.Is(err, ErrRefused) {
 			t.Errorf("error %v", err)
 		}
 		for _, x := range permits {
@@ -88,7 +88,7 @@
 		p := newPool(&fake{limit: 16})
 		l, permits := exhaust(t, p)
 		began := time.Now()
-		_, err := l.Permit(ask(200 * time.Millisecond))
+		_, err := l.AcquirePermit(ask(200 * time.Millisecond))
 		if !errors.Is(err, ErrRefused) || time.Since(began) > 200*time.Millisecond {
 			t.Errorf("error %v after %s", err, time.Since(began))
 		}
@@ -110,14 +110,14 @@
 	a := ask(time.Hour)
 	var held []*Permit
 	for range 16*mostUnderWay - 1 {
-		x, err := l.Permit(a)
+		x, err := l.AcquirePermit(a)
 		if err != nil {
 			b.Fatal(err)
 		}
 		held = append(held, x)
 	}
 	for b.Loop() {
-		x, err := l.Permit(a)
+		x, err := l.AcquirePermit(a)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/proxy/executor/attempt.go
+++ b/internal/proxy/executor/attempt.go
@@ -143,8 +143,8 @@
 const objectiveShare = 4
 
 // ask is what the statement wants of a pool.
-func (a *attempt) ask() connpooler.Ask {
-	k := connpooler.Ask{Deadline: a.deadline, Class: a.class(), Team: a.route.Database}
+func (a *attempt) ask() connpooler.AcquireRequest {
+	k := connpooler.AcquireRequest{Deadline: a.deadline, Class: a.class(), Team: a.route.Database}
 	if a.route.Objective > 0 {
 		k.Objective = a.began.Add(a.route.Objective / objectiveShare)
 	}
--- a/internal/proxy/executor/attempt_test.go
+++ b/internal/proxy/executor/attempt_test.go
@@ -132,7 +132,7 @@
 type noLease struct{ connpooler.Connection }
 
 func (noLease) Send([]declarer.Request, time.Time) error { return nil }
-func (noLease) Owed() int                                { return 0 }
+func (noLease) PendingAnswers() int                      { return 0 }
 func (noLease) Ended() bool                              { return false }
 func (noLease) Close()                                   {}
 
@@ -234,7 +234,7 @@
 		w := newWorld(rand.New(rand.NewPCG(1, 1)), newHistory())
 		d := newDeployment(w, "z-0")
 		c := start(d, "primary")
-		k := connpooler.Ask{Deadline: time.Now().Add(10 * time.Second)}
+		k := connpooler.AcquireRequest{Deadline: time.Now().Add(10 * time.Second)}
 		l, err := d.Pool("i-0").Acquire(k)
 		if err != nil {
 			t.Fatal(err)
@@ -246,7 +246,7 @@
 		}
 		var permits []*connpooler.Permit
 		for range 4 { // two for each of the server's slots
-			x, err := l.Permit(k)
+			x, err := l.AcquirePermit(k)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/proxy/executor/exchange.go
+++ b/internal/proxy/executor/exchange.go
@@ -65,8 +65,8 @@
 
 // wait waits until a statement of the caller may be sent. It comes before the connection is
 // set up for the statement, as nothing is sent after a refusal.
-func (e *exchange) wait(a connpooler.Ask) error {
-	t, err := e.lease.Permit(a)
+func (e *exchange) wait(a connpooler.AcquireRequest) error {
+	t, err := e.lease.AcquirePermit(a)
 	e.permit = t
 	return err
 }
--- a/internal/proxy/executor/observer.go
+++ b/internal/proxy/executor/observer.go
@@ -95,7 +95,7 @@
 		return
 	}
 	end := time.Now().Add(observeTimeout)
-	l, err := p.Acquire(connpooler.Ask{Deadline: end, Class: admitter.ClassTransaction})
+	l, err := p.Acquire(connpooler.AcquireRequest{Deadline: end, Class: admitter.ClassTransaction})
 	if err != nil {
 		return
 	}
--- a/internal/proxy/executor/transaction.go
+++ b/internal/proxy/executor/transaction.go
@@ -130,7 +130,7 @@
 	for {
 		a.retries.Sent()
 		e := &exchange{lease: t.lease, deadline: a.deadline}
-		if err := e.wait(connpooler.Ask{Deadline: a.deadline, Class: admitter.ClassTransaction, Team: a.route.Database}); err != nil {
+		if err := e.wait(connpooler.AcquireRequest{Deadline: a.deadline, Class: admitter.ClassTransaction, Team: a.route.Database}); err != nil {
 			a.why = err.Error()
 			return err
 		}
--- a/internal/proxy/executor/world_test.go
+++ b/internal/proxy/executor/world_test.go
@@ -159,7 +159,7 @@
 			return &connection{server: s, values: make(map[string]string), prepared: make(map[string]string)}, s.position(), nil
 		}
 	}
-	return nil, marker.Mark{}, connpooler.ErrTurnedAway
+	return nil, marker.Mark{}, connpooler.ErrConnectionRejected
 }
 
 // pending is an answer that is on its way.
@@ -245,7 +245,7 @@
 	return nil
 }
 
-func (c *connection) Owed() int { return len(c.answers) }
+func (c *connection) PendingAnswers() int { return len(c.answers) }
 
 func (c *connection) Ended() bool { return c.closed }
 
--- a/internal/proxy/lender/lender.go
+++ b/internal/proxy/lender/lender.go
@@ -51,12 +51,12 @@
 	Unreachable bool
 	// RetryAfter is when there will be one, zero if that isn't known.
 	RetryAfter time.Duration
-	Why        string
+	Message    string
 }
 
 // Borrower is another host that borrows.
 type Borrower interface {
-	Greet(deadline time.Time) error
+	Handshake(deadline time.Time) error
 	// Next waits for the next event; an error ends the link.
 	Next() (Event, error)
 	// Answer, Done and Refuse add an answer each, which Flush sends.
@@ -78,10 +78,10 @@
 	Borrower Borrower
 	// Pool returns this host's own connections to the server, nil if it isn't listed.
 	Pool func() *connpooler.Pool
-	// Answered is told of each answer of the server.
-	Answered func()
-	// Lent counts the leases that are out.
-	Lent *atomic.Int64
+	// OnAnswer is told of each answer of the server.
+	OnAnswer func()
+	// ActiveLeases counts the leases that are out.
+	ActiveLeases *atomic.Int64
 
 	lease *connpooler.Lease
 	// use is what the borrower wanted when it asked for the lease.
@@ -97,7 +97,7 @@
 // Run serves the borrower until the link ends. What it holds then is put in order.
 func (l *Link) Run() {
 	defer l.giveBack(false)
-	if l.Borrower.Greet(time.Now().Add(greetTimeout)) != nil {
+	if l.Borrower.Handshake(time.Now().Add(greetTimeout)) != nil {
 		return
 	}
 	for {
@@ -135,7 +135,7 @@
 
 func (l *Link) lend(e Event) {
 	l.giveBack(false)
-	l.refused = Refusal{Unreachable: true, Why: "server isn't listed here"}
+	l.refused = Refusal{Unreachable: true, Message: "server isn't listed here"}
 	p := l.Pool()
 	if p == nil {
 		return
@@ -147,12 +147,12 @@
 		return
 	}
 	l.fresh, l.use = true, e
-	l.Lent.Add(1)
+	l.ActiveLeases.Add(1)
 }
 
 // ask is what the borrower wants of the pool.
-func (e *Event) ask(now time.Time) connpooler.Ask {
-	a := connpooler.Ask{Deadline: now.Add(e.Wait), Class: e.Class, Team: e.Team}
+func (e *Event) ask(now time.Time) connpooler.AcquireRequest {
+	a := connpooler.AcquireRequest{Deadline: now.Add(e.Wait), Class: e.Class, Team: e.Team}
 	if e.Objective > 0 {
 		a.Objective = now.Add(e.Objective)
 	}
@@ -163,14 +163,14 @@
 	if l.lease != nil {
 		l.lease.Release(broken)
 		l.lease = nil
-		l.Lent.Add(-1)
+		l.ActiveLeases.Add(-1)
 	}
-	l.refused = Refusal{Unreachable: true, Why: "nothing was borrowed"}
+	l.refused = Refusal{Unreachable: true, Message: "nothing was borrowed"}
 }
 
 // refusalOf tells the borrower why the pool gave no connection.
 func refusalOf(err error) Refusal {
-	r := Refusal{Why: err.Error()}
+	r := Refusal{Message: err.Error()}
 	if q, ok := errors.AsType[*connpooler.Refusal](err); ok {
 		r.RetryAfter = q.RetryAfter
 		return r
@@ -200,7 +200,7 @@
 	if l.lease.State == declarer.StateTransaction {
 		a.Class = admitter.ClassTransaction
 	}
-	t, err := l.lease.Permit(a)
+	t, err := l.lease.AcquirePermit(a)
 	if err != nil {
 		return err
 	}
@@ -257,7 +257,7 @@
 	if a.Code == declarer.CodeBusy {
 		l.code = a.Code
 	}
-	l.Answered()
+	l.OnAnswer()
 	return nil
 }
 
--- a/internal/proxy/lender/lender_test.go
+++ b/internal/proxy/lender/lender_test.go
@@ -82,9 +82,9 @@
 	return nil
 }
 
-func (c *connection) Owed() int   { return c.owed }
-func (c *connection) Ended() bool { return false }
-func (c *connection) Close()      {}
+func (c *connection) PendingAnswers() int { return c.owed }
+func (c *connection) Ended() bool         { return false }
+func (c *connection) Close()              {}
 
 // borrower plays events and collects the answers.
 type borrower struct {
@@ -92,7 +92,7 @@
 	answers []string
 }
 
-func (b *borrower) Greet(time.Time) error { return nil }
+func (b *borrower) Handshake(time.Time) error { return nil }
 
 func (b *borrower) Next() (Event, error) {
 	if len(b.events) == 0 {
@@ -114,7 +114,7 @@
 func play(s *server, p *connpooler.Pool, events ...Event) *borrower {
 	b := &borrower{events: events}
 	var lent atomic.Int64
-	l := &Link{Borrower: b, Pool: func() *connpooler.Pool { return p }, Answered: func() {}, Lent: &lent}
+	l := &Link{Borrower: b, Pool: func() *connpooler.Pool { return p }, OnAnswer: func() {}, ActiveLeases: &lent}
 	l.Run()
 	if n := lent.Load(); n != 0 {
 		panic(fmt.Sprintf("%d leases are out after the end", n))
--- a/internal/proxy/promoter/claims.go
+++ b/internal/proxy/promoter/claims.go
@@ -17,14 +17,14 @@
 	Holder string
 	// Server is whom the holder has chosen, empty for nobody yet.
 	Server string
-	// Above is the newest term at which the holder found the group.
-	Above marker.Term
+	// AboveTerm is the newest term at which the holder found the group.
+	AboveTerm marker.Term
 	// Token orders claims; each change of a claim raises it.
 	Token uint64
 }
 
-// Orderer makes claims and orders promotions through the platform.
-type Orderer interface {
+// Platform makes claims and orders promotions through the platform.
+type Platform interface {
 	Claim(ctx context.Context, group string) (Claim, error)
 	// PutClaim replaces the claim whose token is that of c, zero for none.
 	PutClaim(ctx context.Context, group string, c Claim) (Claim, error)
@@ -35,7 +35,7 @@
 // while the platform's store is away. Only the first hosts of the group's order do, each
 // a little later than the other: all at once would make two calls a host and group.
 func (p *Promoter) claimUnclaimed(ctx context.Context) {
-	if scheduler.Pause(ctx, firstClaimDelay+firstClaimSpread*p.judge.Delay()) != nil || !p.Hosts.Claims(p.Group) {
+	if scheduler.Pause(ctx, firstClaimDelay+firstClaimSpread*p.judge.Delay()) != nil || !p.Roles.MayClaim(p.Group) {
 		return
 	}
 	if _, err := p.claim(ctx); errors.Is(err, ErrNoClaim) {
@@ -53,7 +53,7 @@
 	case p.defers(ctx, present, server):
 		return Claim{}, false
 	}
-	c, failure := p.take(ctx, Claim{Holder: p.Host, Server: server, Above: above, Token: present.Token})
+	c, failure := p.take(ctx, Claim{Holder: p.Host, Server: server, AboveTerm: above, Token: present.Token})
 	return c, failure == nil
 }
 
@@ -80,7 +80,7 @@
 	if p.held.Token == 0 || p.held.Server != "" && p.held.Server != server {
 		return Claim{}, false
 	}
-	p.held.Server, p.held.Above = server, above
+	p.held.Server, p.held.AboveTerm = server, above
 	return p.held, true
 }
 
@@ -96,13 +96,13 @@
 	x.Server = ""
 	c, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	n, err := p.Orderer.PutClaim(c, p.Group, x)
+	n, err := p.Platform.PutClaim(c, p.Group, x)
 	l := p.Log.WithFields(log.Fields{"database-group": p.Group, "token": x.Token})
 	switch {
 	case err == nil:
 		p.held = n
 		l.WithField("token", n.Token).Info("claim renewed")
-	case errors.Is(err, ErrOvertaken):
+	case errors.Is(err, ErrClaimChanged):
 		// Another host has it, or this call's answer was lost the last time.
 		p.held = Claim{}
 		l.WithError(err).Info("claim given up")
@@ -114,15 +114,15 @@
 func (p *Promoter) claim(ctx context.Context) (Claim, error) {
 	c, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	return p.Orderer.Claim(c, p.Group)
+	return p.Platform.Claim(c, p.Group)
 }
 
 // take puts the claim. Where the answer is lost it reads back whether it was made.
 func (p *Promoter) take(ctx context.Context, x Claim) (Claim, error) {
 	c, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	n, err := p.Orderer.PutClaim(c, p.Group, x)
-	if err != nil && !errors.Is(err, ErrOvertaken) {
+	n, err := p.Platform.PutClaim(c, p.Group, x)
+	if err != nil && !errors.Is(err, ErrClaimChanged) {
 		n, err = p.settle(ctx, x, err)
 	}
 	if err != nil {
--- a/internal/proxy/promoter/prober.go
+++ b/internal/proxy/promoter/prober.go
@@ -11,8 +11,8 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/declarer"
 )
 
-// ErrCommand is a command that a server refused.
-const ErrCommand = errors.ConstError("command refused")
+// ErrCommandRefused is a command that a server refused.
+const ErrCommandRefused = errors.ConstError("command refused")
 
 // Prober asks servers on new connections: an old one may have gone silent though the
 // server is well.
@@ -50,7 +50,7 @@
 		return declarer.Status{}, err
 	}
 	if a.Code != declarer.CodeNone {
-		return declarer.Status{}, errors.Annotatef(ErrCommand, "server %s: %s", s.ID, a.Body)
+		return declarer.Status{}, errors.Annotatef(ErrCommandRefused, "server %s: %s", s.ID, a.Body)
 	}
 	return p.Parse(a.Row)
 }
--- a/internal/proxy/promoter/promoter.go
+++ b/internal/proxy/promoter/promoter.go
@@ -21,8 +21,8 @@
 const (
 	// ErrNoClaim is a group that nobody has claimed.
 	ErrNoClaim = errors.ConstError("no claim")
-	// ErrOvertaken is a claim that another host has changed.
-	ErrOvertaken = errors.ConstError("claim was changed by another host")
+	// ErrClaimChanged is a claim that another host has changed.
+	ErrClaimChanged = errors.ConstError("claim was changed by another host")
 	// ErrFenced is an order that came too late, or whose server doesn't run.
 	ErrFenced = errors.ConstError("promotion refused")
 )
@@ -68,12 +68,12 @@
 	catchUpStep = 10 * time.Millisecond
 )
 
-// Hosts says which part this entry host has among the others in looking after a group.
-type Hosts interface {
+// Roles says which part this entry host has among the others in looking after a group.
+type Roles interface {
 	// Watches reports whether it looks after the group at full rate.
 	Watches(group string) bool
-	// Claims reports whether it may claim a group that nobody has claimed.
-	Claims(group string) bool
+	// MayClaim reports whether it may claim a group that nobody has claimed.
+	MayClaim(group string) bool
 }
 
 // Counter counts promotions.
@@ -89,17 +89,17 @@
 	Host  string
 	Group string
 	Board *blackboard.Board
-	Hosts Hosts
+	Roles Roles
 	// Dialer asks other hosts about a server, Prober asks servers.
-	Dialer  *relaydialer.Dialer
-	Prober  *Prober
-	Orderer Orderer
-	Counter Counter
+	Dialer   *relaydialer.Dialer
+	Prober   *Prober
+	Platform Platform
+	Counter  Counter
 	// Lease returns how long a host that has ordered a promotion is respected.
 	Lease func() time.Duration
 	Log   log.Interface
 
-	judge  successor.Judge
+	judge  successor.Detector
 	probed time.Time
 	// held is this host's claim, if it made the last one it knows of.
 	held Claim
@@ -124,7 +124,7 @@
 
 // Run looks at the group until ctx ends.
 func (p *Promoter) Run(ctx context.Context) {
-	p.judge = successor.Judge{Host: p.Host, Group: p.Group}
+	p.judge = successor.Detector{Host: p.Host, Group: p.Group}
 	p.claimUnclaimed(ctx)
 	for scheduler.Pause(ctx, p.tick()) == nil {
 		p.step(ctx)
@@ -135,7 +135,7 @@
 // deployment only some hosts look often: all of them would fill a group's few slots with
 // their questions as soon as its primary is lost.
 func (p *Promoter) tick() time.Duration {
-	if p.Hosts.Watches(p.Group) {
+	if p.Roles.Watches(p.Group) {
 		return promoteTick
 	}
 	return outsideTick
@@ -143,7 +143,7 @@
 
 func (p *Promoter) step(ctx context.Context) {
 	s := p.view()
-	if p.judge.Suspect(s) && time.Since(p.probed) > probeInterval {
+	if p.judge.ShouldProbe(s) && time.Since(p.probed) > probeInterval {
 		p.probe(ctx, s)
 		s = p.view()
 	}
@@ -157,7 +157,7 @@
 		p.needed, p.warned, p.blind, p.rivalAt = true, false, false, time.Time{}
 		p.neededAt = time.Now()
 	}
-	if r == successor.ReasonLeaving && time.Since(p.unmoved) < moveInterval {
+	if r == successor.ReasonDraining && time.Since(p.unmoved) < moveInterval {
 		return
 	}
 	if time.Since(p.looked) >= claimInterval {
@@ -197,7 +197,7 @@
 		return
 	}
 	for _, x := range c {
-		if x.Status.Primary && r != successor.ReasonLeaving {
+		if x.Status.Primary && r != successor.ReasonDraining {
 			return // it leads; ask has noted so
 		}
 	}
@@ -213,13 +213,13 @@
 		}
 		return
 	}
-	claim, ok := p.win(ctx, present, err, heir.Server.ID, successor.Newest(c))
+	claim, ok := p.win(ctx, present, err, heir.Server.ID, successor.NewestTerm(c))
 	if !ok {
 		return
 	}
-	l = l.WithFields(log.Fields{"heir": heir.Server.ID, "position": heir.Status.Received.String(), "token": claim.Token, "above": claim.Above})
+	l = l.WithFields(log.Fields{"heir": heir.Server.ID, "position": heir.Status.Received.String(), "token": claim.Token, "above": claim.AboveTerm})
 	p.Counter.Phase(phaseDecide, time.Since(p.neededAt))
-	if r == successor.ReasonLeaving && !p.stepDown(ctx, s.Primary.Server, heir, claim.Above, l) && p.synchronous() > 0 {
+	if r == successor.ReasonDraining && !p.stepDown(ctx, s.Primary.Server, heir, claim.AboveTerm, l) && p.synchronous() > 0 {
 		// Another replica may have an acknowledged commit that the heir lacks. Without a
 		// leader the longest log is looked for anew.
 		p.unmoved = time.Now()
@@ -307,7 +307,7 @@
 func (p *Promoter) orderOnce(ctx context.Context, s declarer.Server, x Claim) error {
 	c, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	return p.Orderer.Promote(c, p.Group, s.ID, p.Host, x.Token)
+	return p.Platform.Promote(c, p.Group, s.ID, p.Host, x.Token)
 }
 
 // awaitLead asks the server until it leads.
--- a/internal/proxy/promoter/promoter_test.go
+++ b/internal/proxy/promoter/promoter_test.go
@@ -86,7 +86,7 @@
 	case c.away:
 		return x, errors.New("away")
 	case x.Token != present:
-		return x, ErrOvertaken
+		return x, ErrClaimChanged
 	}
 	x.Token = present + 3
 	c.claim = &x
@@ -135,9 +135,9 @@
 	defer c.mu.Unlock()
 	x := c.servers[s.ID]
 	if (x.gone || x.full != nil) && (!c.heard || c.hung && q == relaydialer.QuestionAnswer) {
-		return connpooler.ErrLost
+		return connpooler.ErrNoRouteAnywhere
 	}
-	return connpooler.ErrAlive
+	return connpooler.ErrServerAlive
 }
 
 func (c *cluster) Promotion(string, string) {}
@@ -214,18 +214,18 @@
 	b := &blackboard.Board{Now: func() time.Duration { return time.Since(began) + time.Hour }}
 	b.TakeServers([]declarer.Server{{ID: "a", Group: "db", Primary: true}, {ID: "b", Group: "db"}, {ID: "c", Group: "db"}})
 	return &Promoter{
-		Host: h, Group: "db", Board: b, Hosts: among{}, Orderer: c, Counter: c, Log: quiet,
+		Host: h, Group: "db", Board: b, Roles: among{}, Platform: c, Counter: c, Log: quiet,
 		Dialer: &relaydialer.Dialer{Transport: c, Hosts: c.hosts}, Prober: &Prober{Dialer: c, Parse: c.parse},
 		Lease: func() time.Duration { return 0 },
-		judge: successor.Judge{Host: h, Group: "db"},
+		judge: successor.Detector{Host: h, Group: "db"},
 	}
 }
 
 // among has a host look after every group.
 type among struct{}
 
-func (among) Watches(string) bool { return true }
-func (among) Claims(string) bool  { return true }
+func (among) Watches(string) bool  { return true }
+func (among) MayClaim(string) bool { return true }
 
 // win reads the claim and makes one of the host's own.
 func win(p *Promoter, server string) (Claim, bool) {
@@ -259,7 +259,7 @@
 		if c.phases[phaseDecide] > 2*time.Second || c.phases[phaseLead] > time.Second || len(c.phases) != 2 {
 			t.Errorf("phases %v", c.phases)
 		}
-		if x := c.claims[0]; x.Holder != "h1" || x.Server != "b" || x.Above != 1 {
+		if x := c.claims[0]; x.Holder != "h1" || x.Server != "b" || x.AboveTerm != 1 {
 			t.Errorf("claim %+v", x)
 		}
 	})
@@ -317,7 +317,7 @@
 // Guards against overload taken for death: after a loss of power the primary is at its
 // limit of connections, or has no slot for a status. Replacing it would drop commits.
 func TestOverloadedPrimaryIsKept(t *testing.T) {
-	for _, cause := range []error{connpooler.ErrTooManyConnections, ErrCommand} {
+	for _, cause := range []error{connpooler.ErrTooManyConnections, ErrCommandRefused} {
 		synctest.Test(t, func(t *testing.T) {
 			c := newCluster()
 			c.servers["a"].full = cause
--- a/internal/proxy/promoter/questions.go
+++ b/internal/proxy/promoter/questions.go
@@ -96,7 +96,7 @@
 func (q *question) note(asked time.Duration, s declarer.Status, err error) {
 	b := q.promoter.Board
 	switch {
-	case errors.Is(err, ErrCommand), errors.Is(err, connpooler.ErrTooManyConnections):
+	case errors.Is(err, ErrCommandRefused), errors.Is(err, connpooler.ErrTooManyConnections):
 		// It has no room for the question, but it lives.
 		b.Do(q.server.Group, func(g *grouptracker.Group) { g.Answered(q.server.ID, b.Time(), 0, marker.Mark{}) })
 		return
@@ -126,9 +126,9 @@
 func (p *Promoter) inquire(ctx context.Context, s successor.View, r successor.Reason) *inquiry {
 	x := &inquiry{dialer: p.Dialer, done: make(chan relaydialer.Word, 1)}
 	switch r {
-	case successor.ReasonSilent:
+	case successor.ReasonUnresponsive:
 		x.server, x.question = s.Primary.Server, relaydialer.QuestionReach
-	case successor.ReasonUnheard:
+	case successor.ReasonLongUnresponsive:
 		x.server, x.question = s.Primary.Server, relaydialer.QuestionAnswer
 	default:
 		x.done <- relaydialer.WordLost
@@ -142,7 +142,7 @@
 // needs their word that they don't hear from it either; after long they may all be out of
 // reach, but none may have had an answer.
 func confirms(r successor.Reason, w relaydialer.Word) bool {
-	if r == successor.ReasonUnheard {
+	if r == successor.ReasonLongUnresponsive {
 		return w != relaydialer.WordAlive
 	}
 	return w == relaydialer.WordLost
--- a/internal/proxy/relaydialer/relaydialer.go
+++ b/internal/proxy/relaydialer/relaydialer.go
@@ -37,7 +37,7 @@
 type Transport interface {
 	connpooler.Dialer
 	Via(ctx context.Context, host string, s declarer.Server) (connpooler.Connection, marker.Mark, error)
-	// Heard asks a host about the server. The answer is connpooler.ErrAlive or connpooler.ErrLost;
+	// Heard asks a host about the server. The answer is connpooler.ErrServerAlive or connpooler.ErrNoRouteAnywhere;
 	// any other error is no answer.
 	Heard(ctx context.Context, host string, s declarer.Server, q Question) error
 }
@@ -130,9 +130,9 @@
 	word := WordNone
 	for range l {
 		switch err := <-r; {
-		case errors.Is(err, connpooler.ErrAlive):
+		case errors.Is(err, connpooler.ErrServerAlive):
 			return WordAlive
-		case errors.Is(err, connpooler.ErrLost):
+		case errors.Is(err, connpooler.ErrNoRouteAnywhere):
 			word = WordLost
 		}
 	}
@@ -167,7 +167,7 @@
 
 // answered reports whether the error is the server's own word.
 func answered(err error) bool {
-	return errors.Is(err, connpooler.ErrTooManyConnections) || errors.Is(err, connpooler.ErrTurnedAway)
+	return errors.Is(err, connpooler.ErrTooManyConnections) || errors.Is(err, connpooler.ErrConnectionRejected)
 }
 
 // pick returns up to n hosts by lot, without those that failed a moment ago.
@@ -228,7 +228,7 @@
 
 // told reports whether the error is the asked host's word.
 func told(err error) bool {
-	return answered(err) || errors.Is(err, connpooler.ErrLost) || errors.Is(err, connpooler.ErrAlive)
+	return answered(err) || errors.Is(err, connpooler.ErrNoRouteAnywhere) || errors.Is(err, connpooler.ErrServerAlive)
 }
 
 // rest closes connections that came too late.
--- a/internal/proxy/relaydialer/relaydialer_test.go
+++ b/internal/proxy/relaydialer/relaydialer_test.go
@@ -73,13 +73,13 @@
 	}{
 		"direct": {},
 		// The primary is cut from this host, and from another one.
-		"through another host":        {direct: noWay, via: map[string]error{"h1": connpooler.ErrLost}, hosts: []string{"h1", "h2"}},
+		"through another host":        {direct: noWay, via: map[string]error{"h1": connpooler.ErrNoRouteAnywhere}, hosts: []string{"h1", "h2"}},
 		"nobody to ask":               {direct: noWay, want: connpooler.ErrNoRoute},
 		"others can't be asked":       {direct: noWay, via: map[string]error{"h1": noWay, "h2": noWay}, hosts: []string{"h1", "h2"}, want: connpooler.ErrNoRoute},
-		"others have no way":          {direct: noWay, via: map[string]error{"h1": connpooler.ErrLost, "h2": noWay}, hosts: []string{"h1", "h2"}, want: connpooler.ErrNoRoute},
+		"others have no way":          {direct: noWay, via: map[string]error{"h1": connpooler.ErrNoRouteAnywhere, "h2": noWay}, hosts: []string{"h1", "h2"}, want: connpooler.ErrNoRoute},
 		"crowded, as seen from there": {direct: noWay, via: map[string]error{"h1": connpooler.ErrTooManyConnections}, hosts: []string{"h1"}, want: connpooler.ErrTooManyConnections},
 		"crowded, as seen from here":  {direct: connpooler.ErrTooManyConnections, hosts: []string{"h1"}, want: connpooler.ErrTooManyConnections},
-		"another server there":        {direct: connpooler.ErrTurnedAway, hosts: []string{"h1"}, want: connpooler.ErrTurnedAway},
+		"another server there":        {direct: connpooler.ErrConnectionRejected, hosts: []string{"h1"}, want: connpooler.ErrConnectionRejected},
 		"no process listens":          {direct: errors.WithType(syscall.ECONNREFUSED, connpooler.ErrNoRoute), hosts: []string{"h1"}, want: syscall.ECONNREFUSED},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -125,9 +125,9 @@
 	}{
 		"nobody to ask":     {},
 		"nobody answers":    {via: map[string]error{"h1": silent, "h2": silent}},
-		"one hears it":      {via: map[string]error{"h1": connpooler.ErrLost, "h2": connpooler.ErrAlive, "h3": connpooler.ErrLost}},
-		"nobody hears it":   {via: map[string]error{"h1": connpooler.ErrLost, "h2": connpooler.ErrLost}, want: true},
-		"one answers, lost": {via: map[string]error{"h1": silent, "h2": connpooler.ErrLost}, want: true},
+		"one hears it":      {via: map[string]error{"h1": connpooler.ErrNoRouteAnywhere, "h2": connpooler.ErrServerAlive, "h3": connpooler.ErrNoRouteAnywhere}},
+		"nobody hears it":   {via: map[string]error{"h1": connpooler.ErrNoRouteAnywhere, "h2": connpooler.ErrNoRouteAnywhere}, want: true},
+		"one answers, lost": {via: map[string]error{"h1": silent, "h2": connpooler.ErrNoRouteAnywhere}, want: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var l []string
@@ -143,7 +143,7 @@
 }
 
 func TestAnswers(t *testing.T) {
-	w := &ways{via: map[string]error{"h1": connpooler.ErrLost, "h2": connpooler.ErrAlive, "h3": errors.New("timeout")}}
+	w := &ways{via: map[string]error{"h1": connpooler.ErrNoRouteAnywhere, "h2": connpooler.ErrServerAlive, "h3": errors.New("timeout")}}
 	d := &Dialer{Transport: w, Hosts: hosts("h1", "h2", "h3")}
 	for h, want := range map[string]bool{"h1": true, "h2": true, "h3": false, "h4": false} {
 		if got := d.Answers(t.Context(), h, declarer.Server{ID: "i"}); got != want {
@@ -165,7 +165,7 @@
 // word, and the primary wouldn't be replaced for as long as they are left alone.
 func TestHostAskedLateIsNotTakenForGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &slow{ways{direct: connpooler.ErrNoRoute, via: map[string]error{"h1": connpooler.ErrLost}}}
+		w := &slow{ways{direct: connpooler.ErrNoRoute, via: map[string]error{"h1": connpooler.ErrNoRouteAnywhere}}}
 		d := &Dialer{Transport: w, Hosts: hosts("h1")}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
--- a/internal/proxy/runner/deployment_test.go
+++ b/internal/proxy/runner/deployment_test.go
@@ -252,7 +252,7 @@
 	return nil
 }
 
-func (c *session) Owed() int { return len(c.answers) }
+func (c *session) PendingAnswers() int { return len(c.answers) }
 
 func (c *session) Ended() bool { return c.closed }
 
@@ -353,7 +353,7 @@
 		return nil, connpooler.ErrNoRoute
 	}
 	c := &link{owner: x, events: make(chan lender.Event, 64), answers: make(chan declarer.Answer, 256)}
-	l := &lender.Link{Borrower: &borrower{link: c}, Pool: func() *connpooler.Pool { return x.host.pools.own(s.ID) }, Answered: func() {}, Lent: &x.lent}
+	l := &lender.Link{Borrower: &borrower{link: c}, Pool: func() *connpooler.Pool { return x.host.pools.own(s.ID) }, OnAnswer: func() {}, ActiveLeases: &x.lent}
 	go l.Run()
 	return c, nil
 }
@@ -368,7 +368,7 @@
 	closed  bool
 }
 
-func (l *link) Borrow(a connpooler.Ask) {
+func (l *link) Borrow(a connpooler.AcquireRequest) {
 	l.lend = &lender.Event{Kind: lender.KindLend, Wait: time.Until(a.Deadline) - 20*messageTime, Class: a.Class, Team: a.Team}
 	if !a.Objective.IsZero() {
 		l.lend.Objective = max(time.Millisecond, time.Until(a.Objective)-20*messageTime)
@@ -409,7 +409,7 @@
 	}
 }
 
-func (l *link) Owed() int { return l.owed }
+func (l *link) PendingAnswers() int { return l.owed }
 
 // Ended sees what keep-alive probes find out: the owner has restarted.
 func (l *link) Ended() bool { return l.closed || l.owner.gone.Load() }
@@ -427,7 +427,7 @@
 	out  []declarer.Answer
 }
 
-func (b *borrower) Greet(time.Time) error { return nil }
+func (b *borrower) Handshake(time.Time) error { return nil }
 
 func (b *borrower) Next() (lender.Event, error) {
 	e, ok := <-b.link.events
@@ -449,7 +449,7 @@
 func (b *borrower) Done(s declarer.State) { b.out = append(b.out, declarer.Answer{State: s}) }
 
 func (b *borrower) Refuse(r lender.Refusal) {
-	x := declarer.Answer{Code: declarer.CodeNoLease, Detail: r.Why, RetryAfter: r.RetryAfter}
+	x := declarer.Answer{Code: declarer.CodeNoLease, Detail: r.Message, RetryAfter: r.RetryAfter}
 	if r.Unreachable {
 		x.Code = declarer.CodeNoServer
 	}
--- a/internal/proxy/runner/host.go
+++ b/internal/proxy/runner/host.go
@@ -64,7 +64,7 @@
 	Self declarer.Host
 	// ParseStatus reads the row in which a server tells its status.
 	ParseStatus func(row string) (declarer.Status, error)
-	Orderer     promoter.Orderer
+	Orderer     promoter.Platform
 	// Accept makes a caller of a connection.
 	Accept   func(net.Conn) executor.Caller
 	Reporter executor.Reporter
@@ -278,8 +278,8 @@
 		}
 		h.promoters[g] = true
 		p := &promoter.Promoter{
-			Host: h.Name, Group: g, Board: h.Board, Hosts: &h.roster, Dialer: &h.dialer, Prober: &h.prober,
-			Orderer: h.Orderer, Counter: h.Counter, Lease: func() time.Duration { return h.bounds().Lease }, Log: h.Log,
+			Host: h.Name, Group: g, Board: h.Board, Roles: &h.roster, Dialer: &h.dialer, Prober: &h.prober,
+			Platform: h.Orderer, Counter: h.Counter, Lease: func() time.Duration { return h.bounds().Lease }, Log: h.Log,
 		}
 		go p.Run(h.running)
 	}
--- a/internal/proxy/runner/lending.go
+++ b/internal/proxy/runner/lending.go
@@ -15,10 +15,10 @@
 // lend serves a host that borrows this host's connections to a server.
 func (h *Host) lend(c net.Conn, server string) {
 	l := &lender.Link{
-		Borrower: h.Borrower(c),
-		Lent:     &h.lent,
-		Pool:     func() *connpooler.Pool { return h.pools.own(server) },
-		Answered: func() {
+		Borrower:     h.Borrower(c),
+		ActiveLeases: &h.lent,
+		Pool:         func() *connpooler.Pool { return h.pools.own(server) },
+		OnAnswer: func() {
 			s, ok := h.pools.find(server)
 			if ok {
 				h.Board.Do(s.Group, func(g *grouptracker.Group) { g.Answered(server, h.Board.Time(), 0, marker.Mark{}) })
@@ -36,7 +36,9 @@
 
 // answered reports whether it has within the time after which another host, which has had no
 // answer, may replace it.
-func (h *Host) answered(s declarer.Server) bool { return h.answeredWithin(s, successor.UnheardAfter) }
+func (h *Host) answered(s declarer.Server) bool {
+	return h.answeredWithin(s, successor.LongUnresponsiveAfter)
+}
 
 func (h *Host) answeredWithin(s declarer.Server, d time.Duration) bool {
 	alive := false
--- a/internal/proxy/runner/load_test.go
+++ b/internal/proxy/runner/load_test.go
@@ -324,7 +324,7 @@
 	for _, x := range d.nodes {
 		for _, s := range d.servers {
 			p := x.host.pools.Pool(s.declared.ID)
-			l, err := p.Acquire(connpooler.Ask{Deadline: time.Now().Add(time.Second)})
+			l, err := p.Acquire(connpooler.AcquireRequest{Deadline: time.Now().Add(time.Second)})
 			if err != nil {
 				t.Errorf("%s has no connection to %s: %v", x.host.Name, s.declared.ID, err)
 				continue
--- a/internal/proxy/runner/pools.go
+++ b/internal/proxy/runner/pools.go
@@ -92,7 +92,7 @@
 		return nil
 	}
 	limit, kept := p.share(s)
-	o := p.keep(poolKey{server: id}, &connpooler.Pool{Server: s, Dialer: p.dialer, Observer: p.observer, Limit: limit, Keep: kept})
+	o := p.keep(poolKey{server: id}, &connpooler.Pool{Server: s, Dialer: p.dialer, Observer: p.observer, Limit: limit, MinOpen: kept})
 	o.Resize(limit, kept)
 	return o
 }
@@ -115,7 +115,7 @@
 // borrowed returns the links to the owner.
 func (p *pools) borrowed(s declarer.Server, o declarer.Host) *connpooler.Pool {
 	l := &links{pools: p, owner: o}
-	return p.keep(poolKey{server: s.ID, owner: o.Name}, &connpooler.Pool{Server: s, Dialer: l, Observer: l, Limit: linkLimit, Keep: 1, OnDemand: true})
+	return p.keep(poolKey{server: s.ID, owner: o.Name}, &connpooler.Pool{Server: s, Dialer: l, Observer: l, Limit: linkLimit, MinOpen: 1, OnDemand: true})
 }
 
 // keep returns the pool that is there for the way, or puts n there.
--- a/internal/proxy/runner/roster.go
+++ b/internal/proxy/runner/roster.go
@@ -87,8 +87,8 @@
 // Watches reports whether this host is among those that look after the group.
 func (r *roster) Watches(group string) bool { return r.rank(group) < watchers }
 
-// Claims reports whether it is among those that may claim it first.
-func (r *roster) Claims(group string) bool { return r.rank(group) < claimants }
+// MayClaim reports whether it is among those that may claim it first.
+func (r *roster) MayClaim(group string) bool { return r.rank(group) < claimants }
 
 // rank returns how many hosts go before this one for the group.
 func (r *roster) rank(group string) int {
--- a/internal/proxy/successor/successor.go
+++ b/internal/proxy/successor/successor.go
@@ -27,9 +27,9 @@
 	spread = 100 * time.Millisecond
 )
 
-// UnheardAfter is how long a primary may be unreachable where no other host has had an
+// LongUnresponsiveAfter is how long a primary may be unreachable where no other host has had an
 // answer of it either. Its entry on the platform's list lapses after about as long.
-const UnheardAfter = 4 * time.Second
+const LongUnresponsiveAfter = 4 * time.Second
 
 // Reason says why a group needs another primary.
 type Reason string
@@ -38,22 +38,22 @@
 const (
 	// ReasonNone is a group that needs none.
 	ReasonNone Reason = ""
-	// ReasonAbsent: no process listens at the primary's address.
-	ReasonAbsent Reason = "primary-absent"
-	// ReasonSilent: the primary doesn't answer this host. Others must say so too.
-	ReasonSilent Reason = "primary-silent"
-	// ReasonUnheard: the primary doesn't answer for long. No other host may have had an
+	// ReasonNotListening: no process listens at the primary's address.
+	ReasonNotListening Reason = "primary-absent"
+	// ReasonUnresponsive: the primary doesn't answer this host. Others must say so too.
+	ReasonUnresponsive Reason = "primary-silent"
+	// ReasonLongUnresponsive: the primary doesn't answer for long. No other host may have had an
 	// answer; that none can be asked is enough.
-	ReasonUnheard Reason = "primary-unheard"
-	// ReasonLeaderless: no server reports the lead.
-	ReasonLeaderless Reason = "no-primary"
-	// ReasonLeaving: the primary will stop soon.
-	ReasonLeaving Reason = "primary-leaving"
+	ReasonLongUnresponsive Reason = "primary-unheard"
+	// ReasonNoPrimary: no server reports the lead.
+	ReasonNoPrimary Reason = "no-primary"
+	// ReasonDraining: the primary will stop soon.
+	ReasonDraining Reason = "primary-leaving"
 )
 
-// Judge decides for one group at one entry host. Its exported fields are set before
+// Detector decides for one group at one entry host. Its exported fields are set before
 // use; it belongs to one goroutine.
-type Judge struct {
+type Detector struct {
 	// Host is this entry host, Group the group.
 	Host  string
 	Group string
@@ -71,8 +71,8 @@
 	Servers []*grouptracker.Server
 }
 
-// Suspect reports whether the primary should be asked on a new connection now.
-func (j *Judge) Suspect(s View) bool {
+// ShouldProbe reports whether the primary should be asked on a new connection now.
+func (j *Detector) ShouldProbe(s View) bool {
 	p := s.Primary
 	if p == nil {
 		return true
@@ -83,7 +83,7 @@
 
 // Decide returns why this host should give the group another primary now. Each host
 // waits a little differently, so that mostly one goes first.
-func (j *Judge) Decide(s View) Reason {
+func (j *Detector) Decide(s View) Reason {
 	r := j.reasonNow(s)
 	if r != j.reason {
 		j.reason, j.since = r, s.Now
@@ -94,7 +94,7 @@
 	return r
 }
 
-func (j *Judge) reasonNow(s View) Reason {
+func (j *Detector) reasonNow(s View) Reason {
 	if len(s.Servers) == 0 {
 		return ReasonNone
 	}
@@ -107,29 +107,29 @@
 	mute := failing && s.Now-max(p.FailingSince, p.AnsweredAt) > silentAfter
 	switch {
 	case failing && p.RefusedSince != 0 && s.Now-p.RefusedSince > absentAfter:
-		return ReasonAbsent
-	case mute && s.Now-p.FailingSince <= UnheardAfter:
-		return ReasonSilent
+		return ReasonNotListening
+	case mute && s.Now-p.FailingSince <= LongUnresponsiveAfter:
+		return ReasonUnresponsive
 	case mute:
-		return ReasonUnheard
+		return ReasonLongUnresponsive
 	case p.Draining:
-		return ReasonLeaving
+		return ReasonDraining
 	}
 	return ReasonNone
 }
 
-func (j *Judge) withoutPrimary(s View) Reason {
+func (j *Detector) withoutPrimary(s View) Reason {
 	if j.leaderless == 0 {
 		j.leaderless = s.Now
 	}
 	if s.Now-j.leaderless > leaderlessAfter {
-		return ReasonLeaderless
+		return ReasonNoPrimary
 	}
 	return ReasonNone
 }
 
 // Delay spreads the hosts by a hash, differently for each group.
-func (j *Judge) Delay() time.Duration {
+func (j *Detector) Delay() time.Duration {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(j.Host + "/" + j.Group))
 	return time.Duration(h.Sum32()) * spread / (1 << 32)
@@ -184,8 +184,8 @@
 	return c.Server.ID < o.Server.ID
 }
 
-// Newest returns the newest term among the candidates.
-func Newest(l []Candidate) marker.Term {
+// NewestTerm returns the newest term among the candidates.
+func NewestTerm(l []Candidate) marker.Term {
 	var t marker.Term
 	for _, c := range l {
 		t = max(t, c.Status.Term, c.Status.Received.Term)
--- a/internal/proxy/successor/successor_test.go
+++ b/internal/proxy/successor/successor_test.go
@@ -25,25 +25,25 @@
 		want   Reason
 	}{
 		"in good order": {change: func(*grouptracker.Server) {}},
-		"leaving":       {change: func(p *grouptracker.Server) { p.Draining = true }, want: ReasonLeaving},
+		"leaving":       {change: func(p *grouptracker.Server) { p.Draining = true }, want: ReasonDraining},
 		"unreachable from here": {change: func(p *grouptracker.Server) {
 			p.FailingSince, p.AnsweredAt = now-time.Second, now-time.Second
-		}, want: ReasonSilent},
+		}, want: ReasonUnresponsive},
 		"unreachable for new connections, answers on others": {change: func(p *grouptracker.Server) {
 			p.FailingSince = now - time.Second
 		}},
 		"unreachable from here, for long": {change: func(p *grouptracker.Server) {
 			p.FailingSince, p.AnsweredAt = now-long, now-long
-		}, want: ReasonUnheard},
+		}, want: ReasonLongUnresponsive},
 		"no process listens": {change: func(p *grouptracker.Server) {
 			p.FailingSince, p.RefusedSince = now-time.Second, now-time.Second
-		}, want: ReasonAbsent},
+		}, want: ReasonNotListening},
 		"no process listens for a moment": {change: func(p *grouptracker.Server) {
 			p.FailingSince, p.RefusedSince = now-100*time.Millisecond, now-100*time.Millisecond
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			j := &Judge{Host: "h", Group: "db"}
+			j := &Detector{Host: "h", Group: "db"}
 			s := sight(c.change)
 			if r := j.Decide(s); r != ReasonNone && j.Delay() > 0 {
 				t.Errorf("decided %s without its delay", r)
@@ -59,7 +59,7 @@
 // Nobody reports the lead, for instance after a primary was removed for good. The
 // group would take no writes until an operator steps in.
 func TestLeaderlessGroupGetsPrimary(t *testing.T) {
-	j := &Judge{Host: "h", Group: "db"}
+	j := &Detector{Host: "h", Group: "db"}
 	s := View{Now: now, Servers: []*grouptracker.Server{{}}}
 	for s.Now < now+leaderlessAfter {
 		if r := j.Decide(s); r != ReasonNone {
@@ -70,7 +70,7 @@
 	s.Now += spread
 	j.Decide(s)
 	s.Now += spread
-	if r := j.Decide(s); r != ReasonLeaderless {
+	if r := j.Decide(s); r != ReasonNoPrimary {
 		t.Errorf("decided %q", r)
 	}
 }
