--- a/internal/proxy/promoter/questions.go
+++ b/internal/proxy/promoter/questions.go
@@ -128,7 +128,7 @@
 	switch r {
 	case successor.ReasonUnresponsive:
 		x.server, x.question = s.Primary.Server, relaydialer.QuestionReach
-	case successor.ReasonLongUnresponsive:
+	case successor.ReasonDown:
 		x.server, x.question = s.Primary.Server, relaydialer.QuestionAnswer
 	default:
 		x.done <- relaydialer.WordLost
@@ -142,7 +142,7 @@
 // needs their word that they don't hear from it either; after long they may all be out of
 // reach, but none may have had an answer.
 func confirms(r successor.Reason, w relaydialer.Word) bool {
-	if r == successor.ReasonLongUnresponsive {
+	if r == successor.ReasonDown {
 		return w != relaydialer.WordAlive
 	}
 	return w == relaydialer.WordLost
--- a/internal/proxy/runner/lending.go
+++ b/internal/proxy/runner/lending.go
@@ -36,9 +36,7 @@
 
 // answered reports whether it has within the time after which another host, which has had no
 // answer, may replace it.
-func (h *Host) answered(s declarer.Server) bool {
-	return h.answeredWithin(s, successor.LongUnresponsiveAfter)
-}
+func (h *Host) answered(s declarer.Server) bool { return h.answeredWithin(s, successor.DownAfter) }
 
 func (h *Host) answeredWithin(s declarer.Server, d time.Duration) bool {
 	alive := false
--- a/internal/proxy/successor/successor.go
+++ b/internal/proxy/successor/successor.go
@@ -27,9 +27,9 @@
 	spread = 100 * time.Millisecond
 )
 
-// LongUnresponsiveAfter is how long a primary may be unreachable where no other host has had an
+// DownAfter is how long a primary may be unreachable where no other host has had an
 // answer of it either. Its entry on the platform's list lapses after about as long.
-const LongUnresponsiveAfter = 4 * time.Second
+const DownAfter = 4 * time.Second
 
 // Reason says why a group needs another primary.
 type Reason string
@@ -42,9 +42,9 @@
 	ReasonNotListening Reason = "primary-absent"
 	// ReasonUnresponsive: the primary doesn't answer this host. Others must say so too.
 	ReasonUnresponsive Reason = "primary-silent"
-	// ReasonLongUnresponsive: the primary doesn't answer for long. No other host may have had an
+	// ReasonDown: the primary doesn't answer for long. No other host may have had an
 	// answer; that none can be asked is enough.
-	ReasonLongUnresponsive Reason = "primary-unheard"
+	ReasonDown Reason = "primary-unheard"
 	// ReasonNoPrimary: no server reports the lead.
 	ReasonNoPrimary Reason = "no-primary"
 	// ReasonDraining: the primary will stop soon.
@@ -108,10 +108,10 @@
 	switch {
 	case failing && p.RefusedSince != 0 && s.Now-p.RefusedSince > absentAfter:
 		return ReasonNotListening
-	case mute && s.Now-p.FailingSince <= LongUnresponsiveAfter:
+	case mute && s.Now-p.FailingSince <= DownAfter:
 		return ReasonUnresponsive
 	case mute:
-		return ReasonLongUnresponsive
+		return ReasonDown
 	case p.Draining:
 		return ReasonDraining
 	}
--- a/internal/proxy/successor/successor_test.go
+++ b/internal/proxy/successor/successor_test.go
@@ -34,7 +34,7 @@
 		}},
 		"unreachable from here, for long": {change: func(p *grouptracker.Server) {
 			p.FailingSince, p.AnsweredAt = now-long, now-long
-		}, want: ReasonLongUnresponsive},
+		}, want: ReasonDown},
 		"no process listens": {change: func(p *grouptracker.Server) {
 			p.FailingSince, p.RefusedSince = now-time.Second, now-time.Second
 		}, want: ReasonNotListening},
