--- a/internal/group/driver/attempter.go
+++ b/internal/group/driver/attempter.go
@@ -123,7 +123,7 @@
 			return nil
 		}
 		if a.Step != promoter.StepDone || c.Err() != nil {
-			return errors.Annotatef(ErrHandOver, "from %s to %s: %s %s, chosen %q", from, h, a.Step, a.Why, a.Chosen)
+			return errors.Annotatef(ErrHandOver, "from %s to %s: %s %s, chosen %q", from, h, a.Step, a.AbandonReason, a.Chosen)
 		}
 	}
 }
@@ -179,18 +179,18 @@
 	select {
 	case d.attempts <- struct{}{}:
 	default:
-		a.Why = "another attempt of this host is in progress"
+		a.AbandonReason = "another attempt of this host is in progress"
 		return
 	}
 	defer d.endAttempt()
 	d.fill(a, v)
-	l := d.logger().WithFields(log.Fields{"suspicion": v.Reason, "avoid": a.Avoid, "old-primary": v.Primary, "above": a.Above})
+	l := d.logger().WithFields(log.Fields{"suspicion": v.Reason, "avoid": a.Avoid, "old-primary": v.Primary, "above": a.HighestTerm})
 	l.Info("promotion begun")
 	d.carry(ctx, a)
 	if a.Step == promoter.StepDone {
 		d.Promotions.Add(1)
 	}
-	l.WithFields(log.Fields{"step": a.Step, "term": a.Term, "chosen": a.Chosen, "why": a.Why}).Info("promotion ended")
+	l.WithFields(log.Fields{"step": a.Step, "term": a.Term, "chosen": a.Chosen, "why": a.AbandonReason}).Info("promotion ended")
 }
 
 func (d *Driver) endAttempt() {
@@ -204,9 +204,9 @@
 	a.Settings = d.Settings.Promoter
 	a.Host = d.Host
 	a.Group = d.Group.Name
-	a.Above = v.HighestTerm
+	a.HighestTerm = v.HighestTerm
 	a.Writer = rand.Text()
-	a.Memory = &d.memory
+	a.ClaimTracker = &d.memory
 	for _, i := range d.instances {
 		a.Servers = append(a.Servers, i.name)
 	}
@@ -235,7 +235,7 @@
 		case <-ctx.Done():
 			return
 		case x := <-r:
-			a.Take(d.now(), x)
+			a.HandleResult(d.now(), x)
 		case <-t:
 		}
 	}
--- a/internal/group/driver/changes.go
+++ b/internal/group/driver/changes.go
@@ -8,14 +8,14 @@
 	"github.com/cuminwick/cuminwick/internal/group/observer"
 )
 
-// Attend is for hosts that follow another one; a driver's view is always of use.
-func (d *Driver) Attend(context.Context) {}
+// AwaitView is for hosts that follow another one; a driver's view is always of use.
+func (d *Driver) AwaitView(context.Context) {}
 
 // Thresholds returns Settings.
 func (d *Driver) Thresholds() Settings { return d.Settings }
 
-// Word returns this host's word on the primary, to be passed on to other hosts.
-func (d *Driver) Word() observer.Word {
+// PrimaryReport returns this host's assessment of the primary, to be sent to other hosts.
+func (d *Driver) PrimaryReport() observer.Word {
 	return d.View().Word(d.Host, d.Settings.Observer)
 }
 
@@ -55,17 +55,17 @@
 // HandingOver reports whether the primary is about to be moved, by this host or
 // because its server is leaving; new writes had better wait.
 func (d *Driver) HandingOver() bool {
-	return d.handing.Load() || LeavingHeld(d.View(), d.now(), d.Settings.LeavingHold)
+	return d.handing.Load() || WritesHeldForLeaving(d.View(), d.now(), d.Settings.LeavingHold)
 }
 
-// LeavingHeld reports whether new writes wait at the given time since the primary's
+// WritesHeldForLeaving reports whether new writes wait at the given time since the primary's
 // server is leaving and another one can take over.
-func LeavingHeld(v *observer.View, now, hold time.Duration) bool {
+func WritesHeldForLeaving(v *observer.View, now, hold time.Duration) bool {
 	return v.Leaving && heir(v) != "" && now-v.LeavingSince < hold
 }
 
-// Handing reports whether this host is moving the primary itself.
-func (d *Driver) Handing() bool {
+// HandingOverLocally reports whether this host is moving the primary itself.
+func (d *Driver) HandingOverLocally() bool {
 	return d.handing.Load()
 }
 
--- a/internal/group/driver/delay_test.go
+++ b/internal/group/driver/delay_test.go
@@ -12,8 +12,8 @@
 // serving lists the serving hosts.
 type serving []string
 
-func (s serving) Words(string) []observer.Word { return nil }
-func (s serving) Hosts(string) []string        { return s }
+func (s serving) PrimaryReports(string) []observer.Word { return nil }
+func (s serving) Hosts(string) []string                 { return s }
 
 // All serving hosts of a group are lost with its primary, and a hundred others stand
 // in for them. Did all of these promote at the same moment, they would raise the same
--- a/internal/group/driver/driver.go
+++ b/internal/group/driver/driver.go
@@ -45,8 +45,8 @@
 
 // Peers gives other entry hosts' knowledge, from memory and without waiting.
 type Peers interface {
-	// Words returns the recent words of other entry hosts on the group's primary.
-	Words(group string) []observer.Word
+	// PrimaryReports returns the recent words of other entry hosts on the group's primary.
+	PrimaryReports(group string) []observer.Word
 	// Hosts returns the names of the live entry hosts that promote the group's
 	// servers unasked.
 	Hosts(group string) []string
@@ -60,11 +60,11 @@
 	StatusInterval time.Duration
 	// StatusTimeout ends a poll without an answer.
 	StatusTimeout time.Duration
-	// BusyInterval is the least time between two polls for the same commit or read.
-	BusyInterval time.Duration
-	// HeldInterval is the time between two polls while no primary is confirmed and
+	// MinPollInterval is the least time between two polls for the same commit or read.
+	MinPollInterval time.Duration
+	// BusyGapInterval is the time between two polls while no primary is confirmed and
 	// requests come, and the time after the first failure of an instance.
-	HeldInterval time.Duration
+	BusyGapInterval time.Duration
 	// GapInterval is the time between two polls while no primary is confirmed.
 	GapInterval time.Duration
 	// FailureInterval is the time before an instance is polled again after further failures.
@@ -80,9 +80,9 @@
 	RepointDelay time.Duration
 	// HostsInterval is the time between two looks at the host list.
 	HostsInterval time.Duration
-	// Patience is how long a majority may be out of reach before waiting writes
+	// NoMajorityTimeout is how long a majority may be out of reach before waiting writes
 	// are refused instead of kept waiting.
-	Patience time.Duration
+	NoMajorityTimeout time.Duration
 	// HandOverDrain is how long a hand-over by command waits for open transactions.
 	HandOverDrain time.Duration
 	// LeavingDrain is the same where the primary's server is leaving; then all
@@ -111,30 +111,30 @@
 		},
 		Promoter: promoter.Settings{
 			ClaimTimeout:   150 * time.Millisecond,
-			ClaimHold:      600 * time.Millisecond,
+			ClaimTTL:       600 * time.Millisecond,
 			FenceTimeout:   300 * time.Millisecond,
 			FenceGrace:     20 * time.Millisecond,
-			Rounds:         3,
+			MaxRetries:     3,
 			RetryDelay:     40 * time.Millisecond,
 			RetrySpread:    80 * time.Millisecond,
 			PromoteTimeout: 500 * time.Millisecond,
 		},
-		StatusInterval:  100 * time.Millisecond,
-		StatusTimeout:   150 * time.Millisecond,
-		BusyInterval:    250 * time.Microsecond,
-		HeldInterval:    5 * time.Millisecond,
-		GapInterval:     20 * time.Millisecond,
-		FailureInterval: 50 * time.Millisecond,
-		StepInterval:    2 * time.Millisecond,
-		RankStep:        100 * time.Millisecond,
-		RankSpread:      150 * time.Millisecond,
-		RepointDelay:    200 * time.Millisecond,
-		HostsInterval:   30 * time.Second,
-		Patience:        time.Second,
-		HandOverDrain:   50 * time.Millisecond,
-		LeavingDrain:    time.Second,
-		LeavingHold:     1500 * time.Millisecond,
-		CallTimeout:     300 * time.Millisecond,
+		StatusInterval:    100 * time.Millisecond,
+		StatusTimeout:     150 * time.Millisecond,
+		MinPollInterval:   250 * time.Microsecond,
+		BusyGapInterval:   5 * time.Millisecond,
+		GapInterval:       20 * time.Millisecond,
+		FailureInterval:   50 * time.Millisecond,
+		StepInterval:      2 * time.Millisecond,
+		RankStep:          100 * time.Millisecond,
+		RankSpread:        150 * time.Millisecond,
+		RepointDelay:      200 * time.Millisecond,
+		HostsInterval:     30 * time.Second,
+		NoMajorityTimeout: time.Second,
+		HandOverDrain:     50 * time.Millisecond,
+		LeavingDrain:      time.Second,
+		LeavingHold:       1500 * time.Millisecond,
+		CallTimeout:       300 * time.Millisecond,
 	}
 }
 
@@ -154,9 +154,9 @@
 	Settings Settings
 	// Clock tells when something is due, timers of its own if nil.
 	Clock *scheduler.Scheduler
-	// Watch is read for all times of the view. Without it the driver has its own.
-	Watch *scheduler.Stopwatch
-	Log   log.Interface
+	// Stopwatch is read for all times of the view. Without it the driver has its own.
+	Stopwatch *scheduler.Stopwatch
+	Log       log.Interface
 
 	// Promotions counts the promotions that this host completed.
 	Promotions atomic.Uint64
@@ -172,7 +172,7 @@
 	listed    atomic.Pointer[[]string]
 	// notBefore belongs to loopPromote.
 	notBefore time.Duration
-	memory    promoter.ClaimMemory
+	memory    promoter.ClaimTracker
 	calls     sync.WaitGroup
 
 	mu     sync.Mutex
@@ -223,11 +223,11 @@
 }
 
 func (d *Driver) prepare() {
-	if d.Watch == nil {
-		d.Watch = new(scheduler.Stopwatch)
+	if d.Stopwatch == nil {
+		d.Stopwatch = new(scheduler.Stopwatch)
 	}
 	// The first reading, before others may read at the same time.
-	d.Watch.Elapsed()
+	d.Stopwatch.Elapsed()
 	d.version.Store(rand.Uint64())
 	d.changed = make(chan struct{})
 	d.waiters = make(map[*waiter]struct{})
@@ -281,8 +281,8 @@
 	return d.now()
 }
 
-// Hurry polls all instances at once, for a caller that has seen one fail.
-func (d *Driver) Hurry() {
+// PollNow polls all instances at once, for a caller that has seen one fail.
+func (d *Driver) PollNow() {
 	d.init()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -293,7 +293,7 @@
 }
 
 func (d *Driver) now() time.Duration {
-	return d.Watch.Elapsed()
+	return d.Stopwatch.Elapsed()
 }
 
 // observe makes a new view of what is known, serves the waiters and sets when the
@@ -321,7 +321,7 @@
 	if d.Peers == nil {
 		return nil
 	}
-	return d.Peers.Words(d.Group.Name)
+	return d.Peers.PrimaryReports(d.Group.Name)
 }
 
 func (d *Driver) logChange(p, v *observer.View) {
--- a/internal/group/driver/driver_test.go
+++ b/internal/group/driver/driver_test.go
@@ -189,7 +189,7 @@
 		m, err := r.write(x, r.server(v.Primary), sql)
 		cancel()
 		if err != nil {
-			d.Hurry()
+			d.PollNow()
 			time.Sleep(time.Millisecond)
 			continue
 		}
--- a/internal/group/driver/scheduler.go
+++ b/internal/group/driver/scheduler.go
@@ -51,8 +51,8 @@
 		Rest:    d.Settings.StatusInterval,
 		Failure: d.Settings.FailureInterval,
 		Gap:     d.Settings.GapInterval,
-		Held:    d.Settings.HeldInterval,
-		Busy:    d.Settings.BusyInterval,
+		Held:    d.Settings.BusyGapInterval,
+		Busy:    d.Settings.MinPollInterval,
 	}
 	t.Busy = d.demanded > 0 && d.now()-d.demanded <= d.Settings.StatusInterval
 	t.Promoting = d.promoting > 0
--- a/internal/group/driver/waiter.go
+++ b/internal/group/driver/waiter.go
@@ -92,15 +92,15 @@
 	stop func() bool
 }
 
-// Index is a read index that is being taken.
-type Index interface {
+// PendingIndex is a read index that is being taken.
+type PendingIndex interface {
 	// Await returns it.
 	Await(ctx context.Context) (marker.Mark, error)
 }
 
 // BeginReadIndex begins to take a read index, which covers every write
 // acknowledged before the call. It is given up when ctx ends.
-func (d *Driver) BeginReadIndex(ctx context.Context) Index {
+func (d *Driver) BeginReadIndex(ctx context.Context) PendingIndex {
 	r := &IndexRequest{driver: d, waiter: &waiter{kind: waitIndex}}
 	d.begin(r.waiter)
 	r.stop = context.AfterFunc(ctx, r.run)
@@ -268,7 +268,7 @@
 	if v.Confirmed {
 		return answer{view: v}, true
 	}
-	if !v.HasMajority() && v.At-v.NoMajoritySince >= d.Settings.Patience {
+	if !v.HasMajority() && v.At-v.NoMajoritySince >= d.Settings.NoMajorityTimeout {
 		return answer{view: v, err: ErrNoMajority}, true
 	}
 	return answer{}, false
--- a/internal/group/follower/follower_test.go
+++ b/internal/group/follower/follower_test.go
@@ -158,10 +158,10 @@
 // seemed younger than it is would have a read with an age see too old data.
 func TestStatusesSeemNoYoungerThanTheyAre(t *testing.T) {
 	followed(t, func(ctx context.Context, f *Follower, _ *fleet, s []*remote) {
-		f.Attend(ctx)
+		f.AwaitView(ctx)
 		for range 100 {
 			time.Sleep(37 * time.Millisecond)
-			f.Attend(ctx)
+			f.AwaitView(ctx)
 			v := f.View()
 			if !v.Confirmed || v.Primary != "db-1" || v.Reachable != len(s) {
 				t.Fatalf("view %+v", v)
@@ -181,7 +181,7 @@
 // out by itself; the next serving host knows.
 func TestServingHostDiesWhileCommitsWait(t *testing.T) {
 	followed(t, func(ctx context.Context, f *Follower, l *fleet, s []*remote) {
-		f.Attend(ctx)
+		f.AwaitView(ctx)
 		var w sync.WaitGroup
 		for n := range 20 {
 			w.Go(func() {
@@ -206,13 +206,13 @@
 // be taken for what is. Once one answers again the follower goes on.
 func TestNobodyAnswers(t *testing.T) {
 	followed(t, func(ctx context.Context, f *Follower, l *fleet, _ []*remote) {
-		f.Attend(ctx)
+		f.AwaitView(ctx)
 		for _, d := range l.dead {
 			d.Store(true)
 		}
 		at := time.Now()
 		for f.View().HasMajority() {
-			f.Hurry()
+			f.PollNow()
 			time.Sleep(10 * time.Millisecond)
 		}
 		if d := time.Since(at); d > currency+watchHold {
@@ -229,12 +229,12 @@
 		for _, d := range l.dead {
 			d.Store(false)
 		}
-		f.Hurry()
+		f.PollNow()
 		if _, err := f.WaitPrimary(ctx); err != nil && !errors.Is(err, driver.ErrNoMajority) {
 			t.Error(err)
 		}
 		for !f.View().Confirmed {
-			f.Hurry()
+			f.PollNow()
 			time.Sleep(10 * time.Millisecond)
 		}
 	})
@@ -247,7 +247,7 @@
 		if n := l.asked.Load(); n != 0 {
 			t.Errorf("%d questions before the first request", n)
 		}
-		f.Attend(ctx)
+		f.AwaitView(ctx)
 		time.Sleep(2 * linger)
 		n := l.asked.Load()
 		time.Sleep(time.Minute)
@@ -265,7 +265,7 @@
 // host knows better.
 func TestServingHostWithoutMajority(t *testing.T) {
 	followed(t, func(ctx context.Context, f *Follower, l *fleet, s []*remote) {
-		f.Attend(ctx)
+		f.AwaitView(ctx)
 		l.blind["serving-1"].Store(true)
 		time.Sleep(2 * time.Second)
 		for range 100 {
@@ -279,7 +279,7 @@
 		}
 		l.blind["serving-1"].Store(false)
 		time.Sleep(2 * mistrust)
-		f.Attend(ctx)
+		f.AwaitView(ctx)
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if f.source != "serving-1" {
--- a/internal/group/follower/lane.go
+++ b/internal/group/follower/lane.go
@@ -100,7 +100,7 @@
 	if v.Confirmed && f.Current() {
 		return answer{view: v}, true
 	}
-	if !v.HasMajority() && v.At-v.NoMajoritySince >= f.Settings.Patience {
+	if !v.HasMajority() && v.At-v.NoMajoritySince >= f.Settings.NoMajorityTimeout {
 		return answer{view: v, err: driver.ErrNoMajority}, true
 	}
 	return answer{}, false
--- a/internal/group/follower/waits.go
+++ b/internal/group/follower/waits.go
@@ -12,9 +12,9 @@
 	"github.com/cuminwick/cuminwick/internal/group/observer"
 )
 
-// Attend returns once a serving host's view has come. It gives up with ctx, and
+// AwaitView returns once a serving host's view has come. It gives up with ctx, and
 // after a while in which none answers.
-func (f *Follower) Attend(ctx context.Context) {
+func (f *Follower) AwaitView(ctx context.Context) {
 	f.init()
 	f.demand()
 	if f.Current() {
@@ -60,11 +60,11 @@
 // HandingOver reports whether the primary is about to be moved, by the serving
 // host or because its server is leaving; new writes had better wait.
 func (f *Follower) HandingOver() bool {
-	return f.handing.Load() || driver.LeavingHeld(f.View(), f.Now(), f.Settings.LeavingHold)
+	return f.handing.Load() || driver.WritesHeldForLeaving(f.View(), f.Now(), f.Settings.LeavingHold)
 }
 
-// Hurry has a serving host poll all servers at once and takes its view.
-func (f *Follower) Hurry() {
+// PollNow has a serving host poll all servers at once and takes its view.
+func (f *Follower) PollNow() {
 	f.init()
 	f.mu.Lock()
 	n := len(f.lanes[laneHurry].queue)
@@ -86,7 +86,7 @@
 // BeginReadIndex asks for a read index, which covers every write acknowledged
 // before the call: the question goes out after it, and the serving host begins to
 // take the index after it got the question. It is given up when ctx ends.
-func (f *Follower) BeginReadIndex(ctx context.Context) driver.Index {
+func (f *Follower) BeginReadIndex(ctx context.Context) driver.PendingIndex {
 	r := &IndexRequest{follower: f, waiter: &waiter{ask: informer.Ask{Kind: informer.AskIndex}}}
 	f.enlist(r.waiter)
 	r.stop = context.AfterFunc(ctx, r.run)
--- a/internal/group/informer/informer.go
+++ b/internal/group/informer/informer.go
@@ -70,7 +70,7 @@
 		d.AwaitChange(x, q.Seen)
 	}
 	a.Serving = !d.Stopped()
-	a.Handing = d.Handing()
+	a.Handing = d.HandingOverLocally()
 	v, n := d.Snapshot()
 	a.Version = n
 	if len(q.Asks) > 0 && a.Version == q.Seen {
@@ -163,7 +163,7 @@
 func hurry(ctx context.Context, d *driver.Driver) State {
 	since := d.Now()
 	v := d.View()
-	d.Hurry()
+	d.PollNow()
 	for !polledSince(v, d.View(), since) {
 		if scheduler.Pause(ctx, hurryPause) != nil {
 			return StatePending
--- a/internal/group/promoter/claim.go
+++ b/internal/group/promoter/claim.go
@@ -22,17 +22,17 @@
 	Term marker.Term `json:"term"`
 }
 
-// ClaimMemory remembers when this host first saw the present claim, so that a
+// ClaimTracker remembers when this host first saw the present claim, so that a
 // claim whose holder died is overridden without comparing clocks of two hosts.
-type ClaimMemory struct {
-	Version accessor.Version
-	Seen    time.Duration
+type ClaimTracker struct {
+	Version   accessor.Version
+	FirstSeen time.Duration
 }
 
-func (m *ClaimMemory) see(now time.Duration, v accessor.Version) {
+func (m *ClaimTracker) see(now time.Duration, v accessor.Version) {
 	if m.Version != v {
 		m.Version = v
-		m.Seen = now
+		m.FirstSeen = now
 	}
 }
 
@@ -67,12 +67,12 @@
 
 // respects reports whether o is another host's claim to a term that isn't over.
 func (a *Attempt) respects(now time.Duration, o accessor.Object) bool {
-	a.Memory.see(now, o.Version)
+	a.ClaimTracker.see(now, o.Version)
 	var c Claim
 	if json.Unmarshal(o.Value, &c) != nil {
 		return false
 	}
-	return c.Host != a.Host && c.Term >= a.Term && now-a.Memory.Seen < a.Settings.ClaimHold
+	return c.Host != a.Host && c.Term >= a.Term && now-a.ClaimTracker.FirstSeen < a.Settings.ClaimTTL
 }
 
 func (a *Attempt) takePut(now time.Duration, r Result) {
--- a/internal/group/promoter/fence.go
+++ b/internal/group/promoter/fence.go
@@ -51,9 +51,9 @@
 	case a.majority(a.accepted) && a.settled() && (all || late || a.graceOver(waited)):
 		a.Chosen = Choose(a.candidates(), a.Prefer)
 		a.enter(now, StepPromote)
-	case v.Primary != "" && v.Term > a.Above && v.Term != a.Term:
+	case v.Primary != "" && v.Term > a.HighestTerm && v.Term != a.Term:
 		a.abandon(now, "another host promoted")
-	case all && a.round < a.Settings.Rounds:
+	case all && a.round < a.Settings.MaxRetries:
 		a.round++
 		a.enter(now, StepRetry)
 	case all, late:
@@ -65,7 +65,7 @@
 // Two hosts that raised the same term each took a part of the instances. Were they
 // to give up instead, the group would have no primary until it is suspected anew.
 func (a *Attempt) advanceRetry(now time.Duration, v *observer.View) {
-	if v.Primary != "" && v.Term > a.Above {
+	if v.Primary != "" && v.Term > a.HighestTerm {
 		a.abandon(now, "another host promoted")
 		return
 	}
--- a/internal/group/promoter/host_test.go
+++ b/internal/group/promoter/host_test.go
@@ -36,7 +36,7 @@
 	view      observer.View
 	servers   []observer.Server
 	ledger    acknowledger.Ledger
-	memory    promoter.ClaimMemory
+	memory    promoter.ClaimTracker
 	attempt   *promoter.Attempt
 	notBefore time.Duration
 	reads     []*read
@@ -214,7 +214,7 @@
 func (h *host) begin(a *promoter.Attempt) {
 	h.w.serial++
 	a.Settings = driver.Defaults().Promoter
-	a.Host, a.Group, a.Above, a.Memory = h.name, "kalkul", h.view.HighestTerm, &h.memory
+	a.Host, a.Group, a.HighestTerm, a.ClaimTracker = h.name, "kalkul", h.view.HighestTerm, &h.memory
 	a.Writer = fmt.Sprint(h.w.serial)
 	for _, i := range h.w.instances {
 		a.Servers = append(a.Servers, i.name)
@@ -228,7 +228,7 @@
 	a, g := h.attempt, h.generation
 	take := func(r promoter.Result) {
 		if a != nil && h.generation == g {
-			a.Take(h.w.now, r)
+			a.HandleResult(h.w.now, r)
 		}
 	}
 	i := h.w.byName[x.Server]
--- a/internal/group/promoter/planned_test.go
+++ b/internal/group/promoter/planned_test.go
@@ -15,8 +15,8 @@
 func planned(t *testing.T) *promoter.Attempt {
 	t.Helper()
 	a := &promoter.Attempt{
-		Settings: promoter.Settings{FenceTimeout: time.Second, FenceGrace: time.Millisecond, Rounds: 1},
-		Servers:  []string{"db-a", "db-b", "db-c"}, Prefer: "db-b", Avoid: "db-a", Planned: true, Above: 1,
+		Settings: promoter.Settings{FenceTimeout: time.Second, FenceGrace: time.Millisecond, MaxRetries: 1},
+		Servers:  []string{"db-a", "db-b", "db-c"}, Prefer: "db-b", Avoid: "db-a", Planned: true, HighestTerm: 1,
 	}
 	a.Begin(0, false)
 	if n := len(a.Next(0, &observer.View{})); n != len(a.Servers) {
@@ -26,7 +26,7 @@
 }
 
 func raised(a *promoter.Attempt, server string, p marker.Position, err error) {
-	a.Take(0, promoter.Result{
+	a.HandleResult(0, promoter.Result{
 		Action: promoter.Action{Kind: promoter.ActionRaiseTerm, Server: server, Term: a.Term},
 		Status: controller.Status{Last: marker.Mark{Term: 1, Position: p}},
 		Err:    err,
--- a/internal/group/promoter/promoter.go
+++ b/internal/group/promoter/promoter.go
@@ -14,13 +14,13 @@
 type Settings struct {
 	// ClaimTimeout bounds the whole claim; promotion then goes on without it.
 	ClaimTimeout time.Duration
-	// ClaimHold is how long another host's claim is respected.
-	ClaimHold time.Duration
+	// ClaimTTL is how long another host's claim is respected.
+	ClaimTTL time.Duration
 	// FenceTimeout bounds the wait for a majority to accept the term.
 	FenceTimeout time.Duration
-	// Rounds is how often a higher term is raised at once when two hosts have
+	// MaxRetries is how often a higher term is raised at once when two hosts have
 	// raised the same one.
-	Rounds int
+	MaxRetries int
 	// RetryDelay is the least delay before that, and RetrySpread what is added to
 	// it at most.
 	RetryDelay, RetrySpread time.Duration
@@ -103,12 +103,12 @@
 	// Planned says that nothing failed: Avoid still serves, and is only given up
 	// where another log covers its own.
 	Planned bool
-	// Above is the highest accepted term seen; the attempt goes above it.
-	Above marker.Term
+	// HighestTerm is the highest accepted term seen; the attempt goes above it.
+	HighestTerm marker.Term
 	// Writer identifies this attempt's claim.
 	Writer string
-	// Memory remembers other hosts' claims between attempts.
-	Memory *ClaimMemory
+	// ClaimTracker remembers other hosts' claims between attempts.
+	ClaimTracker *ClaimTracker
 
 	// Step is where the attempt stands.
 	Step Step
@@ -116,8 +116,8 @@
 	Term marker.Term
 	// Chosen is the server it promotes, once there is one.
 	Chosen string
-	// Why tells why it was abandoned.
-	Why string
+	// AbandonReason tells why it was abandoned.
+	AbandonReason string
 
 	begun    time.Duration
 	since    time.Duration
@@ -150,7 +150,7 @@
 // Begin starts the attempt at now; without a claim it goes straight to the instances.
 func (a *Attempt) Begin(now time.Duration, claim bool) {
 	a.begun = now
-	a.Term = a.Above + 1
+	a.Term = a.HighestTerm + 1
 	if claim {
 		a.enter(now, StepReadClaim)
 		return
@@ -165,7 +165,7 @@
 }
 
 func (a *Attempt) abandon(now time.Duration, why string) {
-	a.Why = why
+	a.AbandonReason = why
 	a.enter(now, StepAbandoned)
 }
 
@@ -197,9 +197,9 @@
 	return nil
 }
 
-// Take folds the answer to an action into the attempt. An answer that belongs
+// HandleResult folds the answer to an action into the attempt. An answer that belongs
 // to an earlier step changes nothing.
-func (a *Attempt) Take(now time.Duration, r Result) {
+func (a *Attempt) HandleResult(now time.Duration, r Result) {
 	switch r.Action.Kind {
 	case ActionReadClaim, ActionPutClaim:
 		a.takeClaim(now, r)
@@ -213,7 +213,7 @@
 func (a *Attempt) advance(now time.Duration, v *observer.View) {
 	switch a.Step {
 	case StepReadClaim, StepPutClaim, StepSettleClaim:
-		if v.HighestTerm > a.Above {
+		if v.HighestTerm > a.HighestTerm {
 			a.abandon(now, "another host raised a term")
 			return
 		}
--- a/internal/group/switcher/requests.go
+++ b/internal/group/switcher/requests.go
@@ -21,8 +21,8 @@
 	return errors.Is(err, driver.ErrStopped) && s.role() != r
 }
 
-// Attend returns once the view is of use for a request, or gives up.
-func (s *Switcher) Attend(ctx context.Context) { s.role().Attend(ctx) }
+// AwaitView returns once the view is of use for a request, or gives up.
+func (s *Switcher) AwaitView(ctx context.Context) { s.role().AwaitView(ctx) }
 
 // View returns what is known of the group. It must not be changed.
 func (s *Switcher) View() *observer.View { return s.role().View() }
@@ -36,8 +36,8 @@
 // HandingOver reports whether new writes had better wait.
 func (s *Switcher) HandingOver() bool { return s.role().HandingOver() }
 
-// Hurry has all backend servers looked at at once.
-func (s *Switcher) Hurry() { s.role().Hurry() }
+// PollNow has all backend servers looked at at once.
+func (s *Switcher) PollNow() { s.role().PollNow() }
 
 // Thresholds returns Settings.
 func (s *Switcher) Thresholds() driver.Settings { return s.Settings }
@@ -52,13 +52,13 @@
 type index struct {
 	switcher *Switcher
 	role     role
-	pending  driver.Index
+	pending  driver.PendingIndex
 	// context is what the index was begun under.
 	context context.Context
 }
 
 // BeginReadIndex begins to take a read index.
-func (s *Switcher) BeginReadIndex(ctx context.Context) driver.Index {
+func (s *Switcher) BeginReadIndex(ctx context.Context) driver.PendingIndex {
 	r := s.role()
 	return &index{switcher: s, role: r, pending: r.BeginReadIndex(ctx), context: ctx}
 }
--- a/internal/group/switcher/switcher.go
+++ b/internal/group/switcher/switcher.go
@@ -32,13 +32,13 @@
 
 // role looks after the group, as a driver.Driver or a follower.Follower.
 type role interface {
-	Attend(ctx context.Context)
+	AwaitView(ctx context.Context)
 	View() *observer.View
 	Now() time.Duration
 	Stopped() bool
 	HandingOver() bool
-	Hurry()
-	BeginReadIndex(ctx context.Context) driver.Index
+	PollNow()
+	BeginReadIndex(ctx context.Context) driver.PendingIndex
 	WaitAcknowledged(ctx context.Context, m marker.Mark) error
 	WaitCovered(ctx context.Context, server string, m marker.Mark) error
 	WaitPrimary(ctx context.Context) (*observer.View, error)
--- a/internal/host/deployer/deployer_test.go
+++ b/internal/host/deployer/deployer_test.go
@@ -34,7 +34,7 @@
 	s.Observer.Isolation = 10 * time.Second
 	s.Observer.NoPrimary = 10 * time.Second
 	s.Observer.Freshness = 10 * time.Second
-	s.Patience = 20 * time.Second
+	s.NoMajorityTimeout = 20 * time.Second
 	return s
 }
 
--- a/internal/host/runner/serving.go
+++ b/internal/host/runner/serving.go
@@ -46,15 +46,15 @@
 
 func (n *node) driver(w *scheduler.Stopwatch) *driver.Driver {
 	return &driver.Driver{
-		Group:    n.group,
-		Host:     n.host.Settings.HostName,
-		Controls: n.controls,
-		Platform: n.host.Platform,
-		Peers:    n.peers,
-		Settings: n.host.Driver,
-		Clock:    n.host.Clock,
-		Watch:    w,
-		Log:      n.host.Log,
+		Group:     n.group,
+		Host:      n.host.Settings.HostName,
+		Controls:  n.controls,
+		Platform:  n.host.Platform,
+		Peers:     n.peers,
+		Settings:  n.host.Driver,
+		Clock:     n.host.Clock,
+		Stopwatch: w,
+		Log:       n.host.Log,
 	}
 }
 
--- a/internal/peer/witness/witness.go
+++ b/internal/peer/witness/witness.go
@@ -41,9 +41,9 @@
 
 // Group is a database group as this host sees it, usually a driver.Driver.
 type Group interface {
-	Word() observer.Word
-	// Hurry looks at all instances at once.
-	Hurry()
+	PrimaryReport() observer.Word
+	// PollNow looks at all instances at once.
+	PollNow()
 }
 
 // Witness implements driver.Peers. The exported fields are set before Run.
@@ -84,8 +84,8 @@
 	}
 }
 
-// Words implements driver.Peers.
-func (w *Witness) Words(group string) []observer.Word {
+// PrimaryReports implements driver.Peers.
+func (w *Witness) PrimaryReports(group string) []observer.Word {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var l []observer.Word
@@ -120,16 +120,16 @@
 	if g == nil {
 		return Answer{}, nil
 	}
-	o := g.Word()
+	o := g.PrimaryReport()
 	if !o.Lost {
-		g.Hurry()
+		g.PollNow()
 	}
 	return Answer{Known: true, Word: o}, nil
 }
 
 func (w *Witness) round(ctx context.Context) {
 	for n, g := range w.Groups() {
-		if !g.Word().Lost {
+		if !g.PrimaryReport().Lost {
 			continue
 		}
 		for _, h := range w.next(n) {
--- a/internal/peer/witness/witness_test.go
+++ b/internal/peer/witness/witness_test.go
@@ -17,11 +17,11 @@
 	lost atomic.Bool
 }
 
-func (g *group) Word() observer.Word {
+func (g *group) PrimaryReport() observer.Word {
 	return observer.Word{Host: "a", Primary: "db-a", Term: 1, Lost: g.lost.Load()}
 }
 
-func (g *group) Hurry() {}
+func (g *group) PollNow() {}
 
 // One host's way to the primary is broken, the others' aren't. Without their
 // word it would promote another primary, and all callers would notice a gap.
@@ -52,13 +52,13 @@
 		g.lost.Store(true)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		l := w.Words("db")
+		l := w.PrimaryReports("db")
 		if len(l) != 1 || l[0].Host != "b" || l[0].Lost {
 			t.Errorf("words %v, want that of b alone, who still reaches the primary", l)
 		}
 		g.lost.Store(false)
 		time.Sleep(time.Second)
-		if l := w.Words("db"); len(l) != 0 {
+		if l := w.PrimaryReports("db"); len(l) != 0 {
 			t.Errorf("words %v outlive the suspicion", l)
 		}
 		stop()
--- a/internal/route/director/ahead.go
+++ b/internal/route/director/ahead.go
@@ -43,7 +43,7 @@
 
 // ahead implements server.Ahead.
 type ahead struct {
-	index driver.Index
+	index driver.PendingIndex
 	mark  marker.Mark
 	known marker.Mark
 	// repeats is charged for a read that must be run again.
@@ -63,7 +63,7 @@
 	return server.Confirmation{Covered: ok, Index: m, HasIndex: true}
 }
 
-func awaitIndex(ctx context.Context, r driver.Index) (marker.Mark, error) {
+func awaitIndex(ctx context.Context, r driver.PendingIndex) (marker.Mark, error) {
 	x, cancel := context.WithTimeout(ctx, indexTimeout)
 	defer cancel()
 	return r.Await(x)
--- a/internal/route/director/director.go
+++ b/internal/route/director/director.go
@@ -158,7 +158,7 @@
 }
 
 func (d *Director) search(ctx context.Context, r *Runtime, g *Group, q server.Query) (server.Choice, error) {
-	g.Driver.Attend(ctx)
+	g.Driver.AwaitView(ctx)
 	s := &search{director: d, runtime: r, group: g, query: q, team: r.team(q.Role)}
 	if q.Write || !q.ReplicaSafe || d.PrimaryReads {
 		return s.write(ctx)
--- a/internal/route/director/group.go
+++ b/internal/route/director/group.go
@@ -29,8 +29,8 @@
 // Driver is what the director needs of whoever looks after a database group: a
 // driver.Driver at a host that serves the group, else what follows one.
 type Driver interface {
-	// Attend returns once the view is of use for a request, or gives up.
-	Attend(ctx context.Context)
+	// AwaitView returns once the view is of use for a request, or gives up.
+	AwaitView(ctx context.Context)
 	// View returns what is known of the group. It must not be changed.
 	View() *observer.View
 	// Now returns the time that the view's times are read from.
@@ -39,11 +39,11 @@
 	Stopped() bool
 	// HandingOver reports whether new writes had better wait.
 	HandingOver() bool
-	// Hurry has all backend servers looked at at once.
-	Hurry()
+	// PollNow has all backend servers looked at at once.
+	PollNow()
 	// BeginReadIndex, WaitAcknowledged, WaitCovered, WaitPrimary and HandOver are
 	// as with driver.Driver.
-	BeginReadIndex(ctx context.Context) driver.Index
+	BeginReadIndex(ctx context.Context) driver.PendingIndex
 	WaitAcknowledged(ctx context.Context, m marker.Mark) error
 	WaitCovered(ctx context.Context, server string, m marker.Mark) error
 	WaitPrimary(ctx context.Context) (*observer.View, error)
--- a/internal/route/director/refusal.go
+++ b/internal/route/director/refusal.go
@@ -34,7 +34,7 @@
 	case cut, errors.Is(err, driver.ErrNoMajority):
 		// A cut is told from a missed status or two only after this long, so one
 		// of that length is over by then.
-		return s.Patience
+		return s.NoMajorityTimeout
 	case errors.Is(err, driver.ErrNoPrimary):
 		// The loss of a primary is noticed within this time, then it is replaced.
 		return s.Observer.Isolation
--- a/internal/route/director/refusal_test.go
+++ b/internal/route/director/refusal_test.go
@@ -19,9 +19,9 @@
 		cut  bool
 		want time.Duration
 	}{
-		{name: "no majority", err: driver.ErrNoMajority, want: s.Patience},
-		{name: "read in a zone that is cut off", err: ErrUnconfirmed, cut: true, want: s.Patience},
-		{name: "no server in a zone that is cut off", err: ErrNoServer, cut: true, want: s.Patience},
+		{name: "no majority", err: driver.ErrNoMajority, want: s.NoMajorityTimeout},
+		{name: "read in a zone that is cut off", err: ErrUnconfirmed, cut: true, want: s.NoMajorityTimeout},
+		{name: "no server in a zone that is cut off", err: ErrNoServer, cut: true, want: s.NoMajorityTimeout},
 		{name: "no primary", err: driver.ErrNoPrimary, want: s.Observer.Isolation},
 		{name: "no server reaches the mark", err: ErrNoServer, want: s.StatusInterval},
 		{name: "retry budget", err: ErrRetryBudget, want: s.StatusInterval},
--- a/internal/route/director/search.go
+++ b/internal/route/director/search.go
@@ -40,7 +40,7 @@
 	excluded   uint32
 	candidates [chooser.MaximumCandidates]chooser.Candidate
 	// pending is a read index that is being taken.
-	pending driver.Index
+	pending driver.PendingIndex
 }
 
 // look chooses among the servers as they are known now.
@@ -67,7 +67,7 @@
 	s.request.Write = true
 	since := s.group.Driver.Now()
 	if s.query.Attempt > 0 {
-		s.group.Driver.Hurry()
+		s.group.Driver.PollNow()
 	}
 	for n := 0; ; n++ {
 		_, err := s.group.Driver.WaitPrimary(ctx)
@@ -131,7 +131,7 @@
 // long answers at once; a gap of a few statuses isn't taken for that yet.
 func (s *search) mayCome(why chooser.Reason, since time.Duration) bool {
 	v := s.group.Driver.View()
-	p := s.group.Driver.Thresholds().Patience
+	p := s.group.Driver.Thresholds().NoMajorityTimeout
 	if !v.HasMajority() && v.At-v.NoMajoritySince >= p {
 		return false
 	}
