--- a/internal/group/driver/scheduler.go
+++ b/internal/group/driver/scheduler.go
@@ -51,8 +51,8 @@
 		IdleInterval:      d.Settings.StatusInterval,
 		FailureInterval:   d.Settings.FailureInterval,
 		NoPrimaryInterval: d.Settings.GapInterval,
-		UrgentInterval:    d.Settings.HeldInterval,
-		MinimumInterval:   d.Settings.BusyInterval,
+		UrgentInterval:    d.Settings.BusyGapInterval,
+		MinimumInterval:   d.Settings.MinPollInterval,
 	}
 	t.Busy = d.demanded > 0 && d.now()-d.demanded <= d.Settings.StatusInterval
 	t.Promoting = d.promoting > 0
--- a/internal/host/deployer/deployer_test.go
+++ b/internal/host/deployer/deployer_test.go
@@ -34,7 +34,7 @@
 	s.Observer.IsolationTimeout = 10 * time.Second
 	s.Observer.NoPrimaryTimeout = 10 * time.Second
 	s.Observer.MaximumStatusAge = 10 * time.Second
-	s.Patience = 20 * time.Second
+	s.NoMajorityTimeout = 20 * time.Second
 	return s
 }
 
