--- a/internal/proxy/executor/attempt.go
+++ b/internal/proxy/executor/attempt.go
@@ -15,32 +15,38 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/grouptracker"
 )
 
-// attempt serves one statement: it looks for a server, sends, and looks for another
-// one while that is certain to have had no effect.
+// attempt serves one statement: it chooses a server, sends the statement, and tries another server
+// only if the statement certainly had no effect.
 type attempt struct {
-	session  *Session
-	route    declarer.Route
-	request  *request
+	session *Session
+	route   declarer.Route
+	request *request
+	// arrived is when the statement, or the begin of its transaction, arrived, on the
+	// blackboard's clock.
 	arrived  time.Duration
 	began    time.Time
 	deadline time.Time
-	// leads says that only the primary will do.
-	leads bool
-	// begin opens a transaction before the statement, VerbUnknown for none.
+	// primaryOnly restricts the statement to the primary.
+	primaryOnly bool
+	// begin is the verb that opens a transaction before the statement, VerbUnknown for none.
 	begin declarer.Verb
 
 	retries retrier.Statement
-	server  string
+	// server is the last one that a connection was leased to.
+	server string
+	// primary is set if the chosen server was the group's primary.
 	primary bool
-	why     string
-	waited  time.Duration
-	answer  declarer.Answer
-	// unproved says that the server wasn't seen to lead after it had read.
-	unproved bool
-	// deposed says that it refused the proof since it doesn't lead.
+	// reason explains the choice of the server or the refusal.
+	reason string
+	// waited is the time spent waiting for leases.
+	waited time.Duration
+	answer declarer.Answer
+	// unconfirmed is set if the server wasn't confirmed as the primary after a read.
+	unconfirmed bool
+	// deposed is set if the server refused the confirmation because it isn't the primary.
 	deposed bool
-	// opened is the end of the server's log when it began a transaction for us.
-	opened marker.Mark
+	// beginPosition is the end of the server's log when it began the proxy's transaction.
+	beginPosition marker.Mark
 }
 
 func (s *Session) newAttempt(r declarer.Route, q *request) *attempt {
@@ -53,11 +59,11 @@
 	}
 }
 
-// alone serves a statement outside of a transaction.
-func (s *Session) alone(r declarer.Route, q *request) error {
+// runAutocommit serves a statement outside of a transaction.
+func (s *Session) runAutocommit(r declarer.Route, q *request) error {
 	a := s.newAttempt(r, q)
-	a.leads = q.Writes || r.Kind == declarer.KindPrimary
-	l, code, text := a.place()
+	a.primaryOnly = q.Writes || r.Kind == declarer.KindPrimary
+	l, code, text := a.tryServers()
 	if l != nil {
 		l.Release(false)
 	}
@@ -68,18 +74,18 @@
 	return s.Caller.Forward(&a.answer, declarer.StateIdle)
 }
 
-// place tries servers until one has answered. It returns the lease that the statement
-// ran on, and an error of ours with its text, where there is no answer to pass on.
-func (a *attempt) place() (*connpooler.Lease, declarer.Code, string) {
-	a.retries.Fixed = a.leads
+// tryServers tries servers until one has answered. It returns the lease that the statement ran on.
+// If there is no answer to forward, it returns an error code and text of this proxy.
+func (a *attempt) tryServers() (*connpooler.Lease, declarer.Code, string) {
+	a.retries.Fixed = a.primaryOnly
 	for {
 		changed := a.session.Board.Changed()
 		l, next := a.acquire()
 		if l != nil {
 			v := a.try(l)
 			switch {
-			case v.again:
-				next = v.next
+			case v.retry:
+				next = v.nextStep
 			case v.text != "":
 				return nil, v.code, v.text
 			default:
@@ -88,73 +94,74 @@
 		}
 		switch next.Action {
 		case retrier.ActionRefuse:
-			return nil, declarer.CodeBusy, a.refusal(next)
+			return nil, declarer.CodeBusy, a.refusalText(next)
 		case retrier.ActionWait:
-			a.wait(changed, next.Delay)
+			a.waitForChange(changed, next.Delay)
 		}
 	}
 }
 
-// refusal tells the caller that the statement has not run, and when to come back.
-func (a *attempt) refusal(s retrier.Step) string {
-	t := "not run: " + a.why
+// refusalText says that the statement has not run and when to retry it.
+func (a *attempt) refusalText(s retrier.Step) string {
+	t := "not run: " + a.reason
 	if s.RetryAfter > 0 {
 		t += ", retry after " + strconv.FormatInt(s.RetryAfter.Milliseconds(), 10) + " ms"
 	}
 	return t
 }
 
-// acquire finds a server and leases a connection to it. Without a lease it returns what
-// to do next.
+// acquire chooses a server and leases a connection to it. Without a lease it returns the next
+// step.
 func (a *attempt) acquire() (*connpooler.Lease, retrier.Step) {
-	id, ok := a.choose()
+	id, ok := a.chooseServer()
 	switch {
-	case !ok && a.leaderless():
-		// A position would have to come from a primary that doesn't answer.
+	case !ok && a.primaryUnavailable():
+		// The missing position could only come from a primary that doesn't answer.
 		return nil, a.retries.Exhausted(a.elapsed(), rand.Uint64())
 	case !ok:
-		return nil, a.retries.Unknown(a.elapsed(), unknownPause)
+		return nil, a.retries.Unknown(a.elapsed(), unknownPositionWait)
 	case id == "":
 		return nil, a.retries.Exhausted(a.elapsed(), rand.Uint64())
 	}
 	p := a.session.Pools.Pool(id)
 	if p == nil {
-		return nil, a.refused(id, retrier.CauseUnreachable, 0)
+		return nil, a.afterRefusal(id, retrier.CauseUnreachable, 0)
 	}
 	began := time.Now()
-	l, err := p.Acquire(a.ask())
+	l, err := p.Acquire(a.leaseOptions())
 	a.waited += time.Since(began)
 	if err == nil {
 		a.server = id
 		return l, retrier.Step{}
 	}
-	a.why = err.Error()
+	a.reason = err.Error()
 	if r, ok := errors.AsType[*connpooler.Refusal](err); ok {
-		return nil, a.refused(id, retrier.CauseCapacity, r.RetryAfter)
+		return nil, a.afterRefusal(id, retrier.CauseCapacity, r.RetryAfter)
 	}
-	return nil, a.refused(id, retrier.CauseUnreachable, 0)
+	return nil, a.afterRefusal(id, retrier.CauseUnreachable, 0)
 }
 
-// unknownPause bounds the wait for news where the position that a read needs isn't known.
-const unknownPause = 100 * time.Millisecond
+// unknownPositionWait bounds the wait for a change on the blackboard while the position that a
+// read requires is unknown.
+const unknownPositionWait = 100 * time.Millisecond
 
-// objectiveShare is the part of a route's objective that may go by until a connection is
-// given. The rest is for the statement, and for the others of its operation.
-const objectiveShare = 4
+// objectiveDivisor bounds the wait for a connection to a part of the route's objective, one in
+// this many. The rest is left for the statement and for the others of the caller's operation.
+const objectiveDivisor = 4
 
-// ask is what the statement wants of a pool.
-func (a *attempt) ask() connpooler.Ask {
+// leaseOptions returns the terms on which the statement asks the pool for a connection.
+func (a *attempt) leaseOptions() connpooler.Ask {
 	k := connpooler.Ask{Deadline: a.deadline, Class: a.class(), Team: a.route.Database}
 	if a.route.Objective > 0 {
-		k.Objective = a.began.Add(a.route.Objective / objectiveShare)
+		k.Objective = a.began.Add(a.route.Objective / objectiveDivisor)
 	}
 	return k
 }
 
 func (a *attempt) elapsed() time.Duration { return time.Since(a.began) }
 
-// refused decides what to do after the server didn't run the statement.
-func (a *attempt) refused(server string, c retrier.Cause, retryAfter time.Duration) retrier.Step {
+// afterRefusal decides the next step after the server didn't run the statement.
+func (a *attempt) afterRefusal(server string, c retrier.Cause, retryAfter time.Duration) retrier.Step {
 	return a.retries.Refused(server, c, retryAfter, a.elapsed(), rand.Uint64())
 }
 
@@ -165,8 +172,8 @@
 	return admitter.ClassRead
 }
 
-// wait waits for news of the group's servers, for d at most.
-func (a *attempt) wait(changed <-chan struct{}, d time.Duration) {
+// waitForChange waits for a change of the primary or of the server list, for d at most.
+func (a *attempt) waitForChange(changed <-chan struct{}, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -175,22 +182,22 @@
 	}
 }
 
-// verdict is what came of one try.
-type verdict struct {
-	// again says that the statement had no effect and that next is to be done. The lease was
-	// given back.
-	again bool
-	next  retrier.Step
-	// code and text are for the caller. Without a text there is an answer to pass on, and the
-	// lease is still held.
+// tryResult is the result of sending a statement once.
+type tryResult struct {
+	// retry is set if the statement had no effect. The lease has been released, and nextStep
+	// follows.
+	retry    bool
+	nextStep retrier.Step
+	// code and text are the error for the caller. If text is empty, there is an answer to forward
+	// and the lease is still held.
 	code declarer.Code
 	text string
 }
 
-func again(s retrier.Step) verdict { return verdict{again: true, next: s} }
+func retryWith(s retrier.Step) tryResult { return tryResult{retry: true, nextStep: s} }
 
 // try sends the statement on l.
-func (a *attempt) try(l *connpooler.Lease) verdict {
+func (a *attempt) try(l *connpooler.Lease) tryResult {
 	a.retries.Sent()
 	asked := a.session.Board.Time()
 	sent := time.Now()
@@ -200,66 +207,67 @@
 	a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) { g.StatementEnded(a.server) })
 	if r, ok := errors.AsType[*connpooler.Refusal](err); ok {
 		l.Release(false)
-		a.why = r.Error()
-		return again(a.refused(a.server, retrier.CauseCapacity, r.RetryAfter))
+		a.reason = r.Error()
+		return retryWith(a.afterRefusal(a.server, retrier.CauseCapacity, r.RetryAfter))
 	}
 	if err != nil {
-		return a.broken(l, err)
+		return a.handleBrokenExchange(l, err)
 	}
 	if !a.answer.Code.OfOwner() {
-		a.learn(asked, took)
+		a.recordAnswer(asked, took)
 	}
 	if a.answer.Code.NotRun() {
 		l.Release(false)
-		return again(a.turnedAway())
+		return retryWith(a.handleNotRun())
 	}
-	if a.unproved {
-		// The server answered, and may not have led any more right after: what it read may
-		// lack a commit that a new primary has acknowledged.
+	if a.unconfirmed {
+		// The server may have lost leadership before it read, so the result may lack a commit that
+		// a new primary has acknowledged.
 		l.Release(false)
 		if a.deposed {
 			a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) { g.RecordNotLeading(a.server) })
 		}
-		return again(a.refused(a.server, retrier.CauseDeposed, 0))
+		return retryWith(a.afterRefusal(a.server, retrier.CauseDeposed, 0))
 	}
-	return verdict{code: a.answer.Code}
+	return tryResult{code: a.answer.Code}
 }
 
-// exchange sends what is to be sent, and reads the answers. What opens a transaction
-// is awaited before the statement goes out: if it were refused, a statement that
-// followed at once would run outside of the transaction.
+// exchange sends the statement with what precedes it, and reads the answers. The statement is sent
+// only after the answer to the begin has arrived: if the begin were refused, a statement sent
+// along with it would run outside of the transaction.
 func (a *attempt) exchange(l *connpooler.Lease) error {
-	a.unproved = false
+	a.unconfirmed = false
 	e := &exchange{lease: l, deadline: a.deadline}
 	if a.begin == declarer.VerbUnknown {
-		if err := e.wait(a.ask()); err != nil {
+		if err := e.acquirePermit(a.leaseOptions()); err != nil {
 			return err
 		}
 	}
-	e.setUp(a.session, a.request)
+	e.addSetup(a.session, a.request)
 	if a.begin != declarer.VerbUnknown {
 		e.add(declarer.Request{Verb: a.begin, After: a.beginAfter()})
 		if err := e.run(&a.answer); err != nil || a.answer.Code != declarer.CodeNone {
 			return err
 		}
-		a.opened = a.answer.Position
+		a.beginPosition = a.answer.Position
 	}
 	q := a.request.Request
 	if a.begin != declarer.VerbUnknown {
 		q.After = marker.Mark{}
-		if err := e.wait(a.ask()); err != nil {
+		if err := e.acquirePermit(a.leaseOptions()); err != nil {
 			return err
 		}
 	}
 	e.add(q)
-	if a.leads && !a.request.Writes && a.begin == declarer.VerbUnknown {
-		return a.prove(e)
+	if a.primaryOnly && !a.request.Writes && a.begin == declarer.VerbUnknown {
+		return a.confirmLeadership(e)
 	}
 	return e.run(&a.answer)
 }
 
-// beginAfter is the position that a transaction of reads needs. At the primary none
-// is needed, as it refuses to begin where it doesn't lead.
+// beginAfter returns the position that a read-only transaction requires of its server. A
+// transaction on the primary requires none, as a server that isn't the primary refuses to begin
+// it.
 func (a *attempt) beginAfter() marker.Mark {
 	if a.begin == declarer.VerbBegin {
 		return marker.Mark{}
@@ -267,18 +275,18 @@
 	return a.request.After
 }
 
-// prove sends along with the read an empty transaction, which only a leading server
-// begins. It comes after the read, so that the server still led when it read; asking
-// before it would leave a moment in which the lead could be lost.
-func (a *attempt) prove(e *exchange) error {
+// confirmLeadership sends an empty transaction right after the read, which only the primary
+// begins. Its success shows that the server was still the primary when it read. If it were sent
+// before the read, the server could lose leadership between the two.
+func (a *attempt) confirmLeadership(e *exchange) error {
 	e.add(declarer.Request{Verb: declarer.VerbBegin})
 	e.add(declarer.Request{Verb: declarer.VerbRollback})
 	var begun, ended declarer.Answer
 	if err := e.run(&a.answer, &begun, &ended); err != nil {
 		return err
 	}
-	a.opened = begun.Position
-	a.unproved = begun.Code != declarer.CodeNone
+	a.beginPosition = begun.Position
+	a.unconfirmed = begun.Code != declarer.CodeNone
 	a.deposed = begun.Code == declarer.CodeReadOnly
 	return nil
 }
@@ -286,7 +294,7 @@
 func (a *attempt) report(c declarer.Code) {
 	a.session.Reporter.Statement(&Report{
 		Group: a.route.Group, Database: a.route.Database, Statement: a.request.ID, Verb: a.request.verb,
-		Server: a.server, Primary: a.primary, Code: c, Reason: a.why, Attempts: a.retries.Tries(),
+		Server: a.server, Primary: a.primary, Code: c, Reason: a.reason, Attempts: a.retries.Tries(),
 		RequiredPosition: a.request.After, Version: a.session.version(),
 		Wait: a.waited, Elapsed: time.Since(a.began),
 	})
--- a/internal/proxy/executor/budgets.go
+++ b/internal/proxy/executor/budgets.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// retryShare is the part of a group's statements at one entry host that may be sent
-	// again since a server had no room, and retryBurst how many may be saved up.
+	// retryShare is the part of a group's statements at one entry host that may be retried because
+	// a server had no capacity, and retryBurst how many such retries may accumulate.
 	retryShare = 0.5
 	retryBurst = 10
 )
 
-// RetryBudgets bounds by group how many statements are sent again to servers that had no
-// room. Its zero value is ready; it may be used by many goroutines.
+// RetryBudgets bounds, per database group, the retries of statements that servers had no capacity
+// for. Its zero value is ready to use. It is safe for concurrent use.
 type RetryBudgets struct {
 	mu     sync.Mutex
 	groups map[string]*retrier.Budget
--- a/internal/proxy/executor/choosing.go
+++ b/internal/proxy/executor/choosing.go
@@ -9,40 +9,40 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/grouptracker"
 )
 
-// observeSpare is the part of a route's staleness at which the primary is asked anew, so
-// that reads don't have to wait for its position.
-const observeSpare = 2
+// observeStalenessDivisor sets after which part of a route's maximum staleness, one in this many,
+// the primary is asked for its position again, so that reads don't have to wait for it.
+const observeStalenessDivisor = 2
 
-// failingFor is how long a primary may fail before reads that need its position are
+// primaryFailureLimit is how long a primary may fail before reads that require its position are
 // refused soon. Most failures of that length end with a promotion.
-const failingFor = 300 * time.Millisecond
+const primaryFailureLimit = 300 * time.Millisecond
 
-// choose returns the server to try, empty if there is none now, and false if it isn't
-// known what a server must have.
-func (a *attempt) choose() (string, bool) {
+// chooseServer returns the id of the server to try, empty if none is available, and false if the
+// position that the read requires is unknown.
+func (a *attempt) chooseServer() (string, bool) {
 	id := ""
-	if a.leads {
+	if a.primaryOnly {
 		a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) {
 			if s := g.Primary(); s != nil {
 				id = s.ID
 			}
 		})
 		a.primary = true
-		a.why = "primary"
+		a.reason = "primary"
 		if id == "" {
-			a.why = "no primary is known"
+			a.reason = "no primary is known"
 		}
 		return id, true
 	}
-	need, ok := a.need()
+	required, ok := a.requiredPosition()
 	if !ok {
-		a.why = "no recent position of the primary is known"
+		a.reason = "no recent position of the primary is known"
 		return "", false
 	}
-	a.request.After = need
+	a.request.After = required
 	a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) {
-		s, d := g.ChooseReadServer(need, a.retries.Excluded(), rand.Uint64(), a.session.Board.Time())
-		a.why = d.Why.String()
+		s, d := g.ChooseReadServer(required, a.retries.Excluded(), rand.Uint64(), a.session.Board.Time())
+		a.reason = d.Why.String()
 		if s != nil {
 			id = s.ID
 			a.primary = s == g.Primary()
@@ -51,40 +51,41 @@
 	return id, true
 }
 
-// leaderless reports whether no primary is known that answers.
-func (a *attempt) leaderless() bool {
-	lost := true
+// primaryUnavailable reports whether no primary is known, or the known one has failed for longer
+// than primaryFailureLimit.
+func (a *attempt) primaryUnavailable() bool {
+	unavailable := true
 	a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) {
 		if p := g.Primary(); p != nil {
-			lost = p.FailingSince != 0 && a.session.Board.Time()-p.FailingSince > failingFor
+			unavailable = p.FailingSince != 0 && a.session.Board.Time()-p.FailingSince > primaryFailureLimit
 		}
 	})
-	return lost
+	return unavailable
 }
 
-// need returns the position that the read's server must have. If no proof is recent
-// enough, the primary is asked first.
-func (a *attempt) need() (marker.Mark, bool) {
-	m, ok, old := a.known()
-	if old {
+// requiredPosition returns the position that the read requires of its server, false if it is
+// unknown. If no confirmation of leadership is recent enough, it asks the primary first.
+func (a *attempt) requiredPosition() (marker.Mark, bool) {
+	m, ok, outdated := a.knownPosition()
+	if outdated {
 		a.session.Observer.Observe(a.route.Group, !ok, a.deadline)
 	}
 	if !ok {
-		m, ok, _ = a.known()
+		m, ok, _ = a.knownPosition()
 	}
 	return m, ok
 }
 
-// known returns what need does from what is known, and whether the primary should be
-// asked anew.
-func (a *attempt) known() (need marker.Mark, ok, old bool) {
+// knownPosition returns the required position as far as the blackboard has it, and whether the
+// primary should be asked again.
+func (a *attempt) knownPosition() (required marker.Mark, ok, outdated bool) {
 	a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) {
-		need, ok = g.RequiredPosition(a.arrived, a.route.MaximumStaleness)
+		required, ok = g.RequiredPosition(a.arrived, a.route.MaximumStaleness)
 		if ok && a.route.Kind == declarer.KindOwnWrites {
-			need = marker.Max(need, g.ToNewestTerm(a.session.own(a.route.Group)))
+			required = marker.Max(required, g.ToNewestTerm(a.session.lastCommitIn(a.route.Group)))
 		}
 		l, known := g.LatestConfirmation()
-		old = !known || a.session.Board.Time()-l.Asked > a.route.MaximumStaleness/observeSpare
+		outdated = !known || a.session.Board.Time()-l.Asked > a.route.MaximumStaleness/observeStalenessDivisor
 	})
-	return need, ok, old
+	return required, ok, outdated
 }
--- a/internal/proxy/executor/exchange.go
+++ b/internal/proxy/executor/exchange.go
@@ -11,32 +11,32 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/declarer"
 )
 
-// exchange gathers requests, sends them at once and reads their answers.
+// exchange collects requests, sends them in one batch and reads their answers.
 type exchange struct {
 	lease    *connpooler.Lease
 	deadline time.Time
 	requests []declarer.Request
-	// setup is how many of the requests prepare the connection for the session.
-	setup int
-	// permit is that of the caller's statement among them, nil if there is none: statements of
-	// our own need no slot of the server.
+	// setupCount is the number of leading requests that set up the connection for the session.
+	setupCount int
+	// permit is held for the caller's statement in the batch. It is nil if there is none, as the
+	// proxy's own statements use no slot of the server.
 	permit *connpooler.Permit
 }
 
-// errSetup is a connection that can't be given the session's values.
+// errSetup is returned if the session's values can't be set on a connection.
 const errSetup = errors.ConstError("connection can't be set up")
 
 func (e *exchange) add(q declarer.Request) {
 	e.requests = append(e.requests, q)
 }
 
-// setUp gives the connection the session's values and the statement that it prepared,
-// as far as they differ from what the connection has of its last use.
-func (e *exchange) setUp(s *Session, q *request) {
+// addSetup adds the requests that give the connection the session's values and prepared statement,
+// as far as the connection doesn't have them from its last use.
+func (e *exchange) addSetup(s *Session, q *request) {
 	l := e.lease
 	for name := range l.Values {
 		if _, ok := s.values[name]; !ok {
-			// There is no way to take back one value.
+			// A single value can't be unset.
 			e.add(declarer.Request{Verb: declarer.VerbReset})
 			clear(l.Values)
 			clear(l.Prepared)
@@ -50,12 +50,12 @@
 		}
 	}
 	if q.prepared != nil {
-		e.prepare(q)
+		e.addPrepare(q)
 	}
-	e.setup = len(e.requests)
+	e.setupCount = len(e.requests)
 }
 
-func (e *exchange) prepare(q *request) {
+func (e *exchange) addPrepare(q *request) {
 	if _, ok := e.lease.Prepared[q.Name]; ok {
 		return
 	}
@@ -63,18 +63,18 @@
 	e.add(declarer.Request{Verb: declarer.VerbPrepare, Name: q.Name, Writes: q.prepared.writes, Argument: q.prepared.shape})
 }
 
-// wait waits until a statement of the caller may be sent. It comes before the connection is
-// set up for the statement, as nothing is sent after a refusal.
-func (e *exchange) wait(a connpooler.Ask) error {
+// acquirePermit waits until a statement of the caller may be sent. It is called before addSetup,
+// which records the setup on the lease as done: after a refusal nothing is sent.
+func (e *exchange) acquirePermit(a connpooler.Ask) error {
 	t, err := e.lease.Permit(a)
 	e.permit = t
 	return err
 }
 
-// run sends what was added and reads the answers to all but the setup into l. The first of
-// them is that to the caller's statement.
+// run sends the batch and reads the answers to all but the setup into l. The first of them answers
+// the caller's statement.
 func (e *exchange) run(l ...*declarer.Answer) error {
-	err := e.perform(l)
+	err := e.sendAndReceive(l)
 	if e.permit != nil {
 		e.permit.End(l[0].Code)
 		e.permit = nil
@@ -82,11 +82,11 @@
 	return err
 }
 
-func (e *exchange) perform(l []*declarer.Answer) error {
-	r, n := e.requests, e.setup
-	e.requests, e.setup = nil, 0
+func (e *exchange) sendAndReceive(l []*declarer.Answer) error {
+	r, n := e.requests, e.setupCount
+	e.requests, e.setupCount = nil, 0
 	for _, a := range l {
-		*a = declarer.Answer{Body: a.Body[:0]} // an earlier answer says nothing where this one doesn't come
+		*a = declarer.Answer{Body: a.Body[:0]} // discards an earlier answer, in case this one doesn't arrive
 	}
 	if err := e.lease.Send(r, e.deadline); err != nil {
 		return err
@@ -97,7 +97,7 @@
 			return err
 		}
 		if a.Code.OfOwner() {
-			continue // the statement itself is answered so as well; nothing was sent
+			continue // nothing was sent, and the statement itself gets the same answer
 		}
 		if a.Code != declarer.CodeNone {
 			return errors.Annotatef(errSetup, "%s", a.Detail)
--- a/internal/proxy/executor/history_test.go
+++ b/internal/proxy/executor/history_test.go
@@ -10,21 +10,22 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/declarer"
 )
 
-// history is what callers were told, and what servers saw. It knows nothing of the
-// code that is tested.
+// history records the callers' replies and the statements that servers received, independently of
+// the code under test.
 type history struct {
 	mu     sync.Mutex
 	faults []string
-	// told are the writes by id with what their callers were told of them.
-	told map[string]declarer.Code
-	// acknowledged are those told to have run, in the order of the acknowledgements.
+	// replies are the codes that callers received for their writes, by statement id.
+	replies map[string]declarer.Code
+	// acknowledged are the writes reported as run, in the order of the acknowledgements.
 	acknowledged []acknowledgement
-	dropped      map[string]bool
+	// dropped are the ids of commits that a promotion dropped.
+	dropped map[string]bool
 	// values are what each session has set, shapes what each statement must run.
 	values map[string]map[string]string
 	shapes map[string]string
-	// last is the highest value that was given out to write.
-	last int
+	// lastValue is the highest value issued for a write.
+	lastValue int
 }
 
 type acknowledgement struct {
@@ -35,65 +36,65 @@
 }
 
 func newHistory() *history {
-	return &history{told: make(map[string]declarer.Code), dropped: make(map[string]bool), values: make(map[string]map[string]string), shapes: make(map[string]string)}
+	return &history{replies: make(map[string]declarer.Code), dropped: make(map[string]bool), values: make(map[string]map[string]string), shapes: make(map[string]string)}
 }
 
-func (h *history) fault(format string, a ...any) {
+func (h *history) addFault(format string, a ...any) {
 	h.faults = append(h.faults, fmt.Sprintf(format, a...))
 }
 
-// sessionOf returns the session that a statement's id names.
+// sessionOf returns the session's name in a statement's id.
 func sessionOf(id string) string {
 	s, _, _ := strings.Cut(id, ".")
 	return s
 }
 
-// next returns a value above all that were given out.
-func (h *history) next() int {
+// nextValue returns a value above all issued before.
+func (h *history) nextValue() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.last++
-	return h.last
+	h.lastValue++
+	return h.lastValue
 }
 
-// rolledBack notes a commit that a promotion dropped.
-func (h *history) rolledBack(r record) {
+// recordRolledBack records a commit that a promotion dropped.
+func (h *history) recordRolledBack(r record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.dropped[r.id] = true
 }
 
-// arrived checks a caller's statement where it reaches a server.
-func (h *history) arrived(c *connection, r *declarer.Request, shape string) {
+// checkStatement checks a caller's statement when a server receives it.
+func (h *history) checkStatement(c *connection, r *declarer.Request, shape string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s := sessionOf(r.ID)
-	if c.open && c.owner == "" {
-		c.owner = s
+	if c.open && c.session == "" {
+		c.session = s
 	}
-	if c.open && c.owner != s {
-		h.fault("%s runs in a transaction of %s", r.ID, c.owner)
+	if c.open && c.session != s {
+		h.addFault("%s runs in a transaction of %s", r.ID, c.session)
 	}
 	if want := h.values[s]; !maps.Equal(want, c.values) && len(want)+len(c.values) > 0 {
-		h.fault("%s runs with values %v, want %v", r.ID, c.values, want)
+		h.addFault("%s runs with values %v, want %v", r.ID, c.values, want)
 	}
 	if shape != h.shapes[r.ID] {
-		h.fault("%s runs shape %q, want %q", r.ID, shape, h.shapes[r.ID])
+		h.addFault("%s runs shape %q, want %q", r.ID, shape, h.shapes[r.ID])
 	}
 }
 
-// tell notes what a caller was told of a write.
-func (h *history) tell(id, item string, value int, c declarer.Code) {
+// recordReply records the code that a caller received for a write.
+func (h *history) recordReply(id, item string, value int, c declarer.Code) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.told[id] = c
+	h.replies[id] = c
 	if c == declarer.CodeNone {
 		h.acknowledged = append(h.acknowledged, acknowledgement{id: id, item: item, value: value, at: time.Now()})
 	}
 }
 
-// due returns the newest write of the item that was acknowledged before t.
-func (h *history) due(item string, t time.Time) acknowledgement {
+// newestAcknowledged returns the newest write of the item that was acknowledged before t.
+func (h *history) newestAcknowledged(item string, t time.Time) acknowledgement {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var last acknowledgement
@@ -105,16 +106,16 @@
 	return last
 }
 
-// read checks a value that a caller has read against what it must at least show.
-func (h *history) read(id string, got int, want acknowledgement) {
+// checkRead checks that a read returned at least the value of want.
+func (h *history) checkRead(id string, got int, want acknowledgement) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if got < want.value && !h.dropped[want.id] {
-		h.fault("%s reads %d of %s, want %d, acknowledged as %s", id, got, want.item, want.value, want.id)
+		h.addFault("%s reads %d of %s, want %d, acknowledged as %s", id, got, want.item, want.value, want.id)
 	}
 }
 
-// check compares what callers were told with the leader's log at the end.
+// check compares the callers' replies with the primary's log at the end, and returns all faults.
 func (h *history) check(log []record) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -124,22 +125,22 @@
 	}
 	for id, n := range times {
 		if n > 1 {
-			h.fault("%s took effect %d times", id, n)
+			h.addFault("%s took effect %d times", id, n)
 		}
 	}
-	for id, c := range h.told {
+	for id, c := range h.replies {
 		switch {
 		case c == declarer.CodeNone && times[id] == 0 && !h.dropped[id]:
-			h.fault("%s was acknowledged and is lost", id)
-		case promises(c) && (times[id] > 0 || h.dropped[id]):
-			h.fault("%s took effect, though its caller was told that it did not run (%d)", id, c)
+			h.addFault("%s was acknowledged and is lost", id)
+		case meansNotRun(c) && (times[id] > 0 || h.dropped[id]):
+			h.addFault("%s took effect, though its caller was told that it did not run (%d)", id, c)
 		}
 	}
 	return h.faults
 }
 
-// promises reports whether a code says that nothing of the request is kept.
-func promises(c declarer.Code) bool {
+// meansNotRun reports whether the code says that the statement had no effect.
+func meansNotRun(c declarer.Code) bool {
 	switch c {
 	case declarer.CodeBusy, declarer.CodeAborted, declarer.CodeLagging, declarer.CodeReadOnly, declarer.CodeMisrouted, declarer.CodeTooMany:
 		return true
--- a/internal/proxy/executor/model_test.go
+++ b/internal/proxy/executor/model_test.go
@@ -21,12 +21,12 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/grouptracker"
 )
 
-// staleness is what the model's routes allow.
-const staleness = 300 * time.Millisecond
+// maximumStaleness is declared by the simulation's routes.
+const maximumStaleness = 300 * time.Millisecond
 
-// deployment is one entry host before the world.
-type deployment struct {
-	world    *world
+// entryHost is one entry host with its connections to the database group.
+type entryHost struct {
+	group    *databaseGroup
 	board    *blackboard.Board
 	observer executor.Observer
 	budgets  executor.RetryBudgets
@@ -35,46 +35,46 @@
 	pools map[string]*connpooler.Pool
 }
 
-func newDeployment(w *world, zone string) *deployment {
+func newEntryHost(w *databaseGroup, zone string) *entryHost {
 	began := time.Now()
-	d := &deployment{world: w, pools: make(map[string]*connpooler.Pool)}
+	d := &entryHost{group: w, pools: make(map[string]*connpooler.Pool)}
 	d.board = &blackboard.Board{Zone: zone, Region: "r", Regions: map[string]string{"z-0": "r", "z-1": "r", "z-2": "r"}, Now: func() time.Duration { return time.Since(began) + time.Hour }}
 	d.observer = executor.Observer{Board: d.board, Pools: d}
 	c := &declarer.Configuration{Version: 1, Routes: make(map[string]declarer.Route), IdleTransaction: time.Second}
 	for name, k := range map[string]declarer.RouteKind{"primary": declarer.KindPrimary, "bounded": declarer.KindBounded, "own": declarer.KindOwnWrites} {
-		c.Routes[name] = declarer.Route{Database: name, Group: "db", Kind: k, Timeout: 400 * time.Millisecond, MaximumStaleness: staleness}
+		c.Routes[name] = declarer.Route{Database: name, Group: "db", Kind: k, Timeout: 400 * time.Millisecond, MaximumStaleness: maximumStaleness}
 	}
 	d.board.Configure(c)
-	d.board.TakeServers(w.list())
+	d.board.TakeServers(w.listServers())
 	return d
 }
 
-func (d *deployment) Pool(id string) *connpooler.Pool {
+func (d *entryHost) Pool(id string) *connpooler.Pool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if p := d.pools[id]; p != nil {
 		return p
 	}
-	for _, s := range d.world.list() {
+	for _, s := range d.group.listServers() {
 		if s.ID == id {
-			d.pools[id] = &connpooler.Pool{Server: s, Dialer: d.world, Observer: d, Limit: 6}
+			d.pools[id] = &connpooler.Pool{Server: s, Dialer: d.group, Observer: d, Limit: 6}
 			return d.pools[id]
 		}
 	}
 	return nil
 }
 
-func (d *deployment) Connected(s declarer.Server, m marker.Mark) {
+func (d *entryHost) Connected(s declarer.Server, m marker.Mark) {
 	d.board.Do(s.Group, func(g *grouptracker.Group) { g.RecordAnswer(s.ID, d.board.Time(), 0, m) })
 }
 
-func (d *deployment) Unreachable(s declarer.Server, err error) {
+func (d *entryHost) Unreachable(s declarer.Server, err error) {
 	d.board.Unreachable(s.Group, s.ID, d.board.Time(), err)
 }
 
-func (d *deployment) Statement(*executor.Report) {}
+func (d *entryHost) Statement(*executor.Report) {}
 
-func (d *deployment) close() {
+func (d *entryHost) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, p := range d.pools {
@@ -82,7 +82,7 @@
 	}
 }
 
-// reply is what a caller is told.
+// reply is an answer that a caller receives.
 type reply struct {
 	code  declarer.Code
 	row   string
@@ -90,7 +90,7 @@
 	state declarer.State
 }
 
-// caller is one end of a session, the test the other.
+// caller connects a session with the test, which sends on in and receives on out.
 type caller struct {
 	database string
 	in       chan declarer.Statement
@@ -147,26 +147,26 @@
 	return nil
 }
 
-// client drives one session with random work, and tells the history.
+// client drives one session with random statements and reports the replies to the history.
 type client struct {
-	name     string
-	kind     string
-	random   *rand.Rand
-	history  *history
-	caller   *caller
-	session  *executor.Session
-	n        int
-	acked    acknowledgement
-	prepared bool
-}
-
-func newClient(d *deployment, name, kind string, seed uint64) *client {
+	name             string
+	kind             string
+	random           *rand.Rand
+	history          *history
+	caller           *caller
+	session          *executor.Session
+	n                int
+	lastAcknowledged acknowledgement
+	prepared         bool
+}
+
+func newClient(d *entryHost, name, kind string, seed uint64) *client {
 	c := newCaller(kind)
 	s := &executor.Session{Caller: c, Board: d.board, Pools: d, Observer: &d.observer, RetryBudgets: &d.budgets, Reporter: d, Ready: func() bool { return true }}
-	return &client{name: name, kind: kind, random: rand.New(rand.NewPCG(seed, 1)), history: d.world.history, caller: c, session: s}
+	return &client{name: name, kind: kind, random: rand.New(rand.NewPCG(seed, 1)), history: d.group.history, caller: c, session: s}
 }
 
-// ask sends one statement and waits for its answer.
+// ask sends one statement and returns its id and reply.
 func (c *client) ask(text string) (string, reply) {
 	c.n++
 	id := fmt.Sprintf("%s.%d", c.name, c.n)
@@ -178,7 +178,7 @@
 	return <-c.caller.out
 }
 
-// parse reads the few statements of the model.
+// parse parses the statements that the simulation uses.
 func parse(id, text string) declarer.Statement {
 	s := declarer.Statement{ID: id, Text: text}
 	word, rest, _ := strings.Cut(text, " ")
@@ -196,7 +196,7 @@
 	return s
 }
 
-// run works for a while and leaves, now and then in the middle of a transaction.
+// run executes random steps and ends the session, in half of the cases inside a transaction.
 func (c *client) run(steps int) {
 	go c.session.Run()
 	<-c.caller.out
@@ -234,8 +234,8 @@
 	}
 }
 
-// item is the session's own in an own-writes route. The others share one, which they
-// write and read through different entry hosts.
+// item returns the item that the client reads and writes: its own on an own-writes route. All
+// others share one, which they use through different entry hosts.
 func (c *client) item() string {
 	if c.kind == "own" {
 		return "x-" + c.name
@@ -244,15 +244,15 @@
 }
 
 func (c *client) write() {
-	v := c.history.next()
+	v := c.history.nextValue()
 	id, r := c.ask(fmt.Sprintf("WRITE %s %d", c.item(), v))
-	c.wrote(id, v, r.code)
+	c.recordWrite(id, v, r.code)
 }
 
-func (c *client) wrote(id string, v int, k declarer.Code) {
-	c.history.tell(id, c.item(), v, k)
+func (c *client) recordWrite(id string, v int, k declarer.Code) {
+	c.history.recordReply(id, c.item(), v, k)
 	if k == declarer.CodeNone {
-		c.acked = acknowledgement{id: id, item: c.item(), value: v, at: time.Now()}
+		c.lastAcknowledged = acknowledgement{id: id, item: c.item(), value: v, at: time.Now()}
 	}
 }
 
@@ -274,58 +274,58 @@
 	c.history.mu.Lock()
 	c.history.shapes[id] = c.shape()
 	c.history.mu.Unlock()
-	want := c.want()
-	c.seen(id, c.send(id, "EXEC s1 "+c.item()), want)
+	want := c.minimumRead()
+	c.checkRead(id, c.send(id, "EXEC s1 "+c.item()), want)
 }
 
-// want is what a read that begins now must show at least.
-func (c *client) want() acknowledgement {
+// minimumRead returns the write that a read that begins now must return at least.
+func (c *client) minimumRead() acknowledgement {
 	switch c.kind {
 	case "bounded":
-		return c.history.due(c.item(), time.Now().Add(-staleness))
+		return c.history.newestAcknowledged(c.item(), time.Now().Add(-maximumStaleness))
 	case "own":
-		return c.acked
+		return c.lastAcknowledged
 	}
-	return c.history.due(c.item(), time.Now())
+	return c.history.newestAcknowledged(c.item(), time.Now())
 }
 
 func (c *client) read() {
-	want := c.want()
+	want := c.minimumRead()
 	id, r := c.ask("READ " + c.item())
-	c.seen(id, r, want)
+	c.checkRead(id, r, want)
 }
 
-func (c *client) seen(id string, r reply, want acknowledgement) {
+func (c *client) checkRead(id string, r reply, want acknowledgement) {
 	if r.code != declarer.CodeNone {
 		return
 	}
 	v, err := strconv.Atoi(r.row)
 	if err != nil {
 		c.history.mu.Lock()
-		c.history.fault("%s is answered by %q", id, r.row)
+		c.history.addFault("%s got the answer %q", id, r.row)
 		c.history.mu.Unlock()
 		return
 	}
-	c.history.read(id, v, want)
+	c.history.checkRead(id, v, want)
 }
 
-// transaction writes twice and commits, or rolls back.
+// transaction writes twice, then commits or rolls back.
 func (c *client) transaction() {
 	c.ask("BEGIN")
-	type line struct {
+	type write struct {
 		id    string
 		value int
 	}
-	var lines []line
+	var writes []write
 	state := declarer.StateTransaction
 	for range 2 {
-		v := c.history.next()
+		v := c.history.nextValue()
 		id, r := c.ask(fmt.Sprintf("WRITE %s %d", c.item(), v))
 		state = r.state
 		if r.code == declarer.CodeNone {
-			lines = append(lines, line{id, v})
+			writes = append(writes, write{id, v})
 		} else {
-			c.history.tell(id, c.item(), v, r.code)
+			c.history.recordReply(id, c.item(), v, r.code)
 		}
 		time.Sleep(time.Duration(c.random.IntN(10)) * time.Millisecond)
 	}
@@ -339,21 +339,21 @@
 	}
 	if state == declarer.StateFailed && k == declarer.CodeNone {
 		c.history.mu.Lock()
-		c.history.fault("%s commits a transaction that has failed", c.name)
+		c.history.addFault("%s commits a transaction that has failed", c.name)
 		c.history.mu.Unlock()
 	}
-	for _, l := range lines {
-		c.wrote(l.id, l.value, k)
+	for _, l := range writes {
+		c.recordWrite(l.id, l.value, k)
 	}
 }
 
-// faults makes things go wrong until ctx ends: promotions at any moment, replicas that
-// lag for long, servers that are cut off for a while.
+// faults injects faults until ctx ends: promotions at any moment, long replication lags, and
+// servers that are unreachable for a while.
 type faults struct {
-	world   *world
-	hosts   []*deployment
+	group   *databaseGroup
+	hosts   []*entryHost
 	random  *rand.Rand
-	quality int
+	actions int
 }
 
 func (f *faults) run(ctx context.Context) {
@@ -363,53 +363,53 @@
 			return
 		case <-time.After(time.Duration(20+f.random.IntN(120)) * time.Millisecond):
 		}
-		s := f.world.servers[f.random.IntN(len(f.world.servers))]
-		switch f.random.IntN(f.quality) {
+		s := f.group.servers[f.random.IntN(len(f.group.servers))]
+		switch f.random.IntN(f.actions) {
 		case 0:
-			f.world.promote(s)
-			// Some hosts hear of it only later.
+			f.group.promote(s)
+			// Some hosts learn of the promotion later.
 			for _, h := range f.hosts {
 				if f.random.IntN(2) == 0 {
-					h.board.TakeServers(f.world.list())
+					h.board.TakeServers(f.group.listServers())
 				}
 			}
 		case 1:
-			f.lag(s)
+			f.changeDelay(s)
 		case 2:
-			f.cut(s)
+			f.toggleReachability(s)
 		default:
 			for _, h := range f.hosts {
-				h.board.TakeServers(f.world.list())
+				h.board.TakeServers(f.group.listServers())
 			}
 		}
 	}
 }
 
-func (f *faults) lag(s *server) {
-	f.world.mu.Lock()
-	defer f.world.mu.Unlock()
+func (f *faults) changeDelay(s *server) {
+	f.group.mu.Lock()
+	defer f.group.mu.Unlock()
 	s.delay = time.Duration(1+f.random.IntN(400)) * time.Millisecond
 }
 
-func (f *faults) cut(s *server) {
-	f.world.mu.Lock()
-	defer f.world.mu.Unlock()
-	if s != f.world.leader {
-		s.cut = !s.cut
+func (f *faults) toggleReachability(s *server) {
+	f.group.mu.Lock()
+	defer f.group.mu.Unlock()
+	if s != f.group.primary {
+		s.unreachable = !s.unreachable
 	}
 }
 
-// play runs sessions at two entry hosts through a few seconds of faults.
-func play(seed uint64, busy, broken, slow int) []string {
+// simulate runs sessions at two entry hosts during a few seconds of faults.
+func simulate(seed uint64, busy, broken, slow int) []string {
 	h := newHistory()
-	w := newWorld(rand.New(rand.NewPCG(seed, 2)), h)
+	w := newDatabaseGroup(rand.New(rand.NewPCG(seed, 2)), h)
 	w.busy, w.broken, w.slow = busy, broken, slow
 	ctx, cancel := context.WithCancel(context.Background())
 	for _, s := range w.servers {
-		go s.loop(ctx)
+		go s.replicate(ctx)
 	}
-	hosts := []*deployment{newDeployment(w, "z-0"), newDeployment(w, "z-1")}
-	go (&faults{world: w, hosts: hosts, random: rand.New(rand.NewPCG(seed, 3)), quality: 6}).run(ctx)
+	hosts := []*entryHost{newEntryHost(w, "z-0"), newEntryHost(w, "z-1")}
+	go (&faults{group: w, hosts: hosts, random: rand.New(rand.NewPCG(seed, 3)), actions: 6}).run(ctx)
 	var g sync.WaitGroup
 	for i := range 9 {
 		kind := []string{"primary", "bounded", "own"}[i%3]
@@ -425,13 +425,13 @@
 	time.Sleep(10 * time.Second)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return h.check(w.leader.log)
+	return h.check(w.primary.log)
 }
 
-// Staff work through two entry hosts while primaries are replaced at any moment,
-// replicas lag or are cut off, servers are busy, and answers are lost. Whatever a caller
-// is told must be true: a line that was saved shows and stays unless a promotion
-// dropped it, nothing is saved twice, and what "did not run" has no effect.
+// Guards against wrong replies under faults. Sessions run at two entry hosts while primaries are
+// replaced at any moment, replicas lag or are unreachable, servers are busy, and answers are lost.
+// An acknowledged write must be readable and last unless a promotion dropped it, no write may take
+// effect twice, and a write reported as not run must have no effect.
 func TestSessionsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		seed := rapid.Uint64().Draw(r, "seed")
@@ -439,7 +439,7 @@
 		broken := rapid.IntRange(0, 60).Draw(r, "broken")
 		slow := rapid.IntRange(0, 20).Draw(r, "slow")
 		var f []string
-		synctest.Test(t, func(*testing.T) { f = play(seed, busy, broken, slow) })
+		synctest.Test(t, func(*testing.T) { f = simulate(seed, busy, broken, slow) })
 		if len(f) > 0 {
 			r.Fatalf("%d faults, the first: %s", len(f), f[0])
 		}
--- a/internal/proxy/executor/observer.go
+++ b/internal/proxy/executor/observer.go
@@ -12,33 +12,34 @@
 )
 
 const (
-	// observeTimeout bounds one question to a primary.
+	// observeTimeout bounds one request to a primary.
 	observeTimeout = 500 * time.Millisecond
-	// observeInterval is the least time between two of them about one group.
+	// observeInterval is the least time between two requests about one group.
 	observeInterval = 50 * time.Millisecond
 )
 
-// Observer asks primaries how far their logs go. One question serves all who wait.
-// Its exported fields are set before use.
+// Observer asks primaries for the end of their logs. Concurrent callers share one request. Its
+// exported fields are set before use.
 type Observer struct {
 	Board *blackboard.Board
 	Pools Pools
 
-	mu      sync.Mutex
-	flights map[string]*observation
+	mu           sync.Mutex
+	observations map[string]*observation
 }
 
-// observation is one question about one group.
+// observation is one request to the primary of one group.
 type observation struct {
 	observer *Observer
 	group    string
 	done     chan struct{}
-	next     time.Time
+	nextAt   time.Time
 }
 
-// Observe has the group's primary asked, and waits for the answer if wait is set.
+// Observe requests the position of the group's primary unless a request is under way or recent. If
+// wait is set, it waits for the answer until the deadline. The result is on the blackboard.
 func (o *Observer) Observe(group string, wait bool, deadline time.Time) {
-	f := o.flight(group)
+	f := o.currentOrNew(group)
 	if !wait {
 		return
 	}
@@ -50,22 +51,23 @@
 	}
 }
 
-// flight returns the question under way, or begins one.
-func (o *Observer) flight(group string) *observation {
+// currentOrNew returns the observation under way or made within observeInterval, or starts a new
+// one.
+func (o *Observer) currentOrNew(group string) *observation {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.flights == nil {
-		o.flights = make(map[string]*observation)
+	if o.observations == nil {
+		o.observations = make(map[string]*observation)
 	}
-	f := o.flights[group]
-	if f != nil && time.Now().Before(f.next) {
+	f := o.observations[group]
+	if f != nil && time.Now().Before(f.nextAt) {
 		return f
 	}
 	if f != nil && !f.ended() {
 		return f
 	}
-	f = &observation{observer: o, group: group, done: make(chan struct{}), next: time.Now().Add(observeInterval)}
-	o.flights[group] = f
+	f = &observation{observer: o, group: group, done: make(chan struct{}), nextAt: time.Now().Add(observeInterval)}
+	o.observations[group] = f
 	go f.run()
 	return f
 }
@@ -79,9 +81,9 @@
 	}
 }
 
-// run asks by an empty transaction, which only a leading server begins, and which
-// uses no slot. It goes before statements: where the primary is overloaded, reads could
-// else not be sent to replicas, and would make the overload last.
+// run asks with an empty transaction, which only the primary begins and which uses no slot. Its
+// class precedes that of statements: if it had to queue at an overloaded primary, reads couldn't
+// be sent to replicas, which would prolong the overload.
 func (f *observation) run() {
 	defer close(f.done)
 	id := ""
@@ -94,17 +96,17 @@
 	if p == nil {
 		return
 	}
-	end := time.Now().Add(observeTimeout)
-	l, err := p.Acquire(connpooler.Ask{Deadline: end, Class: admitter.ClassTransaction})
+	deadline := time.Now().Add(observeTimeout)
+	l, err := p.Acquire(connpooler.Ask{Deadline: deadline, Class: admitter.ClassTransaction})
 	if err != nil {
 		return
 	}
-	f.ask(id, l, end)
+	f.askPosition(id, l, deadline)
 }
 
-func (f *observation) ask(id string, l *connpooler.Lease, end time.Time) {
+func (f *observation) askPosition(id string, l *connpooler.Lease, deadline time.Time) {
 	asked := f.observer.Board.Time()
-	e := &exchange{lease: l, deadline: end}
+	e := &exchange{lease: l, deadline: deadline}
 	e.add(declarer.Request{Verb: declarer.VerbBegin})
 	e.add(declarer.Request{Verb: declarer.VerbRollback})
 	var begun, ended declarer.Answer
--- a/internal/proxy/executor/ports.go
+++ b/internal/proxy/executor/ports.go
@@ -10,52 +10,56 @@
 
 // Caller is the connection of one caller.
 type Caller interface {
-	// Start returns the database that the caller names, and who it is.
-	Start(deadline time.Time) (database, who string, err error)
-	// Next waits for the next statement, until the deadline if it isn't zero. It may be
-	// called again after that passed.
+	// Start waits for the startup message and returns the database and the identity in it.
+	Start(deadline time.Time) (database, identity string, err error)
+	// Next waits for the next statement, until the deadline if it isn't zero. It may be called
+	// again after ErrDeadline.
 	Next(deadline time.Time) (declarer.Statement, error)
-	// Interrupt ends a wait in Next, now and from now on.
+	// Interrupt ends a wait in Next, and all later ones at once.
 	Interrupt()
+	// Ready tells the caller that its session has started.
 	Ready() error
-	// Refuse answers Start by an error.
+	// Refuse answers Start with an error.
 	Refuse(c declarer.Code, text string) error
-	// Done, Fail and Pass answer a statement: by ourselves, by an error of ours, by
-	// what a backend server answered.
+	// Done, Fail and Forward answer a statement: Done if the proxy has run it itself, Fail with an
+	// error of the proxy, Forward with the answer of a backend server.
 	Done(s declarer.State) error
 	Fail(c declarer.Code, text string, s declarer.State) error
 	Forward(a *declarer.Answer, s declarer.State) error
 	Close()
 }
 
-// Pools gives out connections by server.
+// Pools holds the connection pools of the backend servers.
 type Pools interface {
+	// Pool returns the pool of the server with this id, nil if there is none.
 	Pool(server string) *connpooler.Pool
 }
 
-// Reporter writes down what became of a statement.
+// Reporter logs and counts the results of statements.
 type Reporter interface {
 	Statement(r *Report)
 }
 
-// Report is what became of one statement.
+// Report is the result of one statement.
 type Report struct {
-	Group     string
-	Database  string
+	Group    string
+	Database string
+	// Statement is the id that the caller gave it.
 	Statement string
 	Verb      declarer.Verb
-	// Server is the last one that it was sent to, empty if there was none.
+	// Server is the last one that the statement was sent to, empty if there was none.
 	Server string
-	// Primary says that the server led its group.
+	// Primary is set if the server was the group's primary.
 	Primary bool
 	Code    declarer.Code
-	// Reason is the reason for a choice or a refusal.
+	// Reason explains the choice of the server or the refusal.
 	Reason string
-	// RequiredPosition is the position that the server had to have, zero for none.
+	// RequiredPosition is the log position that the server had to have, zero for none.
 	RequiredPosition marker.Mark
-	// Version is that of the configuration in force.
+	// Version is the version of the configuration in force.
 	Version  uint64
 	Attempts int
-	Wait     time.Duration
-	Elapsed  time.Duration
+	// Wait is the time spent waiting for leases, Elapsed the time of the whole statement.
+	Wait    time.Duration
+	Elapsed time.Duration
 }
--- a/internal/proxy/executor/session.go
+++ b/internal/proxy/executor/session.go
@@ -1,4 +1,4 @@
-// Package executor serves the statements of one caller's session at the backend servers.
+// Package executor runs the statements of one caller's session on the backend servers.
 package executor
 
 import (
@@ -14,12 +14,12 @@
 )
 
 const (
-	// startTimeout bounds the wait for a caller to say what it wants.
-	startTimeout = 10 * time.Second
-	// defaultTimeout stands for a route without one.
-	defaultTimeout = 5 * time.Second
-	// defaultIdleTransaction stands where the configuration gives no limit.
-	defaultIdleTransaction = 10 * time.Second
+	// startupTimeout bounds the wait for a caller's startup message.
+	startupTimeout = 10 * time.Second
+	// defaultStatementTimeout applies to routes that declare no timeout.
+	defaultStatementTimeout = 5 * time.Second
+	// defaultIdleTransactionTimeout applies if the configuration sets no limit.
+	defaultIdleTransactionTimeout = 10 * time.Second
 )
 
 // Session serves one caller. Its exported fields are set before Run.
@@ -30,33 +30,38 @@
 	Reporter     Reporter
 	Observer     *Observer
 	RetryBudgets *RetryBudgets
-	// Ready says that the host has what it needs to serve.
+	// Ready reports whether the host has what it needs to serve, such as a configuration.
 	Ready func() bool
 
+	// database is the one that the caller named at the start.
 	database string
+	// values are the session's settings by name, prepared its prepared statements by the caller's
+	// name.
 	values   map[string]string
-	prepared map[string]prepared
-	// kept is how many bytes values and prepared take up.
-	kept int
-	// mark is the session's last commit in group.
-	mark  marker.Mark
-	group string
-	// open is the transaction, nil outside of one.
-	open *transaction
+	prepared map[string]preparedStatement
+	// stateBytes is the size of the names and values in values and prepared.
+	stateBytes int
+	// lastCommit is the position of the session's last commit, made in lastCommitGroup. Positions
+	// of different database groups can't be compared.
+	lastCommit      marker.Mark
+	lastCommitGroup string
+	// openTransaction is nil outside of a transaction.
+	openTransaction *transaction
 
 	mu       sync.Mutex
 	stopping atomic.Bool
-	// idle says that the session waits for its caller outside of a transaction.
+	// idle is set while the session waits for its caller outside of a transaction.
 	idle bool
 }
 
-// prepared is a statement that the caller has prepared.
-type prepared struct {
+// preparedStatement is a statement that the caller has prepared: whether it writes, and its shape,
+// which the server runs with the arguments of each execution.
+type preparedStatement struct {
 	writes bool
 	shape  string
 }
 
-// Run serves the caller until its session ends.
+// Run serves the caller until the session ends.
 func (s *Session) Run() {
 	defer s.Caller.Close()
 	if !s.start() {
@@ -64,12 +69,12 @@
 	}
 	for s.step() {
 	}
-	s.abandon()
+	s.rollBackOpenTransaction()
 }
 
-// start answers the caller's first message.
+// start answers the caller's startup message and reports whether the session may begin.
 func (s *Session) start() bool {
-	d, _, err := s.Caller.Start(time.Now().Add(startTimeout))
+	d, _, err := s.Caller.Start(time.Now().Add(startupTimeout))
 	if err != nil {
 		return false
 	}
@@ -86,22 +91,22 @@
 }
 
 const (
-	// readyWait is how long a caller is kept until the host has its configuration.
-	readyWait = 1500 * time.Millisecond
-	readyStep = 20 * time.Millisecond
+	// readyTimeout is how long a new caller waits for the host to receive its configuration.
+	readyTimeout      = 1500 * time.Millisecond
+	readyPollInterval = 20 * time.Millisecond
 )
 
 func (s *Session) awaitReady() bool {
-	for end := time.Now().Add(readyWait); !s.Ready(); {
+	for end := time.Now().Add(readyTimeout); !s.Ready(); {
 		if time.Now().After(end) {
 			return false
 		}
-		time.Sleep(readyStep)
+		time.Sleep(readyPollInterval)
 	}
 	return true
 }
 
-// route returns the route of the session's database as it is in force now.
+// route returns the route of the session's database in the configuration in force.
 func (s *Session) route() (declarer.Route, bool) {
 	c := s.Board.Configuration()
 	if c == nil {
@@ -109,12 +114,12 @@
 	}
 	r, ok := c.Routes[s.database]
 	if r.Timeout == 0 {
-		r.Timeout = defaultTimeout
+		r.Timeout = defaultStatementTimeout
 	}
 	return r, ok
 }
 
-// version returns that of the configuration in force.
+// version returns the version of the configuration in force, zero if there is none.
 func (s *Session) version() uint64 {
 	if c := s.Board.Configuration(); c != nil {
 		return c.Version
@@ -122,25 +127,25 @@
 	return 0
 }
 
-// step serves one statement and reports whether the session goes on.
+// step serves one statement and reports whether the session continues.
 func (s *Session) step() bool {
 	x, err := s.next()
 	if err != nil {
-		return s.open != nil && s.expired(err)
+		return s.openTransaction != nil && s.expireTransaction(err)
 	}
 	return s.serve(x) == nil
 }
 
-// next waits for the caller. Outside of a transaction a session that is to stop
-// ends here, where nothing is cut off.
+// next waits for the caller's next statement. A stopping session ends here if no transaction is
+// open, so that no statement is interrupted.
 func (s *Session) next() (declarer.Statement, error) {
 	var deadline time.Time
-	if s.open != nil && s.open.lease != nil {
-		deadline = time.Now().Add(s.idleLimit())
+	if s.openTransaction != nil && s.openTransaction.lease != nil {
+		deadline = time.Now().Add(s.idleTransactionTimeout())
 	}
-	s.await(s.open == nil)
-	defer s.await(false)
-	if s.stopping.Load() && s.open == nil {
+	s.setIdle(s.openTransaction == nil)
+	defer s.setIdle(false)
+	if s.stopping.Load() && s.openTransaction == nil {
 		return declarer.Statement{}, errStopped
 	}
 	return s.Caller.Next(deadline)
@@ -148,13 +153,13 @@
 
 const errStopped = errors.ConstError("session stopped")
 
-func (s *Session) await(idle bool) {
+func (s *Session) setIdle(idle bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.idle = idle
 }
 
-// Stop ends the session as soon as it is outside of a transaction.
+// Stop ends the session as soon as no transaction is open.
 func (s *Session) Stop() {
 	s.stopping.Store(true)
 	s.mu.Lock()
@@ -164,42 +169,42 @@
 	}
 }
 
-// Terminate ends the session at its next wait for the caller.
+// Terminate ends the session the next time it waits for its caller, even in a transaction.
 func (s *Session) Terminate() {
 	s.stopping.Store(true)
 	s.Caller.Interrupt()
 }
 
-func (s *Session) idleLimit() time.Duration {
+func (s *Session) idleTransactionTimeout() time.Duration {
 	if c := s.Board.Configuration(); c != nil && c.IdleTransaction > 0 {
 		return c.IdleTransaction
 	}
-	return defaultIdleTransaction
+	return defaultIdleTransactionTimeout
 }
 
-// expired ends a transaction whose caller let its time pass, and reports whether the
-// session goes on. The caller learns of it with its next statement.
-func (s *Session) expired(err error) bool {
+// expireTransaction rolls back a transaction whose caller was idle for too long, and reports
+// whether the session continues. The caller receives the error with its next statement.
+func (s *Session) expireTransaction(err error) bool {
 	if !errors.Is(err, ErrDeadline) || s.stopping.Load() {
 		return false
 	}
-	s.open.fail()
+	s.openTransaction.abort()
 	return true
 }
 
 // ErrDeadline is returned by Caller.Next when the deadline has passed.
 const ErrDeadline = errors.ConstError("caller sent nothing in time")
 
-// abandon gives back what the caller leaves behind.
-func (s *Session) abandon() {
-	if s.open != nil {
-		s.open.fail()
+// rollBackOpenTransaction rolls back the transaction that is open when the session ends.
+func (s *Session) rollBackOpenTransaction() {
+	if s.openTransaction != nil {
+		s.openTransaction.abort()
 	}
 }
 
 // serve answers one statement. An error ends the session.
 func (s *Session) serve(x declarer.Statement) error {
-	if s.open != nil && s.open.failed && x.Verb != declarer.VerbCommit && x.Verb != declarer.VerbRollback {
+	if s.openTransaction != nil && s.openTransaction.failed && x.Verb != declarer.VerbCommit && x.Verb != declarer.VerbRollback {
 		return s.Caller.Fail(declarer.CodeMalformed, "the transaction has failed", declarer.StateFailed)
 	}
 	switch x.Verb {
@@ -221,38 +226,39 @@
 	return s.fail(declarer.CodeMalformed, "statement not understood")
 }
 
-// state is what the caller is told about its session.
+// state returns the transaction state that is reported to the caller.
 func (s *Session) state() declarer.State {
 	switch {
-	case s.open == nil:
+	case s.openTransaction == nil:
 		return declarer.StateIdle
-	case s.open.failed:
+	case s.openTransaction.failed:
 		return declarer.StateFailed
 	}
 	return declarer.StateTransaction
 }
 
-// fail answers by an error of ours, which fails a transaction.
+// fail answers with an error of this proxy, and rolls back an open transaction.
 func (s *Session) fail(c declarer.Code, text string) error {
-	if s.open != nil {
-		s.open.fail()
+	if s.openTransaction != nil {
+		s.openTransaction.abort()
 	}
 	return s.Caller.Fail(c, text, s.state())
 }
 
-// maximumState bounds what one session may have set and prepared, in bytes of names and
-// values. An entry host keeps it for thousands of sessions: a caller that sets on and on
-// would have the process killed for its memory, and all other callers cut off.
-const maximumState = 64 << 10
-
-// keeps reports whether the session may keep a name with a value in place of the old
-// bytes, and counts it. Where it may not, what was there stays.
-func (s *Session) keeps(name, value string, old int) bool {
-	n := s.kept - old + len(name) + len(value)
-	if n > maximumState {
+// maximumStateBytes bounds the settings and prepared statements of one session, in bytes of names
+// and values. An entry host keeps them for thousands of sessions: without a bound, one caller that
+// sets values endlessly would get the process killed for its memory use, which disconnects all
+// other callers.
+const maximumStateBytes = 64 << 10
+
+// reserveState reports whether the session may store the name and value in place of an entry of
+// old bytes, and accounts for it. If not, the old entry stays.
+func (s *Session) reserveState(name, value string, old int) bool {
+	n := s.stateBytes - old + len(name) + len(value)
+	if n > maximumStateBytes {
 		return false
 	}
-	s.kept = n
+	s.stateBytes = n
 	return true
 }
 
@@ -261,7 +267,7 @@
 	if o, ok := s.values[x.Name]; ok {
 		old = len(x.Name) + len(o)
 	}
-	if !s.keeps(x.Name, x.Argument, old) {
+	if !s.reserveState(x.Name, x.Argument, old) {
 		return s.fail(declarer.CodeTooBig, "the session has set and prepared too much")
 	}
 	if s.values == nil {
@@ -276,13 +282,13 @@
 	if o, ok := s.prepared[x.Name]; ok {
 		old = len(x.Name) + len(o.shape)
 	}
-	if !s.keeps(x.Name, x.Argument, old) {
+	if !s.reserveState(x.Name, x.Argument, old) {
 		return s.fail(declarer.CodeTooBig, "the session has set and prepared too much")
 	}
 	if s.prepared == nil {
-		s.prepared = make(map[string]prepared)
+		s.prepared = make(map[string]preparedStatement)
 	}
-	s.prepared[x.Name] = prepared{writes: x.Writes, shape: x.Argument}
+	s.prepared[x.Name] = preparedStatement{writes: x.Writes, shape: x.Argument}
 	return s.Caller.Done(s.state())
 }
 
@@ -291,54 +297,54 @@
 	if !ok {
 		return s.fail(declarer.CodeNoStatement, x.Name)
 	}
-	s.kept -= len(x.Name) + len(o.shape)
+	s.stateBytes -= len(x.Name) + len(o.shape)
 	delete(s.prepared, x.Name)
 	return s.Caller.Done(s.state())
 }
 
 func (s *Session) begin(x declarer.Statement) error {
-	if s.open != nil {
+	if s.openTransaction != nil {
 		return s.fail(declarer.CodeMalformed, "a transaction is open")
 	}
 	r, ok := s.route()
 	if !ok {
 		return s.fail(declarer.CodeNoDatabase, s.database)
 	}
-	s.open = &transaction{route: r, arrived: s.Board.Time(), reads: x.Verb == declarer.VerbBeginRead}
+	s.openTransaction = &transaction{route: r, arrived: s.Board.Time(), readOnly: x.Verb == declarer.VerbBeginRead}
 	return s.Caller.Done(declarer.StateTransaction)
 }
 
 func (s *Session) rollback() error {
-	t := s.open
-	s.open = nil
+	t := s.openTransaction
+	s.openTransaction = nil
 	if t != nil {
-		t.fail()
+		t.abort()
 	}
 	return s.Caller.Done(declarer.StateIdle)
 }
 
-// run serves a read or a write, by itself or in the transaction.
+// run serves a read or write, inside or outside of a transaction.
 func (s *Session) run(x declarer.Statement) error {
-	q, err := s.request(x)
+	q, err := s.buildRequest(x)
 	if err != nil {
 		return s.fail(declarer.CodeNoStatement, x.Name)
 	}
-	if s.open != nil {
-		return s.inside(q)
+	if s.openTransaction != nil {
+		return s.runInTransaction(q)
 	}
 	r, ok := s.route()
 	if !ok {
 		return s.fail(declarer.CodeNoDatabase, s.database)
 	}
-	return s.alone(r, q)
+	return s.runAutocommit(r, q)
 }
 
 const errNoStatement = errors.ConstError("no such prepared statement")
 
-// request makes what goes to the backend server. A prepared statement has a name of
-// its shape there, so that sessions that prepare the same share it, and two that give
-// different shapes the same name don't meet.
-func (s *Session) request(x declarer.Statement) (*request, error) {
+// buildRequest builds the request to the backend server. A prepared statement is named after its
+// shape on the server: sessions that prepare the same shape share it, and different shapes that
+// sessions prepare under one name don't collide.
+func (s *Session) buildRequest(x declarer.Statement) (*request, error) {
 	q := &request{Request: declarer.Request{ID: x.ID, Text: x.Text, Writes: x.Verb == declarer.VerbWrite}, verb: x.Verb}
 	if x.Verb != declarer.VerbExecute {
 		return q, nil
@@ -349,42 +355,45 @@
 	}
 	q.Text = ""
 	q.Verb = declarer.VerbExecute
-	q.Name = nameOf(p)
+	q.Name = serverStatementName(p)
 	q.Argument = x.Argument
 	q.Writes = p.writes
 	q.prepared = &p
 	return q, nil
 }
 
-func nameOf(p prepared) string {
+func serverStatementName(p preparedStatement) string {
 	if p.writes {
 		return "w_" + p.shape
 	}
 	return "r_" + p.shape
 }
 
-// request is one statement on its way to a backend server.
+// request is a caller's statement in the form sent to a backend server. verb is the caller's,
+// prepared is set for an execution only.
 type request struct {
 	declarer.Request
 	verb     declarer.Verb
-	prepared *prepared
+	prepared *preparedStatement
 }
 
-// Board notes are by group; the session's mark belongs to one group only, as a route
-// may come to lead elsewhere.
-func (s *Session) committed(group string, m marker.Mark) {
+// recordCommit keeps the position of the session's newest commit. The position belongs to one
+// group only, and a changed route may lead the session to another group.
+func (s *Session) recordCommit(group string, m marker.Mark) {
 	if m.IsZero() {
 		return
 	}
-	if s.group != group || !s.mark.Covers(m) {
-		s.mark = m
+	if s.lastCommitGroup != group || !s.lastCommit.Covers(m) {
+		s.lastCommit = m
 	}
-	s.group = group
+	s.lastCommitGroup = group
 }
 
-func (s *Session) own(group string) marker.Mark {
-	if s.group != group {
+// lastCommitIn returns the position of the session's last commit in the group, zero if the last
+// one was made in another group.
+func (s *Session) lastCommitIn(group string) marker.Mark {
+	if s.lastCommitGroup != group {
 		return marker.Mark{}
 	}
-	return s.mark
+	return s.lastCommit
 }
--- a/internal/proxy/executor/transaction.go
+++ b/internal/proxy/executor/transaction.go
@@ -12,22 +12,23 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/grouptracker"
 )
 
-// transaction is one that a caller has begun. It gets a connection with its first
-// statement, and keeps it to its end.
+// transaction is one that a caller has begun. Its first statement leases a connection, which it
+// keeps to its end.
 type transaction struct {
-	route   declarer.Route
+	route declarer.Route
+	// arrived is when the begin arrived, on the blackboard's clock.
 	arrived time.Duration
-	// reads says that the caller only reads.
-	reads   bool
-	lease   *connpooler.Lease
-	server  string
-	primary bool
-	wrote   bool
-	failed  bool
+	// readOnly is set if the caller declared the transaction read-only.
+	readOnly bool
+	lease    *connpooler.Lease
+	server   string
+	primary  bool
+	wrote    bool
+	failed   bool
 }
 
-// fail ends the transaction without effect.
-func (t *transaction) fail() {
+// abort ends the transaction without effect and returns its connection to the pool.
+func (t *transaction) abort() {
 	t.failed = true
 	if t.lease != nil {
 		t.lease.Release(false)
@@ -35,8 +36,8 @@
 	}
 }
 
-// lose ends the transaction whose connection broke; the server rolls it back.
-func (t *transaction) lose() {
+// abortBroken ends a transaction whose connection broke. The server rolls it back.
+func (t *transaction) abortBroken() {
 	t.failed = true
 	if t.lease != nil {
 		t.lease.Release(true)
@@ -44,111 +45,112 @@
 	}
 }
 
-// inside serves a statement of the open transaction.
-func (s *Session) inside(q *request) error {
-	t := s.open
-	if t.reads && q.Writes {
+// runInTransaction serves a statement of the open transaction.
+func (s *Session) runInTransaction(q *request) error {
+	t := s.openTransaction
+	if t.readOnly && q.Writes {
 		return s.fail(declarer.CodeReadOnly, "the transaction only reads")
 	}
 	a := s.newAttempt(t.route, q)
 	if t.lease == nil {
-		return s.first(t, a)
+		return s.runFirst(t, a)
 	}
-	return s.further(t, a)
+	return s.runOnConnection(t, a)
 }
 
-// first serves the statement with which the transaction gets its connection.
-func (s *Session) first(t *transaction, a *attempt) error {
-	a.opens(t)
-	l, code, text := a.place()
+// runFirst serves the statement with which the transaction leases its connection.
+func (s *Session) runFirst(t *transaction, a *attempt) error {
+	a.beginTransaction(t)
+	l, code, text := a.tryServers()
 	a.report(code)
 	if l == nil {
 		return s.fail(code, text)
 	}
 	t.lease, t.server, t.primary = l, a.server, a.primary
-	return s.answered(t, a)
+	return s.forwardAnswer(t, a)
 }
 
-// opens has the statement begin the transaction at a server. On a route whose reads see
-// every commit even one that only reads is begun as one that may write: only that is
-// refused once its server has lost the lead.
-func (a *attempt) opens(t *transaction) {
+// beginTransaction makes the attempt begin the transaction before its statement. On a route whose
+// reads see every commit, even a read-only transaction is begun as read-write, since a server that
+// has lost leadership refuses only that.
+func (a *attempt) beginTransaction(t *transaction) {
 	a.arrived = t.arrived
-	a.leads = !t.reads || t.route.Kind == declarer.KindPrimary
+	a.primaryOnly = !t.readOnly || t.route.Kind == declarer.KindPrimary
 	a.begin = declarer.VerbBeginRead
-	if a.leads {
+	if a.primaryOnly {
 		a.begin = declarer.VerbBegin
 	}
 }
 
-// answered passes the answer on and notes where the transaction stands.
-func (s *Session) answered(t *transaction, a *attempt) error {
+// forwardAnswer forwards the answer and updates the state of the transaction.
+func (s *Session) forwardAnswer(t *transaction, a *attempt) error {
 	if a.answer.Code == declarer.CodeNone && a.request.Writes {
 		t.wrote = true
 	}
 	if a.answer.State != declarer.StateTransaction {
-		t.fail()
+		t.abort()
 	}
 	return s.Caller.Forward(&a.answer, s.state())
 }
 
-// further serves a statement on the transaction's connection.
-func (s *Session) further(t *transaction, a *attempt) error {
-	if err := a.repeat(t); err != nil {
+// runOnConnection serves a statement on the transaction's connection.
+func (s *Session) runOnConnection(t *transaction, a *attempt) error {
+	if err := a.sendUntilServed(t); err != nil {
 		a.report(declarer.CodeAborted)
-		s.drop(t, err)
+		s.abortUnanswered(t, err)
 		if errors.Is(err, connpooler.ErrRefused) {
-			return s.fail(declarer.CodeAborted, rolledBack(err))
+			return s.fail(declarer.CodeAborted, rolledBackText(err))
 		}
 		return s.fail(declarer.CodeAborted, "the server's answer didn't come; the transaction is rolled back")
 	}
 	a.report(a.answer.Code)
-	return s.answered(t, a)
+	return s.forwardAnswer(t, a)
 }
 
-// rolledBack is the text for a statement of a transaction that was refused before it was sent.
-func rolledBack(err error) string {
+// rolledBackText returns the text for a statement of a transaction that was refused before it was
+// sent.
+func rolledBackText(err error) string {
 	return "not run: " + err.Error() + "; the transaction is rolled back"
 }
 
-// drop ends a transaction whose server didn't answer.
-func (s *Session) drop(t *transaction, err error) {
+// abortUnanswered ends a transaction whose statement got no answer.
+func (s *Session) abortUnanswered(t *transaction, err error) {
 	if errors.Is(err, connpooler.ErrTimeout) || errors.Is(err, connpooler.ErrRefused) {
-		t.fail()
+		t.abort()
 		return
 	}
-	t.lose()
+	t.abortBroken()
 	s.Board.Do(t.route.Group, func(g *grouptracker.Group) { g.RecordFailure(t.server, s.Board.Time(), s.Board.Time()) })
 }
 
-// repeat sends a statement on the transaction's connection, again while the server is
-// too busy and the transaction stands.
-func (a *attempt) repeat(t *transaction) error {
+// sendUntilServed sends a statement on the transaction's connection, and again while the server is
+// too busy and the transaction is open.
+func (a *attempt) sendUntilServed(t *transaction) error {
 	a.server, a.primary = t.server, t.primary
-	// To break the transaction off costs more than the tries do.
+	// Aborting the transaction would cost more than the retries.
 	a.retries.Fixed, a.retries.Budget = true, nil
 	for {
 		a.retries.Sent()
 		e := &exchange{lease: t.lease, deadline: a.deadline}
-		if err := e.wait(connpooler.Ask{Deadline: a.deadline, Class: admitter.ClassTransaction, Team: a.route.Database}); err != nil {
-			a.why = err.Error()
+		if err := e.acquirePermit(connpooler.Ask{Deadline: a.deadline, Class: admitter.ClassTransaction, Team: a.route.Database}); err != nil {
+			a.reason = err.Error()
 			return err
 		}
-		e.setUp(a.session, a.request)
+		e.addSetup(a.session, a.request)
 		e.add(a.request.Request)
 		if err := e.run(&a.answer); err != nil {
-			a.why = err.Error()
+			a.reason = err.Error()
 			return err
 		}
 		if a.answer.Code.OfOwner() {
-			a.why = a.answer.Detail
+			a.reason = a.answer.Detail
 			return errors.Annotatef(connpooler.ErrRefused, "server %s: %s", t.server, a.answer.Detail)
 		}
 		busy := a.answer.Code == declarer.CodeBusy && a.answer.State == declarer.StateTransaction
 		if !busy {
 			return nil
 		}
-		next := a.refused(t.server, retrier.CauseBusy, 0)
+		next := a.afterRefusal(t.server, retrier.CauseBusy, 0)
 		if next.Action != retrier.ActionWait {
 			return nil
 		}
@@ -156,15 +158,15 @@
 	}
 }
 
-// commit ends the open transaction.
+// commit commits the open transaction.
 func (s *Session) commit(x declarer.Statement) error {
-	t := s.open
+	t := s.openTransaction
 	if t == nil {
 		return s.fail(declarer.CodeMalformed, "no transaction is open")
 	}
-	defer s.end(t)
+	defer s.releaseConnection(t)
 	if t.failed {
-		s.open = nil
+		s.openTransaction = nil
 		return s.Caller.Fail(declarer.CodeAborted, "the transaction was rolled back", declarer.StateIdle)
 	}
 	a := s.newAttempt(t.route, &request{Request: declarer.Request{ID: x.ID, Text: x.Text}, verb: x.Verb})
@@ -172,48 +174,48 @@
 		return s.commitEmpty(t, a)
 	}
 	asked := s.Board.Time()
-	err := a.repeat(t)
-	s.open = nil
+	err := a.sendUntilServed(t)
+	s.openTransaction = nil
 	if err != nil {
-		return s.uncommitted(t, a, err)
+		return s.failCommit(t, a, err)
 	}
 	if t.wrote && a.answer.Code == declarer.CodeNone {
-		s.committed(t.route.Group, a.answer.Position)
+		s.recordCommit(t.route.Group, a.answer.Position)
 		s.Board.Led(t.route.Group, t.server, asked, a.answer.Position)
 	}
 	a.report(a.answer.Code)
 	return s.Caller.Forward(&a.answer, declarer.StateIdle)
 }
 
-// end gives back the connection of a transaction that has ended.
-func (s *Session) end(t *transaction) {
+// releaseConnection returns the connection of a transaction that has ended.
+func (s *Session) releaseConnection(t *transaction) {
 	if t.lease != nil {
 		t.lease.Release(false)
 		t.lease = nil
 	}
 }
 
-// commitEmpty commits a transaction without statements. Only a server's word on it
-// counts for the caller.
+// commitEmpty commits a transaction without statements. It still asks a server, as only a server
+// can confirm the commit to the caller.
 func (s *Session) commitEmpty(t *transaction, a *attempt) error {
-	a.opens(t)
-	l, code, text := a.place()
+	a.beginTransaction(t)
+	l, code, text := a.tryServers()
 	t.lease = l
 	a.report(code)
-	s.open = nil
+	s.openTransaction = nil
 	if l == nil {
 		return s.Caller.Fail(code, text, declarer.StateIdle)
 	}
 	return s.Caller.Forward(&a.answer, declarer.StateIdle)
 }
 
-// uncommitted answers a commit that the server didn't answer.
-func (s *Session) uncommitted(t *transaction, a *attempt, err error) error {
-	s.drop(t, err)
+// failCommit answers a commit that the server didn't answer.
+func (s *Session) failCommit(t *transaction, a *attempt, err error) error {
+	s.abortUnanswered(t, err)
 	code, text := declarer.CodeUnknown, "the server's answer to the commit didn't come; whether it took effect isn't known"
 	switch {
 	case errors.Is(err, connpooler.ErrRefused):
-		code, text = declarer.CodeAborted, rolledBack(err)
+		code, text = declarer.CodeAborted, rolledBackText(err)
 	case !t.wrote:
 		code, text = declarer.CodeAborted, "the server's answer to the commit didn't come; nothing had been written"
 	}
--- a/internal/proxy/executor/world_test.go
+++ b/internal/proxy/executor/world_test.go
@@ -24,62 +24,63 @@
 	value int
 }
 
-// server is one instance of the group. It replicates from the leader with a delay.
+// server is one server of the group. It replicates from the primary with a delay.
 type server struct {
-	world *world
+	group *databaseGroup
 	id    string
-	// term is the newest that it follows, starts are the lengths at which terms began.
-	term   marker.Term
-	starts map[marker.Term]int
-	log    []record
-	delay  time.Duration
-	// cut says that no answer comes from it, and no connection is made.
-	cut   bool
-	conns int
+	// term is the newest that it follows, termStarts are the log lengths at which terms began.
+	term       marker.Term
+	termStarts map[marker.Term]int
+	log        []record
+	delay      time.Duration
+	// unreachable is set if the server neither answers nor accepts connections.
+	unreachable bool
+	connections int
 }
 
-// world is one database group with its faults.
-type world struct {
+// databaseGroup simulates one database group with faults.
+type databaseGroup struct {
 	mu      sync.Mutex
 	random  *rand.Rand
 	servers []*server
-	leader  *server
+	primary *server
 	history *history
-	// busy, broken and slow are the parts in a thousand of statements that are turned
-	// away, lose their connection before or after they ran, or take long.
+	// busy, broken and slow are per mille of the statements: those refused as busy, those whose
+	// connection breaks before or after they ran, and those that take a second.
 	busy, broken, slow int
-	// limit is the most connections to a server.
+	// limit is the maximum number of connections to a server.
 	limit int
 }
 
-func newWorld(random *rand.Rand, h *history) *world {
-	w := &world{random: random, history: h, limit: 4}
+func newDatabaseGroup(random *rand.Rand, h *history) *databaseGroup {
+	w := &databaseGroup{random: random, history: h, limit: 4}
 	for i := range 3 {
-		w.servers = append(w.servers, &server{world: w, id: fmt.Sprintf("i-%d", i), term: 1, starts: map[marker.Term]int{1: 0}, delay: 20 * time.Millisecond})
+		w.servers = append(w.servers, &server{group: w, id: fmt.Sprintf("i-%d", i), term: 1, termStarts: map[marker.Term]int{1: 0}, delay: 20 * time.Millisecond})
 	}
-	w.leader = w.servers[0]
+	w.primary = w.servers[0]
 	return w
 }
 
-// list is what the platform says of the servers.
-func (w *world) list() []declarer.Server {
+// listServers returns the platform's list of servers.
+func (w *databaseGroup) listServers() []declarer.Server {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var l []declarer.Server
 	for i, s := range w.servers {
-		l = append(l, declarer.Server{ID: s.id, Group: "db", Address: s.id, AvailabilityZone: fmt.Sprintf("z-%d", i), Slots: 2, Primary: s == w.leader, Revision: uint64(w.leader.term)})
+		l = append(l, declarer.Server{ID: s.id, Group: "db", Address: s.id, AvailabilityZone: fmt.Sprintf("z-%d", i), Slots: 2, Primary: s == w.primary, Revision: uint64(w.primary.term)})
 	}
 	return l
 }
 
-// loop replicates until ctx ends. Each replica gets what the leader had a moment ago.
-func (s *server) loop(ctx context.Context) {
+// replicate replicates until ctx ends. Each round copies the primary's state from before the
+// delay.
+func (s *server) replicate(ctx context.Context) {
 	for {
-		s.world.mu.Lock()
-		l := s.world.leader
-		term, log, starts := l.term, slices.Clone(l.log), l.starts
-		d := s.delay/2 + time.Duration(s.world.random.Int64N(int64(s.delay)))
-		s.world.mu.Unlock()
+		s.group.mu.Lock()
+		l := s.group.primary
+		term, log, starts := l.term, slices.Clone(l.log), l.termStarts
+		d := s.delay/2 + time.Duration(s.group.random.Int64N(int64(s.delay)))
+		s.group.mu.Unlock()
 		select {
 		case <-ctx.Done():
 			return
@@ -90,51 +91,51 @@
 }
 
 func (s *server) receive(from *server, term marker.Term, log []record, starts map[marker.Term]int) {
-	s.world.mu.Lock()
-	defer s.world.mu.Unlock()
-	if s.world.leader != from || from == s || from.term != term || s.cut || from.cut {
+	s.group.mu.Lock()
+	defer s.group.mu.Unlock()
+	if s.group.primary != from || from == s || from.term != term || s.unreachable || from.unreachable {
 		return
 	}
-	s.term, s.log, s.starts = term, log, starts
+	s.term, s.log, s.termStarts = term, log, starts
 }
 
-// promote gives the lead to the server, with what it has and nothing more.
-func (w *world) promote(s *server) {
+// promote makes s the primary with the log that it has.
+func (w *databaseGroup) promote(s *server) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if s == w.leader {
+	if s == w.primary {
 		return
 	}
 	kept := make(map[string]bool, len(s.log))
 	for _, r := range s.log {
 		kept[r.id] = true
 	}
-	for _, r := range w.leader.log {
+	for _, r := range w.primary.log {
 		if !kept[r.id] {
-			w.history.rolledBack(r)
+			w.history.recordRolledBack(r)
 		}
 	}
-	t := w.leader.term + 1
+	t := w.primary.term + 1
 	starts := map[marker.Term]int{t: len(s.log)}
-	for k, v := range s.starts {
+	for k, v := range s.termStarts {
 		starts[k] = v
 	}
-	s.term, s.starts = t, starts
-	w.leader = s
+	s.term, s.termStarts = t, starts
+	w.primary = s
 }
 
-// position is the end of the server's log.
+// position returns the end of the server's log.
 func (s *server) position() marker.Mark {
 	return marker.Mark{Term: s.term, Position: marker.Position(len(s.log) + 1)}
 }
 
-// holds reports whether the log has the position.
+// holds reports whether the server's log contains the position.
 func (s *server) holds(m marker.Mark) bool {
 	n := int(m.Position) - 1
 	if m.Term > s.term || n > len(s.log) {
 		return false
 	}
-	for t, start := range s.starts {
+	for t, start := range s.termStarts {
 		if t > m.Term && n > start {
 			return false
 		}
@@ -143,33 +144,33 @@
 }
 
 // Dial opens a connection.
-func (w *world) Dial(_ context.Context, d declarer.Server) (connpooler.Connection, marker.Mark, error) {
+func (w *databaseGroup) Dial(_ context.Context, d declarer.Server) (connpooler.Connection, marker.Mark, error) {
 	time.Sleep(5 * time.Millisecond)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, s := range w.servers {
 		switch {
 		case s.id != d.ID:
-		case s.cut:
+		case s.unreachable:
 			return nil, marker.Mark{}, connpooler.ErrNoRoute
-		case s.conns >= w.limit:
+		case s.connections >= w.limit:
 			return nil, marker.Mark{}, connpooler.ErrTooManyConnections
 		default:
-			s.conns++
+			s.connections++
 			return &connection{server: s, values: make(map[string]string), prepared: make(map[string]string)}, s.position(), nil
 		}
 	}
 	return nil, marker.Mark{}, connpooler.ErrTurnedAway
 }
 
-// pending is an answer that is on its way.
+// pending is an answer that hasn't been received yet.
 type pending struct {
 	answer declarer.Answer
 	at     time.Time
 	lost   bool
 }
 
-// connection is one to a server, with the server's side of it.
+// connection is a connection to a server, with the server's state of it.
 type connection struct {
 	server   *server
 	closed   bool
@@ -177,22 +178,22 @@
 	prepared map[string]string
 	answers  []pending
 
-	open    bool
-	plain   bool
-	failed  bool
-	owner   string
-	term    marker.Term
-	written []record
+	open      bool
+	readWrite bool
+	failed    bool
+	session   string
+	term      marker.Term
+	written   []record
 }
 
 var errBroken = errors.New("connection broken")
 
-// Send has the server run all of r, one after the other.
+// Send runs all requests on the server in order.
 func (c *connection) Send(r []declarer.Request, _ time.Time) error {
-	w := c.server.world
+	w := c.server.group
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if c.closed || c.server.cut {
+	if c.closed || c.server.unreachable {
 		return errBroken
 	}
 	for i := range r {
@@ -218,20 +219,20 @@
 	return nil
 }
 
-// abort rolls back what is open.
+// abort rolls back an open transaction.
 func (c *connection) abort() {
-	c.open, c.failed, c.written, c.owner = false, false, nil, ""
+	c.open, c.failed, c.written, c.session = false, false, nil, ""
 }
 
 // Receive waits for the next answer.
 func (c *connection) Receive(a *declarer.Answer, deadline time.Time) error {
-	c.server.world.mu.Lock()
+	c.server.group.mu.Lock()
 	if len(c.answers) == 0 || c.closed {
-		c.server.world.mu.Unlock()
+		c.server.group.mu.Unlock()
 		return errBroken
 	}
 	p := c.answers[0]
-	c.server.world.mu.Unlock()
+	c.server.group.mu.Unlock()
 	if p.lost {
 		return errBroken
 	}
@@ -250,11 +251,11 @@
 func (c *connection) Ended() bool { return c.closed }
 
 func (c *connection) Close() {
-	c.server.world.mu.Lock()
-	defer c.server.world.mu.Unlock()
+	c.server.group.mu.Lock()
+	defer c.server.group.mu.Unlock()
 	if !c.closed {
 		c.closed = true
-		c.server.conns--
+		c.server.connections--
 		c.abort()
 	}
 }
@@ -277,9 +278,9 @@
 }
 
 func (c *connection) execute(r *declarer.Request) declarer.Answer {
-	s, w := c.server, c.server.world
+	s, w := c.server, c.server.group
 	refuse := func(code declarer.Code) declarer.Answer { return declarer.Answer{Code: code, Detail: "refused"} }
-	verb, item, value, shape := c.meaning(r)
+	verb, item, value, shape := c.resolve(r)
 	switch verb {
 	case declarer.VerbReset:
 		clear(c.values)
@@ -295,23 +296,23 @@
 		c.abort()
 		return declarer.Answer{}
 	case declarer.VerbBegin, declarer.VerbBeginRead:
-		if verb == declarer.VerbBegin && w.leader != s {
+		if verb == declarer.VerbBegin && w.primary != s {
 			return refuse(declarer.CodeReadOnly)
 		}
 		if !r.After.IsZero() && !s.holds(r.After) {
 			return refuse(declarer.CodeLagging)
 		}
-		c.open, c.plain, c.term = true, verb == declarer.VerbBegin, s.term
+		c.open, c.readWrite, c.term = true, verb == declarer.VerbBegin, s.term
 		return declarer.Answer{}
 	}
-	w.history.arrived(c, r, shape)
+	w.history.checkStatement(c, r, shape)
 	if c.failed {
 		return refuse(declarer.CodeMalformed)
 	}
 	if w.random.IntN(1000) < w.busy {
 		return refuse(declarer.CodeBusy)
 	}
-	deposed := c.open && c.plain && (w.leader != s || s.term != c.term)
+	deposed := c.open && c.readWrite && (w.primary != s || s.term != c.term)
 	switch verb {
 	case declarer.VerbRead:
 		if deposed {
@@ -322,7 +323,7 @@
 		}
 		return declarer.Answer{Row: fmt.Sprint(s.latest(item, c.written))}
 	case declarer.VerbWrite:
-		if deposed || w.leader != s {
+		if deposed || w.primary != s {
 			return refuse(declarer.CodeReadOnly)
 		}
 		x := record{term: s.term, id: r.ID, item: item, value: value}
@@ -344,8 +345,9 @@
 	return refuse(declarer.CodeMalformed)
 }
 
-// meaning resolves a statement: READ item, WRITE item value, or what was prepared.
-func (c *connection) meaning(r *declarer.Request) (verb declarer.Verb, item string, value int, shape string) {
+// resolve parses a statement: READ item, WRITE item value, COMMIT, or the execution of a prepared
+// one.
+func (c *connection) resolve(r *declarer.Request) (verb declarer.Verb, item string, value int, shape string) {
 	text := r.Text
 	verb = r.Verb
 	if r.Verb == declarer.VerbExecute {
@@ -368,8 +370,8 @@
 	return verb, "", 0, shape
 }
 
-// latest returns the highest value of the item, zero for none. Callers write higher and
-// higher values, so this shows each write that the log has.
+// latest returns the highest value of the item, zero if there is none. Clients write ever higher
+// values, so the result covers every write of the item in the log.
 func (s *server) latest(item string, own []record) int {
 	v := 0
 	for _, r := range slices.Concat(s.log, own) {
