--- a/internal/proxy/grouptracker/grouptracker.go
+++ b/internal/proxy/grouptracker/grouptracker.go
@@ -1,5 +1,5 @@
-// Package grouptracker decides what an entry host believes of one database group: who
-// leads it, which servers may be used, and how fresh a read must be.
+// Package grouptracker keeps the state of one database group as an entry host has observed it:
+// which server is the primary, which servers are usable, and which position a read requires.
 package grouptracker
 
 import (
@@ -15,90 +15,94 @@
 )
 
 const (
-	// slotsUnknown stands for the slots of a server that doesn't tell them.
-	slotsUnknown = 1
-	// firstBehind and longestBehind bound how long a replica that lagged is left
-	// alone: a lag of tens of milliseconds is usual, one of seconds is a fault.
-	firstBehind   = 30 * time.Millisecond
-	longestBehind = 500 * time.Millisecond
-	// unreachableFor is how long a server is passed over after a failed
-	// connection; the next attempt then shows whether it is back.
-	unreachableFor = 300 * time.Millisecond
-	// historyAge is the longest age that a route may allow.
-	historyAge = 30 * time.Second
-	// serviceTime is assumed until a server has answered, and smoothing is the
-	// weight of a new sample, as one part in this many.
-	serviceTime = 8 * time.Millisecond
-	smoothing   = 16
+	// defaultSlots is assumed for a server that doesn't report its slots.
+	defaultSlots = 1
+	// initialLagBackoff and maximumLagBackoff bound how long a lagging replica gets no reads: a
+	// lag of tens of milliseconds is usual, one of seconds is a fault.
+	initialLagBackoff = 30 * time.Millisecond
+	maximumLagBackoff = 500 * time.Millisecond
+	// unreachableBackoff is how long a server gets no reads after a failed connection. The next
+	// attempt then shows whether it is reachable.
+	unreachableBackoff = 300 * time.Millisecond
+	// maximumHistoryAge is the longest staleness that a route may allow.
+	maximumHistoryAge = 30 * time.Second
+	// initialServiceTime is assumed until a server has answered. A new sample changes the smoothed
+	// service time by one part in smoothingDivisor.
+	initialServiceTime = 8 * time.Millisecond
+	smoothingDivisor   = 16
 )
 
-// Server is what is believed of one backend server.
+// Server is the observed state of one backend server. Its times are on the clock of its Group.
 type Server struct {
 	declarer.Server
-	// DrainingSince is when the server was first seen to be leaving.
+	// DrainingSince is when the server was first listed as draining.
 	DrainingSince time.Duration
-	// FailingSince is when the first of an unbroken row of failures was seen,
-	// zero if its last answer came after that.
+	// FailingSince is when the current series of failures began, zero if the server has answered
+	// since its last failure.
 	FailingSince time.Duration
-	// FailedAt is the last failure.
+	// FailedAt is the time of the last failure.
 	FailedAt time.Duration
-	// ConnectionRefusedSince is when connections were first refused in an unbroken row of
-	// failures, zero if none was: no process listens there.
+	// ConnectionRefusedSince is when a connection was first refused in the current series of
+	// failures, zero if none was. A refusal means that no process listens there.
 	ConnectionRefusedSince time.Duration
-	// AnsweredAt is its last answer to this host.
+	// AnsweredAt is the time of the server's last answer to this host.
 	AnsweredAt time.Duration
-	// NotLeading says that it refused a write and hasn't reported a new lead since.
+	// NotLeading is set when the server refuses a write because it isn't the primary, and cleared
+	// when it newly reports leadership or a later answer confirms it.
 	NotLeading bool
-	// LastPosition is the longest log that it was seen to have in its last term.
+	// LastPosition is the end of the longest log observed on the server in its last observed term.
 	LastPosition marker.Mark
-	// ServiceTime is the smoothed time of a statement.
+	// ServiceTime is the smoothed duration of a statement.
 	ServiceTime time.Duration
-	// InFlight is how many statements this host has under way at it.
+	// InFlight is the number of statements that this host has sent to the server and that aren't
+	// answered.
 	InFlight int
 
-	behindUntil time.Duration
-	behindFor   time.Duration
+	// The server counts as lagging until lagBackoffUntil. lagBackoff is the last such period, zero
+	// after the server has caught up.
+	lagBackoffUntil time.Duration
+	lagBackoff      time.Duration
 }
 
-// Group is what is believed of one database group. Its fields are set before use;
-// it belongs to one goroutine at a time. Times are on a clock that counts the time
-// in which the host stood still: a view that is seconds old after a pause would
-// otherwise pass for fresh and let stale reads through.
+// Group is the observed state of one database group. Its exported fields are set before use. It
+// isn't safe for concurrent use. Times are on a clock that includes the time in which the host was
+// paused: otherwise a state that is seconds old after a pause would count as fresh and allow stale
+// reads.
 type Group struct {
 	Name string
-	// Region is where this host is, Regions tells where the zones are.
+	// Region is this host's. Regions gives the region of each availability zone.
 	Region  string
 	Regions map[string]string
-	// Zone is this host's.
+	// Zone is this host's availability zone.
 	Zone    string
 	Chooser chooser.Chooser
 
 	servers []*Server
 	primary string
 	history historian.Historian
-	// begun is the first mark seen under the newest term.
-	begun marker.Mark
-	// proved is the newest report of a lead that was known when the primary proved
-	// that it leads.
-	proved uint64
+	// newestTermStart is the first position observed in the newest term.
+	newestTermStart marker.Mark
+	// confirmedRevision is the newest revision of a server's report that was listed when the
+	// primary's leadership was last confirmed. Reports up to it don't replace the primary.
+	confirmedRevision uint64
 }
 
-// SetServers replaces the list of servers by what the platform lists now.
+// SetServers replaces the server list by the platform's current one.
 func (g *Group) SetServers(l []declarer.Server, now time.Duration) {
 	var s []*Server
 	for _, d := range l {
-		s = append(s, g.merge(d, now))
+		s = append(s, g.mergeServer(d, now))
 	}
 	slices.SortFunc(s, func(a, b *Server) int { return cmp.Compare(a.ID, b.ID) })
 	g.servers = s
-	g.follow()
+	g.updatePrimary()
 }
 
-func (g *Group) merge(d declarer.Server, now time.Duration) *Server {
+func (g *Group) mergeServer(d declarer.Server, now time.Duration) *Server {
 	o := g.Find(d.ID)
 	if o == nil || o.Born != d.Born || o.Address != d.Address {
-		// A server that started again holds nothing of before.
-		o = &Server{ServiceTime: serviceTime}
+		// After a restart nothing observed before applies.
+		o = &Server{ServiceTime: initialServiceTime}
 	}
 	if d.Draining && !o.Draining {
 		o.DrainingSince = now
@@ -110,12 +114,12 @@
 	return o
 }
 
-// follow takes the server that reported the lead last for the primary, unless
-// another one has proved since that it leads.
-func (g *Group) follow() {
-	best := g.reported()
+// updatePrimary selects the server with the newest report of leadership as the primary, unless
+// another server's leadership has been confirmed since.
+func (g *Group) updatePrimary() {
+	best := g.reportedPrimary()
 	p := g.Find(g.primary)
-	if p != nil && !p.NotLeading && (best == nil || best.Revision <= g.proved) {
+	if p != nil && !p.NotLeading && (best == nil || best.Revision <= g.confirmedRevision) {
 		return
 	}
 	g.primary = ""
@@ -124,8 +128,8 @@
 	}
 }
 
-// reported returns the server that reported the lead last, nil if none does.
-func (g *Group) reported() *Server {
+// reportedPrimary returns the server with the newest report of leadership, nil if there is none.
+func (g *Group) reportedPrimary() *Server {
 	var best *Server
 	for _, s := range g.servers {
 		if s.Primary && !s.NotLeading && (best == nil || s.Revision > best.Revision) {
@@ -145,14 +149,15 @@
 	return nil
 }
 
-// Servers returns what is believed of all servers, ordered by id.
+// Servers returns all servers, ordered by id.
 func (g *Group) Servers() []*Server { return g.servers }
 
-// Primary returns the server that is believed to lead and so takes writes, nil if none is.
+// Primary returns the server that is assumed to be the primary and takes writes, nil if there is
+// none.
 func (g *Group) Primary() *Server { return g.Find(g.primary) }
 
-// ConfirmLeadership notes a proof that the server led the group at some time after asked, when
-// its log ended at m.
+// ConfirmLeadership records that the server was the primary at some time after asked, when its log
+// ended at m. Confirmations of an earlier term than the newest are ignored.
 func (g *Group) ConfirmLeadership(id string, asked time.Duration, m marker.Mark) {
 	s := g.Find(id)
 	if s == nil || m.IsZero() {
@@ -163,26 +168,27 @@
 		return
 	}
 	if !known || m.Term > latest.Mark.Term {
-		g.begun = m
+		g.newestTermStart = m
 	}
-	g.history.MaximumAge = historyAge
+	g.history.MaximumAge = maximumHistoryAge
 	g.history.Add(historian.Observation{Asked: asked, Mark: m})
 	s.NotLeading = false
 	g.primary = id
 	for _, o := range g.servers {
-		g.proved = max(g.proved, o.Revision)
+		g.confirmedRevision = max(g.confirmedRevision, o.Revision)
 	}
 }
 
-// RecordNotLeading notes that the server refused a write since it doesn't lead.
+// RecordNotLeading records that the server refused a write because it isn't the primary.
 func (g *Group) RecordNotLeading(id string) {
 	if s := g.Find(id); s != nil {
 		s.NotLeading = true
-		g.follow()
+		g.updatePrimary()
 	}
 }
 
-// RecordAnswer notes an answer of the server after took, with its log's end if m isn't zero.
+// RecordAnswer records an answer of the server that took the given time, zero if unknown, and the
+// end of its log if m isn't zero.
 func (g *Group) RecordAnswer(id string, now, took time.Duration, m marker.Mark) {
 	s := g.Find(id)
 	if s == nil {
@@ -191,31 +197,33 @@
 	s.FailingSince, s.ConnectionRefusedSince = 0, 0
 	s.AnsweredAt = now
 	if took > 0 {
-		s.ServiceTime += (took - s.ServiceTime) / smoothing
+		s.ServiceTime += (took - s.ServiceTime) / smoothingDivisor
 	}
 	if !m.IsZero() && (m.Term != s.LastPosition.Term || m.Covers(s.LastPosition)) {
 		s.LastPosition = m
 	}
 }
 
-// RecordCaughtUp notes that the server's log had what a read by age needed.
+// RecordCaughtUp records that the server had the position that a read with bounded staleness
+// required.
 func (g *Group) RecordCaughtUp(id string) {
 	if s := g.Find(id); s != nil {
-		s.behindFor = 0
+		s.lagBackoff = 0
 	}
 }
 
-// RecordLag notes that the server's log lacked what a read by age needed.
+// RecordLag records that the server lacked the position that a read with bounded staleness
+// required. Each repetition doubles the period in which it counts as lagging.
 func (g *Group) RecordLag(id string, now time.Duration) {
 	s := g.Find(id)
 	if s == nil {
 		return
 	}
-	s.behindFor = min(max(firstBehind, 2*s.behindFor), longestBehind)
-	s.behindUntil = now + s.behindFor
+	s.lagBackoff = min(max(initialLagBackoff, 2*s.lagBackoff), maximumLagBackoff)
+	s.lagBackoffUntil = now + s.lagBackoff
 }
 
-// RecordFailure notes that the server didn't take a connection, or broke one off, in an attempt
+// RecordFailure records that the server didn't accept a connection, or closed one, in an attempt
 // that began at since.
 func (g *Group) RecordFailure(id string, since, now time.Duration) {
 	s := g.Find(id)
@@ -228,7 +236,7 @@
 	s.FailedAt = now
 }
 
-// RecordConnectionRefused notes that the server's host refused a connection to it.
+// RecordConnectionRefused records a failure in which the server's machine refused the connection.
 func (g *Group) RecordConnectionRefused(id string, since, now time.Duration) {
 	g.RecordFailure(id, since, now)
 	if s := g.Find(id); s != nil && s.ConnectionRefusedSince == 0 {
@@ -236,40 +244,40 @@
 	}
 }
 
-// StatementStarted and Ended count the statements that this host has under way.
-func (g *Group) StatementStarted(id string) { g.count(id, 1) }
+// StatementStarted counts a statement that this host sends to the server.
+func (g *Group) StatementStarted(id string) { g.addInFlight(id, 1) }
 
-// StatementEnded is the counterpart of Began.
-func (g *Group) StatementEnded(id string) { g.count(id, -1) }
+// StatementEnded is called once for each StatementStarted.
+func (g *Group) StatementEnded(id string) { g.addInFlight(id, -1) }
 
-func (g *Group) count(id string, n int) {
+func (g *Group) addInFlight(id string, n int) {
 	if s := g.Find(id); s != nil {
 		s.InFlight = max(0, s.InFlight+n)
 	}
 }
 
-// LatestConfirmation returns the newest proof of a lead.
+// LatestConfirmation returns the newest confirmation of leadership, false if there is none.
 func (g *Group) LatestConfirmation() (historian.Observation, bool) { return g.history.Latest() }
 
-// ToNewestTerm returns m in terms of the newest log: of an earlier term it is the first mark
-// of the newest one, whose log holds all of the earlier that lasts. The mark itself
-// may have been rolled back, and no server would ever reach it.
+// ToNewestTerm returns m, or the first position of the newest term if m is of an earlier term. The
+// log of the newest term holds all earlier commits that survived. The position m itself may have
+// been rolled back, and then no server would ever reach it.
 func (g *Group) ToNewestTerm(m marker.Mark) marker.Mark {
-	if !m.IsZero() && m.Term < g.begun.Term {
-		return g.begun
+	if !m.IsZero() && m.Term < g.newestTermStart.Term {
+		return g.newestTermStart
 	}
 	return m
 }
 
-// RequiredPosition returns the mark that shows data to be at most age old for a request that
-// came at arrived, and false if no proof of a lead is recent enough.
+// RequiredPosition returns the position that shows data to be at most age old for a request that
+// arrived at arrived, and false if no confirmation of leadership is recent enough.
 func (g *Group) RequiredPosition(arrived, age time.Duration) (marker.Mark, bool) {
 	m, ok := g.history.Need(arrived, age)
 	return g.ToNewestTerm(m), ok
 }
 
-// ChooseReadServer decides which server runs a read that needs the mark. excluded names the
-// servers that were tried before.
+// ChooseReadServer chooses the server for a read that requires the position need. It returns nil
+// and the reason if there is none. excluded are the ids of servers not to be chosen now.
 func (g *Group) ChooseReadServer(need marker.Mark, excluded []string, draw uint64, now time.Duration) (*Server, chooser.Decision) {
 	q := chooser.Request{HasMark: true, Mark: need, Aged: true, HasAgeMark: true, AgeMark: need, Draw: draw, Now: now}
 	l := make([]chooser.Candidate, 0, chooser.MaximumCandidates)
@@ -286,22 +294,22 @@
 	return g.servers[d.Index], d
 }
 
-// candidate describes s to the chooser. Its log counts as long enough unless the
-// server said otherwise a moment ago: the position goes along with the read, and a
-// server that lacks it says so at once without using a slot.
+// candidate describes s to the chooser. A replica counts as having the position unless it reported
+// a lag recently: the position is sent with the read, and a server that lacks it refuses at once
+// without using a slot.
 func (g *Group) candidate(s *Server, need marker.Mark, now time.Duration) chooser.Candidate {
 	c := chooser.Candidate{
 		Name:         s.ID,
 		Role:         controller.RoleReplica,
-		Unreachable:  s.FailingSince != 0 && now-s.FailedAt < unreachableFor,
+		Unreachable:  s.FailingSince != 0 && now-s.FailedAt < unreachableBackoff,
 		Leaving:      s.Draining,
 		LeavingSince: s.DrainingSince,
 		Last:         need,
 		Observed:     now,
 		Busy:         s.InFlight,
-		Slots:        max(s.Slots, slotsUnknown),
+		Slots:        max(s.Slots, defaultSlots),
 		ServiceTime:  s.ServiceTime,
-		RoundTrip:    g.distance(s),
+		RoundTrip:    g.estimateRoundTrip(s),
 		OtherRegion:  g.Regions[s.AvailabilityZone] != g.Region,
 	}
 	if s.ID == g.primary {
@@ -309,26 +317,26 @@
 		c.Confirmed = true
 		return c
 	}
-	if now < s.behindUntil {
+	if now < s.lagBackoffUntil {
 		c.Last = marker.Mark{Term: need.Term}
 	}
 	return c
 }
 
-// Distances of servers, for want of a measurement: those of the same zone go first.
+// Assumed round trips, as none is measured. Servers in the same availability zone are preferred.
 const (
-	distanceZone   = 400 * time.Microsecond
-	distanceRegion = 2 * time.Millisecond
-	distanceFar    = 16 * time.Millisecond
+	roundTripZone        = 400 * time.Microsecond
+	roundTripRegion      = 2 * time.Millisecond
+	roundTripOtherRegion = 16 * time.Millisecond
 )
 
-func (g *Group) distance(s *Server) time.Duration {
+func (g *Group) estimateRoundTrip(s *Server) time.Duration {
 	switch {
 	case s.AvailabilityZone == g.Zone:
-		return distanceZone
+		return roundTripZone
 	case g.Regions[s.AvailabilityZone] == g.Region:
-		return distanceRegion
+		return roundTripRegion
 	default:
-		return distanceFar
+		return roundTripOtherRegion
 	}
 }
