--- a/internal/proxy/executor/checker_test.go
+++ b/internal/proxy/executor/checker_test.go
@@ -18,7 +18,7 @@
 		log     []record
 		want    string
 	}{
-		"no violation": {
+		"clean": {
 			history: func(h *history) { h.recordReply("s1.1", "x", 4, declarer.CodeNone) },
 			log:     []record{committed},
 		},
--- a/internal/proxy/executor/model_test.go
+++ b/internal/proxy/executor/model_test.go
@@ -275,7 +275,7 @@
 	c.history.shapes[id] = c.shape()
 	c.history.mu.Unlock()
 	want := c.minimumRead()
-	c.checkRead(id, c.send(id, "EXEC s1 "+c.item()), want)
+	c.checkReply(id, c.send(id, "EXEC s1 "+c.item()), want)
 }
 
 // minimumRead returns the write that a read that begins now must return at least.
@@ -292,10 +292,10 @@
 func (c *client) read() {
 	want := c.minimumRead()
 	id, r := c.ask("READ " + c.item())
-	c.checkRead(id, r, want)
+	c.checkReply(id, r, want)
 }
 
-func (c *client) checkRead(id string, r reply, want acknowledgement) {
+func (c *client) checkReply(id string, r reply, want acknowledgement) {
 	if r.code != declarer.CodeNone {
 		return
 	}
--- a/internal/proxy/executor/observer.go
+++ b/internal/proxy/executor/observer.go
@@ -96,17 +96,17 @@
 	if p == nil {
 		return
 	}
-	deadline := time.Now().Add(observeTimeout)
-	l, err := p.Acquire(connpooler.Ask{Deadline: deadline, Class: admitter.ClassTransaction})
+	end := time.Now().Add(observeTimeout)
+	l, err := p.Acquire(connpooler.Ask{Deadline: end, Class: admitter.ClassTransaction})
 	if err != nil {
 		return
 	}
-	f.askPosition(id, l, deadline)
+	f.askPosition(id, l, end)
 }
 
-func (f *observation) askPosition(id string, l *connpooler.Lease, deadline time.Time) {
+func (f *observation) askPosition(id string, l *connpooler.Lease, end time.Time) {
 	asked := f.observer.Board.Time()
-	e := &exchange{lease: l, deadline: deadline}
+	e := &exchange{lease: l, deadline: end}
 	e.add(declarer.Request{Verb: declarer.VerbBegin})
 	e.add(declarer.Request{Verb: declarer.VerbRollback})
 	var begun, ended declarer.Answer
--- a/internal/proxy/grouptracker/grouptracker_test.go
+++ b/internal/proxy/grouptracker/grouptracker_test.go
@@ -15,13 +15,13 @@
 // newTestGroup returns a group whose server a reports leadership.
 func newTestGroup() *Group {
 	g := &Group{Name: "db", Zone: "z-a", Region: "r", Regions: map[string]string{"z-a": "r", "z-b": "r", "z-c": "far"}}
-	g.SetServers(listServers("a", 1), 0)
+	g.SetServers(list("a", 1), 0)
 	return g
 }
 
-// listServers returns the platform's list, in which the server primary reports leadership since
+// list returns the platform's list, in which the server primary reports leadership since
 // the revision.
-func listServers(primary string, revision uint64) []declarer.Server {
+func list(primary string, revision uint64) []declarer.Server {
 	var l []declarer.Server
 	for _, id := range []string{"a", "b", "c"} {
 		s := declarer.Server{ID: id, Group: "db", AvailabilityZone: "z-" + id, Slots: 2, Revision: 1}
@@ -45,19 +45,19 @@
 		events func(g *Group)
 		want   string
 	}{
-		"reported":                                   {func(*Group) {}, "a"},
+		"as reported":                                {func(*Group) {}, "a"},
 		"refused a write":                            {func(g *Group) { g.RecordNotLeading("a") }, ""},
-		"another reports leadership":                 {func(g *Group) { g.SetServers(listServers("b", 9), 0) }, "b"},
+		"another reports leadership":                 {func(g *Group) { g.SetServers(list("b", 9), 0) }, "b"},
 		"another confirmed in a later term":          {func(g *Group) { g.ConfirmLeadership("b", 1, mark(2, 5)) }, "b"},
 		"confirmation of an earlier term is ignored": {func(g *Group) { g.ConfirmLeadership("a", 1, mark(3, 5)); g.ConfirmLeadership("b", 2, mark(2, 9)) }, "a"},
 		"refused a write, then reports leadership again": {func(g *Group) {
 			g.RecordNotLeading("a")
-			g.SetServers(listServers("b", 9), 0)
-			g.SetServers(listServers("a", 12), 0)
+			g.SetServers(list("b", 9), 0)
+			g.SetServers(list("a", 12), 0)
 		}, "a"},
 		"late report doesn't override a confirmation": {func(g *Group) {
 			g.ConfirmLeadership("b", 1, mark(2, 5))
-			g.SetServers(listServers("a", 1), 0)
+			g.SetServers(list("a", 1), 0)
 		}, "b"},
 		"no servers listed": {func(g *Group) { g.SetServers(nil, 0) }, ""},
 	} {
@@ -114,18 +114,13 @@
 		events func(g *Group)
 		want   string
 	}{
-		"nearest replica":                {func(*Group) {}, "b"},
-		"lagging replica is skipped":     {func(g *Group) { g.RecordLag("b", time.Second) }, "c"},
-		"unreachable replica is skipped": {func(g *Group) { g.RecordFailure("b", time.Second, time.Second) }, "c"},
-		"all replicas lag":               {func(g *Group) { g.RecordLag("b", time.Second); g.RecordLag("c", time.Second) }, "a"},
-		"draining replica is skipped":    {func(g *Group) { l := listServers("a", 1); l[1].Draining = true; g.SetServers(l, 0) }, "c"},
-		"restarted replica is used again": {func(g *Group) {
-			g.RecordLag("b", time.Second)
-			l := listServers("a", 1)
-			l[1].Born = 7
-			g.SetServers(l, 0)
-		}, "b"},
-		"no primary, any server": {func(g *Group) { g.RecordNotLeading("a") }, "a"},
+		"nearest replica":                 {func(*Group) {}, "b"},
+		"lagging replica is skipped":      {func(g *Group) { g.RecordLag("b", time.Second) }, "c"},
+		"unreachable replica is skipped":  {func(g *Group) { g.RecordFailure("b", time.Second, time.Second) }, "c"},
+		"all replicas lag":                {func(g *Group) { g.RecordLag("b", time.Second); g.RecordLag("c", time.Second) }, "a"},
+		"draining replica is skipped":     {func(g *Group) { l := list("a", 1); l[1].Draining = true; g.SetServers(l, 0) }, "c"},
+		"restarted replica is used again": {func(g *Group) { g.RecordLag("b", time.Second); l := list("a", 1); l[1].Born = 7; g.SetServers(l, 0) }, "b"},
+		"no primary, any server":          {func(g *Group) { g.RecordNotLeading("a") }, "a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newTestGroup()
