--- a/internal/proxy/executor/exchange.go
+++ b/internal/proxy/executor/exchange.go
@@ -63,8 +63,8 @@
 	e.add(declarer.Request{Verb: declarer.VerbPrepare, Name: q.Name, Writes: q.prepared.writes, Argument: q.prepared.shape})
 }
 
-// acquirePermit waits until a statement of the caller may be sent. It is called before addSetup,
-// which records the setup on the lease as done: after a refusal nothing is sent.
+// acquirePermit waits until a statement of the caller may be sent. Nothing is sent after a refusal,
+// so no setup may be pending then: addSetup records it on the lease as done.
 func (e *exchange) acquirePermit(a connpooler.Ask) error {
 	t, err := e.lease.Permit(a)
 	e.permit = t
