--- a/internal/limit/admitter/admission.go
+++ b/internal/limit/admitter/admission.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// refusal returns why e can't even wait, ReasonNone if it can.
+// refusal returns the reason to refuse e on arrival, ReasonNone if it may wait.
 func (q *Queue) refusal(e *Entry, now time.Duration) Reason {
 	if e.Deadline != 0 && now >= e.Deadline {
 		return ReasonDeadline
 	}
 	if e.Class == ClassTransaction || e.HoldsConnection {
-		// Its connections bound their number, and to refuse one would only hold
-		// the connection longer.
+		// The number of such requests is bounded by the number of connections, and a refusal
+		// would only hold the connection longer.
 		if q.Closed == ReasonShutdown {
 			return ReasonShutdown
 		}
@@ -21,8 +21,8 @@
 	if l := q.Teams[e.Team].Requests; l > 0 && e.team.requests() >= l {
 		return ReasonTeamLimit
 	}
-	// A free slot is given whatever the estimate says. The estimate could be too
-	// long, and only a request that runs can correct it.
+	// A free slot is granted regardless of the estimate. The estimate may be too long, and only
+	// a request that runs can correct it.
 	if q.mayRun(e.Class) && q.Waiting() == 0 {
 		return ReasonNone
 	}
@@ -30,32 +30,33 @@
 	if e.Deadline != 0 && now+w+q.ServiceTime() > e.Deadline {
 		return ReasonExpectedWait
 	}
-	if e.Objective != 0 && now+max(w, q.stalled(now)) > e.Objective {
+	if e.Objective != 0 && now+max(w, q.stalledFor(now)) > e.Objective {
 		return ReasonExpectedWait
 	}
-	if q.waiting[ClassRead]+q.waiting[ClassWrite] >= q.length() && !q.makeRoom(e) {
+	if q.waiting[ClassRead]+q.waiting[ClassWrite] >= q.length() && !q.displace(e) {
 		return ReasonQueueFull
 	}
 	return ReasonNone
 }
 
-// stalled returns for how long no slot has come free though all are taken. The next one
-// will hardly come sooner than after as long again, whatever requests took before.
-func (q *Queue) stalled(now time.Duration) time.Duration {
+// stalledFor returns the time since the last grant or release if all slots are in use, else zero. It
+// serves as a lower bound of the expected wait: a slot that has not been released for some time is
+// unlikely to be released within the same time again, whatever the earlier service times.
+func (q *Queue) stalledFor(now time.Duration) time.Duration {
 	if q.running == 0 || q.running < q.Slots {
 		return 0
 	}
-	return now - q.progress
+	return now - q.progressAt
 }
 
-// expectedWait returns how long a request of t that comes now will wait.
+// expectedWait returns the expected wait of a request of t and class c that arrives now.
 func (q *Queue) expectedWait(t *team, c Class) time.Duration {
 	if q.Slots <= 0 {
 		return 0
 	}
 	ahead := q.waiting[ClassTransaction]
 	if c != ClassTransaction {
-		ahead += min(q.waiting[ClassRead]+q.waiting[ClassWrite], q.fairAhead(t))
+		ahead += min(q.waiting[ClassRead]+q.waiting[ClassWrite], q.aheadAtFairShare(t))
 	}
 	n := ahead + q.running + 1 - q.Slots
 	if n <= 0 {
@@ -64,11 +65,11 @@
 	return time.Duration(n) * q.ServiceTime() / time.Duration(q.Slots)
 }
 
-// fairAhead returns how many requests go before the next one of t when each
+// aheadAtFairShare returns the number of requests that are granted before the next one of t if each
 // waiting team gets its share.
-func (q *Queue) fairAhead(t *team) int {
+func (q *Queue) aheadAtFairShare(t *team) int {
 	shares := t.share
-	for _, a := range q.active {
+	for _, a := range q.waitingTeams {
 		if a != t {
 			shares += a.share
 		}
@@ -77,10 +78,10 @@
 	return (own+1)*shares/t.share - 1
 }
 
-// makeRoom refuses another entry of a full queue in e's favour, if one should
-// give way, and reports whether it did.
-func (q *Queue) makeRoom(e *Entry) bool {
-	v := q.yielding(e)
+// displace refuses an entry of a full queue in favour of e, if entryToDisplace returns one, and
+// reports whether it did.
+func (q *Queue) displace(e *Entry) bool {
+	v := q.entryToDisplace(e)
 	if v == nil {
 		return false
 	}
@@ -92,23 +93,23 @@
 	return true
 }
 
-// yielding returns the entry that gives way to e. A write displaces a read of
-// its own team: a refused save has to be entered again, a read just repeated.
-// Else the last entry gives way of the team that takes up most of the queue for
-// its share; otherwise one team could fill it and keep all others out.
-func (q *Queue) yielding(e *Entry) *Entry {
+// entryToDisplace returns the waiting entry that e displaces, nil if none. A write displaces a read
+// of its own team: a refused write may have to be entered again by a user, while a read is simply
+// repeated. Otherwise e displaces the last entry of the team with the longest queue relative to its
+// share, so that no team can fill the queue and keep the others out.
+func (q *Queue) entryToDisplace(e *Entry) *Entry {
 	if e.Class == ClassWrite {
 		if v := e.team.last(ClassRead); v != nil {
 			return v
 		}
 	}
 	var most *team
-	for _, t := range q.active {
-		if most == nil || t.load()*most.share > most.load()*t.share {
+	for _, t := range q.waitingTeams {
+		if most == nil || t.queued()*most.share > most.queued()*t.share {
 			most = t
 		}
 	}
-	if most == nil || most == e.team || (e.team.load()+1)*most.share >= most.load()*e.team.share {
+	if most == nil || most == e.team || (e.team.queued()+1)*most.share >= most.queued()*e.team.share {
 		return nil
 	}
 	if v := most.last(ClassRead); v != nil {
@@ -117,7 +118,7 @@
 	return most.last(ClassWrite)
 }
 
-// mayRun reports whether a slot is free for class c.
+// mayRun reports whether a slot is free for class c, see OpenTransactions.
 func (q *Queue) mayRun(c Class) bool {
 	free := q.Slots - q.running
 	if c == ClassWrite && q.OpenTransactions > 0 && q.Slots > 1 {
@@ -133,7 +134,7 @@
 	return q.Length
 }
 
-// grant gives free slots to waiting entries.
+// grant grants free slots to waiting entries.
 func (q *Queue) grant(now time.Duration) {
 	for q.Slots > q.running {
 		e := q.next()
@@ -141,8 +142,8 @@
 			return
 		}
 		q.remove(e)
-		if e.Deadline != 0 && now+q.leastService(e, now) > e.Deadline {
-			// It would be cut off halfway and waste the slot.
+		if e.Deadline != 0 && now+q.minimumRemaining(e, now) > e.Deadline {
+			// The request would exceed its deadline while running and waste the slot.
 			q.refuse(e, ReasonDeadline)
 			q.dropIdle(e.team)
 			continue
@@ -151,37 +152,38 @@
 	}
 }
 
-// leastService is the time that a request out of the queue must still have. One
-// that found a free slot on arrival gets it in any case, see refusal.
-func (q *Queue) leastService(e *Entry, now time.Duration) time.Duration {
-	if e.arrived == now || e.Class == ClassTransaction {
+// minimumRemaining returns the time before the deadline that e needs to be granted. It is zero for a
+// request that found a free slot on arrival, see refusal, and for statements of transactions.
+func (q *Queue) minimumRemaining(e *Entry, now time.Duration) time.Duration {
+	if e.arrivedAt == now || e.Class == ClassTransaction {
 		return 0
 	}
-	return q.service + q.deviation
+	return q.serviceTime + q.serviceDeviation
 }
 
 func (q *Queue) start(e *Entry, now time.Duration) {
 	t := e.team
 	e.State = StateGranted
-	e.granted = now
-	q.progress = now
-	e.charged = q.ServiceTime()
-	q.virtual = max(q.virtual, t.virtual)
-	t.virtual += e.charged / time.Duration(t.share)
+	e.grantedAt = now
+	q.progressAt = now
+	e.chargedTime = q.ServiceTime()
+	q.virtualTime = max(q.virtualTime, t.virtualTime)
+	t.virtualTime += e.chargedTime / time.Duration(t.share)
 	t.running++
 	q.running++
-	q.run++
+	q.transactionsInRow++
 	if e.Class != ClassTransaction {
-		q.run = 0
+		q.transactionsInRow = 0
 	}
 	q.Granted = append(q.Granted, e)
 }
 
-// next returns the entry that runs next: of a transaction first, then of the
-// team that has had least for its share, of that the earliest deadline.
+// next returns the entry to grant next, nil if none can run. Statements of transactions come first,
+// up to maximumTransactionsInRow; then the team with the least virtual time, and of that team the
+// first entry by Entry.before.
 func (q *Queue) next() *Entry {
 	other := q.nextOf(ClassRead, ClassWrite)
-	if other != nil && q.run >= transactionRun {
+	if other != nil && q.transactionsInRow >= maximumTransactionsInRow {
 		return other
 	}
 	if e := q.nextOf(ClassTransaction, ClassTransaction); e != nil {
@@ -190,21 +192,23 @@
 	return other
 }
 
+// nextOf returns the first runnable entry of the classes a and b of the team with the least virtual
+// time, nil if there is none.
 func (q *Queue) nextOf(a, b Class) *Entry {
 	var best *Entry
-	for _, t := range q.active {
-		e := earlier(q.top(t, a), q.top(t, b))
+	for _, t := range q.waitingTeams {
+		e := earlier(q.firstRunnable(t, a), q.firstRunnable(t, b))
 		if e == nil {
 			continue
 		}
-		if best == nil || t.virtual < best.team.virtual || t.virtual == best.team.virtual && e.order < best.order {
+		if best == nil || t.virtualTime < best.team.virtualTime || t.virtualTime == best.team.virtualTime && e.sequence < best.sequence {
 			best = e
 		}
 	}
 	return best
 }
 
-func (q *Queue) top(t *team, c Class) *Entry {
+func (q *Queue) firstRunnable(t *team, c Class) *Entry {
 	if len(t.heaps[c]) == 0 || !q.mayRun(c) {
 		return nil
 	}
--- a/internal/limit/admitter/admitter.go
+++ b/internal/limit/admitter/admitter.go
@@ -1,46 +1,46 @@
-// Package admitter orders the requests that wait for the slots of one backend server.
+// Package admitter decides which requests get the slots of one backend server, and which are refused.
 package admitter
 
 import (
 	"time"
 )
 
-// Class orders requests by what they may hold up.
+// Class is the priority class of a request, by what it may block while it waits.
 type Class uint8
 
 // Classes of a request.
 const (
-	// ClassTransaction is a statement inside an open transaction, which holds a
-	// connection and perhaps locks until it ends. It goes first.
+	// ClassTransaction is a statement inside an open transaction. It is granted first, as the
+	// transaction holds a connection and possibly locks until it ends.
 	ClassTransaction Class = iota
-	// ClassRead takes no row locks.
+	// ClassRead is a request that takes no row locks.
 	ClassRead
-	// ClassWrite may wait for row locks.
+	// ClassWrite is a request that may wait for row locks.
 	ClassWrite
-	classes
+	classCount
 )
 
-// Reason says why a request was refused. None of it ran.
+// Reason says why a request was refused. No part of a refused request has run.
 type Reason uint8
 
 // Reasons of a refusal.
 const (
 	ReasonNone Reason = iota
-	// ReasonQueueFull is a queue at its bound.
+	// ReasonQueueFull means that the queue is at its maximum length.
 	ReasonQueueFull
-	// ReasonTeamLimit is a team at its own limit.
+	// ReasonTeamLimit means that the team has as many requests as TeamLimit.Requests allows.
 	ReasonTeamLimit
-	// ReasonExpectedWait is an expected wait beyond the deadline.
+	// ReasonExpectedWait means that the expected wait would exceed the deadline or the objective.
 	ReasonExpectedWait
-	// ReasonDeadline is a deadline that passed, or can't be met any more, in the queue.
+	// ReasonDeadline means that the deadline has passed, or could not be met after the time in the queue.
 	ReasonDeadline
-	// ReasonLeaving is a backend server that will stop soon.
+	// ReasonLeaving means that the backend server will stop soon.
 	ReasonLeaving
-	// ReasonShutdown is an entry host or pool that stops.
+	// ReasonShutdown means that the entry host or the pool is shutting down.
 	ReasonShutdown
-	// ReasonNoConnections is a server that takes no connection for want of room.
+	// ReasonNoConnections means that the server accepts no more connections.
 	ReasonNoConnections
-	// ReasonCancelled is a request that its caller gave up.
+	// ReasonCancelled means that the caller cancelled the request.
 	ReasonCancelled
 )
 
@@ -49,7 +49,7 @@
 // String returns the reason in kebab case.
 func (r Reason) String() string { return reasonNames[r] }
 
-// State is where an entry is.
+// State is the state of an entry in the queue.
 type State uint8
 
 // States of an entry.
@@ -60,98 +60,114 @@
 	StateReleased
 )
 
-// Entry is one request. The owner sets the exported fields before Offer.
+// Entry is one request. The caller sets the exported fields before Queue.Offer, except State, Reason
+// and RetryAfter.
 type Entry struct {
+	// Team is the name of the team that the request is charged to.
 	Team  string
 	Class Class
-	// Deadline is on the clock of now, zero for none.
+	// Deadline is the time at which the caller stops waiting, on the clock that is passed to the
+	// queue's methods as now; zero for none.
 	Deadline time.Duration
-	// Objective is by when the request should be granted, on the same clock, zero for none.
-	// One that would wait longer is refused on arrival: under a standing overload a long
-	// queue answers everybody late.
+	// Objective is the time by which the request should be granted, on the same clock, zero for
+	// none. A request whose expected wait exceeds it is refused on arrival: under sustained
+	// overload a long queue would delay every request.
 	Objective time.Duration
-	// HoldsConnection says that the request holds a connection already. It is taken in
-	// whatever the queue's length, and goes before others of its team and class.
+	// HoldsConnection says that the request already holds a connection. It is queued even if the
+	// queue is full, and is granted before others of its team and class.
 	HoldsConnection bool
-	// State and, once it is refused, Reason and RetryAfter are set by the queue.
+	// State is set by the queue, as are Reason and RetryAfter when the request is refused.
 	State      State
 	Reason     Reason
 	RetryAfter time.Duration
-	// Owner is left alone by the queue.
+	// Owner is for the caller's use; the queue ignores it.
 	Owner any
 
-	team    *team
-	index   int
-	arrived time.Duration
-	granted time.Duration
-	charged time.Duration
-	order   uint64
+	team *team
+	// index is the position in the team's heap, -1 if the entry isn't waiting.
+	index     int
+	arrivedAt time.Duration
+	grantedAt time.Duration
+	// chargedTime is the service time that was charged to the team at the grant.
+	chargedTime time.Duration
+	// sequence is the position in the order of arrival.
+	sequence uint64
 }
 
-// TeamLimit is what the configuration gives one team.
+// TeamLimit holds the configured limits of one team.
 type TeamLimit struct {
-	// Share weighs the team against others, 1 if unset.
+	// Share is the team's weight in the division of slot time among teams, 1 if unset.
 	Share int
-	// Requests bounds the team's waiting and running requests, none if unset.
+	// Requests is the maximum number of the team's waiting and running requests, unlimited if zero.
 	Requests int
 }
 
 // Defaults of a Queue.
 const (
-	DefaultLength      = 64
+	// DefaultLength is the default of Queue.Length, in requests.
+	DefaultLength = 64
+	// DefaultServiceTime is assumed until a request has released its slot.
 	DefaultServiceTime = 5 * time.Millisecond
-	// transactionRun is how many statements of transactions are granted in a row
-	// while others wait. Without it, transactions that follow each other closely
-	// would keep all others waiting for good.
-	transactionRun = 7
-	// smoothing is the weight of a new service time, as one part in this many.
-	smoothing = 16
-	// minimumRetryAfter keeps refused callers from coming back in a tight loop.
+	// maximumTransactionsInRow is the number of transaction statements that are granted in a row
+	// while other requests wait. Without this limit, a steady stream of transactions would
+	// starve all other requests.
+	maximumTransactionsInRow = 7
+	// smoothingDivisor is the divisor of the exponential moving average of service times: a new
+	// sample has a weight of 1/smoothingDivisor.
+	smoothingDivisor = 16
+	// minimumRetryAfter keeps refused callers from retrying in a tight loop.
 	minimumRetryAfter = 10 * time.Millisecond
 )
 
-// Queue decides who gets the slots of one backend server. The exported
-// settings may change between calls; it belongs to one goroutine at a time.
-// Granted and Refused collect the decisions of the last call to any method.
+// Queue divides the slots of one backend server among requests by weighted fair queueing between
+// teams. The exported settings may change between calls. A Queue must not be used concurrently.
 type Queue struct {
-	// Slots is how many requests may run at a time.
+	// Slots is the maximum number of requests that run at the same time.
 	Slots int
-	// Length bounds the waiting requests outside of transactions.
+	// Length is the maximum number of waiting requests outside of transactions, DefaultLength if
+	// zero.
 	Length int
-	// Teams holds the limits by team; unknown teams have share 1 and no limit.
+	// Teams holds the limits by team name. Teams without an entry have share 1 and no limit.
 	Teams map[string]TeamLimit
-	// OpenTransactions is how many transactions hold a connection. While there
-	// are any, a ClassWrite leaves the last slot free: writes that wait for a
-	// row lock could fill all slots, and the commit that frees the lock would
-	// wait behind them until their deadlines end it.
+	// OpenTransactions is the number of transactions that hold a connection. While it is above
+	// zero, the last slot is not granted to a ClassWrite: writes that wait for a row lock could
+	// fill all slots, and the commit that releases the lock would wait behind them until their
+	// deadlines.
 	OpenTransactions int
-	// Closed refuses new requests with this reason if it isn't ReasonNone;
-	// transactions may still end unless it is ReasonShutdown.
+	// Closed is the reason with which new requests are refused, ReasonNone to accept them.
+	// Statements of open transactions are still accepted unless it is ReasonShutdown.
 	Closed Reason
 
+	// Granted and Refused list the entries that the last method call granted and refused.
 	Granted []*Entry
 	Refused []*Entry
 
-	teams   map[string]*team
-	active  []*team
-	virtual time.Duration
-	service time.Duration
-	// deviation is the smoothed distance of service times from their mean.
-	deviation time.Duration
-	// progress is when a slot last came free, or was taken while another one was free.
-	progress time.Duration
-	running  int
-	waiting  [classes]int
-	run      int
-	order    uint64
+	// teams holds the teams with requests or with a virtual time above the queue's.
+	teams map[string]*team
+	// waitingTeams are the teams with at least one waiting entry.
+	waitingTeams []*team
+	// virtualTime is the highest virtual time that a team had when it was granted a slot.
+	virtualTime time.Duration
+	// serviceTime is the moving average of service times, zero if there is no sample.
+	serviceTime time.Duration
+	// serviceDeviation is the moving average of the absolute deviation from serviceTime.
+	serviceDeviation time.Duration
+	// progressAt is the time of the last grant or release of a slot.
+	progressAt time.Duration
+	running    int
+	waiting    [classCount]int
+	// transactionsInRow is the number of ClassTransaction entries granted since the last other one.
+	transactionsInRow int
+	// sequence is the number of entries offered so far.
+	sequence uint64
 }
 
-// Offer grants e, queues it, or refuses it.
+// Offer grants, queues or refuses e.
 func (q *Queue) Offer(e *Entry, now time.Duration) {
-	q.clear()
+	q.clearDecisions()
 	t := q.teamOf(e.Team)
-	q.order++
-	e.team, e.arrived, e.order, e.index, e.State = t, now, q.order, -1, StateWaiting
+	q.sequence++
+	e.team, e.arrivedAt, e.sequence, e.index, e.State = t, now, q.sequence, -1, StateWaiting
 	if r := q.refusal(e, now); r != ReasonNone {
 		q.refuse(e, r)
 		q.dropIdle(t)
@@ -161,10 +177,10 @@
 	q.grant(now)
 }
 
-// Cancel takes a waiting entry out and reports whether it had not been granted.
-// A granted entry must be released instead.
+// Cancel refuses e with ReasonCancelled if it is waiting. It reports whether e is refused now; if it
+// is not, e was granted and must be released instead.
 func (q *Queue) Cancel(e *Entry, now time.Duration) bool {
-	q.clear()
+	q.clearDecisions()
 	if e.State != StateWaiting {
 		return e.State == StateRefused
 	}
@@ -175,9 +191,9 @@
 	return true
 }
 
-// Expire refuses e if it still waits, as its deadline has come.
+// Expire refuses e with ReasonDeadline if it is still waiting. The caller calls it at the deadline.
 func (q *Queue) Expire(e *Entry, now time.Duration) {
-	q.clear()
+	q.clearDecisions()
 	if e.State != StateWaiting {
 		return
 	}
@@ -187,20 +203,20 @@
 	q.grant(now)
 }
 
-// Release gives the slot of a granted entry back.
+// Release frees the slot of a granted entry and records how long the entry held it.
 func (q *Queue) Release(e *Entry, now time.Duration) {
-	q.clear()
+	q.clearDecisions()
 	if e.State != StateGranted {
 		return
 	}
-	d := now - e.granted
-	q.learn(d)
+	d := now - e.grantedAt
+	q.observeServiceTime(d)
 	q.end(e, d, now)
 }
 
-// ReleaseUnused gives the slot of a granted entry back unused.
+// ReleaseUnused frees the slot of a granted entry without recording a service time.
 func (q *Queue) ReleaseUnused(e *Entry, now time.Duration) {
-	q.clear()
+	q.clearDecisions()
 	if e.State == StateGranted {
 		q.end(e, 0, now)
 	}
@@ -209,22 +225,22 @@
 func (q *Queue) end(e *Entry, took, now time.Duration) {
 	e.State = StateReleased
 	q.running--
-	q.progress = now
+	q.progressAt = now
 	e.team.running--
-	// What was charged at the grant was an estimate.
-	e.team.virtual += (took - e.charged) / time.Duration(e.team.share)
+	// The charge at the grant was an estimate: correct it by the time actually used.
+	e.team.virtualTime += (took - e.chargedTime) / time.Duration(e.team.share)
 	q.dropIdle(e.team)
 	q.grant(now)
 }
 
-// Adjust takes changed settings into account.
+// Adjust applies changes of the exported settings.
 func (q *Queue) Adjust(now time.Duration) {
-	q.clear()
+	q.clearDecisions()
 	if q.Closed != ReasonNone {
-		q.refuseAll()
+		q.refuseClosed()
 	}
 	for _, t := range q.teams {
-		t.set(q.Teams[t.name])
+		t.applyLimit(q.Teams[t.name])
 	}
 	q.grant(now)
 }
@@ -241,28 +257,30 @@
 // Running returns the number of slots in use.
 func (q *Queue) Running() int { return q.running }
 
-// ServiceTime returns the smoothed time for which a request holds a slot.
+// ServiceTime returns the moving average of the time for which a request holds a slot,
+// DefaultServiceTime if there is no sample.
 func (q *Queue) ServiceTime() time.Duration {
-	if q.service == 0 {
+	if q.serviceTime == 0 {
 		return DefaultServiceTime
 	}
-	return q.service
+	return q.serviceTime
 }
 
-// ResetServiceTime drops what was learnt of service times, where the slots that it was learnt on are
-// gone: refused by it, no request could run and correct it.
-func (q *Queue) ResetServiceTime() { q.service, q.deviation = 0, 0 }
+// ResetServiceTime discards the observed service times. It is called when the slots that they were
+// observed on are gone: an estimate that is too long would refuse every request, and none could run
+// and correct it.
+func (q *Queue) ResetServiceTime() { q.serviceTime, q.serviceDeviation = 0, 0 }
 
-func (q *Queue) learn(d time.Duration) {
-	if q.service == 0 {
-		q.service = max(d, 1)
+func (q *Queue) observeServiceTime(d time.Duration) {
+	if q.serviceTime == 0 {
+		q.serviceTime = max(d, 1)
 		return
 	}
-	q.deviation += ((d - q.service).Abs() - q.deviation) / smoothing
-	q.service = max(q.service+(d-q.service)/smoothing, 1)
+	q.serviceDeviation += ((d - q.serviceTime).Abs() - q.serviceDeviation) / smoothingDivisor
+	q.serviceTime = max(q.serviceTime+(d-q.serviceTime)/smoothingDivisor, 1)
 }
 
-func (q *Queue) clear() {
+func (q *Queue) clearDecisions() {
 	clear(q.Granted)
 	clear(q.Refused)
 	q.Granted = q.Granted[:0]
@@ -276,17 +294,18 @@
 	q.Refused = append(q.Refused, e)
 }
 
-// RefuseWaiting refuses all that wait, those of transactions as well: there is nothing left
-// to wait for.
+// RefuseWaiting refuses all waiting entries, including statements of transactions, when no slot will
+// become available.
 func (q *Queue) RefuseWaiting(r Reason) {
-	q.clear()
-	for c := range classes {
+	q.clearDecisions()
+	for c := range classCount {
 		q.refuseClass(c, r)
 	}
 }
 
-func (q *Queue) refuseAll() {
-	for c := range classes {
+// refuseClosed refuses the waiting entries that Closed does not permit.
+func (q *Queue) refuseClosed() {
+	for c := range classCount {
 		if c != ClassTransaction || q.Closed == ReasonShutdown {
 			q.refuseClass(c, q.Closed)
 		}
--- a/internal/limit/admitter/admitter_test.go
+++ b/internal/limit/admitter/admitter_test.go
@@ -19,7 +19,7 @@
 
 const ms = time.Millisecond
 
-// checker applies random calls and compares the queue with plain counting.
+// checker applies random calls and compares the queue with counts kept by the test.
 type checker struct {
 	t       *rapid.T
 	q       Queue
@@ -32,8 +32,8 @@
 func (c *checker) offer() {
 	e := &Entry{
 		Team:  rapid.SampledFrom([]string{"a", "b", "c"}).Draw(c.t, "team"),
-		Class: Class(rapid.IntRange(0, int(classes)-1).Draw(c.t, "class")),
-		// One in eight has a connection already.
+		Class: Class(rapid.IntRange(0, int(classCount)-1).Draw(c.t, "class")),
+		// One in eight already holds a connection.
 		HoldsConnection: rapid.IntRange(0, 7).Draw(c.t, "holding") == 7,
 	}
 	if d := rapid.IntRange(0, 40).Draw(c.t, "deadline"); d > 0 {
@@ -43,7 +43,7 @@
 	c.q.Offer(e, c.now)
 }
 
-// settle takes the decisions of one call in.
+// settle checks the decisions of the last call and updates the counts.
 func (c *checker) settle() {
 	for _, e := range c.q.Granted {
 		if s, ok := c.final[e]; ok {
@@ -70,9 +70,9 @@
 	if c.running > c.q.Slots || c.running != c.q.Running() || w != c.q.Waiting() {
 		c.t.Fatalf("%d running of %d slots, queue counts %d; %d waiting, queue counts %d", c.running, c.q.Slots, c.q.Running(), w, c.q.Waiting())
 	}
-	for _, a := range c.q.active {
+	for _, a := range c.q.waitingTeams {
 		if c.q.teams[a.name] != a {
-			c.t.Fatalf("team %s waits but is forgotten", a.name)
+			c.t.Fatalf("team %s has waiting entries but is not in the table of teams", a.name)
 		}
 	}
 	if w > 0 && c.running == 0 {
@@ -90,8 +90,8 @@
 	case k < 4 || e == nil:
 		c.offer()
 	case k < 5:
-		if not := c.q.Cancel(e, c.now); not == (e.State == StateGranted || e.State == StateReleased) {
-			c.t.Fatalf("cancel says not run: %t in state %v", not, e.State)
+		if refused := c.q.Cancel(e, c.now); refused == (e.State == StateGranted || e.State == StateReleased) {
+			c.t.Fatalf("Cancel = %t in state %v", refused, e.State)
 		}
 	case k < 6 && e.Deadline != 0 && e.Deadline <= c.now:
 		c.q.Expire(e, c.now)
@@ -107,9 +107,9 @@
 	c.settle()
 }
 
-// Callers come, cancel, run out of time and finish in any order. If the queue
-// loses count, a backend server gets more than it can take or stands idle, and
-// a caller that was told "not run" finds its booking made.
+// Guards against miscounted slots and wrong refusals when requests arrive, are cancelled, expire and
+// finish in any order: a backend server would be overloaded or idle, and a request reported as not run
+// would have run.
 func TestGrantsAreCountedAndRefusalsAreTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &checker{t: t, final: map[*Entry]State{}}
@@ -126,8 +126,8 @@
 	})
 }
 
-// Reads fill the queue and an adviser saves a note. The save is refused, and the
-// note has to be entered again, although a read could as well come back later.
+// Guards against a refused write while reads of the same team fill the queue: the user would have to
+// enter the data again, whereas a refused read can simply be repeated.
 func TestWritesDisplaceReadsOfTheirTeam(t *testing.T) {
 	q := Queue{Slots: 1, Length: 2}
 	l := []*Entry{{Class: ClassRead}, {Class: ClassRead}, {Class: ClassRead}, {Class: ClassWrite}, {Class: ClassWrite}, {Class: ClassWrite}}
@@ -142,9 +142,9 @@
 	}
 }
 
-// Two updates wait for a row lock and hold both slots. The commit that would
-// free the lock waits behind them until their time is out.
-func TestCommitFindsASlotBesideBlockedWrites(t *testing.T) {
+// Guards against a deadlock until the deadlines: two updates that wait for a row lock hold both slots,
+// and the commit that would release the lock waits behind them.
+func TestCommitGetsSlotBesideBlockedWrites(t *testing.T) {
 	q := Queue{Slots: 2, OpenTransactions: 1}
 	for range 3 {
 		q.Offer(&Entry{Class: ClassWrite}, 0)
@@ -152,7 +152,7 @@
 	commit := &Entry{Class: ClassTransaction}
 	q.Offer(commit, ms)
 	if commit.State != StateGranted {
-		t.Errorf("commit isn't granted beside blocked writes, %d running", q.Running())
+		t.Errorf("commit is not granted beside blocked writes, %d running", q.Running())
 	}
 }
 
@@ -166,9 +166,9 @@
 		{name: "room", q: Queue{Slots: 1}, e: Entry{Deadline: ms}},
 		{name: "late", q: Queue{Slots: 1}, e: Entry{Deadline: 1}, want: ReasonDeadline},
 		{name: "leaving", q: Queue{Slots: 1, Closed: ReasonLeaving}, e: Entry{Class: ClassRead}, want: ReasonLeaving},
-		{name: "leaving lets transactions end", q: Queue{Slots: 1, Closed: ReasonLeaving}, e: Entry{Class: ClassTransaction}},
+		{name: "leaving accepts statements of transactions", q: Queue{Slots: 1, Closed: ReasonLeaving}, e: Entry{Class: ClassTransaction}},
 		{name: "shutdown", q: Queue{Slots: 1, Closed: ReasonShutdown}, e: Entry{}, want: ReasonShutdown},
-		{name: "no time for the wait", q: Queue{Slots: 0, Length: 9}, e: Entry{Class: ClassRead, Deadline: 4 * ms}, want: ReasonExpectedWait},
+		{name: "expected wait beyond the deadline", q: Queue{Slots: 0, Length: 9}, e: Entry{Class: ClassRead, Deadline: 4 * ms}, want: ReasonExpectedWait},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -202,10 +202,10 @@
 	}
 }
 
-// A request had its slot, found no connection, and waited for one without the
-// slot. If it came back to a full queue as a newcomer it would be refused, or
-// wait a second time behind all the others while its connection is idle.
-func TestHoldingGoesBeforeNewcomers(t *testing.T) {
+// Guards against queueing a request a second time: it got a slot, found no free connection, and waited
+// for one without the slot. If it were then treated as a new request, it would be refused by a full
+// queue or wait behind all others while its connection is idle.
+func TestRequestHoldingConnectionIsGrantedFirst(t *testing.T) {
 	q := Queue{Slots: 1, Length: 1}
 	running, waiting := &Entry{Class: ClassRead}, &Entry{Class: ClassRead, Deadline: 90 * ms}
 	q.Offer(running, 0)
--- a/internal/limit/admitter/objective_test.go
+++ b/internal/limit/admitter/objective_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against a queue that answers everybody late: under a standing overload a request
-// is refused on arrival where its wait would outlast its objective, though not its deadline.
+// Guards against a queue that delays every request under sustained overload: a request is refused on
+// arrival if its expected wait exceeds its objective, though not its deadline.
 func TestObjectiveBoundsTheWait(t *testing.T) {
 	q := Queue{Slots: 1}
 	now := time.Duration(0)
@@ -27,9 +27,9 @@
 	}
 }
 
-// Guards against requests that wait to their deadlines behind a server that has stopped
-// answering: what requests took before says nothing about it.
-func TestStalledServerIsFoundOut(t *testing.T) {
+// Guards against requests that wait until their deadlines for a server that has stopped answering: the
+// service times of earlier requests don't show that it has.
+func TestStalledServerIsDetected(t *testing.T) {
 	q := Queue{Slots: 2}
 	now := time.Duration(0)
 	var held []*Entry
@@ -51,14 +51,14 @@
 	}
 	now += 50 * time.Millisecond
 	if e := offer(); e.State != StateWaiting {
-		t.Errorf("state %d after a short silence, want waiting", e.State)
+		t.Errorf("state %d after a short stall, want waiting", e.State)
 	}
 	now += 100 * time.Millisecond
 	if e := offer(); e.State != StateRefused {
-		t.Errorf("state %d after a long silence, want refused", e.State)
+		t.Errorf("state %d after a long stall, want refused", e.State)
 	}
 	q.Release(held[0], now)
 	if e := offer(); e.State == StateRefused {
-		t.Error("refused though a slot has just come free")
+		t.Error("refused although a slot has just been released")
 	}
 }
--- a/internal/limit/admitter/overload_test.go
+++ b/internal/limit/admitter/overload_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// caller offers requests to a queue in virtual time; each service takes work.
+// caller is a source of requests of one team and class in simulated time. The intervals between
+// requests are random, every on average; the first request comes at start.
 type caller struct {
 	name    string
 	class   Class
@@ -15,13 +16,14 @@
 	start   time.Duration
 }
 
-// totals is what became of the requests of one team.
+// totals counts the outcomes of one team's requests; worst is the longest wait for a slot.
 type totals struct {
 	useful, late, refused int
 	worst                 time.Duration
 }
 
-// simulate runs callers against q for a while in steps of 100 microseconds.
+// simulate runs callers against q for the time length in steps of 100 microseconds. Each request holds
+// its slot for work on average.
 func simulate(q *Queue, work, length time.Duration, callers []caller) map[string]*totals {
 	r := rand.New(rand.NewPCG(1, 2))
 	sum := map[string]*totals{}
@@ -33,7 +35,7 @@
 			for _, e := range q.Granted {
 				running = append(running, e)
 				ends[e] = now + time.Duration(float64(work)*(0.5+r.Float64()))
-				sum[e.Team].worst = max(sum[e.Team].worst, now-e.arrived)
+				sum[e.Team].worst = max(sum[e.Team].worst, now-e.arrivedAt)
 			}
 			for _, e := range q.Refused {
 				sum[e.Team].refused++
@@ -74,8 +76,8 @@
 	return sum
 }
 
-// All callers come at several times what the slots can do. A queue that takes
-// everybody in ends nearly every request too late, and the work is wasted.
+// Guards against the collapse of useful throughput when requests arrive at several times the capacity:
+// a queue that accepts all of them finishes nearly each one after its deadline.
 func TestOverloadKeepsUsefulThroughput(t *testing.T) {
 	useful := func(percent int) int {
 		q := &Queue{Slots: 2}
@@ -95,8 +97,8 @@
 	}
 }
 
-// One team sends ten times what the slots can do. Callers of the other teams
-// wait behind it for seconds although they ask for little.
+// Guards against one team that sends ten times the capacity and makes the requests of other teams,
+// which send few, wait for seconds.
 func TestShares(t *testing.T) {
 	q := &Queue{Slots: 2, Length: 60, Teams: map[string]TeamLimit{"double": {Share: 2}}}
 	s := simulate(q, 4*ms, 20*time.Second, []caller{
@@ -112,9 +114,9 @@
 	}
 }
 
-// A team that asked for nothing all day starts to send more than the slots can
-// do. If it had saved up its share, all others would now wait for hours.
-func TestIdleTeamsSaveUpNothing(t *testing.T) {
+// Guards against credit for idle time: a team that was idle for long starts to send more than the
+// capacity, and its accumulated share would keep all other teams waiting.
+func TestIdleTeamsAccumulateNoCredit(t *testing.T) {
 	s := simulate(&Queue{Slots: 2, Length: 60}, 4*ms, 20*time.Second, []caller{
 		{name: "steady", class: ClassRead, every: ms},
 		{name: "late", class: ClassRead, every: ms, start: 18 * time.Second},
@@ -124,8 +126,8 @@
 	}
 }
 
-// Transactions follow each other so closely that one of their statements always
-// waits. Without a turn for the others, single reads would never run.
+// Guards against starvation by transactions: one of their statements is always waiting, and without
+// maximumTransactionsInRow other reads would never run.
 func TestTransactionsDoNotStarveOthers(t *testing.T) {
 	s := simulate(&Queue{Slots: 2}, 4*ms, 5*time.Second, []caller{
 		{name: "transactions", class: ClassTransaction, every: ms},
--- a/internal/limit/admitter/team.go
+++ b/internal/limit/admitter/team.go
@@ -6,20 +6,19 @@
 	"time"
 )
 
-// sweepTeams is how many idle teams are kept at least before a sweep.
-const sweepTeams = 64
+// minimumTeamsToSweep is the number of idle teams that are kept before a sweep.
+const minimumTeamsToSweep = 64
 
-// team is the waiting and running part of one team. It is forgotten once it has
-// nothing of either and no advantage or debt in virtual time, so that the queue
-// doesn't grow with all teams ever seen.
+// team holds the waiting and running requests of one team. It is dropped once it has none and its
+// virtual time isn't above the queue's, so that memory doesn't grow with each team name ever seen.
 type team struct {
 	name  string
 	share int
-	// virtual is the slot time that the team has had, divided by its share.
-	virtual time.Duration
-	running int
-	heaps   [classes]entryHeap
-	active  bool
+	// virtualTime is the slot time charged to the team, divided by its share.
+	virtualTime time.Duration
+	running     int
+	heaps       [classCount]entryHeap
+	isWaiting   bool
 }
 
 // entryHeap orders the entries of one team and class by deadline.
@@ -51,14 +50,14 @@
 	return e
 }
 
-// before orders those that hold a connection first, then by deadline, those
-// without one last, then by arrival.
+// before reports whether e is granted before o. Entries that hold a connection come first, then
+// those with the earlier deadline, those without a deadline last; ties are broken by arrival.
 func (e *Entry) before(o *Entry) bool {
 	if e.HoldsConnection != o.HoldsConnection {
 		return e.HoldsConnection
 	}
 	if e.Deadline == o.Deadline {
-		return e.order < o.order
+		return e.sequence < o.sequence
 	}
 	if e.Deadline == 0 || o.Deadline == 0 {
 		return o.Deadline == 0
@@ -66,21 +65,22 @@
 	return e.Deadline < o.Deadline
 }
 
-func (t *team) set(l TeamLimit) {
+func (t *team) applyLimit(l TeamLimit) {
 	t.share = max(1, l.Share)
 }
 
-// load is how many of the team's requests wait outside of transactions.
-func (t *team) load() int {
+// queued returns the number of the team's waiting requests outside of transactions.
+func (t *team) queued() int {
 	return len(t.heaps[ClassRead]) + len(t.heaps[ClassWrite])
 }
 
+// requests returns the number of the team's running and waiting requests.
 func (t *team) requests() int {
-	return t.running + t.load() + len(t.heaps[ClassTransaction])
+	return t.running + t.queued() + len(t.heaps[ClassTransaction])
 }
 
-// last returns the waiting entry of class c that would come last, nil if none.
-// One that holds a connection doesn't give way.
+// last returns the waiting entry of class c that would be granted last, nil if there is none. Entries
+// that hold a connection are left out, as they are not displaced.
 func (t *team) last(c Class) *Entry {
 	var l *Entry
 	for _, e := range t.heaps[c] {
@@ -99,22 +99,22 @@
 	if q.teams == nil {
 		q.teams = make(map[string]*team)
 	}
-	if len(q.teams) >= 2*len(q.active)+sweepTeams {
+	if len(q.teams) >= 2*len(q.waitingTeams)+minimumTeamsToSweep {
 		q.sweep()
 	}
-	t = &team{name: name, virtual: q.virtual}
-	t.set(q.Teams[name])
+	t = &team{name: name, virtualTime: q.virtualTime}
+	t.applyLimit(q.Teams[name])
 	q.teams[name] = t
 	return t
 }
 
 func (q *Queue) push(e *Entry) {
 	t := e.team
-	if !t.active {
-		t.active = true
-		// A team saves up nothing while it asks for nothing.
-		t.virtual = max(t.virtual, q.virtual)
-		q.active = append(q.active, t)
+	if !t.isWaiting {
+		t.isWaiting = true
+		// An idle team accumulates no credit.
+		t.virtualTime = max(t.virtualTime, q.virtualTime)
+		q.waitingTeams = append(q.waitingTeams, t)
 	}
 	heap.Push(&t.heaps[e.Class], e)
 	q.waiting[e.Class]++
@@ -124,24 +124,24 @@
 	t := e.team
 	heap.Remove(&t.heaps[e.Class], e.index)
 	q.waiting[e.Class]--
-	if t.load()+len(t.heaps[ClassTransaction]) > 0 {
+	if t.queued()+len(t.heaps[ClassTransaction]) > 0 {
 		return
 	}
-	t.active = false
-	i := slices.Index(q.active, t)
-	q.active = slices.Delete(q.active, i, i+1)
+	t.isWaiting = false
+	i := slices.Index(q.waitingTeams, t)
+	q.waitingTeams = slices.Delete(q.waitingTeams, i, i+1)
 }
 
-// sweep forgets the idle teams that still had a debt when they became idle.
+// sweep drops the idle teams that dropIdle kept because their virtual time was above the queue's.
 func (q *Queue) sweep() {
 	for _, t := range q.teams {
 		q.dropIdle(t)
 	}
 }
 
-// dropIdle forgets t if nothing of it is left.
+// dropIdle drops t if it has no requests and its virtual time isn't above the queue's.
 func (q *Queue) dropIdle(t *team) {
-	if t.requests() == 0 && t.virtual <= q.virtual {
+	if t.requests() == 0 && t.virtualTime <= q.virtualTime {
 		delete(q.teams, t.name)
 	}
 }
