--- a/internal/limit/admitter/admitter.go
+++ b/internal/limit/admitter/admitter.go
@@ -164,7 +164,7 @@
 
 // Offer grants, queues or refuses e.
 func (q *Queue) Offer(e *Entry, now time.Duration) {
-	q.clearDecisions()
+	q.clear()
 	t := q.teamOf(e.Team)
 	q.sequence++
 	e.team, e.arrivedAt, e.sequence, e.index, e.State = t, now, q.sequence, -1, StateWaiting
@@ -180,7 +180,7 @@
 // Cancel refuses e with ReasonCancelled if it is waiting. It reports whether e is refused now; if it
 // is not, e was granted and must be released instead.
 func (q *Queue) Cancel(e *Entry, now time.Duration) bool {
-	q.clearDecisions()
+	q.clear()
 	if e.State != StateWaiting {
 		return e.State == StateRefused
 	}
@@ -193,7 +193,7 @@
 
 // Expire refuses e with ReasonDeadline if it is still waiting. The caller calls it at the deadline.
 func (q *Queue) Expire(e *Entry, now time.Duration) {
-	q.clearDecisions()
+	q.clear()
 	if e.State != StateWaiting {
 		return
 	}
@@ -205,7 +205,7 @@
 
 // Release frees the slot of a granted entry and records how long the entry held it.
 func (q *Queue) Release(e *Entry, now time.Duration) {
-	q.clearDecisions()
+	q.clear()
 	if e.State != StateGranted {
 		return
 	}
@@ -216,7 +216,7 @@
 
 // ReleaseUnused frees the slot of a granted entry without recording a service time.
 func (q *Queue) ReleaseUnused(e *Entry, now time.Duration) {
-	q.clearDecisions()
+	q.clear()
 	if e.State == StateGranted {
 		q.end(e, 0, now)
 	}
@@ -235,7 +235,7 @@
 
 // Adjust applies changes of the exported settings.
 func (q *Queue) Adjust(now time.Duration) {
-	q.clearDecisions()
+	q.clear()
 	if q.Closed != ReasonNone {
 		q.refuseClosed()
 	}
@@ -280,7 +280,8 @@
 	q.serviceTime = max(q.serviceTime+(d-q.serviceTime)/smoothingDivisor, 1)
 }
 
-func (q *Queue) clearDecisions() {
+// clear empties Granted and Refused at the start of each method call.
+func (q *Queue) clear() {
 	clear(q.Granted)
 	clear(q.Refused)
 	q.Granted = q.Granted[:0]
@@ -297,7 +298,7 @@
 // RefuseWaiting refuses all waiting entries, including statements of transactions, when no slot will
 // become available.
 func (q *Queue) RefuseWaiting(r Reason) {
-	q.clearDecisions()
+	q.clear()
 	for c := range classCount {
 		q.refuseClass(c, r)
 	}
