--- a/internal/limit/retrier/retrier.go
+++ b/internal/limit/retrier/retrier.go
@@ -1,50 +1,54 @@
-// Package retrier decides whether a request may be run again, within a budget.
+// Package retrier decides whether and when a request is retried, within a retry budget.
 package retrier
 
 import "sync"
 
-// Outcome is how the first run ended.
+// Outcome is the outcome of the previous run of a request.
 type Outcome uint8
 
 // Outcomes of a run.
 const (
-	// OutcomeUnknown may have run.
+	// OutcomeUnknown means that the request may have taken effect.
 	OutcomeUnknown Outcome = iota
-	// OutcomeNotRun certainly had no effect.
+	// OutcomeNotRun means that the request had no effect.
 	OutcomeNotRun
-	// OutcomeRan took effect.
+	// OutcomeRan means that the request took effect.
 	OutcomeRan
 )
 
 // Defaults of a Budget.
 const (
+	// DefaultShare is the default of Budget.Share.
 	DefaultShare = 0.1
+	// DefaultBurst is the default of Budget.Burst, in retries.
 	DefaultBurst = 10
 )
 
-// Budget bounds retries to a share of the traffic. Without it, an overload makes
-// requests fail, their retries add to the overload, and it never ends. Its
-// exported fields are set before use; it may be used by many goroutines.
+// Budget limits retries to a share of the traffic. Without it, requests that fail under overload are
+// retried, and the retries sustain the overload. Its exported fields are set before use, zero fields
+// take their defaults. A Budget is safe for concurrent use.
 type Budget struct {
-	// Share is the largest part of the traffic that may be retries.
+	// Share is the maximum number of retries per first run in the long term.
 	Share float64
-	// Burst is how many retries may be saved up, and how many there are at first.
+	// Burst is the maximum number of retries that the budget accumulates, and the number that it
+	// starts with.
 	Burst float64
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// spent is the number of retries taken from Burst and not earned back yet.
 	spent float64
 }
 
-// CountRequest counts a first run, which earns a part of a retry.
+// CountRequest counts the first run of a request, which adds Share retries to the budget.
 func (b *Budget) CountRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.spent = max(0, b.spent-orDefault(b.Share, DefaultShare))
 }
 
-// Allow reports whether a request whose run ended with o may be run again, and
-// takes one retry from the budget if so. A request of unknown outcome is only
-// repeated if it is repeatable, as a read is.
+// Allow reports whether a request whose run ended with o may be run again, and takes one retry from
+// the budget if so. A request of unknown outcome may only be run again if it is repeatable, as a read
+// is.
 func (b *Budget) Allow(o Outcome, repeatable bool) bool {
 	if o == OutcomeRan || o == OutcomeUnknown && !repeatable {
 		return false
@@ -58,14 +62,15 @@
 	return true
 }
 
-// HasReserve reports whether at least half of the saved-up retries are left, for
-// requests that go a way on which they may need one and have another.
+// HasReserve reports whether at least half of Burst is left. A caller checks it before it takes a path
+// that may need a retry and that has an alternative.
 func (b *Budget) HasReserve() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.spent*2 <= orDefault(b.Burst, DefaultBurst)
 }
 
+// orDefault returns d if v is zero, else v.
 func orDefault(v, d float64) float64 {
 	if v == 0 {
 		return d
--- a/internal/limit/retrier/retrier_test.go
+++ b/internal/limit/retrier/retrier_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// A server refuses everything for a while and each refused request is tried
-// again. Without the budget the entry host doubles the load that broke it.
+// Guards against retries that double the load of an overloaded server: it refuses all requests for a
+// while, and each refused request is retried.
 func TestRetriesStayWithinTheirShare(t *testing.T) {
 	var b Budget
 	n := 0
@@ -39,20 +39,20 @@
 	}
 }
 
-func TestSpare(t *testing.T) {
+func TestHasReserve(t *testing.T) {
 	b := Budget{Share: 0.5, Burst: 4}
 	for n := range 3 {
 		if !b.HasReserve() {
-			t.Errorf("nothing to spare after %d of 4 retries", n)
+			t.Errorf("no reserve after %d of 4 retries", n)
 		}
 		b.Allow(OutcomeNotRun, true)
 	}
 	if b.HasReserve() {
-		t.Error("more than half is spent, and there is some to spare")
+		t.Error("reserve although more than half of the retries are spent")
 	}
 	b.CountRequest()
 	b.CountRequest()
 	if !b.HasReserve() {
-		t.Error("nothing to spare after traffic has earned a retry")
+		t.Error("no reserve after first runs have earned a retry")
 	}
 }
--- a/internal/limit/retrier/statement.go
+++ b/internal/limit/retrier/statement.go
@@ -5,106 +5,114 @@
 	"time"
 )
 
-// Cause is why a server didn't run a statement.
+// Cause is the reason why a server didn't run a statement.
 type Cause uint8
 
-// Causes.
+// Causes of a statement that was not run.
 const (
-	// CauseQueueTooLong is a queue in front of the server that would keep the statement beyond
-	// its deadline.
+	// CauseQueueTooLong means that the queue for the server is so long that the statement would
+	// miss its deadline.
 	CauseQueueTooLong Cause = iota
-	// CauseBusy is a server that had no room at that moment.
+	// CauseBusy means that the server had no capacity at that moment.
 	CauseBusy
-	// CauseBehind is a replica whose log lacks what the read needs.
+	// CauseBehind means that the replica's log hasn't reached the position that the read requires.
 	CauseBehind
-	// CauseUnreachable is a server to which there is no connection, or whose connection broke.
+	// CauseUnreachable means that there is no connection to the server, or that it broke.
 	CauseUnreachable
-	// CauseNotPrimary is a server that doesn't lead, or didn't prove that it does.
+	// CauseNotPrimary means that the server isn't the primary or didn't prove that it is.
 	CauseNotPrimary
 )
 
-// Action is what to do next with a statement.
+// Action is the next step for a statement.
 type Action uint8
 
 // Actions.
 const (
-	// ActionChoose: choose among the servers that aren't excluded.
+	// ActionChoose means to choose among the servers that aren't excluded, now.
 	ActionChoose Action = iota
-	// ActionWait: wait for Delay, or for news of the group's servers, and choose then.
+	// ActionWait means to wait until Step.Delay has passed or the status of a server of the group
+	// changes, and then to choose.
 	ActionWait
-	// ActionRefuse: answer that the statement has not run.
+	// ActionRefuse means to answer that the statement has not run.
 	ActionRefuse
 )
 
-// Step is a decision on a statement.
+// Step is the decision on how to continue with a statement.
 type Step struct {
 	Action Action
-	// Delay goes with ActionWait.
+	// Delay is set for ActionWait: the longest time to wait.
 	Delay time.Duration
-	// RetryAfter goes with ActionRefuse: when the caller had better come back, zero if
-	// nothing is known.
+	// RetryAfter is set for ActionRefuse: the time after which the caller may retry, zero if
+	// unknown.
 	RetryAfter time.Duration
 }
 
 const (
-	// maximumTries bounds how often one statement is sent.
+	// maximumTries is the maximum number of times that one statement is sent.
 	maximumTries = 8
-	// firstPause is waited before a server is tried again; it doubles up to longestPause.
-	firstPause   = 10 * time.Millisecond
-	longestPause = 160 * time.Millisecond
-	// newsPause is waited for news where no server can be tried.
-	newsPause = 100 * time.Millisecond
-	// unreachableHold bounds the wait for a server that can be reached. A failover that is
-	// nearly over shows within it; one that has only begun outlasts most deadlines.
-	unreachableHold = 150 * time.Millisecond
+	// initialBackoff is the mean wait before a server is first tried again. The wait doubles with
+	// each further round up to maximumBackoff, and is randomized.
+	initialBackoff = 10 * time.Millisecond
+	maximumBackoff = 160 * time.Millisecond
+	// statusWait is the longest wait for a status change while no server can be tried.
+	statusWait = 100 * time.Millisecond
+	// maximumUnreachableWait is the longest time that a statement waits while no server can be
+	// reached. A failover that is nearly complete ends within it; one that has just begun lasts
+	// longer than most deadlines.
+	maximumUnreachableWait = 150 * time.Millisecond
 )
 
-// Statement decides what becomes of one statement that servers turn away. The
-// exported fields are set before use; it belongs to one goroutine.
+// Statement holds the retry state of one statement and decides how to continue when a server refuses
+// it. The exported fields are set before use. A Statement must not be used concurrently.
 type Statement struct {
-	// Deadline is on the clock of now.
+	// Deadline is the time by which the statement must end, on the clock that is passed to the
+	// methods as now.
 	Deadline time.Duration
-	// SingleServer says that only the primary will do.
+	// SingleServer says that only one server can run the statement: the primary, or the server of
+	// the open transaction.
 	SingleServer bool
-	// Budget bounds the tries at servers that had no room, unbounded if nil.
+	// Budget limits the retries at servers that were busy, unlimited if nil.
 	Budget *Budget
 
-	// full are servers that can't run the statement by its deadline, passed those that
-	// are left out until the others have been tried.
-	full   []string
-	passed []string
-	tries  int
-	pause  time.Duration
-	// busy and behind say why servers of this round were passed.
+	// queueTooLong are the servers that can't run the statement by its deadline. They are never
+	// tried again.
+	queueTooLong []string
+	// skipped are the servers that are excluded until all others have been tried.
+	skipped []string
+	tries   int
+	// backoff is the mean of the last backoff, zero before the first.
+	backoff time.Duration
+	// busy and behind say whether a server was skipped in this round for CauseBusy or CauseBehind.
 	busy, behind bool
-	// failing says that no server can be reached, since failingSince.
-	failing      bool
-	failingSince time.Duration
-	retryAfter   time.Duration
+	// unreachable says that no server can be reached, since unreachableSince.
+	unreachable      bool
+	unreachableSince time.Duration
+	// retryAfter is the shortest retry time that a queue has reported, zero if none.
+	retryAfter time.Duration
 }
 
-// Excluded returns the servers that aren't to be chosen now.
-func (s *Statement) Excluded() []string { return slices.Concat(s.full, s.passed) }
+// Excluded returns the servers that must not be chosen now.
+func (s *Statement) Excluded() []string { return slices.Concat(s.queueTooLong, s.skipped) }
 
-// CountTry counts a try.
+// CountTry counts one sending of the statement.
 func (s *Statement) CountTry() { s.tries++ }
 
-// Tries returns how often the statement was sent.
+// Tries returns the number of times that the statement was sent.
 func (s *Statement) Tries() int { return s.tries }
 
-// Refused decides after the server turned the statement away. retryAfter is what the
-// queue of the server said, zero for nothing; draw is a random number.
-func (s *Statement) Refused(server string, c Cause, retryAfter, now time.Duration, draw uint64) Step {
+// Refused decides how to continue after the server refused the statement for c. retryAfter is the
+// retry time that the server's queue reported, zero if none; random is any random number.
+func (s *Statement) Refused(server string, c Cause, retryAfter, now time.Duration, random uint64) Step {
 	if s.tries >= maximumTries || now >= s.Deadline {
 		return s.refuse()
 	}
 	if c != CauseUnreachable {
-		s.failing = false
+		s.unreachable = false
 	}
 	switch {
 	case c == CauseQueueTooLong:
-		s.offer(retryAfter)
-		s.full = append(s.full, server)
+		s.noteRetryAfter(retryAfter)
+		s.queueTooLong = append(s.queueTooLong, server)
 		if s.SingleServer {
 			return s.refuse()
 		}
@@ -112,16 +120,16 @@
 	case c == CauseNotPrimary:
 		return Step{}
 	case s.SingleServer:
-		return s.again(c, now, draw)
+		return s.retryLater(c, now, random)
 	}
 	s.busy = s.busy || c == CauseBusy
 	s.behind = s.behind || c == CauseBehind
-	s.passed = append(s.passed, server)
+	s.skipped = append(s.skipped, server)
 	return Step{}
 }
 
-// Exhausted decides where no server is left to choose.
-func (s *Statement) Exhausted(now time.Duration, draw uint64) Step {
+// Exhausted decides how to continue when no server is left to choose; random is any random number.
+func (s *Statement) Exhausted(now time.Duration, random uint64) Step {
 	c := CauseUnreachable
 	switch {
 	case now >= s.Deadline:
@@ -130,44 +138,45 @@
 		c = CauseBehind
 	case s.busy:
 		c = CauseBusy
-	case len(s.full) > 0 && len(s.passed) == 0:
+	case len(s.queueTooLong) > 0 && len(s.skipped) == 0:
 		return s.refuse()
 	}
-	s.passed, s.busy, s.behind = s.passed[:0], false, false
-	return s.again(c, now, draw)
+	s.skipped, s.busy, s.behind = s.skipped[:0], false, false
+	return s.retryLater(c, now, random)
 }
 
-// ServersUnknown decides where nothing is known yet to choose a server by: it has the statement
-// wait for pause.
-func (s *Statement) ServersUnknown(now, pause time.Duration) Step {
+// ServersUnknown decides how to continue while nothing is known yet to choose a server by: the
+// statement waits for delay, at most until its deadline.
+func (s *Statement) ServersUnknown(now, delay time.Duration) Step {
 	if now >= s.Deadline {
 		return s.refuse()
 	}
-	return Step{Action: ActionWait, Delay: min(pause, s.Deadline-now)}
+	return Step{Action: ActionWait, Delay: min(delay, s.Deadline-now)}
 }
 
-// again decides on trying servers once more that didn't run the statement for c.
-func (s *Statement) again(c Cause, now time.Duration, draw uint64) Step {
+// retryLater decides whether, and after which delay, to try servers again that didn't run the
+// statement for c.
+func (s *Statement) retryLater(c Cause, now time.Duration, random uint64) Step {
 	switch c {
 	case CauseBusy:
 		if s.Budget != nil && !s.Budget.Allow(OutcomeNotRun, true) {
 			return s.refuse()
 		}
 	case CauseUnreachable:
-		if !s.failing {
-			s.failing, s.failingSince = true, now
+		if !s.unreachable {
+			s.unreachable, s.unreachableSince = true, now
 		}
-		held := now - s.failingSince
-		if held >= unreachableHold {
+		waited := now - s.unreachableSince
+		if waited >= maximumUnreachableWait {
 			return s.refuse()
 		}
-		return s.wait(min(newsPause, unreachableHold-held), now)
+		return s.wait(min(statusWait, maximumUnreachableWait-waited), now)
 	}
-	s.pause = min(max(firstPause, 2*s.pause), longestPause)
-	return s.wait(s.pause/2+time.Duration(draw%uint64(s.pause)), now)
+	s.backoff = min(max(initialBackoff, 2*s.backoff), maximumBackoff)
+	return s.wait(s.backoff/2+time.Duration(random%uint64(s.backoff)), now)
 }
 
-// wait waits, unless the statement's time would be over then.
+// wait returns a step that waits for d, or a refusal if the deadline would be reached by then.
 func (s *Statement) wait(d, now time.Duration) Step {
 	if now+d >= s.Deadline {
 		return s.refuse()
@@ -175,8 +184,8 @@
 	return Step{Action: ActionWait, Delay: d}
 }
 
-// offer notes when a queue will have room; the soonest is told.
-func (s *Statement) offer(d time.Duration) {
+// noteRetryAfter records after which time a queue will have room; the shortest one is reported.
+func (s *Statement) noteRetryAfter(d time.Duration) {
 	if s.retryAfter == 0 || d > 0 && d < s.retryAfter {
 		s.retryAfter = d
 	}
--- a/internal/limit/retrier/statement_test.go
+++ b/internal/limit/retrier/statement_test.go
@@ -10,8 +10,8 @@
 
 const deadline = 800 * time.Millisecond
 
-// Guards against statements that are sent again to a server whose queue is too long for
-// them: eight tries of each kept an overload going after its cause had ended.
+// Guards against statements that are sent again to a server whose queue is too long for them: eight
+// tries of each statement sustained an overload after its cause had ended.
 func TestFullServerIsNotTriedAgain(t *testing.T) {
 	s := Statement{Deadline: deadline, SingleServer: true}
 	s.CountTry()
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestReadGoesElsewhere(t *testing.T) {
+func TestReadIsSentToOtherServers(t *testing.T) {
 	s := Statement{Deadline: deadline}
 	for i, name := range []string{"a", "b", "c"} {
 		s.CountTry()
@@ -28,20 +28,21 @@
 			t.Fatalf("step %+v after %s", x, name)
 		}
 		if !slices.Contains(s.Excluded(), name) {
-			t.Errorf("%s isn't excluded", name)
+			t.Errorf("%s is not excluded", name)
 		}
 	}
 	if x := s.Exhausted(time.Millisecond, 1); x.Action != ActionRefuse || x.RetryAfter != 10*time.Millisecond {
-		t.Errorf("step %+v, want a refusal that tells the soonest time", x)
+		t.Errorf("step %+v, want a refusal with the shortest retry time", x)
 	}
 }
 
-// A replica that lags catches up: it is tried again, a server that is full isn't.
+// Guards against excluding a lagging replica for good: it catches up and is tried again, unlike a
+// server whose queue is too long.
 func TestReplicaBehindIsTriedAgain(t *testing.T) {
 	s := Statement{Deadline: deadline}
 	s.Refused("a", CauseBehind, 0, 0, 1)
 	s.Refused("b", CauseQueueTooLong, 0, 0, 1)
-	if x := s.Exhausted(0, 1); x.Action != ActionWait || x.Delay > 2*firstPause {
+	if x := s.Exhausted(0, 1); x.Action != ActionWait || x.Delay > 2*initialBackoff {
 		t.Errorf("step %+v", x)
 	}
 	if slices.Contains(s.Excluded(), "a") || !slices.Contains(s.Excluded(), "b") {
@@ -49,9 +50,8 @@
 	}
 }
 
-// Guards against a statement that is held for as long as its caller waits though no
-// server can be reached.
-func TestUnreachableServersAreSaidSoon(t *testing.T) {
+// Guards against a statement that waits until its deadline although no server can be reached.
+func TestUnreachableServersAreReportedSoon(t *testing.T) {
 	s := Statement{Deadline: deadline, SingleServer: true}
 	now := time.Duration(0)
 	for {
@@ -61,12 +61,13 @@
 		}
 		now += x.Delay
 	}
-	if now > unreachableHold {
+	if now > maximumUnreachableWait {
 		t.Errorf("refused after %s", now)
 	}
 }
 
-// Guards against retries that outlast the statement or load a busy server without bound.
+// Guards against retries that continue after the statement's deadline or add unbounded load to a busy
+// server.
 func TestStatementsEnd(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		b := &Budget{Share: 0.5, Burst: 10}
@@ -77,7 +78,7 @@
 		now := time.Duration(0)
 		for n := 0; ; n++ {
 			if n > 20*maximumTries {
-				t.Fatal("goes on and on")
+				t.Fatal("statement does not end")
 			}
 			name := ""
 			for _, x := range servers {
