--- a/internal/limit/gate/gate.go
+++ b/internal/limit/gate/gate.go
@@ -1,4 +1,5 @@
-// Package gate lets requests wait for the slots of one backend server, in the order of an admitter.
+// Package gate blocks requests until they get a slot of one backend server, in the order of an
+// admitter.Queue.
 package gate
 
 import (
@@ -13,7 +14,7 @@
 	"github.com/cuminwick/cuminwick/internal/limit/admitter"
 )
 
-// ErrNotGranted is matched by each *Refusal.
+// ErrNotGranted is matched by each *Refusal with errors.Is.
 const ErrNotGranted = errors.ConstError("request not run")
 
 // SQLSTATE values of a refusal.
@@ -22,11 +23,11 @@
 	stateQueryCanceled      = "57014"
 )
 
-// Refusal is the error of a request that did not run, not in part either.
+// Refusal is the error of a request that got no slot. No part of the request has run.
 type Refusal struct {
 	BackendServer string
 	Reason        admitter.Reason
-	// RetryAfter is when a retry may have better luck.
+	// RetryAfter is the time after which a retry is likely to be granted, zero if unknown.
 	RetryAfter time.Duration
 }
 
@@ -38,8 +39,8 @@
 // Is reports whether target is ErrNotGranted.
 func (r *Refusal) Is(target error) bool { return target == ErrNotGranted }
 
-// SQLState returns the code for the caller: 57014 where its deadline or its own
-// cancel ended the request, 53300 where there was no room.
+// SQLState returns the SQLSTATE for the caller: 57014 if the deadline passed or the caller cancelled
+// the request, 53300 otherwise.
 func (r *Refusal) SQLState() string {
 	switch r.Reason {
 	case admitter.ReasonDeadline, admitter.ReasonCancelled:
@@ -48,34 +49,38 @@
 	return stateTooManyConnections
 }
 
-// RetryAfterHint returns RetryAfter.
+// RetryAfterHint returns RetryAfter, for callers that match errors by interface.
 func (r *Refusal) RetryAfterHint() time.Duration { return r.RetryAfter }
 
-// RefusalReason returns the reason in kebab case.
+// RefusalReason returns the reason in kebab case, for callers that match errors by interface.
 func (r *Refusal) RefusalReason() string { return r.Reason.String() }
 
-// Request is what a caller wants a slot for.
+// Request describes a request for a slot.
 type Request struct {
+	// Team is the name of the team that the request is charged to.
 	Team  string
 	Class admitter.Class
-	// HoldsConnection says that the request holds a connection already.
+	// HoldsConnection says that the request already holds a connection, see
+	// admitter.Entry.HoldsConnection.
 	HoldsConnection bool
-	// Timeout is how long the request may take in all, zero for no bound.
+	// Timeout is the time that the request may take including its wait, zero for no limit.
 	Timeout time.Duration
 }
 
-// Gate guards the slots of one backend server. Its exported fields are set
-// before use; it may be used by many goroutines and starts none.
+// Gate hands out the slots of one backend server. Its exported fields are set before use. A Gate is safe
+// for concurrent use and starts no goroutines.
 type Gate struct {
+	// BackendServer is the name of the server, for refusals.
 	BackendServer string
-	// Queue holds the settings; the gate owns it once Acquire is called.
+	// Queue holds the settings and the waiting requests. After the first Acquire it may only be
+	// changed by Adjust.
 	Queue admitter.Queue
-	// Clock tells when a waiting request's time is over, a timer of each
-	// request's own if nil.
+	// Clock schedules the timeouts of waiting requests. If it is nil, each request uses a timer of
+	// its own.
 	Clock *scheduler.Scheduler
 
-	mu    sync.Mutex
-	watch scheduler.Stopwatch
+	mu        sync.Mutex
+	stopwatch scheduler.Stopwatch
 }
 
 // Slot is the right to run one request. It must be released exactly once.
@@ -91,12 +96,12 @@
 	done chan struct{}
 }
 
-// Acquire waits for a slot. It returns a *Refusal at once when the request is
-// refused, and when its time runs out or ctx ends while it waits.
+// Acquire waits for a slot. It returns a *Refusal as soon as the request is refused, its timeout passes
+// or ctx ends.
 func (g *Gate) Acquire(ctx context.Context, r Request) (*Slot, error) {
 	w := &waiter{done: make(chan struct{})}
 	w.entry.Team, w.entry.Class, w.entry.HoldsConnection = r.Team, r.Class, r.HoldsConnection
-	var late <-chan time.Time
+	var timedOut <-chan time.Time
 	g.offer(w, r.Timeout)
 	select {
 	case <-w.done:
@@ -106,59 +111,58 @@
 	if r.Timeout > 0 {
 		t, x := g.Clock.Timer(r.Timeout)
 		defer x.Cancel()
-		late = t
+		timedOut = t
 	}
 	select {
 	case <-w.done:
 	case <-ctx.Done():
 		g.cancel(w)
-	case <-late:
+	case <-timedOut:
 		g.expire(w)
 	}
 	return g.result(w)
 }
 
-// Release gives the slot back.
+// Release frees the slot and records how long it was held.
 func (s *Slot) Release() {
 	g := s.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.Queue.Release(&s.waiter.entry, g.now())
-	g.deliver()
+	g.notifyWaiters()
 }
 
-// ReleaseUnused gives the slot back unused, so that nothing is learnt from how long it
-// was held.
+// ReleaseUnused frees a slot that no request ran on, without recording how long it was held.
 func (s *Slot) ReleaseUnused() {
 	g := s.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.Queue.ReleaseUnused(&s.waiter.entry, g.now())
-	g.deliver()
+	g.notifyWaiters()
 }
 
-// Adjust changes settings of the queue under the gate's lock, for instance its
-// slots, its teams, or that the server is leaving.
+// Adjust calls change with the queue under the gate's lock, to change its settings such as Slots, Teams
+// or Closed, and applies them.
 func (g *Gate) Adjust(change func(q *admitter.Queue)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	change(&g.Queue)
 	g.Queue.Adjust(g.now())
-	g.deliver()
+	g.notifyWaiters()
 }
 
-// TransactionOpened and TransactionClosed count the transactions that hold a
-// connection of the server, see admitter.Queue.OpenTransactions.
+// TransactionOpened counts a transaction that holds a connection of the server, see
+// admitter.Queue.OpenTransactions. TransactionClosed must be called when it ends.
 func (g *Gate) TransactionOpened() {
 	g.Adjust(func(q *admitter.Queue) { q.OpenTransactions++ })
 }
 
-// TransactionClosed ends TransactionOpened.
+// TransactionClosed reverts one TransactionOpened.
 func (g *Gate) TransactionClosed() {
 	g.Adjust(func(q *admitter.Queue) { q.OpenTransactions-- })
 }
 
-// Load is what the gate's queue looks like, for the chooser of any entry host.
+// Load is the load of a gate's queue. Entry hosts exchange it to choose servers.
 type Load struct {
 	Slots       int           `cbor:"1,keyasint" json:"slots"`
 	Running     int           `cbor:"2,keyasint" json:"running"`
@@ -166,7 +170,7 @@
 	ServiceTime time.Duration `cbor:"4,keyasint" json:"service-time"`
 }
 
-// Load returns the present load.
+// Load returns the current load.
 func (g *Gate) Load() Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -181,10 +185,10 @@
 	if timeout > 0 {
 		w.entry.Deadline = n + timeout
 	}
-	// The entry leads back to its waiter without a table.
+	// notifyWaiters finds the waiter by its entry.
 	w.entry.Owner = w
 	g.Queue.Offer(&w.entry, n)
-	g.deliver()
+	g.notifyWaiters()
 }
 
 func (g *Gate) cancel(w *waiter) {
@@ -192,24 +196,24 @@
 	defer g.mu.Unlock()
 	n := g.now()
 	if !g.Queue.Cancel(&w.entry, n) {
-		// The grant came at the same moment. Nothing has run yet, so the slot
-		// goes to the next and the answer is the same.
+		// The slot was granted before the cancellation took effect. Nothing has run yet, so the
+		// slot is freed for the next request and the caller gets the same refusal.
 		g.Queue.ReleaseUnused(&w.entry, n)
 		w.entry.State = admitter.StateRefused
 		w.entry.Reason = admitter.ReasonCancelled
 	}
-	g.deliver()
+	g.notifyWaiters()
 }
 
 func (g *Gate) expire(w *waiter) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.Queue.Expire(&w.entry, g.now())
-	g.deliver()
+	g.notifyWaiters()
 }
 
-// deliver wakes those that the last call decided on.
-func (g *Gate) deliver() {
+// notifyWaiters unblocks the requests that the queue's last call granted or refused.
+func (g *Gate) notifyWaiters() {
 	for _, e := range g.Queue.Granted {
 		close(e.Owner.(*waiter).done)
 	}
@@ -218,6 +222,7 @@
 	}
 }
 
+// result returns the slot of a granted waiter or the *Refusal of a refused one.
 func (g *Gate) result(w *waiter) (*Slot, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -227,7 +232,7 @@
 	return nil, &Refusal{BackendServer: g.BackendServer, Reason: w.entry.Reason, RetryAfter: w.entry.RetryAfter}
 }
 
-// now is the monotonic time since the gate's first use.
+// now returns the monotonic time since the gate's first use.
 func (g *Gate) now() time.Duration {
-	return g.watch.Elapsed()
+	return g.stopwatch.Elapsed()
 }
--- a/internal/limit/gate/gate_test.go
+++ b/internal/limit/gate/gate_test.go
@@ -31,10 +31,10 @@
 	return s
 }
 
-// A caller's request waits in the queue until its time is out, its caller goes
-// away, or the server leaves. If its answer waited for a slot as well, the
-// caller would hold on to a connection for nothing and try again elsewhere late.
-func TestGivenUpRequestsAreAnsweredAtOnce(t *testing.T) {
+// Guards against refusals that arrive late: a waiting request times out, is cancelled, or its server
+// starts to leave. If the refusal waited for a slot too, the caller would hold a connection for nothing
+// and retry late.
+func TestAbandonedRequestsAreRefusedAtOnce(t *testing.T) {
 	tests := []struct {
 		name  string
 		end   func(g *Gate, cancel func())
@@ -71,7 +71,7 @@
 				}
 				s.Release()
 				if l := g.Load(); l.Running != 0 || l.Waiting != 0 {
-					t.Errorf("load after all is done: %+v", l)
+					t.Errorf("load after all requests ended: %+v", l)
 				}
 			})
 		})
@@ -98,9 +98,9 @@
 	})
 }
 
-// A caller gives up in the moment in which it gets its slot. The slot must go
-// on to the next caller, or it is lost until the entry host restarts.
-func TestCancelOfAGrantedRequestPassesTheSlotOn(t *testing.T) {
+// Guards against a lost slot: a request is cancelled at the moment in which its slot is granted. If the
+// slot isn't freed, it stays in use until the entry host restarts.
+func TestCancelOfGrantedRequestFreesSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(1)
 		w := &waiter{done: make(chan struct{})}
@@ -115,8 +115,8 @@
 	})
 }
 
-// Four of five callers give up at random moments. Each slot they let go by must
-// go to the next caller, or the server ends up idle with a full queue.
+// Guards against slots that are lost when many requests are cancelled at random moments: the server
+// would be idle while its queue is full.
 func TestManyCancels(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(3)
