--- a/internal/limit/regulator/regulator_test.go
+++ b/internal/limit/regulator/regulator_test.go
@@ -7,18 +7,18 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against requests that wait at a server that is full, which sheds them, while
-// their host could have kept them in order: the limit settles where the server refuses.
+// Guards against requests that are sent to a server without capacity, which sheds them, instead of
+// waiting in the host's queue: the limit settles where the server starts to refuse.
 func TestLimitSettlesBelowRefusals(t *testing.T) {
-	const room = 18
+	const capacity = 18
 	r := Regulator{Minimum: 4, Maximum: 28}
 	now := time.Duration(0)
 	refused, sent := 0, 0
 	for i := range 20000 {
 		now += time.Millisecond
 		sent++
-		// Of so many at a time the server takes those that it has room for.
-		if n := r.Limit(); i%n >= room {
+		// Of n concurrent requests the server accepts those within its capacity.
+		if n := r.Limit(); i%n >= capacity {
 			refused++
 			r.Refused(n, now)
 		} else {
@@ -28,8 +28,8 @@
 	if refused*100 > 3*sent {
 		t.Errorf("%d of %d refused", refused, sent)
 	}
-	if l := r.Limit(); l < room*7/10 || l > room+1 {
-		t.Errorf("limit %d, the server has room for %d", l, room)
+	if l := r.Limit(); l < capacity*7/10 || l > capacity+1 {
+		t.Errorf("limit %d, the server has a capacity of %d", l, capacity)
 	}
 }
 
@@ -63,8 +63,8 @@
 	})
 }
 
-// Guards against a limit that stays where a host's share of a server has shrunk.
-func TestLimitFollowsLowerMost(t *testing.T) {
+// Guards against a limit that stays too high after the host's share of a server has shrunk.
+func TestLimitFollowsLowerMaximum(t *testing.T) {
 	r := Regulator{Minimum: 1, Maximum: 16}
 	r.Refused(16, time.Second)
 	r.Maximum = 4
