--- a/internal/route/chooser/ahead_test.go
+++ b/internal/route/chooser/ahead_test.go
@@ -11,7 +11,7 @@
 	"github.com/cuminwick/cuminwick/internal/group/marker"
 )
 
-func TestRunsAhead(t *testing.T) {
+func TestCanSpeculate(t *testing.T) {
 	at := func(p marker.Position) marker.Mark { return marker.Mark{Term: 1, Position: p} }
 	l := func(c Candidate) []Candidate {
 		c.Role, c.Slots, c.Last = controller.RoleReplica, 2, at(9)
@@ -25,31 +25,32 @@
 	}{
 		{"caught up, slot free", Decision{Index: 1}, l(Candidate{Busy: 1}), true},
 		{"no slot free", Decision{Index: 1}, l(Candidate{Busy: 2}), false},
-		{"others queue", Decision{Index: 1}, l(Candidate{Queued: 1}), false},
+		{"requests queued", Decision{Index: 1}, l(Candidate{Queued: 1}), false},
 		{"behind", Decision{Index: 1, WaitForMark: true}, l(Candidate{}), false},
 		{"primary", Decision{}, l(Candidate{}), false},
 		{"refused", Decision{Refused: true, Index: -1}, l(Candidate{}), false},
-		{"may show what no majority holds", Decision{Index: 1}, append(l(Candidate{}), Candidate{}, Candidate{}), false},
+		{"answer may lack a majority", Decision{Index: 1}, append(l(Candidate{}), Candidate{}, Candidate{}), false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			if got := CanSpeculate(&tt.d, tt.l); got != tt.want {
-				t.Errorf("RunsAhead = %t", got)
+				t.Errorf("CanSpeculate = %t", got)
 			}
 		})
 	}
 }
 
-// Moments of a read that runs ahead, at each of which a server may be polled.
+// Points in time of a speculative read, at each of which a server may be polled.
 const (
 	_ = iota // arrived
-	asked
+	polledBefore
 	read
 	moments
 )
 
-// meanwhile is what others do between two moments of a read of session i.
-func (w *world) meanwhile(i int) {
+// runConcurrentEvents runs writes, replication and promotions between two moments of a read of
+// session i.
+func (w *simulation) runConcurrentEvents(i int) {
 	o := &w.sessions[(i+1)%sessions]
 	for range rapid.IntRange(0, 4).Draw(w.t, "events") {
 		s := rapid.IntRange(0, servers-1).Draw(w.t, "server")
@@ -66,9 +67,9 @@
 	}
 }
 
-// readAhead runs one read of session i through host h ahead of its read index,
-// for which each server is polled at any moment from the arrival on.
-func (w *world) readAhead(h, i int) {
+// readSpeculatively runs one speculative read of session i through host h and checks its answer. Each
+// server is polled for the read index at a random moment from the arrival on.
+func (w *simulation) readSpeculatively(h, i int) {
 	u := &w.sessions[i]
 	l := slices.Clone(w.known[h])
 	q := Request{Now: w.now, Random: rapid.Uint64().Draw(w.t, "draw"), ReadIndex: ExpectedReadIndex(l), HasReadIndex: true}
@@ -85,7 +86,7 @@
 	}
 	var polled []marker.Mark
 	var positions [moments]marker.Mark
-	var shown []marker.Mark
+	var answer []marker.Mark
 	for m := range moments {
 		for j := range w.servers {
 			if moment[j] == m {
@@ -94,51 +95,51 @@
 		}
 		positions[m] = s.last()
 		if m == read {
-			shown = slices.Clone(s.log)
+			answer = slices.Clone(s.log)
 		}
-		w.meanwhile(i)
+		w.runConcurrentEvents(i)
 	}
 	n, ok := indexer.Index(servers, polled)
-	before := positions[asked]
-	if rapid.Bool().Draw(w.t, "not asked before") {
+	before := positions[polledBefore]
+	if rapid.Bool().Draw(w.t, "not polled before") {
 		before = marker.Mark{}
 	}
 	if !ok || !SpeculationValid(q.Mark, n, l[d.Index].Last, before) {
 		return
 	}
 	after := s.last()
-	if MustAwaitMajority(after, &l[d.Index], servers) && !w.held(after) {
+	if MustAwaitMajority(after, &l[d.Index], servers) && !w.heldByMajority(after) {
 		return
 	}
-	w.ahead++
-	for _, m := range u.must {
-		if !slices.Contains(shown, m) {
-			w.t.Fatalf("server %d shows %v, lacks %v that the session wrote or read", d.Index, shown, m)
+	w.speculativeAnswers++
+	for _, m := range u.required {
+		if !slices.Contains(answer, m) {
+			w.t.Fatalf("server %d returned %v, lacks %v that the session wrote or read", d.Index, answer, m)
 		}
 	}
 	for _, a := range w.acked[:arrived] {
-		if !slices.Contains(shown, a.Mark) {
-			w.t.Fatalf("server %d shows %v, lacks %v, acknowledged before the read came", d.Index, shown, a.Mark)
+		if !slices.Contains(answer, a.Mark) {
+			w.t.Fatalf("server %d returned %v, lacks %v, acknowledged before the read arrived", d.Index, answer, a.Mark)
 		}
 	}
-	u.must = append(u.must[:0], shown...)
+	u.required = append(u.required[:0], answer...)
 	u.tracker.Raise("g", after)
 }
 
-// A replica applies a write after a read ran at it and before its position was
-// asked, or is promoted in between, and the read's index comes last. A costing
-// officer would miss a line that was acknowledged before the page was asked for.
+// Guards against speculative reads that miss acknowledged writes: a replica applies a write after the
+// read ran and before its position was polled, or is promoted in between, and the read index arrives
+// last. A user would miss a record that was saved before the page was requested.
 func TestReadsAheadShowAllThatWasAcknowledged(t *testing.T) {
 	answers := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		for range 60 {
 			w.step()
-			w.readAhead(rapid.IntRange(0, hosts-1).Draw(t, "ahead host"), rapid.IntRange(0, sessions-1).Draw(t, "ahead session"))
+			w.readSpeculatively(rapid.IntRange(0, hosts-1).Draw(t, "speculative host"), rapid.IntRange(0, sessions-1).Draw(t, "speculative session"))
 		}
-		answers += w.ahead
+		answers += w.speculativeAnswers
 	})
 	if answers < 100 {
-		t.Errorf("only %d reads were answered, the test shows nothing", answers)
+		t.Errorf("only %d reads were answered, too few for the test to be meaningful", answers)
 	}
 }
--- a/internal/route/chooser/chooser_test.go
+++ b/internal/route/chooser/chooser_test.go
@@ -23,8 +23,8 @@
 	now = time.Hour
 )
 
-// group returns a primary at 2/100, a replica of the own zone and one of the
-// other region, both at 2/100.
+// group returns a primary, a replica in the host's zone and one in the other region, all at the mark
+// 2/100.
 func group() []Candidate {
 	at := marker.Mark{Term: 2, Position: 100}
 	s := Candidate{Last: at, Observed: now, CatchUpRate: 1000, Slots: 2, ServiceTime: 4 * ms, RoundTrip: 2 * ms}
@@ -41,7 +41,7 @@
 
 func TestChoose(t *testing.T) {
 	fresh := Request{HasMark: true, HasReadIndex: true, ReadIndex: mark(2, 100)}
-	aged := Request{HasMark: true, StaleAllowed: true, HasAgeMark: true, AgeMark: mark(2, 50)}
+	withinAge := Request{HasMark: true, StaleAllowed: true, HasAgeMark: true, AgeMark: mark(2, 50)}
 	tests := []struct {
 		name   string
 		q      Request
@@ -56,12 +56,12 @@
 			change: func(l []Candidate) { l[0].Confirmed = false }},
 		{name: "write at a primary that starts to leave", q: Request{Write: true}, want: "primary", why: ReasonWrite,
 			change: func(l []Candidate) { l[0].Leaving, l[0].LeavingSince = true, now-time.Second }},
-		{name: "write at a primary that has been leaving", q: Request{Write: true}, why: ReasonNoPrimary,
+		{name: "write at a primary that has been leaving for the grace time", q: Request{Write: true}, why: ReasonNoPrimary,
 			change: func(l []Candidate) { l[0].Leaving, l[0].LeavingSince = true, now-2*time.Second }},
 		{name: "fresh read", q: fresh, want: "own", why: ReasonReadIndex},
 		{name: "fresh read waits a little", q: fresh, want: "own", why: ReasonReadIndex, wait: true,
 			change: func(l []Candidate) { l[1].Last.Position = 95 }},
-		{name: "lag told a while ago is worked off", q: fresh, want: "own", why: ReasonReadIndex, wait: true,
+		{name: "lag observed a while ago has been caught up", q: fresh, want: "own", why: ReasonReadIndex, wait: true,
 			change: func(l []Candidate) { l[1].Last.Position, l[1].Observed = 0, now-99*ms }},
 		{name: "usual lag above the primary's cost", q: fresh, want: "primary", why: ReasonPrimaryFaster,
 			change: func(l []Candidate) { l[1].Last.Position, l[1].Lag = 99, 30*ms }},
@@ -73,22 +73,22 @@
 			change: func(l []Candidate) { l[1].Leaving, l[0].Busy, l[0].Queued = true, 2, 20 }},
 		{name: "queue at the own replica", q: fresh, want: "primary", why: ReasonPrimaryFaster,
 			change: func(l []Candidate) { l[1].Busy, l[1].Queued = 2, 20 }},
-		{name: "aged read at a replica far behind", q: aged, want: "own", why: ReasonWithinAge,
+		{name: "read within an age at a replica far behind", q: withinAge, want: "own", why: ReasonWithinAge,
 			change: func(l []Candidate) { l[1].Last.Position = 50 }},
-		{name: "aged read keeps the session's mark", want: "primary", why: ReasonOnlyPrimary,
+		{name: "read within an age covers the session's mark", want: "primary", why: ReasonOnlyPrimary,
 			q:      Request{Mark: mark(2, 100), HasMark: true, StaleAllowed: true, HasAgeMark: true, AgeMark: mark(2, 50)},
 			change: func(l []Candidate) { l[1].Last.Position, l[2].Last.Position = 49, 49 }},
-		{name: "aged read of a new session needs a read index", why: ReasonNoFreshness,
+		{name: "read within an age of a new session needs a read index", why: ReasonNoFreshness,
 			q: Request{StaleAllowed: true, HasAgeMark: true, AgeMark: mark(2, 50)}},
 		{name: "cut off with a mark", q: Request{HasMark: true, Mark: mark(2, 100)}, want: "own", why: ReasonUnconfirmedMark, age: true,
 			change: func(l []Candidate) { l[0].Confirmed = false }},
-		{name: "cut off with a mark that nobody covers", q: Request{HasMark: true, Mark: mark(3, 1)}, why: ReasonNoServer,
+		{name: "cut off with a mark that no server covers", q: Request{HasMark: true, Mark: mark(3, 1)}, why: ReasonNoServer,
 			change: func(l []Candidate) { l[0].Confirmed = false }},
 		{name: "cut off without a mark", q: Request{}, why: ReasonNoFreshness},
 		{name: "cut off, rule serves", q: Request{WhenUnconfirmed: declarer.Serve}, want: "own", why: ReasonUnconfirmedServe, age: true},
 		{name: "cut off, rule refuses", q: Request{HasMark: true, WhenUnconfirmed: declarer.Refuse}, why: ReasonNoFreshness},
-		{name: "cut off, age no longer shown", q: Request{HasMark: true, StaleAllowed: true}, why: ReasonNoFreshness},
-		{name: "superseded primary isn't read", q: fresh, why: ReasonNoServer,
+		{name: "cut off, age mark missing", q: Request{HasMark: true, StaleAllowed: true}, why: ReasonNoFreshness},
+		{name: "superseded primary is not read", q: fresh, why: ReasonNoServer,
 			change: func(l []Candidate) {
 				l[0].Confirmed, l[1].Unreachable, l[2].Unreachable = false, true, true
 			}},
@@ -117,9 +117,9 @@
 	}
 }
 
-// Several entry hosts see the same figures and all send their reads to the same
-// replica, whose queue grows while the other one idles.
-func TestEqualReplicasShareTheReads(t *testing.T) {
+// Guards against entry hosts that all choose the same replica because they have the same observations:
+// its queue grows while the other replica is idle.
+func TestEqualReplicasShareReads(t *testing.T) {
 	l := group()
 	l[2] = l[1]
 	var n [3]int
@@ -152,10 +152,10 @@
 	}
 }
 
-// An entry host takes a server for a replica that has been promoted meanwhile.
-// The read shows a write that only this server holds; it fails, and the session
-// never sees that write again.
-func TestMustHold(t *testing.T) {
+// Guards against reads that return a write which is lost later: an entry host assumes that a server is
+// a replica although it has been promoted since, the answer contains a write that only this server
+// holds, and the server fails.
+func TestMustAwaitMajority(t *testing.T) {
 	replica := Candidate{Role: controller.RoleReplica, Last: mark(2, 100)}
 	primary := Candidate{Role: controller.RolePrimary, Last: mark(2, 100)}
 	tests := []struct {
@@ -174,7 +174,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			if got := MustAwaitMajority(tt.answered, &tt.known, tt.size); got != tt.want {
-				t.Errorf("MustHold = %t, want %t", got, tt.want)
+				t.Errorf("MustAwaitMajority = %t, want %t", got, tt.want)
 			}
 		})
 	}
--- a/internal/route/chooser/read.go
+++ b/internal/route/chooser/read.go
@@ -8,30 +8,33 @@
 )
 
 const (
-	// waitTolerance is the part of the best wait up to which servers count as equal.
-	waitTolerance = 4
+	// waitToleranceDivisor divides the wait at the best server: servers whose cost is higher by no
+	// more than the quotient count as equal.
+	waitToleranceDivisor = 4
 )
 
-// offer is what one fit server would cost.
-type offer struct {
-	fit bool
-	// expected is the time to the answer, cost adds the penalties.
+// estimate is the expected cost of running a read at one server.
+type estimate struct {
+	// eligible says that the server may run the read.
+	eligible bool
+	// expected is the expected time until the answer; cost is expected plus the penalties.
 	expected time.Duration
 	cost     time.Duration
-	wait     time.Duration
-	// behind says that the server isn't known to cover the need.
+	// wait is the part of expected that is spent in the queue or in catching up.
+	wait time.Duration
+	// behind says that the server isn't known to cover the required mark.
 	behind bool
 }
 
-// chooseRead takes the server with the lowest cost, by draw among equals.
+// chooseRead chooses the server with the lowest cost, at random among equal ones.
 func (c *Chooser) chooseRead(q *Request, l []Candidate, d *Decision) {
-	var o [MaximumCandidates]offer
+	var o [MaximumCandidates]estimate
 	best := -1
 	for i := range l {
 		var r Reason
-		o[i], r = c.offerOf(q, l, i, d)
+		o[i], r = c.estimateFor(q, l, i, d)
 		if r != ReasonNone {
-			d.pass(i, r)
+			d.passOver(i, r)
 			continue
 		}
 		if best < 0 || o[i].cost < o[best].cost {
@@ -42,21 +45,21 @@
 		d.refuse(ReasonNoServer)
 		return
 	}
-	i := c.draw(q.Random, o[:len(l)], best, d.Primary)
-	d.take(i, o[:len(l)])
+	i := c.chooseAmongEqual(q.Random, o[:len(l)], best, d.Primary)
+	d.setChosen(i, o[:len(l)])
 	if i == d.Primary {
 		d.Reason = primaryReason(d, o[:len(l)])
 	}
 }
 
-// draw returns one of the offers that cost about as little as the best. The
-// queues are known late, the less exactly the longer they are, so a part of the
-// wait counts as equal as well. The primary is drawn only if it is the best:
-// under load nearly all would count as equal, and it would get a full share.
-func (c *Chooser) draw(draw uint64, o []offer, best, primary int) int {
-	most := o[best].cost + max(orDefault(c.Tolerance, DefaultTolerance), o[best].wait/waitTolerance)
+// chooseAmongEqual returns the index of a random server among those with about the same cost as best.
+// Queue lengths are known with a delay, and the longer a queue is the less exactly, so servers also
+// count as equal within a part of the wait. The primary is only included if it is the best: under load
+// nearly all servers count as equal, and the primary would get a full share of the reads.
+func (c *Chooser) chooseAmongEqual(random uint64, o []estimate, best, primary int) int {
+	most := o[best].cost + max(orDefault(c.Tolerance, DefaultTolerance), o[best].wait/waitToleranceDivisor)
 	equal := func(i int) bool {
-		return o[i].fit && o[i].cost <= most && (i == best || i != primary)
+		return o[i].eligible && o[i].cost <= most && (i == best || i != primary)
 	}
 	n := uint64(0)
 	for i := range o {
@@ -64,7 +67,7 @@
 			n++
 		}
 	}
-	k := draw % n
+	k := random % n
 	for i := range o {
 		if !equal(i) {
 			continue
@@ -77,56 +80,59 @@
 	return best
 }
 
-func (d *Decision) take(i int, o []offer) {
+// setChosen sets the fields of a read that runs at server i, and passes over the other eligible servers.
+func (d *Decision) setChosen(i int, o []estimate) {
 	d.Index = i
 	d.ExpectedTime = o[i].expected
 	d.WaitForMark = o[i].behind
 	for j := range o {
-		if o[j].fit && j != i {
-			d.pass(j, ReasonLater)
+		if o[j].eligible && j != i {
+			d.passOver(j, ReasonLater)
 		}
 	}
 }
 
-func primaryReason(d *Decision, o []offer) Reason {
+// primaryReason returns the reason for a read at the primary.
+func primaryReason(d *Decision, o []estimate) Reason {
 	if d.AgeUnknown {
 		return d.Reason
 	}
 	for j := range o {
-		if o[j].fit && j != d.Primary {
+		if o[j].eligible && j != d.Primary {
 			return ReasonPrimaryFaster
 		}
 	}
 	return ReasonOnlyPrimary
 }
 
-// offerOf returns what server i would cost, or why it is passed over.
-func (c *Chooser) offerOf(q *Request, l []Candidate, i int, d *Decision) (offer, Reason) {
+// estimateFor returns the estimate for server i, or the reason to pass it over.
+func (c *Chooser) estimateFor(q *Request, l []Candidate, i int, d *Decision) (estimate, Reason) {
 	s := &l[i]
 	switch {
 	case q.Excluded&(1<<i) != 0:
-		return offer{}, ReasonExcluded
+		return estimate{}, ReasonExcluded
 	case s.Unreachable:
-		return offer{}, ReasonUnreachable
+		return estimate{}, ReasonUnreachable
 	case s.Leaving && (i != d.Primary || q.Now-s.LeavingSince >= orDefault(c.LeavingGrace, DefaultLeavingGrace)):
-		return offer{}, ReasonLeaving
+		return estimate{}, ReasonLeaving
 	}
 	if i != d.Primary && s.Role != controller.RoleReplica && d.Reason != ReasonUnconfirmedServe {
-		// Its log may end in writes that were never acknowledged.
-		return offer{}, ReasonNotConfirmed
+		// The log of an unconfirmed primary may end in writes that were never acknowledged.
+		return estimate{}, ReasonNotConfirmed
 	}
-	w, r := c.catchUp(q, s, d.RequiredMark, i == d.Primary)
+	w, r := c.catchUpTime(q, s, d.RequiredMark, i == d.Primary)
 	if r != ReasonNone {
-		return offer{}, r
+		return estimate{}, r
 	}
-	o := offer{fit: true, behind: i != d.Primary && !s.Last.Covers(d.RequiredMark)}
-	// The queue is worked off while the server catches up.
-	o.wait = max(w, s.wait())
+	o := estimate{eligible: true, behind: i != d.Primary && !s.Last.Covers(d.RequiredMark)}
+	// The queue shrinks while the server catches up, so the longer wait counts, not the sum.
+	o.wait = max(w, s.queueWait())
 	o.expected = s.RoundTrip + o.wait
 	o.cost = o.expected + c.penalty(q, s)
 	return o, ReasonNone
 }
 
+// penalty returns the sum of the penalties of running q at s.
 func (c *Chooser) penalty(q *Request, s *Candidate) time.Duration {
 	var p time.Duration
 	if s.OtherRegion {
@@ -141,21 +147,21 @@
 	return p + orDefault(c.PrimaryPenalty, DefaultPrimaryPenalty)
 }
 
-// catchUp returns how long s will probably need until its log covers need. The
-// primary of the need's own term holds all of it, however old its status is.
-func (c *Chooser) catchUp(q *Request, s *Candidate, need marker.Mark, primary bool) (time.Duration, Reason) {
-	if s.Last.Covers(need) || primary && s.Last.Term == need.Term {
+// catchUpTime returns the expected time until the log of s covers required, or the reason to pass s
+// over. The confirmed primary of the term of required covers it, however old its status is.
+func (c *Chooser) catchUpTime(q *Request, s *Candidate, required marker.Mark, primary bool) (time.Duration, Reason) {
+	if s.Last.Covers(required) || primary && s.Last.Term == required.Term {
 		return 0, ReasonNone
 	}
-	// A log that ends in an earlier term is first brought in line with the new
-	// primary's, which takes an unknown time.
-	if s.Last.Term < need.Term {
+	// A log that ends in an earlier term must first be reconciled with the new primary's log, which
+	// takes an unknown time.
+	if s.Last.Term < required.Term {
 		return 0, ReasonBehindTerm
 	}
 	if s.CatchUpRate <= 0 {
 		return 0, ReasonBehind
 	}
-	records := float64(need.Position - s.Last.Position)
+	records := float64(required.Position - s.Last.Position)
 	seconds := records/s.CatchUpRate - (q.Now - s.Observed).Seconds()
 	if seconds > orDefault(c.MaximumCatchUp, DefaultMaximumCatchUp).Seconds() {
 		return 0, ReasonBehind
--- a/internal/route/chooser/reason.go
+++ b/internal/route/chooser/reason.go
@@ -1,31 +1,34 @@
 package chooser
 
-// Reason says why a server was chosen or passed over, or a request refused.
+// Reason is why a server was chosen or passed over, or why a request was refused.
 type Reason uint8
 
 // Reasons for the decision as a whole.
 const (
 	ReasonNone Reason = iota
-	// ReasonWrite is a write, which only the confirmed primary takes.
+	// ReasonWrite is a write at the confirmed primary.
 	ReasonWrite
-	// ReasonWithinAge is a read at a server whose data is shown to be young enough.
+	// ReasonWithinAge is a read at a server whose data is known not to exceed the allowed age.
 	ReasonWithinAge
-	// ReasonReadIndex is a read at a server that is as fresh as the primary was
-	// after the read arrived.
+	// ReasonReadIndex is a read at a replica that covers the read index, which was requested after
+	// the read arrived.
 	ReasonReadIndex
-	// ReasonPrimaryFaster is a read at the primary, where it ends earliest.
+	// ReasonPrimaryFaster is a read at the primary, although a replica is eligible, because its cost
+	// is lowest there.
 	ReasonPrimaryFaster
-	// ReasonOnlyPrimary is a read at the primary because no replica is fit.
+	// ReasonOnlyPrimary is a read at the primary because no replica is eligible.
 	ReasonOnlyPrimary
-	// ReasonUnconfirmedMark is a read that has the session's own writes, of unknown age.
+	// ReasonUnconfirmedMark is a read of data of unknown age that covers the session's mark.
 	ReasonUnconfirmedMark
-	// ReasonUnconfirmedServe is a read whose rule says to serve what is reachable.
+	// ReasonUnconfirmedServe is a read of data of unknown age, which its routing rule allows.
 	ReasonUnconfirmedServe
-	// ReasonNoPrimary is a refusal: no primary is confirmed.
+	// ReasonNoPrimary is a refusal: no confirmed primary accepts writes.
 	ReasonNoPrimary
-	// ReasonNoFreshness is a refusal: neither a mark nor a read index can be had.
+	// ReasonNoFreshness is a refusal: the marks and the read index that are available can't ensure
+	// the freshness that the read requires.
 	ReasonNoFreshness
-	// ReasonNoServer is a refusal: no reachable server holds what is needed.
+	// ReasonNoServer is a refusal: no server is eligible, for example because none that is reachable
+	// covers the required mark.
 	ReasonNoServer
 )
 
@@ -39,13 +42,13 @@
 	ReasonBehind
 	// ReasonBehindTerm is a replica whose log ends in an earlier term.
 	ReasonBehindTerm
-	// ReasonNotPrimary is a server that doesn't take writes.
+	// ReasonNotPrimary is a server that doesn't accept writes.
 	ReasonNotPrimary
-	// ReasonNotConfirmed is a primary that may have been superseded.
+	// ReasonNotConfirmed is a primary that isn't confirmed and may have been superseded.
 	ReasonNotConfirmed
-	// ReasonLater is a server where the request would end later.
+	// ReasonLater is an eligible server with a higher cost, or an equal one that wasn't picked.
 	ReasonLater
-	// ReasonExcluded is a server that the request has been refused by before.
+	// ReasonExcluded is a server that has refused the request before.
 	ReasonExcluded
 )
 
--- a/internal/route/chooser/session_test.go
+++ b/internal/route/chooser/session_test.go
@@ -36,29 +36,29 @@
 	return s.log[len(s.log)-1]
 }
 
-// fakeSession remembers what it must see again.
+// fakeSession is a session. Each of its reads must return the records in required.
 type fakeSession struct {
-	tracker tracker.Tracker
-	must    []marker.Mark
+	tracker  tracker.Tracker
+	required []marker.Mark
 }
 
-// world is one group, entry hosts with late knowledge, and roaming sessions.
-type world struct {
-	t         *rapid.T
-	now       time.Duration
-	servers   [servers]fakeServer
-	primary   int
-	confirmed bool
-	known     [hosts][]Candidate
-	history   [hosts]historian.Historian
-	sessions  [sessions]fakeSession
-	acked     []historian.Observation
-	answers   int
-	ahead     int
+// simulation models one group, entry hosts with outdated observations, and sessions that change hosts.
+type simulation struct {
+	t                  *rapid.T
+	now                time.Duration
+	servers            [servers]fakeServer
+	primary            int
+	confirmed          bool
+	known              [hosts][]Candidate
+	history            [hosts]historian.Historian
+	sessions           [sessions]fakeSession
+	acked              []historian.Observation
+	answers            int
+	speculativeAnswers int
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{t: t, confirmed: true}
+func newSimulation(t *rapid.T) *simulation {
+	w := &simulation{t: t, confirmed: true}
 	for i := range w.servers {
 		w.servers[i] = fakeServer{role: controller.RoleReplica, term: 1}
 	}
@@ -73,8 +73,8 @@
 	return w
 }
 
-// observe renews what one host knows of one server.
-func (w *world) observe(h, i int) {
+// observe updates the observation of server i at host h.
+func (w *simulation) observe(h, i int) {
 	s := &w.servers[i]
 	w.known[h][i] = Candidate{
 		Role: s.role, Confirmed: i == w.primary && w.confirmed, Last: s.last(), Observed: w.now,
@@ -86,9 +86,9 @@
 	}
 }
 
-// replicate copies the next record of the primary that i follows, which is
-// refused once the primary's term is below the accepted one.
-func (w *world) replicate(i int) {
+// replicate copies the next record to i from the primary that i follows. It does nothing if that
+// primary isn't of the term that i has accepted.
+func (w *simulation) replicate(i int) {
 	s := &w.servers[i]
 	p := &w.servers[s.follows]
 	if s.role != controller.RoleReplica || s.stopped || p.term != s.term || len(p.log) <= len(s.log) {
@@ -98,13 +98,14 @@
 	w.confirm()
 }
 
-// confirm marks the new primary as confirmed once its term-start record is held.
-func (w *world) confirm() {
+// confirm marks the new primary as confirmed once a majority holds its term-start record.
+func (w *simulation) confirm() {
 	p := &w.servers[w.primary]
-	w.confirmed = w.confirmed || p.last().Term == p.term && w.held(p.last())
+	w.confirmed = w.confirmed || p.last().Term == p.term && w.heldByMajority(p.last())
 }
 
-func (w *world) held(m marker.Mark) bool {
+// heldByMajority reports whether a majority holds the record m.
+func (w *simulation) heldByMajority(m marker.Mark) bool {
 	n := 0
 	for i := range w.servers {
 		if slices.Contains(w.servers[i].log, m) {
@@ -114,9 +115,9 @@
 	return n > servers/2
 }
 
-// write appends a record at what the session's host takes for the primary, and
-// acknowledges it only if a majority then holds it.
-func (w *world) write(i int, u *fakeSession, acknowledge bool) {
+// write appends a record at server i if its role is primary and, in the case of the current primary, it
+// is confirmed. The write is acknowledged only if a majority then holds it.
+func (w *simulation) write(i int, u *fakeSession, acknowledge bool) {
 	p := &w.servers[i]
 	if p.role != controller.RolePrimary || i == w.primary && !w.confirmed {
 		return
@@ -132,15 +133,15 @@
 			}
 		}
 	}
-	if acknowledge && w.held(m) {
-		u.must = append(u.must, m)
+	if acknowledge && w.heldByMajority(m) {
+		u.required = append(u.required, m)
 		u.tracker.Raise("g", m)
 		w.acked = append(w.acked, historian.Observation{PolledAt: w.now, Mark: m})
 	}
 }
 
-// promote raises the term at all servers but one and promotes the longest log.
-func (w *world) promote(without int) {
+// promote raises the term at all servers but one and promotes the one with the longest log.
+func (w *simulation) promote(without int) {
 	best := -1
 	t := w.servers[w.primary].term + 1
 	for i := range w.servers {
@@ -164,8 +165,8 @@
 	}
 }
 
-// follow makes i a replica of the primary, dropping what the primary lacks.
-func (w *world) follow(i int) {
+// follow makes i a replica of the primary and truncates records that the primary lacks.
+func (w *simulation) follow(i int) {
 	p, s := &w.servers[w.primary], &w.servers[i]
 	if i == w.primary {
 		return
@@ -178,10 +179,10 @@
 }
 
 // read runs one read of session u through host h and checks its answer.
-func (w *world) read(h int, u *fakeSession, aged, index bool) {
-	q := Request{Now: w.now, Random: rapid.Uint64().Draw(w.t, "draw"), StaleAllowed: aged}
+func (w *simulation) read(h int, u *fakeSession, staleAllowed, index bool) {
+	q := Request{Now: w.now, Random: rapid.Uint64().Draw(w.t, "draw"), StaleAllowed: staleAllowed}
 	q.Mark, q.HasMark = u.tracker.Get("g")
-	if aged {
+	if staleAllowed {
 		q.AgeMark, q.HasAgeMark = w.history[h].RequiredMark(w.now, age)
 	}
 	if index && w.confirmed && NeedsReadIndex(&q) {
@@ -195,11 +196,11 @@
 	if d.WaitForMark && !s.last().Covers(d.RequiredMark) {
 		return
 	}
-	if MustAwaitMajority(s.last(), &w.known[h][d.Index], servers) && !w.held(s.last()) {
+	if MustAwaitMajority(s.last(), &w.known[h][d.Index], servers) && !w.heldByMajority(s.last()) {
 		return
 	}
 	w.answers++
-	for _, m := range u.must {
+	for _, m := range u.required {
 		if !slices.Contains(s.log, m) {
 			w.t.Fatalf("server %d at %v lacks %v that the session wrote or read: %+v", d.Index, s.last(), m, d)
 		}
@@ -209,29 +210,28 @@
 			w.t.Fatalf("server %d lacks %v, acknowledged %v ago: %+v", d.Index, a.Mark, w.now-a.PolledAt, d)
 		}
 	}
-	u.must = append(u.must[:0], s.log...)
+	u.required = append(u.required[:0], s.log...)
 	u.tracker.Raise("g", s.last())
 }
 
-// Replicas lag, stop and rejoin, primaries change and the old one goes on
-// unaware, entry hosts know all this late, and a session roams between them,
-// at times without its mark. A costing officer saves a line and doesn't find it
-// on the next page, or finds it once and then no more.
+// Guards against sessions that miss their own writes or see data go back in time: replicas lag, stop
+// and rejoin, an old primary continues after a promotion, entry hosts have outdated observations, and a
+// session changes hosts, sometimes without its mark.
 func TestSessionsReadTheirWritesAndNeverGoBack(t *testing.T) {
 	answers := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		for range 150 {
 			w.step()
 		}
 		answers += w.answers
 	})
 	if answers < 1000 {
-		t.Errorf("only %d reads were answered, the test shows nothing", answers)
+		t.Errorf("only %d reads were answered, too few for the test to be meaningful", answers)
 	}
 }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	h := rapid.IntRange(0, hosts-1).Draw(w.t, "host")
 	i := rapid.IntRange(0, servers-1).Draw(w.t, "server")
 	u := &w.sessions[rapid.IntRange(0, sessions-1).Draw(w.t, "session")]
@@ -253,7 +253,7 @@
 	case k == 38 && w.servers[i].term < w.servers[w.primary].term:
 		w.follow(i)
 	case k >= 39:
-		// The session roams in without its mark.
+		// The session moves to a host without its mark.
 		u.tracker = tracker.Tracker{}
 	}
 }
