--- a/internal/route/estimator/estimator.go
+++ b/internal/route/estimator/estimator.go
@@ -1,4 +1,4 @@
-// Package estimator tells how soon a replica will catch up.
+// Package estimator estimates how fast a lagging replica catches up.
 package estimator
 
 import (
@@ -9,79 +9,85 @@
 
 // Defaults and weights of an Estimator.
 const (
-	// DefaultRate is assumed until the replica has been seen to catch up, in
-	// records a second.
+	// DefaultRate is the rate, in records per second, that is assumed until the replica has been
+	// observed to catch up.
 	DefaultRate = 2000
-	// DefaultStallTimeout is how long a replica that lags may show no progress.
+	// DefaultStallTimeout is the default of Estimator.StallTimeout.
 	DefaultStallTimeout = 250 * time.Millisecond
-	// smoothing is the weight of a new sample, as one part in this many.
-	smoothing = 8
+	// smoothingDivisor is the divisor of the exponential moving averages: a new sample has a weight
+	// of 1/smoothingDivisor.
+	smoothingDivisor = 8
 )
 
-// Estimator estimates one replica. Patience is set before use, default if zero;
-// it belongs to one goroutine.
+// Estimator holds the estimates for one replica. Its exported field is set before use. An Estimator must
+// not be used concurrently.
 type Estimator struct {
+	// StallTimeout is the time without progress after which a lagging replica counts as stopped,
+	// DefaultStallTimeout if zero.
 	StallTimeout time.Duration
 
-	rate    float64
-	lag     time.Duration
-	known   bool
-	at      time.Duration
-	last    marker.Mark
-	primary marker.Mark
-	// stalled is since when the replica lags without progress, if isStalled.
-	stalled   time.Duration
-	isStalled bool
+	// rate is the moving average in records per second, zero if there is no sample.
+	rate float64
+	// lag is the moving average of the waits passed to ObserveWait.
+	lag time.Duration
+	// observed says whether there was an observation; observedAt, last and primary hold the latest.
+	observed   bool
+	observedAt time.Duration
+	last       marker.Mark
+	primary    marker.Mark
+	// stalledSince is the time from which on the replica has lagged without progress, valid if
+	// isStalled is set.
+	stalledSince time.Duration
+	isStalled    bool
 }
 
-// Observe notes that the replica's log ended at last and the primary's at
-// primary at the time at.
+// Observe records that at the time at the replica's log ended at last and the primary's log at primary.
+// An observation that is not later than the previous one is ignored.
 func (e *Estimator) Observe(at time.Duration, last, primary marker.Mark) {
-	if e.known && at <= e.at {
+	if e.observed && at <= e.observedAt {
 		return
 	}
-	lagged := e.known && !e.last.Covers(e.primary)
-	moved := e.known && last != e.last
+	lagged := e.observed && !e.last.Covers(e.primary)
+	moved := e.observed && last != e.last
 	switch {
 	case !lagged || moved:
 		e.isStalled = false
 	case !e.isStalled:
 		e.isStalled = true
-		e.stalled = e.at
+		e.stalledSince = e.observedAt
 	}
 	if lagged && last.Term == e.last.Term && last.Position > e.last.Position {
-		e.learn(float64(last.Position-e.last.Position)/(at-e.at).Seconds(), last.Covers(primary))
+		e.addRateSample(float64(last.Position-e.last.Position)/(at-e.observedAt).Seconds(), last.Covers(primary))
 	}
-	e.known, e.at, e.last, e.primary = true, at, last, primary
+	e.observed, e.observedAt, e.last, e.primary = true, at, last, primary
 }
 
-// learn takes a sample of the rate. A replica that has caught up could have
-// been faster, so its sample only raises the estimate: how many records come
-// says nothing about how many it can take.
-func (e *Estimator) learn(rate float64, caughtUp bool) {
+// addRateSample updates the rate with a sample. The sample of a replica that has caught up only raises
+// the estimate: it was limited by the rate of writes, so the replica may be faster.
+func (e *Estimator) addRateSample(rate float64, caughtUp bool) {
 	switch {
 	case caughtUp:
-		e.rate = max(e.Rate(e.at), rate)
+		e.rate = max(e.Rate(e.observedAt), rate)
 	case e.rate == 0:
 		e.rate = rate
 	default:
-		e.rate += (rate - e.rate) / smoothing
+		e.rate += (rate - e.rate) / smoothingDivisor
 	}
 }
 
-// ObserveWait notes how long a read waited for the replica to cover a read index.
+// ObserveWait records the time that a read waited for the replica to cover a read index.
 func (e *Estimator) ObserveWait(d time.Duration) {
-	e.lag += (d - e.lag) / smoothing
+	e.lag += (d - e.lag) / smoothingDivisor
 }
 
-// Rate returns how many records the replica applies in a second when it lags,
-// zero if it has stopped.
+// Rate returns the number of records per second that the replica applies when it lags, zero if it has
+// stopped.
 func (e *Estimator) Rate(now time.Duration) float64 {
 	p := e.StallTimeout
 	if p == 0 {
 		p = DefaultStallTimeout
 	}
-	if e.isStalled && now-e.stalled >= p {
+	if e.isStalled && now-e.stalledSince >= p {
 		return 0
 	}
 	if e.rate == 0 {
@@ -90,5 +96,5 @@
 	return e.rate
 }
 
-// Lag returns the usual wait of a read for the replica to cover a read index.
+// Lag returns the average wait of a read for the replica to cover a read index.
 func (e *Estimator) Lag() time.Duration { return e.lag }
