--- a/internal/route/historian/historian.go
+++ b/internal/route/historian/historian.go
@@ -1,4 +1,5 @@
-// Package historian remembers where a group's primary was, to show how old a replica's data is.
+// Package historian records the log positions of a group's primary over time, to bound the age of a
+// replica's data.
 package historian
 
 import (
@@ -7,62 +8,64 @@
 	"github.com/cuminwick/cuminwick/internal/group/marker"
 )
 
-// size is the number of remembered observations.
-const size = 128
+// capacity is the number of observations that are kept.
+const capacity = 128
 
-// Observation is the mark that a confirmed primary gave. It covers all writes
-// that were acknowledged before Asked.
+// Observation is a mark that a confirmed primary reported. It covers all writes that were acknowledged
+// before PolledAt.
 type Observation struct {
-	// PolledAt is when the question was sent, on this host's monotonic clock. The
-	// time of the answer would be wrong: a write acknowledged between the two
-	// may be missing from the mark.
+	// PolledAt is the time at which the poll was sent, on this host's monotonic clock. The time of
+	// the answer would be wrong: a write that was acknowledged between the two may be missing from
+	// the mark.
 	PolledAt time.Duration
 	Mark     marker.Mark
 }
 
-// Historian remembers the observations of one database group. Its fields are
-// set before use; it belongs to one goroutine and can be copied as a snapshot.
+// Historian holds the observations of one database group in a ring buffer. Its exported field is set
+// before use. A Historian must not be used concurrently; a copy is an independent snapshot.
 type Historian struct {
-	// MaximumAge is the longest age that is asked for. Observations are kept so
-	// far apart that they reach back so far.
+	// MaximumAge is the longest age that is passed to RequiredMark. Observations are thinned out so
+	// that the ring buffer spans it.
 	MaximumAge time.Duration
 
-	ring   [size]Observation
-	first  int
-	count  int
-	latest Observation
-	known  bool
+	ring [capacity]Observation
+	// first is the index of the oldest observation in ring, count the number of observations.
+	first int
+	count int
+	// latest is the latest observation, valid if hasLatest is set. It may be missing in ring.
+	latest    Observation
+	hasLatest bool
 }
 
-// Add remembers o. Observations come in the order in which they were asked;
-// one that is late adds nothing and is left out.
+// Add records o. Observations must be added in the order of PolledAt; one that is out of order is
+// ignored.
 func (h *Historian) Add(o Observation) {
-	if h.known && o.PolledAt <= h.latest.PolledAt {
+	if h.hasLatest && o.PolledAt <= h.latest.PolledAt {
 		return
 	}
 	h.latest = o
-	h.known = true
-	if h.count > 0 && o.PolledAt-h.at(h.count-1).PolledAt < h.MaximumAge/(size-1) {
+	h.hasLatest = true
+	if h.count > 0 && o.PolledAt-h.at(h.count-1).PolledAt < h.MaximumAge/(capacity-1) {
 		return
 	}
-	if h.count == size {
-		h.first = (h.first + 1) % size
+	if h.count == capacity {
+		h.first = (h.first + 1) % capacity
 		h.count--
 	}
-	h.ring[(h.first+h.count)%size] = o
+	h.ring[(h.first+h.count)%capacity] = o
 	h.count++
 }
 
-// Latest returns the newest observation, false if there is none.
+// Latest returns the latest observation, false if there is none.
 func (h *Historian) Latest() (Observation, bool) {
-	return h.latest, h.known
+	return h.latest, h.hasLatest
 }
 
-// RequiredMark returns the lowest remembered mark that shows data to be at most age
-// old, and false if no observation is recent enough to show it.
+// RequiredMark returns the lowest recorded mark such that data that covers it is at most age old. It
+// returns false if no observation is recent enough.
 func (h *Historian) RequiredMark(now, age time.Duration) (marker.Mark, bool) {
 	oldest := now - age
-	if !h.known || h.latest.PolledAt < oldest {
+	if !h.hasLatest || h.latest.PolledAt < oldest {
 		return marker.Mark{}, false
 	}
 	low, high := 0, h.count
@@ -80,6 +83,7 @@
 	return h.at(low).Mark, true
 }
 
+// at returns the observation i of ring, counted from the oldest.
 func (h *Historian) at(i int) Observation {
-	return h.ring[(h.first+i)%size]
+	return h.ring[(h.first+i)%capacity]
 }
--- a/internal/route/historian/historian_test.go
+++ b/internal/route/historian/historian_test.go
@@ -18,11 +18,10 @@
 	os.Exit(m.Run())
 }
 
-// A replica is served as young enough although it misses an older write. A
-// reviewer with a rule of five seconds then signs off figures that were
-// replaced longer ago. The mark that is asked for must hold every write
-// acknowledged before the age began, and no more than what was observed.
-func TestNeedHoldsAllWritesOlderThanTheAge(t *testing.T) {
+// Guards against reads from a replica that lacks a write older than the allowed age. The required mark
+// must cover every write that was acknowledged before the age began. It must not be needlessly high
+// either, as then fewer replicas would be eligible.
+func TestRequiredMarkCoversWritesOlderThanAge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maximum := 10 * time.Second
 		h := Historian{MaximumAge: maximum}
@@ -46,20 +45,20 @@
 			if !ok {
 				continue
 			}
-			// The best answer is the first observation within the age; a thinned
-			// ring may ask for one up to two of its steps later, never earlier.
+			// The best answer is the first observation within the age. As observations are thinned
+			// out, the result may be one up to two intervals later, never an earlier one.
 			for i, o := range all {
 				if o.PolledAt < later-age {
 					continue
 				}
 				if !got.Covers(o.Mark) {
-					t.Fatalf("need %v misses %v, observed within the age", got, o.Mark)
+					t.Fatalf("required mark %v does not cover %v, observed within the age", got, o.Mark)
 				}
-				step := 2 * maximum / (size - 1)
+				step := 2 * maximum / (capacity - 1)
 				for _, p := range all[i:] {
 					if p.PolledAt >= o.PolledAt+step {
 						if !p.Mark.Covers(got) {
-							t.Fatalf("need %v is above %v, observed %v later", got, p.Mark, p.PolledAt-o.PolledAt)
+							t.Fatalf("required mark %v is above %v, observed %v later", got, p.Mark, p.PolledAt-o.PolledAt)
 						}
 						break
 					}
