--- a/internal/route/matcher/matcher.go
+++ b/internal/route/matcher/matcher.go
@@ -1,4 +1,4 @@
-// Package matcher finds the routing rule for a request.
+// Package matcher finds the routing rule that applies to a request.
 package matcher
 
 import (
@@ -7,7 +7,7 @@
 	"github.com/cuminwick/cuminwick/internal/config/declarer"
 )
 
-// Request is what routing rules look at.
+// Request holds the properties of a request that routing rules match on.
 type Request struct {
 	DatabaseGroup   string
 	Role            string
@@ -15,14 +15,14 @@
 	Tag             string
 }
 
-// Matcher holds the rules of one configuration, sorted out by database group.
-// It isn't changed after Compile and may be used by many goroutines.
+// Matcher holds the routing rules of one configuration by database group. It is immutable after Compile
+// and safe for concurrent use.
 type Matcher struct {
 	groups map[string][]*declarer.RoutingRule
 }
 
-// Compile prepares the rules of f. The service of a group is known from f, so
-// only the rules that can match a group are looked at for its requests.
+// Compile returns a Matcher for the routing rules of f. It assigns to each database group the rules
+// that can match it by group and service, so that Match checks only those.
 func Compile(f declarer.File) *Matcher {
 	m := &Matcher{groups: make(map[string][]*declarer.RoutingRule, len(f.DatabaseGroups))}
 	for _, g := range f.DatabaseGroups {
@@ -47,20 +47,21 @@
 	return nil
 }
 
+// matches reports whether have matches want; an empty want matches any value.
 func matches(want, have string) bool {
 	return want == "" || want == have
 }
 
-// AllowedAge returns how old the data may be under rule r, nil for none, and
-// false if it must be the latest. A caller's own maximum-age only tightens the
-// rule: what may be stale is the operators' choice.
-func AllowedAge(r *declarer.RoutingRule, asked time.Duration, isAsked bool) (time.Duration, bool) {
+// AllowedAge returns the maximum age of the data under rule r, which may be nil, and false if no stale
+// data is allowed. requested is the caller's own maximum-age, valid if isRequested is set. It can only
+// lower the limit of the rule, as operators decide which data may be stale.
+func AllowedAge(r *declarer.RoutingRule, requested time.Duration, isRequested bool) (time.Duration, bool) {
 	if r == nil {
 		return 0, false
 	}
 	a := r.MaximumAge
-	if isAsked {
-		a = min(a, asked)
+	if isRequested {
+		a = min(a, requested)
 	}
 	return a, a > 0
 }
--- a/internal/route/matcher/matcher_test.go
+++ b/internal/route/matcher/matcher_test.go
@@ -48,21 +48,21 @@
 func TestAllowedAge(t *testing.T) {
 	r := &declarer.RoutingRule{MaximumAge: 5 * time.Second}
 	tests := []struct {
-		name    string
-		r       *declarer.RoutingRule
-		asked   time.Duration
-		isAsked bool
-		want    time.Duration
+		name        string
+		r           *declarer.RoutingRule
+		requested   time.Duration
+		isRequested bool
+		want        time.Duration
 	}{
-		{name: "no rule", asked: time.Hour, isAsked: true},
+		{name: "no rule", requested: time.Hour, isRequested: true},
 		{name: "rule alone", r: r, want: 5 * time.Second},
-		{name: "caller asks for less", r: r, asked: time.Second, isAsked: true, want: time.Second},
-		{name: "caller asks for more", r: r, asked: time.Hour, isAsked: true, want: 5 * time.Second},
-		{name: "caller asks for the latest", r: r, isAsked: true},
+		{name: "caller requests a lower age", r: r, requested: time.Second, isRequested: true, want: time.Second},
+		{name: "caller requests a higher age", r: r, requested: time.Hour, isRequested: true, want: 5 * time.Second},
+		{name: "caller requests the latest data", r: r, isRequested: true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			got, ok := AllowedAge(tt.r, tt.asked, tt.isAsked)
+			got, ok := AllowedAge(tt.r, tt.requested, tt.isRequested)
 			if got != tt.want || ok != (tt.want > 0) {
 				t.Errorf("age %v, %t, want %v", got, ok, tt.want)
 			}
