--- a/internal/limit/admitter/admission.go
+++ b/internal/limit/admitter/admission.go
@@ -103,19 +103,19 @@
 			return v
 		}
 	}
-	var most *team
+	var longest *team
 	for _, t := range q.waitingTeams {
-		if most == nil || t.queued()*most.share > most.queued()*t.share {
-			most = t
+		if longest == nil || t.queued()*longest.share > longest.queued()*t.share {
+			longest = t
 		}
 	}
-	if most == nil || most == e.team || (e.team.queued()+1)*most.share >= most.queued()*e.team.share {
+	if longest == nil || longest == e.team || (e.team.queued()+1)*longest.share >= longest.queued()*e.team.share {
 		return nil
 	}
-	if v := most.last(ClassRead); v != nil {
+	if v := longest.last(ClassRead); v != nil {
 		return v
 	}
-	return most.last(ClassWrite)
+	return longest.last(ClassWrite)
 }
 
 // mayRun reports whether a slot is free for class c, see OpenTransactions.
--- a/internal/limit/admitter/objective_test.go
+++ b/internal/limit/admitter/objective_test.go
@@ -32,7 +32,7 @@
 func TestStalledServerIsDetected(t *testing.T) {
 	q := Queue{Slots: 2}
 	now := time.Duration(0)
-	var held []*Entry
+	var running []*Entry
 	for range 2 {
 		for range 10 {
 			e := &Entry{Class: ClassRead, Deadline: now + time.Second}
@@ -42,7 +42,7 @@
 		}
 		e := &Entry{Class: ClassRead, Deadline: now + time.Second}
 		q.Offer(e, now)
-		held = append(held, e)
+		running = append(running, e)
 	}
 	offer := func() *Entry {
 		e := &Entry{Class: ClassRead, Deadline: now + time.Second, Objective: now + 100*time.Millisecond}
@@ -57,7 +57,7 @@
 	if e := offer(); e.State != StateRefused {
 		t.Errorf("state %d after a long stall, want refused", e.State)
 	}
-	q.Release(held[0], now)
+	q.Release(running[0], now)
 	if e := offer(); e.State == StateRefused {
 		t.Error("refused although a slot has just been released")
 	}
--- a/internal/limit/admitter/overload_test.go
+++ b/internal/limit/admitter/overload_test.go
@@ -7,35 +7,35 @@
 )
 
 // caller is a source of requests of one team and class in simulated time. The intervals between
-// requests are random, every on average; the first request comes at start.
+// requests are random, interval on average; the first request comes at start.
 type caller struct {
-	name    string
-	class   Class
-	every   time.Duration
-	timeout time.Duration
-	start   time.Duration
+	name     string
+	class    Class
+	interval time.Duration
+	timeout  time.Duration
+	start    time.Duration
 }
 
-// totals counts the outcomes of one team's requests; worst is the longest wait for a slot.
+// totals counts the outcomes of one team's requests; longestWait is the longest wait for a slot.
 type totals struct {
 	useful, late, refused int
-	worst                 time.Duration
+	longestWait           time.Duration
 }
 
-// simulate runs callers against q for the time length in steps of 100 microseconds. Each request holds
-// its slot for work on average.
-func simulate(q *Queue, work, length time.Duration, callers []caller) map[string]*totals {
+// simulate runs callers against q for duration in steps of 100 microseconds. Each request holds
+// its slot for serviceTime on average.
+func simulate(q *Queue, serviceTime, duration time.Duration, callers []caller) map[string]*totals {
 	r := rand.New(rand.NewPCG(1, 2))
 	sum := map[string]*totals{}
 	var running []*Entry
 	ends := map[*Entry]time.Duration{}
 	due := make([]time.Duration, len(callers))
-	for now := time.Duration(0); now < length; now += 100 * time.Microsecond {
-		take := func() {
+	for now := time.Duration(0); now < duration; now += 100 * time.Microsecond {
+		recordDecisions := func() {
 			for _, e := range q.Granted {
 				running = append(running, e)
-				ends[e] = now + time.Duration(float64(work)*(0.5+r.Float64()))
-				sum[e.Team].worst = max(sum[e.Team].worst, now-e.arrivedAt)
+				ends[e] = now + time.Duration(float64(serviceTime)*(0.5+r.Float64()))
+				sum[e.Team].longestWait = max(sum[e.Team].longestWait, now-e.arrivedAt)
 			}
 			for _, e := range q.Refused {
 				sum[e.Team].refused++
@@ -54,7 +54,7 @@
 				sum[e.Team].late++
 			}
 			q.Release(e, now)
-			take()
+			recordDecisions()
 		}
 		for i, c := range callers {
 			if sum[c.name] == nil {
@@ -64,13 +64,13 @@
 				continue
 			}
 			due[i] = max(due[i], c.start)
-			due[i] += time.Duration(float64(c.every) * 2 * r.Float64())
+			due[i] += time.Duration(float64(c.interval) * 2 * r.Float64())
 			e := &Entry{Team: c.name, Class: c.class}
 			if c.timeout > 0 {
 				e.Deadline = now + c.timeout
 			}
 			q.Offer(e, now)
-			take()
+			recordDecisions()
 		}
 	}
 	return sum
@@ -81,8 +81,8 @@
 func TestOverloadKeepsUsefulThroughput(t *testing.T) {
 	useful := func(percent int) int {
 		q := &Queue{Slots: 2}
-		every := 4 * ms / 2 * 100 / time.Duration(percent)
-		s := simulate(q, 4*ms, 20*time.Second, []caller{{name: "a", class: ClassRead, every: every, timeout: 50 * ms}})
+		interval := 4 * ms / 2 * 100 / time.Duration(percent)
+		s := simulate(q, 4*ms, 20*time.Second, []caller{{name: "a", class: ClassRead, interval: interval, timeout: 50 * ms}})
 		t.Logf("at %d%%: %+v", percent, *s["a"])
 		return s["a"].useful
 	}
@@ -102,15 +102,15 @@
 func TestShares(t *testing.T) {
 	q := &Queue{Slots: 2, Length: 60, Teams: map[string]TeamLimit{"double": {Share: 2}}}
 	s := simulate(q, 4*ms, 20*time.Second, []caller{
-		{name: "flood", class: ClassRead, every: ms / 5},
-		{name: "double", class: ClassWrite, every: ms / 2},
-		{name: "light", class: ClassRead, every: 40 * ms},
+		{name: "flood", class: ClassRead, interval: ms / 5},
+		{name: "double", class: ClassWrite, interval: ms / 2},
+		{name: "light", class: ClassRead, interval: 40 * ms},
 	})
 	if d := float64(s["double"].useful) / float64(s["flood"].useful); d < 1.9 || d > 2.1 {
 		t.Errorf("share 2 got %.2f times the work of share 1, want 2 within 5%%", d)
 	}
-	if s["light"].refused > 0 || s["light"].worst > 40*ms {
-		t.Errorf("light team: %d refused, waited up to %v", s["light"].refused, s["light"].worst)
+	if s["light"].refused > 0 || s["light"].longestWait > 40*ms {
+		t.Errorf("light team: %d refused, waited up to %v", s["light"].refused, s["light"].longestWait)
 	}
 }
 
@@ -118,8 +118,8 @@
 // capacity, and its accumulated share would keep all other teams waiting.
 func TestIdleTeamsAccumulateNoCredit(t *testing.T) {
 	s := simulate(&Queue{Slots: 2, Length: 60}, 4*ms, 20*time.Second, []caller{
-		{name: "steady", class: ClassRead, every: ms},
-		{name: "late", class: ClassRead, every: ms, start: 18 * time.Second},
+		{name: "steady", class: ClassRead, interval: ms},
+		{name: "late", class: ClassRead, interval: ms, start: 18 * time.Second},
 	})
 	if n := s["late"].useful; n < 450 || n > 550 {
 		t.Errorf("late team: %d of about 1000 requests in the last two seconds, want half", n)
@@ -130,10 +130,10 @@
 // maximumTransactionsInRow other reads would never run.
 func TestTransactionsDoNotStarveOthers(t *testing.T) {
 	s := simulate(&Queue{Slots: 2}, 4*ms, 5*time.Second, []caller{
-		{name: "transactions", class: ClassTransaction, every: ms},
-		{name: "reads", class: ClassRead, every: 100 * ms},
+		{name: "transactions", class: ClassTransaction, interval: ms},
+		{name: "reads", class: ClassRead, interval: 100 * ms},
 	})
-	if s["reads"].refused > 0 || s["reads"].useful < 40 || s["reads"].worst > 100*ms {
+	if s["reads"].refused > 0 || s["reads"].useful < 40 || s["reads"].longestWait > 100*ms {
 		t.Errorf("reads: %+v", *s["reads"])
 	}
 }
--- a/internal/route/chooser/read.go
+++ b/internal/route/chooser/read.go
@@ -57,9 +57,9 @@
 // count as equal within a part of the wait. The primary is only included if it is the best: under load
 // nearly all servers count as equal, and the primary would get a full share of the reads.
 func (c *Chooser) chooseAmongEqual(random uint64, o []estimate, best, primary int) int {
-	most := o[best].cost + max(orDefault(c.Tolerance, DefaultTolerance), o[best].wait/waitToleranceDivisor)
+	maximumCost := o[best].cost + max(orDefault(c.Tolerance, DefaultTolerance), o[best].wait/waitToleranceDivisor)
 	equal := func(i int) bool {
-		return o[i].eligible && o[i].cost <= most && (i == best || i != primary)
+		return o[i].eligible && o[i].cost <= maximumCost && (i == best || i != primary)
 	}
 	n := uint64(0)
 	for i := range o {
