--- a/internal/group/observer/observer.go
+++ b/internal/group/observer/observer.go
@@ -1,4 +1,4 @@
-// Package observer decides what one entry host knows of a database group: its primary, its term, and whether the primary is lost.
+// Package observer derives one entry host's view of a database group: its primary, its term, and whether the primary has failed.
 package observer
 
 import (
@@ -13,101 +13,108 @@
 	return n/2 + 1
 }
 
-// Settings are the thresholds of an observer.
+// Settings are the thresholds for suspecting a primary.
 type Settings struct {
-	// SuspicionTimeout is how long a primary must be silent before it is suspected.
+	// SuspicionTimeout is how long a primary must be silent, towards this host and towards a
+	// majority of its replicas, before it is suspected.
 	SuspicionTimeout time.Duration
-	// RefusalTimeout is the same for a primary whose machine refuses connections, zero for
-	// Suspicion. It is shorter, since silence may be a pause and a refusal isn't.
+	// RefusalTimeout replaces SuspicionTimeout for a primary whose machine refuses connections;
+	// zero means SuspicionTimeout. It is shorter, since a silent process may only be paused,
+	// whereas refused connections show that the process has ended.
 	RefusalTimeout time.Duration
-	// IsolationTimeout is how long a majority of the replicas must not have heard a
-	// primary before it is suspected though it answers. It is longer, since it is
-	// the only evidence.
+	// IsolationTimeout is how long a majority of the replicas must have received nothing from
+	// a primary before it is suspected even though it answers entry hosts. It is longer than
+	// SuspicionTimeout, since the replicas' reports are the only evidence.
 	IsolationTimeout time.Duration
-	// NoPrimaryTimeout is how long no instance may be primary; a promotion in progress at
-	// another host takes less.
+	// NoPrimaryTimeout is how long no instance may be primary before the group needs a
+	// promotion. A promotion in progress at another host takes less.
 	NoPrimaryTimeout time.Duration
-	// MaximumStatusAge is how old a status may be and still count.
+	// MaximumStatusAge is the age up to which a status counts as fresh.
 	MaximumStatusAge time.Duration
-	// TermAheadTimeout is how long a replica may be fenced at a higher term than a working
-	// primary's before the group is moved to a term above both.
+	// TermAheadTimeout is how long a replica may be fenced at a higher term than that of a
+	// working primary before the group is moved to a term above both.
 	TermAheadTimeout time.Duration
-	// MaximumViewInterval is the most time between two looks of a host that counts as
-	// evidence; for the rest it stood still. Zero is no limit.
+	// MaximumViewInterval is the largest part of the time between two views of a host that
+	// counts as evidence. The host is assumed to have been paused for the rest. Zero means no
+	// limit.
 	MaximumViewInterval time.Duration
-	// MaximumAnswerInterval is the same between two answers of a replica, and MaximumEvidenceAge
-	// how old an answer may be that says that it doesn't hear the primary.
+	// MaximumAnswerInterval is the same for the time between two answers of a replica.
+	// MaximumEvidenceAge is the age up to which a replica's answer counts as evidence that the
+	// replica receives nothing from the primary; zero means no limit.
 	MaximumAnswerInterval, MaximumEvidenceAge time.Duration
 }
 
-// Observation is what one entry host knows of one backend server. Times are
-// read from the entry host's own monotonic clock.
+// Observation is the latest state of one backend server that one entry host has observed. Times
+// are read from the entry host's own monotonic clock.
 type Observation struct {
 	// Status is the last answer, zero if there was none.
 	Status controller.Status
-	// Answered says whether there was an answer at all.
+	// Answered reports whether the server has ever answered.
 	Answered bool
-	// PolledAt is when the call that was answered last began.
+	// PolledAt is when the last answered call began.
 	PolledAt time.Duration
-	// RoundTrip is the smoothed time of a call.
+	// RoundTrip is the smoothed duration of a call.
 	RoundTrip time.Duration
-	// Failures counts the failed calls since the last answer. The first one may
-	// be due to an old connection gone silent, the later ones used fresh ones.
+	// Failures counts the failed calls since the last answer. The first failure may be due to
+	// a stale connection; the later calls use fresh connections.
 	Failures int
-	// Refused says that the last call failed because no server takes connections.
+	// Refused reports whether the last call failed because the machine refused the connection.
 	Refused bool
 }
 
-// Fresh reports whether the observation is at most f old.
+// Fresh reports whether the observation was made at most f before now.
 func (o Observation) Fresh(now, f time.Duration) bool {
 	return o.Answered && now-o.PolledAt <= f
 }
 
-// PrimaryReport is another entry host's word on the primary.
+// PrimaryReport is an entry host's report on the reachability of a primary. Other entry hosts
+// receive it with its fields under their own names.
 type PrimaryReport struct {
-	// Host is the entry host that gives its word.
+	// Host is the reporting entry host.
 	Host string
-	// Primary and Term name the primary that it speaks of.
+	// Primary and Term identify the reported primary.
 	Primary string
 	Term    marker.Term
-	// Lost says that its fresh connections to the primary fail as well.
+	// Lost reports whether fresh connections from Host to the primary fail.
 	Lost bool
 }
 
-// Reason says why a primary is suspected.
+// Reason is why a group needs a promotion.
 type Reason string
 
 // Reasons for a suspicion.
 const (
-	// ReasonNone stands for no suspicion.
+	// ReasonNone: there is no suspicion.
 	ReasonNone Reason = ""
-	// ReasonUnreachable: fresh connections fail and the replicas don't hear it.
+	// ReasonUnreachable: fresh connections to the primary fail and a majority of the replicas
+	// receives nothing from it.
 	ReasonUnreachable Reason = "primary-unreachable"
-	// ReasonIsolated: it may answer entry hosts, but the replicas don't hear it.
+	// ReasonIsolated: a majority of the replicas receives nothing from the primary, although
+	// it may answer entry hosts.
 	ReasonIsolated Reason = "primary-isolated-from-replicas"
 	// ReasonNoPrimary: no instance is primary under the accepted term.
 	ReasonNoPrimary Reason = "no-primary"
-	// ReasonTermAhead: a replica accepted a higher term and can't follow the primary.
+	// ReasonTermAhead: a replica accepted a higher term and cannot follow the primary.
 	ReasonTermAhead Reason = "term-ahead-of-primary"
 )
 
-// Obstacle says why the group can't take writes now.
+// Obstacle is why a group cannot accept writes at present.
 type Obstacle string
 
 // Obstacles to writes.
 const (
 	// ObstacleNone: the primary is confirmed.
 	ObstacleNone Obstacle = ""
-	// ObstacleNoMajority: fewer than a majority of the instances answer, so that
-	// nothing can be acknowledged and no promotion would be safe.
+	// ObstacleNoMajority: fewer than a majority of the instances answer, so no write can be
+	// acknowledged and no promotion would be safe.
 	ObstacleNoMajority Obstacle = "majority-not-reachable"
-	// ObstacleNoPrimary: no primary is known, or it was superseded.
+	// ObstacleNoPrimary: no primary is known, or the last one was superseded.
 	ObstacleNoPrimary Obstacle = "no-primary"
-	// ObstaclePrimarySilent: the primary doesn't answer.
+	// ObstaclePrimarySilent: the primary has no fresh status.
 	ObstaclePrimarySilent Obstacle = "primary-silent"
-	// ObstacleSuspected: the primary answers, but is suspected.
+	// ObstacleSuspected: the primary has a fresh status but is suspected.
 	ObstacleSuspected Obstacle = "primary-suspected"
-	// ObstacleTermStart: a majority doesn't hold the term-start record yet.
+	// ObstacleTermStart: fewer than a majority hold the term-start record.
 	ObstacleTermStart Obstacle = "term-start-not-held-by-majority"
 )
 
@@ -115,56 +122,57 @@
 type Server struct {
 	Name string
 	Observation
-	// Fresh says whether the observation counted as fresh.
+	// Fresh reports whether the observation was at most MaximumStatusAge old.
 	Fresh bool
 
-	// unwatched is how long this host stood still since it asked for the last answer.
-	unwatched time.Duration
-	// answered is when the last answer was made, at the latest.
-	answered time.Duration
-	// resumed is when it last answered again after it hadn't for too long.
-	resumed time.Duration
-	// unwitnessed is how much of SinceHeard the server doesn't vouch for.
-	unwitnessed time.Duration
+	// hostPaused is how long this host was paused since it sent the last answered poll.
+	hostPaused time.Duration
+	// answeredAt is the latest time at which the server can have made its last answer.
+	answeredAt time.Duration
+	// resumedAt is when the server last answered after a gap above MaximumAnswerInterval.
+	resumedAt time.Duration
+	// pausedSilence is the part of Status.SinceHeard for which the server itself may have been
+	// paused, so that it is no evidence against the primary.
+	pausedSilence time.Duration
 }
 
-// View is one entry host's picture of a database group at one moment.
+// View is the state of a database group as observed by one entry host at one time.
 type View struct {
-	// At is the host's monotonic time of the view.
+	// At is the time of the view on the host's monotonic clock, as are all times of the view.
 	At time.Duration
 	// Servers are in the order of the configuration.
 	Servers []Server
-	// Primary is the primary of the highest term seen, empty if there is none
-	// or a majority has accepted a higher term.
+	// Primary is the name of the observed primary with the highest term. It is empty if there
+	// is none or if a majority has accepted a higher term.
 	Primary string
-	// Term is the primary's, or the highest accepted one if there is none.
+	// Term is the term of Primary, or HighestTerm if Primary is empty.
 	Term marker.Term
-	// HighestTerm is the highest term that any instance accepted.
+	// HighestTerm is the highest term that any instance has accepted.
 	HighestTerm marker.Term
-	// HighestTermSince is when this host first saw HighestTerm.
+	// HighestTermSince is when this host first observed HighestTerm.
 	HighestTermSince time.Duration
-	// Confirmed says that the primary may be sent writes and that no record of
-	// an earlier term that it lacks can ever come back.
+	// Confirmed reports whether writes may be sent to the primary and no record of an earlier
+	// term that the primary lacks can reappear.
 	Confirmed bool
-	// Obstacle says why Confirmed is false.
+	// Obstacle is why Confirmed is false.
 	Obstacle Obstacle
-	// Reason says why the primary is suspected, if it is.
+	// Reason is why the group needs a promotion, ReasonNone if it needs none.
 	Reason Reason
 	// SuspectedSince is when the present suspicion began.
 	SuspectedSince time.Duration
-	// PrimarySince is when this host first saw the primary under its term.
+	// PrimarySince is when this host first observed Primary under Term.
 	PrimarySince time.Duration
-	// Leaving says that the primary's server will stop soon, LeavingSince when
-	// this host first saw it.
-	Leaving      bool
+	// Leaving reports whether the primary's server is about to stop.
+	Leaving bool
+	// LeavingSince is when this host first observed Leaving.
 	LeavingSince time.Duration
 	// Reachable counts the instances with a fresh status.
 	Reachable int
-	// NoMajoritySince is when fewer than a majority began to answer.
+	// NoMajoritySince is since when fewer than a majority of the instances have a fresh status.
 	NoMajoritySince time.Duration
 
 	noPrimarySince time.Duration
-	aheadSince     time.Duration
+	termAheadSince time.Duration
 }
 
 // Suspected reports whether the group needs a promotion.
@@ -172,12 +180,12 @@
 	return v.Reason != ReasonNone
 }
 
-// HasMajority reports whether a majority of the instances answers.
+// HasMajority reports whether a majority of the instances has a fresh status.
 func (v *View) HasMajority() bool {
 	return v.Reachable >= Majority(len(v.Servers))
 }
 
-// Server returns the named backend server of the view.
+// Server returns the backend server with the given name, and whether the view has it.
 func (v *View) Server(name string) (Server, bool) {
 	for _, s := range v.Servers {
 		if s.Name == name {
@@ -187,21 +195,21 @@
 	return Server{}, false
 }
 
-// Observe folds the present observations into a view; p is the view before.
-// The servers of s carry Name and Observation.
-func Observe(now time.Duration, c Settings, s []Server, w []PrimaryReport, p View) View {
+// Observe returns the view at now. Name and Observation of the servers s are set by the caller, r
+// are the recent reports of other hosts, and p is the previous view, zero at first.
+func Observe(now time.Duration, c Settings, s []Server, r []PrimaryReport, p View) View {
 	v := View{At: now, Servers: s}
 	for i := range v.Servers {
 		v.Servers[i].Fresh = v.Servers[i].Observation.Fresh(now, c.MaximumStatusAge)
 	}
-	v.leaveOut(c, &p)
+	v.discountPauses(c, &p)
 	v.findPrimary()
-	v.count()
-	v.since(p)
-	v.Reason = v.suspect(c, w)
+	v.countReachable()
+	v.carryOver(p)
+	v.Reason = v.suspicionReason(c, r)
 	v.Obstacle = v.obstacle()
 	v.Confirmed = v.Obstacle == ObstacleNone
-	v.SuspectedSince = began(v.Suspected(), p.Suspected(), p.SuspectedSince, now)
+	v.SuspectedSince = startOf(v.Suspected(), p.Suspected(), p.SuspectedSince, now)
 	return v
 }
 
@@ -213,16 +221,16 @@
 			v.Term = s.Status.Term
 		}
 	}
-	if v.Primary != "" && v.above(v.Term) < Majority(len(v.Servers)) {
+	if v.Primary != "" && v.acceptedAbove(v.Term) < Majority(len(v.Servers)) {
 		return
 	}
 	v.Primary = ""
 	v.Term = v.HighestTerm
 }
 
-// above counts the instances that accepted a term above t. Accepted terms never
-// fall, so that old statuses count as well.
-func (v *View) above(t marker.Term) int {
+// acceptedAbove counts the instances that accepted a term above t. An accepted term never
+// decreases, so old statuses count as well.
+func (v *View) acceptedAbove(t marker.Term) int {
 	n := 0
 	for _, s := range v.Servers {
 		if s.Status.Term > t {
@@ -232,7 +240,7 @@
 	return n
 }
 
-func (v *View) count() {
+func (v *View) countReachable() {
 	for _, s := range v.Servers {
 		if s.Fresh {
 			v.Reachable++
@@ -240,31 +248,32 @@
 	}
 }
 
-// since carries over from p when each lasting condition began.
-func (v *View) since(p View) {
+// carryOver sets when each condition of v began, taken from the previous view p if the condition
+// held there as well.
+func (v *View) carryOver(p View) {
 	same := v.Primary == p.Primary && v.Term == p.Term && v.Primary != ""
-	v.PrimarySince = began(v.Primary != "", same, p.PrimarySince, v.At)
-	v.noPrimarySince = began(v.Primary == "", p.Primary == "" && len(p.Servers) > 0, p.noPrimarySince, v.At)
-	v.aheadSince = began(v.ahead(), p.ahead() && same, p.aheadSince, v.At)
-	v.HighestTermSince = began(true, p.HighestTerm == v.HighestTerm, p.HighestTermSince, v.At)
+	v.PrimarySince = startOf(v.Primary != "", same, p.PrimarySince, v.At)
+	v.noPrimarySince = startOf(v.Primary == "", p.Primary == "" && len(p.Servers) > 0, p.noPrimarySince, v.At)
+	v.termAheadSince = startOf(v.termAhead(), p.termAhead() && same, p.termAheadSince, v.At)
+	v.HighestTermSince = startOf(true, p.HighestTerm == v.HighestTerm, p.HighestTermSince, v.At)
 	s, _ := v.Server(v.Primary)
 	v.Leaving = s.Status.Leaving
-	v.LeavingSince = began(v.Leaving, p.Leaving && same, p.LeavingSince, v.At)
-	v.NoMajoritySince = began(!v.HasMajority(), !p.HasMajority() && len(p.Servers) > 0, p.NoMajoritySince, v.At)
+	v.LeavingSince = startOf(v.Leaving, p.Leaving && same, p.LeavingSince, v.At)
+	v.NoMajoritySince = startOf(!v.HasMajority(), !p.HasMajority() && len(p.Servers) > 0, p.NoMajoritySince, v.At)
 }
 
-// began returns when a condition began: then if it held before as well, else now.
-func began(holds, held bool, then, now time.Duration) time.Duration {
+// startOf returns when a condition began: then if it holds now and held before, else now.
+func startOf(holds, held bool, then, now time.Duration) time.Duration {
 	if holds && held {
 		return then
 	}
 	return now
 }
 
-// ahead reports whether an instance accepted a higher term than the primary's,
-// so that it refuses to follow. A promoter that died after its first raise
-// leaves this behind.
-func (v *View) ahead() bool {
+// termAhead reports whether an instance accepted a higher term than that of the primary, so that
+// it refuses to follow. This remains after a promoting host that fails once it has raised the term
+// of one instance.
+func (v *View) termAhead() bool {
 	return v.Primary != "" && v.HighestTerm > v.Term
 }
 
@@ -287,10 +296,10 @@
 	return ObstacleNone
 }
 
-// termStartHeld reports whether a majority holds the term-start record of the
-// present term. Without this rule a second failure right after a promotion could
-// bring back a write of the old primary that a caller was told did not run. A
-// log whose last entry bears the term begins that term with its start record.
+// termStartHeld reports whether a majority holds the term-start record of the present term.
+// Without this rule, a second failure right after a promotion could bring back a write of the old
+// primary that was reported to its caller as not run. A log whose last entry has the term contains
+// that term's start record, which is the first record of the term.
 func (v *View) termStartHeld() bool {
 	n := 0
 	for _, s := range v.Servers {
--- a/internal/group/observer/pause.go
+++ b/internal/group/observer/pause.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// An entry host that stood still, or whose replicas did, sees old news all at
-// once: a primary that hasn't answered for a second, replicas that haven't heard
-// it for as long, a group without a primary since a promotion that ended long
-// ago. Nothing of that shows that a primary is lost. It is noticed by the time
-// between two looks of the host, and between two answers of a replica, which are
-// regular while both run. What goes beyond the limits counts for nothing.
+// After a pause of an entry host or of the replicas, the host observes outdated state all at once:
+// a primary that has not answered for a second, replicas that have received nothing from it for as
+// long, a group without a primary from the time of a promotion that ended long ago. None of this
+// shows that the primary has failed. A pause is detected by the time between two views of the host
+// and between two answers of a replica, both of which are regular while the processes run. Time
+// beyond the limits in Settings does not count as evidence.
 
-// excess returns how much of d is beyond the limit; zero is no limit.
+// excess returns the part of d beyond limit. A limit of zero means no limit.
 func excess(d, limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return 0
@@ -17,64 +17,65 @@
 	return max(0, d-limit)
 }
 
-// leaveOut makes what began in p begin later by the time for which this host
-// stood still since p.
-func (v *View) leaveOut(c Settings, p *View) {
+// discountPauses moves the start of each condition of the previous view p later by the time for
+// which this host was paused since p, and sets the pauses of the servers of v.
+func (v *View) discountPauses(c Settings, p *View) {
 	if len(p.Servers) == 0 {
 		return
 	}
 	d := excess(v.At-p.At, c.MaximumViewInterval)
 	for _, t := range []*time.Duration{
 		&p.HighestTermSince, &p.SuspectedSince, &p.PrimarySince, &p.LeavingSince,
-		&p.NoMajoritySince, &p.noPrimarySince, &p.aheadSince,
+		&p.NoMajoritySince, &p.noPrimarySince, &p.termAheadSince,
 	} {
 		*t = min(*t+d, v.At)
 	}
 	for i := range v.Servers {
 		s := &v.Servers[i]
 		o, _ := p.Server(s.Name)
-		s.unwatched = min(d, v.At-s.PolledAt)
+		s.hostPaused = min(d, v.At-s.PolledAt)
 		if s.PolledAt == o.PolledAt {
-			s.unwatched = min(o.unwatched+d, v.At-s.PolledAt)
+			s.hostPaused = min(o.hostPaused+d, v.At-s.PolledAt)
 		}
-		s.weigh(o, v.At, c.MaximumAnswerInterval)
+		s.discountPause(o, v.At, c.MaximumAnswerInterval)
 	}
 }
 
-// weigh works out for how much of its silence the server is no witness, since it
-// didn't answer meanwhile; o is the server at the look before. A server that ran
-// again for half the limit has read what its primary sent, so that it is a witness
-// of the whole silence: otherwise lost polls would delay a suspicion for long.
-func (s *Server) weigh(o Server, now, limit time.Duration) {
-	s.answered, s.resumed, s.unwitnessed = o.answered, o.resumed, o.unwitnessed
+// discountPause sets pausedSilence, the part of the reported silence during which the server did
+// not answer; o is the server in the previous view. A server that has run again for half the limit
+// has read what its primary sent meanwhile, so its whole silence counts as evidence. Otherwise lost
+// polls would delay a suspicion for long.
+func (s *Server) discountPause(o Server, now, limit time.Duration) {
+	s.answeredAt, s.resumedAt, s.pausedSilence = o.answeredAt, o.resumedAt, o.pausedSilence
 	if limit <= 0 || !s.Answered || s.PolledAt == o.PolledAt && o.Answered {
 		return
 	}
-	// An answer that waited for a host that stood still was made long before.
-	s.answered = min(now, s.PolledAt+limit/2)
-	d := now - o.answered
+	// If this host was paused, the answer was made long before the host received it.
+	s.answeredAt = min(now, s.PolledAt+limit/2)
+	d := now - o.answeredAt
 	if s.Status.SinceHeard < d {
-		// It heard its primary after the answer before: a new silence.
-		d, s.unwitnessed = s.Status.SinceHeard, 0
+		// The server received from its primary since its previous answer, so the silence is new.
+		d, s.pausedSilence = s.Status.SinceHeard, 0
 	}
 	switch {
 	case !o.Answered:
-		s.resumed, s.unwitnessed = now, s.Status.SinceHeard
+		s.resumedAt, s.pausedSilence = now, s.Status.SinceHeard
 	case d > limit:
-		s.resumed = now
-		s.unwitnessed += d - limit
-	case now-s.resumed >= limit/2:
-		s.unwitnessed = 0
+		s.resumedAt = now
+		s.pausedSilence += d - limit
+	case now-s.resumedAt >= limit/2:
+		s.pausedSilence = 0
 	}
 }
 
-// silence is how long the replica hasn't heard its primary, as far as it is a
-// witness of that.
-func (s *Server) silence() time.Duration {
-	return s.Status.SinceHeard - s.unwitnessed
+// primarySilence returns for how long the replica has received nothing from its primary, without
+// the time for which the replica itself may have been paused.
+func (s *Server) primarySilence() time.Duration {
+	return s.Status.SinceHeard - s.pausedSilence
 }
 
-// unanswered is how long the server hasn't answered while this host was asking.
-func (s *Server) unanswered(now time.Duration) time.Duration {
-	return now - s.PolledAt - s.unwatched
+// unansweredFor returns for how long the server has not answered, without the time for which this
+// host was paused.
+func (s *Server) unansweredFor(now time.Duration) time.Duration {
+	return now - s.PolledAt - s.hostPaused
 }
--- a/internal/group/observer/suspicion.go
+++ b/internal/group/observer/suspicion.go
@@ -6,71 +6,73 @@
 	"github.com/cuminwick/cuminwick/internal/backend/controller"
 )
 
-// freshFailures is how many calls must have failed in a row: the first one may
-// have used an old connection that had gone silent, the second one did not.
-const freshFailures = 2
+// unreachableFailures is how many consecutive calls to a server must fail before it counts as
+// unreachable. The first call may have used a stale connection, the second one used a fresh one.
+const unreachableFailures = 2
 
-// suspect returns why the group needs a promotion, if it does.
-func (v *View) suspect(c Settings, w []PrimaryReport) Reason {
+// suspicionReason returns why the group needs a promotion, ReasonNone if it needs none.
+func (v *View) suspicionReason(c Settings, l []PrimaryReport) Reason {
 	if !v.HasMajority() {
 		return ReasonNone
 	}
-	if v.Primary == "" && v.followed(c) {
+	if v.Primary == "" && v.hasUnseenPrimary(c) {
 		return ReasonNone
 	}
 	if v.Primary == "" {
-		return lasting(ReasonNoPrimary, v.At-v.noPrimarySince, c.NoPrimaryTimeout)
+		return reasonAfter(ReasonNoPrimary, v.At-v.noPrimarySince, c.NoPrimaryTimeout)
 	}
-	if r := v.suspectSilence(c, w); r != ReasonNone {
+	if r := v.silenceReason(c, l); r != ReasonNone {
 		return r
 	}
-	if v.ahead() {
-		return lasting(ReasonTermAhead, v.At-v.aheadSince, c.TermAheadTimeout)
+	if v.termAhead() {
+		return reasonAfter(ReasonTermAhead, v.At-v.termAheadSince, c.TermAheadTimeout)
 	}
 	return ReasonNone
 }
 
-// followed reports whether an instance under the highest term hears a primary
-// that this host hasn't seen yet, since its own calls to it were lost.
-func (v *View) followed(c Settings) bool {
+// hasUnseenPrimary reports whether an instance under the highest term receives from a primary that
+// this host has not observed, since this host's own calls to the primary failed.
+func (v *View) hasUnseenPrimary(c Settings) bool {
 	for i := range v.Servers {
 		s := &v.Servers[i]
 		follows := s.Status.Role == controller.RoleReplica && s.Status.Following != "" && s.Status.Term == v.HighestTerm
-		if s.Fresh && follows && s.silence() < c.SuspicionTimeout {
+		if s.Fresh && follows && s.primarySilence() < c.SuspicionTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-func lasting(r Reason, d, threshold time.Duration) Reason {
+// reasonAfter returns r once its condition has lasted for the threshold, else ReasonNone.
+func reasonAfter(r Reason, d, threshold time.Duration) Reason {
 	if d < threshold {
 		return ReasonNone
 	}
 	return r
 }
 
-func (v *View) suspectSilence(c Settings, w []PrimaryReport) Reason {
-	if v.At-v.PrimarySince < c.IsolationTimeout && !v.lost(c) {
-		return ReasonNone // its replicas may not have been pointed at it yet
+// silenceReason returns why the known primary is suspected because of its silence.
+func (v *View) silenceReason(c Settings, l []PrimaryReport) Reason {
+	if v.At-v.PrimarySince < c.IsolationTimeout && !v.primaryUnreachable(c) {
+		return ReasonNone // the replicas of a new primary may still follow the previous one
 	}
-	if v.silentReplicas(c, c.IsolationTimeout) {
+	if v.silentToMajority(c, c.IsolationTimeout) {
 		return ReasonIsolated
 	}
-	if v.silentReplicas(c, v.patience(c)) && v.lost(c) && !contradicted(v, w) {
+	if v.silentToMajority(c, v.silenceTimeout(c)) && v.primaryUnreachable(c) && !reachableByPeers(v, l) {
 		return ReasonUnreachable
 	}
 	return ReasonNone
 }
 
-// lost reports whether this host's own fresh connections to the primary fail.
-func (v *View) lost(c Settings) bool {
+// primaryUnreachable reports whether fresh connections from this host to the primary fail.
+func (v *View) primaryUnreachable(c Settings) bool {
 	s, _ := v.Server(v.Primary)
-	return s.Failures >= freshFailures && s.unanswered(v.At) >= v.patience(c)
+	return s.Failures >= unreachableFailures && s.unansweredFor(v.At) >= v.silenceTimeout(c)
 }
 
-// patience returns how long the primary must be silent before it is suspected.
-func (v *View) patience(c Settings) time.Duration {
+// silenceTimeout returns how long the primary must be silent before it is suspected.
+func (v *View) silenceTimeout(c Settings) time.Duration {
 	s, _ := v.Server(v.Primary)
 	if s.Refused && c.RefusalTimeout > 0 {
 		return c.RefusalTimeout
@@ -78,31 +80,32 @@
 	return c.SuspicionTimeout
 }
 
-// silentReplicas reports whether a majority of the replicas answers and hasn't
-// heard the primary for d. An old answer is no evidence: it may have heard it
-// since. Where most replicas hear it, the fault is this host's
-// own, and promoting would only interrupt everybody's writes.
-func (v *View) silentReplicas(c Settings, d time.Duration) bool {
+// silentToMajority reports whether a majority of the replicas answers and has received nothing
+// from the primary for d. An old answer is no evidence, since its replica may have received from
+// the primary afterwards. If most replicas still receive from the primary, the fault is on this
+// host's side, and a promotion would only interrupt the writes of all callers.
+func (v *View) silentToMajority(c Settings, d time.Duration) bool {
 	n := 0
 	for i := range v.Servers {
 		s := &v.Servers[i]
 		recent := s.Fresh && excess(v.At-s.PolledAt, c.MaximumEvidenceAge) == 0
-		if recent && s.Name != v.Primary && s.silent(v.Primary, d) {
+		if recent && s.Name != v.Primary && s.reportsSilence(v.Primary, d) {
 			n++
 		}
 	}
 	return n >= Majority(len(v.Servers)-1)
 }
 
-func (s *Server) silent(primary string, d time.Duration) bool {
-	return s.Status.Role != controller.RoleReplica || s.Status.Following != primary || s.silence() >= d
+// reportsSilence reports whether the server does not follow the primary or has received nothing
+// from it for d.
+func (s *Server) reportsSilence(primary string, d time.Duration) bool {
+	return s.Status.Role != controller.RoleReplica || s.Status.Following != primary || s.primarySilence() >= d
 }
 
-// contradicted reports whether other hosts gave their word on this primary and
-// none of them finds it lost.
-func contradicted(v *View, w []PrimaryReport) bool {
+// reachableByPeers reports whether other hosts reported on this primary and all of them reach it.
+func reachableByPeers(v *View, l []PrimaryReport) bool {
 	n := 0
-	for _, o := range w {
+	for _, o := range l {
 		if o.Primary != v.Primary || o.Term != v.Term {
 			continue
 		}
@@ -114,7 +117,7 @@
 	return n > 0
 }
 
-// Report returns this host's own word on the primary for other hosts.
+// Report returns this host's own report on the primary, for other hosts.
 func (v *View) Report(host string, c Settings) PrimaryReport {
-	return PrimaryReport{Host: host, Primary: v.Primary, Term: v.Term, Lost: v.Primary != "" && v.lost(c)}
+	return PrimaryReport{Host: host, Primary: v.Primary, Term: v.Term, Lost: v.Primary != "" && v.primaryUnreachable(c)}
 }
