--- a/internal/group/pacer/demand.go
+++ b/internal/group/pacer/demand.go
@@ -3,26 +3,26 @@
 import "time"
 
 const (
-	// A demand that isn't met is asked for again after this share of the time it
-	// has waited, so that its answer comes late by no more than this share.
-	repeatShare = 4
-	// early is the share of the time until the last answer is expected after which
-	// all others are to be there.
-	early = 2
-	// Polls for different demands lie apart by at least this share of the time that
-	// a demand takes, so that commits in a dense row share them.
-	spacingShare = 4
-	// Servers that aren't needed as things usually go are asked after this many
-	// times the usual time.
-	hedge = 2
-	// hedgeSteps of Settings.Busy are added, as for near servers the usual time is
-	// less than what a busy machine takes.
-	hedgeSteps = 16
+	// repeatDivisor divides the time that an unmet demand has waited to give the time before
+	// the next poll for it, so that the answer is late by at most that share.
+	repeatDivisor = 4
+	// earlyDivisor divides the time until the last answer is expected to give the time by
+	// which all other answers should be there.
+	earlyDivisor = 2
+	// spacingDivisor divides the usual time of a demand to give the least time between polls
+	// for different demands, so that commits in quick succession share polls.
+	spacingDivisor = 4
+	// hedgeFactor is how many times the usual time passes before the servers outside the
+	// fastest majority are polled as well.
+	hedgeFactor = 2
+	// hedgeIntervals is how many times Settings.MinimumInterval is added to that, since the
+	// usual time of near servers is less than the delays of a busy machine.
+	hedgeIntervals = 16
 )
 
-// AddDemand adds d to the demands. Read indexes that came between the same two polls
-// need the same ones, soonest for the first; of 32 reads that wait, few differ. The
-// decision on each of them apart would be made with each poll while all wait for it.
+// AddDemand adds d to the demands l. Read indexes that arrived between the same two polls need the
+// same polls and become one demand with the earliest arrival. Of 32 waiting reads few differ, and
+// separate demands would each be evaluated again with every poll while all of them wait.
 func AddDemand(l []Demand, d Demand) []Demand {
 	for i := range l {
 		if o := &l[i]; d.Kind == KindReadIndex && o.Kind == KindReadIndex && o.AfterPoll == d.AfterPoll {
@@ -33,8 +33,9 @@
 	return append(l, d)
 }
 
-// expected is the usual time until the server is known to hold a position.
-func (s *Server) expected(k Kind) time.Duration {
+// usualTime returns the usual time from the arrival of a demand until the server is known to hold
+// its position.
+func (s *Server) usualTime(k Kind) time.Duration {
 	return s.Delays[k] + s.RoundTrip
 }
 
@@ -43,8 +44,8 @@
 	return s.HasAnswered && s.Failures == 0
 }
 
-// open are the servers that could still contribute to a demand.
-func (t *State) open(d *Demand) Set {
+// openServers returns the servers that could still contribute to the demand.
+func (t *State) openServers(d *Demand) Set {
 	var o Set
 	for i := range t.Servers {
 		if d.Kind == KindReadIndex && t.Servers[i].LastAnswered <= d.AfterPoll ||
@@ -55,16 +56,17 @@
 	return o
 }
 
-// cost is what the servers are chosen by: how soon they can be expected to contribute.
+// cost returns how long server i is expected to take to contribute to the demand. Servers are
+// chosen by it.
 func (t *State) cost(d *Demand, i int) time.Duration {
 	if d.Kind == KindReadIndex {
 		return t.Servers[i].RoundTrip
 	}
-	return t.Servers[i].expected(d.Kind)
+	return t.Servers[i].usualTime(d.Kind)
 }
 
-// before orders the servers by how soon they can be expected to contribute.
-func (t *State) before(d *Demand, i, j int) bool {
+// less orders the servers by how soon they are expected to contribute.
+func (t *State) less(d *Demand, i, j int) bool {
 	if a, b := t.Servers[i].usable(), t.Servers[j].usable(); a != b {
 		return a
 	}
@@ -74,10 +76,10 @@
 	return i < j
 }
 
-// chosen returns those of the open servers that make up a majority soonest, and
-// the largest cost among them.
-func (t *State) chosen(d *Demand) (chosen Set, horizon time.Duration) {
-	o := t.open(d)
+// fastestMajority returns those of the open servers that are expected to complete a majority
+// soonest, and the largest cost among them.
+func (t *State) fastestMajority(d *Demand) (chosen Set, horizon time.Duration) {
+	o := t.openServers(d)
 	need := majority(len(t.Servers))
 	for i := range t.Servers {
 		if !o.Has(i) {
@@ -94,44 +96,44 @@
 	return chosen, horizon
 }
 
-// rank counts the servers of o before i.
+// rank counts the servers of o that are ordered before i.
 func (t *State) rank(d *Demand, o Set, i int) int {
 	n := 0
 	for j := range t.Servers {
-		if o.Has(j) && t.before(d, j, i) {
+		if o.Has(j) && t.less(d, j, i) {
 			n++
 		}
 	}
 	return n
 }
 
-// spare is when a server is asked that isn't needed as things usually go.
-func (t *State) spare(d *Demand, horizon time.Duration) time.Duration {
-	return d.ArrivedAt + hedge*horizon + hedgeSteps*t.Settings.MinimumInterval
+// hedgedAt returns when a server outside the fastest majority is polled for the demand.
+func (t *State) hedgedAt(d *Demand, horizon time.Duration) time.Duration {
+	return d.ArrivedAt + hedgeFactor*horizon + hedgeIntervals*t.Settings.MinimumInterval
 }
 
-// spareIndex is the same for a read index. Beside near servers hedgeSteps is many
-// times their usual time, and all reads that come meanwhile wait for the one late
-// answer too: entry hosts then serve fewer reads, without any server being busy. The
-// usual time of a poll holds what a busy machine takes, so as much again will do.
-func (t *State) spareIndex(d *Demand, horizon time.Duration) time.Duration {
-	return min(t.spare(d, horizon), d.ArrivedAt+2*hedge*horizon)
+// readIndexHedgedAt is the same for a read index. For near servers hedgeIntervals amounts to many
+// times their usual time, and all reads that arrive meanwhile wait for the one late answer as well,
+// so entry hosts would serve fewer reads without any server being busy. The usual time of a poll
+// already includes the delays of a busy machine, so twice hedgeFactor times it is enough.
+func (t *State) readIndexHedgedAt(d *Demand, horizon time.Duration) time.Duration {
+	return min(t.hedgedAt(d, horizon), d.ArrivedAt+2*hedgeFactor*horizon)
 }
 
-// index returns when a read index needs a poll of server i.
+// readIndexAt returns when a read index needs a poll of server i.
 //
-// A read that came while a poll was under way needs another one. Where that poll
-// is of a distant server, polling the near one at once would gain nothing, and
-// the near one would be asked once for each read that comes meanwhile. So it
-// waits until the distant one is expected back.
-func (t *State) index(d *Demand, i int) time.Duration {
+// A read that arrived while a poll was under way needs another one. If that poll is of a distant
+// server, polling the near server at once would gain nothing, and the near server would be polled
+// for each read that arrives meanwhile. Its poll therefore waits until the distant server's answer
+// is expected.
+func (t *State) readIndexAt(d *Demand, i int) time.Duration {
 	s := &t.Servers[i]
-	c, horizon := t.chosen(d)
+	c, horizon := t.fastestMajority(d)
 	if s.LastAnswered > d.AfterPoll || c == 0 {
 		return Never
 	}
 	if !c.Has(i) {
-		return t.spareIndex(d, horizon)
+		return t.readIndexHedgedAt(d, horizon)
 	}
 	at := d.ArrivedAt
 	for j := range t.Servers {
@@ -143,44 +145,44 @@
 	return at
 }
 
-// acknowledgement returns when a commit's acknowledgement needs a poll of server
-// i: when it is expected to hold the commit. One that holds it long before the
-// others, as the primary does, is asked later, so that one poll may serve several
-// commits, but early enough not to be what the commit waits for.
-func (t *State) acknowledgement(d *Demand, i int) time.Duration {
+// acknowledgementAt returns when a commit's acknowledgement needs a poll of server i, which is when
+// the server is expected to hold the commit. A server that holds it long before the others, such as
+// the primary, is polled later, so that one poll may serve several commits, but early enough that
+// the commit does not wait for it.
+func (t *State) acknowledgementAt(d *Demand, i int) time.Duration {
 	s := &t.Servers[i]
-	c, horizon := t.chosen(d)
+	c, horizon := t.fastestMajority(d)
 	switch {
 	case d.Holders.Has(i) || c == 0:
 		return Never
 	case c.Has(i):
-		return t.again(d, s, d.ArrivedAt+max(s.Delays[d.Kind], horizon/early-s.RoundTrip))
+		return t.repeatedAt(d, s, d.ArrivedAt+max(s.Delays[d.Kind], horizon/earlyDivisor-s.RoundTrip))
 	default:
-		return t.again(d, s, t.spare(d, horizon))
+		return t.repeatedAt(d, s, t.hedgedAt(d, horizon))
 	}
 }
 
-// single returns when a demand on the one server i needs a poll.
-func (t *State) single(d *Demand, i int) time.Duration {
+// singleServerAt returns when a demand that only server i can meet needs a poll.
+func (t *State) singleServerAt(d *Demand, i int) time.Duration {
 	s := &t.Servers[i]
 	at := d.ArrivedAt
-	if d.Kind < learnt {
+	if d.Kind < delayKinds {
 		at += s.Delays[d.Kind]
 	}
-	return t.again(d, s, at)
+	return t.repeatedAt(d, s, at)
 }
 
-// again returns when the server is asked for a demand that expects an answer
-// from a poll that begins at first: then, or, if that one didn't meet the demand,
-// after a time that grows.
-func (t *State) again(d *Demand, s *Server, first time.Duration) time.Duration {
+// repeatedAt returns when the server is polled for a demand that should be met by a poll beginning
+// at first: at first or, if that poll did not meet the demand, after an interval that grows with
+// the time waited.
+func (t *State) repeatedAt(d *Demand, s *Server, first time.Duration) time.Duration {
 	if s.LastPoll > d.AfterPoll && s.PollStarted >= first {
-		w := (s.PollEnded - d.ArrivedAt) / repeatShare
+		w := (s.PollEnded - d.ArrivedAt) / repeatDivisor
 		return s.PollEnded + min(max(w, t.Settings.MinimumInterval), t.Settings.NoPrimaryInterval)
 	}
 	var usual time.Duration
-	if d.Kind < learnt {
-		usual = s.expected(d.Kind)
+	if d.Kind < delayKinds {
+		usual = s.usualTime(d.Kind)
 	}
-	return max(first, s.PollStarted+max(usual/spacingShare, t.Settings.MinimumInterval))
+	return max(first, s.PollStarted+max(usual/spacingDivisor, t.Settings.MinimumInterval))
 }
--- a/internal/group/pacer/join_test.go
+++ b/internal/group/pacer/join_test.go
@@ -8,9 +8,8 @@
 	"github.com/cuminwick/cuminwick/internal/group/pacer"
 )
 
-// Reads that wait for an index are joined where they need the same polls. Were a
-// poll lost by it, such a read would wait until its time is over although all
-// servers answer.
+// Guards against the loss of a poll when reads that wait for a read index are joined into one
+// demand: such a read would wait until its deadline although all servers answer.
 func TestJoinedDemandsNeedTheSamePolls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := drawTable(t)
--- a/internal/group/pacer/pacer_test.go
+++ b/internal/group/pacer/pacer_test.go
@@ -23,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-// set gives a flag its fixed value unless the command line gave another one.
+// set sets a flag to a fixed value unless the command line sets it.
 func set(name, value string) {
 	given := false
 	flag.Visit(func(f *flag.Flag) { given = given || f.Name == name })
@@ -32,8 +32,8 @@
 	}
 }
 
-// group is a primary beside the host, a replica in the next zone and one in
-// another region, all polled last from 990 to 995 ms.
+// group returns a near primary, a replica in another zone and one in another region, all last
+// polled from 990 to 995 ms.
 func group() *pacer.State {
 	t := &pacer.State{Settings: settings}
 	for i, r := range []time.Duration{ms / 2, 3 * ms, 16 * ms} {
@@ -56,19 +56,19 @@
 		demands []pacer.Demand
 		want    [3]pacer.ScheduledPoll
 	}{
-		{name: "nobody waits", want: [3]pacer.ScheduledPoll{rest, rest, rest}},
+		{name: "no request waits", want: [3]pacer.ScheduledPoll{rest, rest, rest}},
 		{
 			name:   "primary of a busy group",
 			change: func(t *pacer.State) { t.Busy = true },
 			want:   [3]pacer.ScheduledPoll{{At: 1045 * ms}, rest, rest},
 		},
 		{
-			name:    "a read asks the two nearest, the third if they don't answer",
+			name:    "a read polls the two nearest, the third one if they do not answer",
 			demands: []pacer.Demand{read},
 			want:    [3]pacer.ScheduledPoll{{At: now, Cause: pacer.CauseReadIndex}, {At: now, Cause: pacer.CauseReadIndex}, {At: 1010 * ms, Cause: pacer.CauseReadIndex}},
 		},
 		{
-			name: "a read that came during a poll of the next zone",
+			name: "a read that arrived during a poll of the other zone",
 			change: func(t *pacer.State) {
 				t.Servers[1].Polling, t.Servers[1].PollStarted, t.Servers[1].LastPoll = true, 999*ms, 3
 			},
@@ -88,12 +88,12 @@
 			want:    [3]pacer.ScheduledPoll{rest, rest, rest},
 		},
 		{
-			name:    "a commit asks when the replica is expected to hold it, and the primary well before",
+			name:    "a commit polls the replica when it should hold the commit, and the primary well before",
 			demands: []pacer.Demand{commit},
 			want:    [3]pacer.ScheduledPoll{{At: 1003 * ms, Cause: pacer.CauseAcknowledgement}, {At: 1004 * ms, Cause: pacer.CauseAcknowledgement}, {At: 1018 * ms, Cause: pacer.CauseAcknowledgement}},
 		},
 		{
-			name: "a commit that the replica didn't hold yet",
+			name: "a commit that the replica did not hold at the first poll",
 			change: func(t *pacer.State) {
 				s := &t.Servers[1]
 				s.LastPoll, s.LastAnswered, s.PollStarted, s.PollEnded = 4, 4, 1005*ms, 1008*ms
@@ -118,12 +118,12 @@
 			want:    [3]pacer.ScheduledPoll{{At: now, Cause: pacer.CauseNoPrimary}, {At: now, Cause: pacer.CauseNoPrimary}, {At: now, Cause: pacer.CauseNoPrimary}},
 		},
 		{
-			name:   "no primary, and nobody waits",
+			name:   "no primary, and no request waits",
 			change: func(t *pacer.State) { t.NoPrimary = true },
 			want:   [3]pacer.ScheduledPoll{{At: 1015 * ms, Cause: pacer.CauseNoPrimary}, {At: 1015 * ms, Cause: pacer.CauseNoPrimary}, {At: 1015 * ms, Cause: pacer.CauseNoPrimary}},
 		},
 		{
-			name:   "promoting, after a request has seen the primary fail",
+			name:   "promoting, after the primary failed for a request",
 			change: func(t *pacer.State) { t.Promoting, t.Servers[0].PollNow = true, true },
 			want:   [3]pacer.ScheduledPoll{{At: 995 * ms, Cause: pacer.CauseRequestFailure}, {At: 995250 * time.Microsecond, Cause: pacer.CausePromotion}, {At: 995250 * time.Microsecond, Cause: pacer.CausePromotion}},
 		},
@@ -173,11 +173,11 @@
 	return g
 }
 
-// A request waits, some servers lag, fail or are being asked. None of this may
-// keep it waiting for good: every server that could still contribute, answers
-// and is free is asked at the latest when the usual time has passed twice, or
-// again within the interval of a gap; and nobody is asked less often than at rest.
-func TestNoDemandIsForgotten(t *testing.T) {
+// Guards against a request that waits forever while some servers lag, fail or are being polled.
+// Every server that could still contribute, answers and is not being polled must be polled at the
+// latest after twice the usual time, and again within the interval without a primary. No server may
+// be polled less often than at the idle interval.
+func TestEveryDemandIsPolledFor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := drawTable(t)
 		d := pacer.Demand{
@@ -188,34 +188,34 @@
 			Holders:   pacer.Set(rapid.IntRange(0, 1<<len(g.Servers)-1).Draw(t, "holders")),
 		}
 		g.Demands = []pacer.Demand{d}
-		var most time.Duration
-		done := 0
+		var longest time.Duration
+		contributors := 0
 		for i, s := range g.Servers {
-			most = max(most, s.RoundTrip+settings.NoPrimaryInterval)
+			longest = max(longest, s.RoundTrip+settings.NoPrimaryInterval)
 			if contributed(d, s, i) {
-				done++
+				contributors++
 			}
 		}
-		met := done >= len(g.Servers)/2+1 && d.Kind != pacer.KindCover
+		met := contributors >= len(g.Servers)/2+1 && d.Kind != pacer.KindCover
 		for i, s := range g.Servers {
 			n := pacer.Next(g, i)
 			if s.Polling || s.Failures > 0 {
 				continue
 			}
 			if n.At > s.PollEnded+settings.IdleInterval {
-				t.Errorf("server %d polled at %v, more than the rest after %v", i, n.At, s.PollEnded)
+				t.Errorf("server %d polled at %v, more than the idle interval after %v", i, n.At, s.PollEnded)
 			}
 			if met || contributed(d, s, i) || d.Kind == pacer.KindCover && d.Server != i {
 				continue
 			}
-			if l := max(d.ArrivedAt+2*most+16*settings.MinimumInterval, s.PollEnded+max(settings.NoPrimaryInterval, most), d.ArrivedAt+s.RoundTrip+maximumFlight(g)); n.At > l {
+			if l := max(d.ArrivedAt+2*longest+16*settings.MinimumInterval, s.PollEnded+max(settings.NoPrimaryInterval, longest), d.ArrivedAt+s.RoundTrip+lastExpectedAnswer(g)); n.At > l {
 				t.Errorf("server %d polled at %v, want %v at the latest", i, n.At, l)
 			}
 		}
 	})
 }
 
-// contributed reports whether server i has done for d what it can.
+// contributed reports whether server i has contributed to d all that it can.
 func contributed(d pacer.Demand, s pacer.Server, i int) bool {
 	switch d.Kind {
 	case pacer.KindReadIndex:
@@ -227,8 +227,8 @@
 	}
 }
 
-// maximumFlight is when the last poll under way is expected back.
-func maximumFlight(g *pacer.State) time.Duration {
+// lastExpectedAnswer returns when the last answer to the polls under way is expected.
+func lastExpectedAnswer(g *pacer.State) time.Duration {
 	var m time.Duration
 	for _, s := range g.Servers {
 		if s.Polling {
@@ -238,7 +238,7 @@
 	return m
 }
 
-// A demand that a server can do nothing more for doesn't have it polled.
+// Guards against needless polls of a server that cannot contribute further to the demands.
 func TestNoNeedlessPoll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := drawTable(t)
@@ -259,21 +259,21 @@
 	})
 }
 
-// A replica takes 6 ms to hold a commit. The delay that is learnt settles around
-// this from either side, whatever it was before.
-func TestLearn(t *testing.T) {
+// Guards against a usual delay that does not converge: a replica takes 6 ms to hold a commit, and
+// the delay must settle around that value from either side.
+func TestUpdateDelay(t *testing.T) {
 	const actual, step = 6 * ms, ms
 	for _, first := range []time.Duration{0, 20 * ms} {
 		usual := first
 		for range 200 {
-			shown := usual
-			for shown < actual {
-				shown += step
+			delay := usual
+			for delay < actual {
+				delay += step
 			}
-			usual = pacer.UpdateDelay(usual, shown, shown > usual, 20*ms)
+			usual = pacer.UpdateDelay(usual, delay, delay > usual, 20*ms)
 		}
 		if usual < actual-step || usual > actual+step {
-			t.Errorf("from %v: learnt %v, want about %v", first, usual, actual)
+			t.Errorf("from %v: delay %v, want about %v", first, usual, actual)
 		}
 	}
 }
