--- a/internal/group/acknowledger/acknowledger.go
+++ b/internal/group/acknowledger/acknowledger.go
@@ -7,105 +7,104 @@
 	"github.com/cuminwick/cuminwick/internal/group/observer"
 )
 
-// CommitState is what is known of one commit.
+// CommitState is the state of one commit as far as it is known.
 type CommitState string
 
-// Verdicts on a commit.
+// States of a commit.
 const (
-	// Waiting: not enough instances have reported it yet.
+	// Waiting: fewer than a majority of the instances have reported it, and no later term is
+	// confirmed.
 	Waiting CommitState = "waiting"
-	// Acknowledged: a majority of the instances held it under its term, so that
-	// every later primary has it.
+	// Acknowledged: a majority of the instances held it under its term, so every later primary
+	// has it.
 	Acknowledged CommitState = "acknowledged"
-	// Superseded: a later term is confirmed without it, so that it did not run
-	// and never will.
+	// Superseded: a later term is confirmed without it, so it did not run and never will.
 	Superseded CommitState = "superseded"
-	// Undetermined: a later term is confirmed, and the positions don't tell
-	// whether it has the commit. Its idempotency key may.
+	// Undetermined: a later term is confirmed, and the positions do not show whether that term
+	// has the commit. The commit's idempotency key may show it.
 	Undetermined CommitState = "undetermined"
 )
 
-// keptTerms is how many terms of one instance a ledger remembers. Commits of
-// older terms that still wait become undetermined, which is true of them.
-const keptTerms = 8
+// maximumTerms is how many terms of one instance are kept. Waiting commits of older terms become
+// undetermined, which is correct without their terms' positions.
+const maximumTerms = 8
 
-// TermProgress is what one instance was seen to hold of one term.
+// TermProgress is the part of one term that one instance has reported to hold.
 type TermProgress struct {
 	Term marker.Term
-	// Position is the highest position seen under Term.
+	// Position is the highest reported position under Term.
 	Position marker.Position
-	// Start is the position of the term-start record.
-	Start marker.Position
-	// Previous is the term of the record before Start, zero if it isn't known.
-	Previous marker.Term
+	// TermStart is the position of the term-start record.
+	TermStart marker.Position
+	// PreviousTerm is the term of the record before TermStart, zero if it is not known.
+	PreviousTerm marker.Term
 }
 
-// account is what a ledger remembers of one instance.
-type account struct {
-	holdings []TermProgress
+// instanceProgress is the progress of one instance in its latest terms.
+type instanceProgress struct {
+	terms []TermProgress
 }
 
-// ReplicationTracker remembers what the instances of one group were seen to hold. What an
-// instance once reported counts for good: if it drops the record later, no
-// majority had reported it. The zero ReplicationTracker with Instances set is ready.
+// ReplicationTracker records which log positions the instances of one group have reported. A report
+// counts permanently: an instance drops a record later only if no majority had reported it. The zero
+// value with Instances set is ready for use.
 type ReplicationTracker struct {
 	// Instances is how many instances the group has.
 	Instances int
 
-	accounts map[string]*account
+	progress map[string]*instanceProgress
 }
 
-// Observe folds one instance's status into the ledger.
+// Observe records the positions in one instance's status.
 func (l *ReplicationTracker) Observe(s controller.Status) {
-	if l.accounts == nil {
-		l.accounts = make(map[string]*account)
+	if l.progress == nil {
+		l.progress = make(map[string]*instanceProgress)
 	}
-	a := l.accounts[s.BackendServer]
+	a := l.progress[s.BackendServer]
 	if a == nil {
-		a = &account{}
-		l.accounts[s.BackendServer] = a
+		a = &instanceProgress{}
+		l.progress[s.BackendServer] = a
 	}
 	a.observe(s)
 }
 
-// Forget drops what a server reported that turned out not to be the instance so named.
+// Forget removes the reports under an instance's name, for a server that is not that instance.
 func (l *ReplicationTracker) Forget(instance string) {
-	delete(l.accounts, instance)
+	delete(l.progress, instance)
 }
 
-func (a *account) observe(s controller.Status) {
-	a.hold(TermProgress{Term: s.Last.Term, Position: s.Last.Position, Start: s.TermStart, Previous: s.PreviousTerm})
+func (a *instanceProgress) observe(s controller.Status) {
+	a.record(TermProgress{Term: s.Last.Term, Position: s.Last.Position, TermStart: s.TermStart, PreviousTerm: s.PreviousTerm})
 }
 
-func (a *account) hold(h TermProgress) {
-	for i := range a.holdings {
-		if a.holdings[i].Term == h.Term {
-			a.holdings[i].Position = max(a.holdings[i].Position, h.Position)
+func (a *instanceProgress) record(h TermProgress) {
+	for i := range a.terms {
+		if a.terms[i].Term == h.Term {
+			a.terms[i].Position = max(a.terms[i].Position, h.Position)
 			return
 		}
 	}
-	a.holdings = keep(a.holdings, h)
+	a.terms = appendBounded(a.terms, h)
 }
 
-// keep appends v and forgets the oldest above keptTerms.
-func keep[T any](s []T, v T) []T {
+// appendBounded appends v and removes the oldest element beyond maximumTerms.
+func appendBounded[T any](s []T, v T) []T {
 	s = append(s, v)
-	if len(s) > keptTerms {
+	if len(s) > maximumTerms {
 		s = s[1:]
 	}
 	return s
 }
 
-// Decide returns the verdict on a commit at or before m, as it is known from a
-// position that was read after the commit and may be another commit's. A later
-// term that begins at or before m proves nothing here: the commit itself may be
-// earlier and part of it. To take it for superseded would tell "not run" falsely,
-// and a rerun would double the write.
+// Decide returns the state of a commit at or before m, where m is a position that was read after the
+// commit and may belong to another commit. A later term that begins at or before m proves nothing,
+// since the commit itself may be earlier and part of that term. To report it as superseded could
+// be wrong, and running the write again would apply it twice.
 func (l *ReplicationTracker) Decide(m marker.Mark) CommitState {
 	return l.decide(m, false)
 }
 
-// DecideExact returns the verdict on the commit at m itself.
+// DecideExact returns the state of the commit at m itself.
 func (l *ReplicationTracker) DecideExact(m marker.Mark) CommitState {
 	return l.decide(m, true)
 }
@@ -115,12 +114,12 @@
 		return Acknowledged
 	}
 	v := Waiting
-	for _, a := range l.accounts {
-		for _, h := range a.holdings {
+	for _, a := range l.progress {
+		for _, h := range a.terms {
 			if h.Term <= m.Term || !l.Confirmed(h.Term) {
 				continue
 			}
-			if w := decideLater(m, h, exact); w != Undetermined {
+			if w := decideByLaterTerm(m, h, exact); w != Undetermined {
 				return w
 			}
 			v = Undetermined
@@ -129,10 +128,10 @@
 	return v
 }
 
-// holders counts the instances that reported the record at m under its term.
+// holders counts the instances that have reported the record at m under its term.
 func (l *ReplicationTracker) holders(m marker.Mark) int {
 	n := 0
-	for _, a := range l.accounts {
+	for _, a := range l.progress {
 		if a.held(m) {
 			n++
 		}
@@ -140,14 +139,14 @@
 	return n
 }
 
-// Held reports whether the server reported the record at m under its term.
+// Held reports whether the server has reported the record at m under its term.
 func (l *ReplicationTracker) Held(server string, m marker.Mark) bool {
-	a := l.accounts[server]
+	a := l.progress[server]
 	return a != nil && a.held(m)
 }
 
-func (a *account) held(m marker.Mark) bool {
-	for _, h := range a.holdings {
+func (a *instanceProgress) held(m marker.Mark) bool {
+	for _, h := range a.terms {
 		if (marker.Mark{Term: h.Term, Position: h.Position}).Holds(m) {
 			return true
 		}
@@ -155,12 +154,12 @@
 	return false
 }
 
-// Confirmed reports whether a majority was seen to hold records of term t, and
-// so its term-start record. Every later log begins with that record's log.
+// Confirmed reports whether a majority has reported records of term t, and so holds its term-start
+// record. Every later log then begins with the log up to that record.
 func (l *ReplicationTracker) Confirmed(t marker.Term) bool {
 	n := 0
-	for _, a := range l.accounts {
-		for _, h := range a.holdings {
+	for _, a := range l.progress {
+		for _, h := range a.terms {
 			if h.Term == t {
 				n++
 			}
@@ -169,16 +168,16 @@
 	return n >= observer.Majority(l.Instances)
 }
 
-// decideLater tells whether the confirmed later term that h belongs to has the
-// commit at m. All logs that reach the term are equal up to its start.
-func decideLater(m marker.Mark, h TermProgress, exact bool) CommitState {
+// decideByLaterTerm returns the state of the commit at m by the confirmed later term of h. All logs
+// that contain the term are equal up to its start.
+func decideByLaterTerm(m marker.Mark, h TermProgress, exact bool) CommitState {
 	switch {
-	case exact && m.Position >= h.Start:
-		return Superseded // that position belongs to a later term's record for good
-	case h.Previous == m.Term && m.Position < h.Start:
-		return Acknowledged // the log's part of that term reaches to the start
-	case h.Previous != 0 && h.Previous < m.Term:
-		return Superseded // terms only grow along a log, so it has none of that term
+	case exact && m.Position >= h.TermStart:
+		return Superseded // the position permanently belongs to a record of a later term
+	case h.PreviousTerm == m.Term && m.Position < h.TermStart:
+		return Acknowledged // the log has the commit's term without a gap up to the later term's start
+	case h.PreviousTerm != 0 && h.PreviousTerm < m.Term:
+		return Superseded // terms only increase along a log, so it has no record of the commit's term
 	}
 	return Undetermined
 }
