--- a/internal/group/appointer/appointer.go
+++ b/internal/group/appointer/appointer.go
@@ -1,4 +1,4 @@
-// Package appointer decides which entry hosts serve a database group: they poll its backend servers and promote, and all others follow them.
+// Package appointer decides which entry hosts serve a database group, that is, poll its backend servers and promote; all other hosts get its state from them.
 package appointer
 
 import (
@@ -11,8 +11,8 @@
 	"github.com/cuminwick/cuminwick/internal/pool/assigner"
 )
 
-// DefaultHostsPerServer is how many entry hosts serve for each backend server: the
-// owner of its pool and the successor, who takes over when the owner is lost.
+// DefaultHostsPerServer is the number of serving hosts for each backend server: the owner of its pool
+// and the successor, which takes over when the owner fails.
 const DefaultHostsPerServer = 2
 
 // Owners ranks the entry hosts for a backend server, usually a ranker.Ranker.
@@ -20,14 +20,15 @@
 	Owners(s assigner.Server, n int) assigner.Owners
 }
 
-// ServingHosts returns the names of the group's serving hosts, none where no host is
-// known yet. For each backend server they are the owner of its pool and the next
-// ones in the same availability zone, perServer in all. A zone with fewer hosts
-// has fewer; where it has none, the owner in another zone serves.
+// ServingHosts returns the names of the group's serving hosts, none if no host is known. For each
+// backend server they are the owner of its pool and the next hosts in the same availability zone,
+// perServer in total. An availability zone with fewer hosts has fewer serving hosts; if it has none,
+// the owner in another availability zone serves.
 //
-// Each owner of a pool is among them, so that whoever lends the connections to a
-// server knows its state without asking anybody. And as each zone that has both
-// is covered, a zone that is cut off still sees its own servers.
+// Each owner of a pool is a serving host, so that the host that lends connections to a server has
+// the server's state without a request to another host. Each availability zone that has both hosts
+// and servers of the group has a serving host, so that it still observes its own servers while it
+// is cut off.
 func ServingHosts(o Owners, zones map[string]string, g declarer.DatabaseGroup, perServer int) []string {
 	var l []string
 	for _, b := range g.BackendServers {
@@ -43,16 +44,17 @@
 	return l
 }
 
-// Location is where an entry host stands.
+// Location is the location of the named entry host.
 type Location struct {
 	Name             string
 	AvailabilityZone string
 	Region           string
 }
 
-// OrderByDistance sorts serving hosts by the order in which a host at the given place turns
-// to them: those of its zone, of its region, others. Equals are ordered by a hash
-// of both names, so that the hosts of a zone spread over its serving hosts.
+// OrderByDistance returns the names of the serving hosts other than the host at the given location,
+// in the order in which that host contacts them: those in its availability zone, those in its
+// region, others. Hosts at the same distance are ordered by a hash of both names, so that the hosts
+// of an availability zone spread over its serving hosts.
 func OrderByDistance(at Location, serving []Location) []string {
 	l := slices.Clone(serving)
 	slices.SortFunc(l, func(a, b Location) int {
--- a/internal/group/appointer/appointer_test.go
+++ b/internal/group/appointer/appointer_test.go
@@ -20,7 +20,8 @@
 	os.Exit(m.Run())
 }
 
-func fleet(zones, each int) []assigner.Host {
+// hosts returns the given number of entry hosts in each of the availability zones.
+func hosts(zones, each int) []assigner.Host {
 	var l []assigner.Host
 	for z := range zones {
 		for i := range each {
@@ -50,43 +51,43 @@
 	return ServingHosts(assigner.Compile(l), zonesOf(l), g, DefaultHostsPerServer)
 }
 
-// An entry host is lost or joins. If serving hosts that aren't concerned changed
-// too, callers of many groups would wait for new ones to learn their groups; if a
-// zone were left without, it could see nothing while it is cut off.
-func TestOnlyTheGroupsOfAHostMove(t *testing.T) {
+// Guards against unrelated changes of serving hosts when an entry host fails or joins: callers of
+// many groups would wait until new serving hosts have polled their groups. Also guards against an
+// availability zone without a serving host, which could observe nothing while it is cut off.
+func TestHostChangeMovesOnlyItsGroups(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := fleet(3, rapid.IntRange(2, 8).Draw(t, "each"))
+		l := hosts(3, rapid.IntRange(2, 8).Draw(t, "each"))
 		i := rapid.IntRange(0, len(l)-1).Draw(t, "gone")
-		less := slices.Delete(slices.Clone(l), i, i+1)
+		remaining := slices.Delete(slices.Clone(l), i, i+1)
 		for n := range 30 {
 			g := groupIn(fmt.Sprint("g-", n), 0, 1, 2)
-			all, rest := serving(l, g), serving(less, g)
+			all, rest := serving(l, g), serving(remaining, g)
 			if len(all) != 6 {
 				t.Fatalf("%d serving hosts of %s, want 6: %v", len(all), g.Name, all)
 			}
 			kept := slices.DeleteFunc(slices.Clone(all), func(h string) bool { return h == l[i].Name })
 			for _, h := range kept {
 				if !slices.Contains(rest, h) {
-					t.Fatalf("%s no longer serves %s without %s", h, g.Name, l[i].Name)
+					t.Fatalf("%s stopped serving %s without %s", h, g.Name, l[i].Name)
 				}
 			}
 			if len(rest) > len(kept)+1 {
 				t.Fatalf("more than one host takes over from %s: %v, before %v", l[i].Name, rest, all)
 			}
-			z := zonesOf(less)
+			z := zonesOf(remaining)
 			for _, b := range g.BackendServers {
 				if !slices.ContainsFunc(rest, func(h string) bool { return z[h] == b.AvailabilityZone }) {
 					t.Fatalf("no serving host in %s: %v", b.AvailabilityZone, rest)
 				}
-				if o := assigner.Compile(less).Owner(assigner.Server{DatabaseGroup: g.Name, Name: b.Name, AvailabilityZone: b.AvailabilityZone, Region: b.Region}); !slices.Contains(rest, o) {
-					t.Fatalf("%s owns the pool of %s and doesn't serve", o, b.Name)
+				if o := assigner.Compile(remaining).Owner(assigner.Server{DatabaseGroup: g.Name, Name: b.Name, AvailabilityZone: b.AvailabilityZone, Region: b.Region}); !slices.Contains(rest, o) {
+					t.Fatalf("%s owns the pool of %s and does not serve", o, b.Name)
 				}
 			}
 		}
 	})
 }
 
-func TestServingWhereHostsAreFew(t *testing.T) {
+func TestServingHostsWithFewHosts(t *testing.T) {
 	tests := []struct {
 		name  string
 		hosts []assigner.Host
@@ -94,10 +95,10 @@
 		want  int
 	}{
 		{name: "no host known", group: groupIn("g", 0, 1, 2), want: 0},
-		{name: "one a zone", hosts: fleet(3, 1), group: groupIn("g", 0, 1, 2), want: 3},
-		{name: "two a zone", hosts: fleet(3, 2), group: groupIn("g", 0, 1, 2), want: 6},
-		{name: "many", hosts: fleet(3, 100), group: groupIn("g", 0, 1, 2), want: 6},
-		{name: "zone without hosts", hosts: fleet(1, 3), group: groupIn("g", 1), want: 1},
+		{name: "one in each zone", hosts: hosts(3, 1), group: groupIn("g", 0, 1, 2), want: 3},
+		{name: "two in each zone", hosts: hosts(3, 2), group: groupIn("g", 0, 1, 2), want: 6},
+		{name: "many", hosts: hosts(3, 100), group: groupIn("g", 0, 1, 2), want: 6},
+		{name: "zone without hosts", hosts: hosts(1, 3), group: groupIn("g", 1), want: 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
