--- a/internal/group/indexer/indexer.go
+++ b/internal/group/indexer/indexer.go
@@ -8,25 +8,22 @@
 	"github.com/cuminwick/cuminwick/internal/group/observer"
 )
 
-// Index returns the read index that follows from polled, the last entries of
-// those of n instances that were polled after the read arrived; ok is false
-// while they are fewer than a majority.
+// Index returns the read index that follows from polled, the last entries of those of n instances
+// that were polled after the read arrived. ok is false if they are fewer than a majority.
 //
-// Why it covers every acknowledged write: a write at (t,p) is acknowledged only
-// after a majority reported that it held it. The polled majority shares an
-// instance with that one. This instance still holds the write, because each
-// promotion picks a log that holds it and so no log ever drops it; its last entry
-// therefore is at or past (t,p). The highest last entry of any majority is at
-// least that. This needs no primary, and it holds whoever is promoted meanwhile.
+// The index covers every acknowledged write: a write at (t,p) is acknowledged only after a majority
+// has reported that it holds the write. The polled majority shares an instance with that majority.
+// The shared instance still holds the write, because each promotion picks a log that holds it, so
+// that no log ever drops it. Its last entry is therefore at or after (t,p), and so is the highest
+// last entry of any majority. This requires no primary and holds regardless of promotions meanwhile.
 //
-// Of all majorities among the polled the one with the lowest highest entry is
-// taken, since any will do and a lower index is reached sooner.
+// Of all majorities among the polled instances, the one whose highest entry is lowest is used, since
+// any majority is sufficient and a lower index is reached sooner.
 //
-// The index may be an entry that was never acknowledged, written by a primary
-// that is gone. No other log may ever reach it under that term: then the wait for
-// it ends when a later term begins, or else at the read's deadline. The wait must
-// have a deadline for this reason. At least one of the polled instances covers
-// the index at once.
+// The index may be an entry that was never acknowledged, written by a failed primary. It is possible
+// that no other log ever reaches it under that term. The wait for it then ends when a later term
+// begins or at the read's deadline, so the wait must have a deadline. At least one of the polled
+// instances covers the index at once.
 func Index(n int, polled []marker.Mark) (m marker.Mark, ok bool) {
 	k := observer.Majority(n)
 	if len(polled) < k {
