--- a/internal/group/indexer/indexer_test.go
+++ b/internal/group/indexer/indexer_test.go
@@ -23,7 +23,7 @@
 		{"a term held by one instance only", 3, []marker.Mark{b, b, c}, b, true},
 		{"two of four", 4, []marker.Mark{a, b}, marker.Mark{}, false},
 		{"three of four", 4, []marker.Mark{c, a, b}, c, true},
-		{"single instance", 1, []marker.Mark{a}, a, true},
+		{"alone", 1, []marker.Mark{a}, a, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/group/observer/pause_test.go
+++ b/internal/group/observer/pause_test.go
@@ -245,7 +245,7 @@
 // Guards against limits that delay the suspicion of a failed primary, during which no write
 // proceeds. Where all messages arrive, the limits may add no delay; where one in twenty is lost,
 // they may add only the time of a lost poll or two.
-func TestFailureIsSuspectedAsSoonAsWithoutLimits(t *testing.T) {
+func TestRealLossIsSuspectedAsSoonAsWithoutLimits(t *testing.T) {
 	const lostPoll = pollTimeout + retryInterval
 	var before, after []time.Duration
 	for seed := range uint64(200) {
--- a/internal/route/director/ahead.go
+++ b/internal/route/director/ahead.go
@@ -10,44 +10,47 @@
 	"github.com/cuminwick/cuminwick/internal/route/chooser"
 )
 
-// ahead chooses a replica for a read before the read index is known, if the
-// answer can be kept back until then. Otherwise the index goes on being taken.
-func (s *search) ahead(ctx context.Context) (server.Choice, bool) {
+// runAhead chooses a replica for a read before its read index is known, if the answer can be withheld
+// until then. If it chooses none, the read index stays pending in s.
+func (s *search) runAhead(ctx context.Context) (server.Choice, bool) {
 	if !s.query.Repeatable || s.request.Aged || !chooser.NeedsReadIndex(&s.request) || !s.group.Driver.View().HasMajority() {
 		return server.Choice{}, false
 	}
 	if s.group.Driver.HandingOver() {
-		// At the server that becomes the primary meanwhile, it couldn't be run again.
+		// The replica may become the primary meanwhile, where the read could not be run again.
 		return server.Choice{}, false
 	}
 	s.pending = s.group.Driver.BeginReadIndex(ctx)
 	if !s.runtime.budget.Spare() {
 		return server.Choice{}, false
 	}
-	l := s.group.candidates(s.director, s.group.knowledge.Load(), s.candidates[:0])
+	l := s.group.candidates(s.director, s.group.statistics.Load(), s.candidates[:0])
 	s.request.ReadIndex, s.request.HasReadIndex = chooser.Expected(l), true
-	x, l := s.look()
+	x, l := s.choose()
 	s.request.ReadIndex, s.request.HasReadIndex = marker.Mark{}, false
 	if !chooser.RunsAhead(&x, l) {
 		return server.Choice{}, false
 	}
-	b := s.group.servers[x.Index].repeats
+	b := s.group.servers[x.Index].repeatBudget
 	b.Count()
 	if !b.Spare() {
 		return server.Choice{}, false
 	}
-	c := s.chosen(&x, l)
-	c.Ahead = &ahead{index: s.pending, mark: s.request.Mark, known: l[x.Index].Last, repeats: b}
+	c := s.choice(&x, l)
+	c.Ahead = &ahead{index: s.pending, mark: s.request.Mark, known: l[x.Index].Last, repeatBudget: b}
 	return c, true
 }
 
 // ahead implements server.Ahead.
 type ahead struct {
+	// index is the pending read index.
 	index driver.Index
-	mark  marker.Mark
+	// mark is the session's mark.
+	mark marker.Mark
+	// known is the last entry of the server's log when it was last polled.
 	known marker.Mark
-	// repeats is charged for a read that must be run again.
-	repeats *retrier.Budget
+	// repeatBudget is charged for a read that must be run again.
+	repeatBudget *retrier.Budget
 }
 
 // Confirm implements server.Ahead.
@@ -58,11 +61,12 @@
 	}
 	ok := chooser.Covers(a.mark, m, a.known, before)
 	if !ok {
-		a.repeats.Allow(retrier.OutcomeNotRun, true)
+		a.repeatBudget.Allow(retrier.OutcomeNotRun, true)
 	}
 	return server.Confirmation{Covered: ok, Index: m, HasIndex: true}
 }
 
+// awaitIndex waits for the read index, at most for indexTimeout.
 func awaitIndex(ctx context.Context, r driver.Index) (marker.Mark, error) {
 	x, cancel := context.WithTimeout(ctx, indexTimeout)
 	defer cancel()
--- a/internal/route/director/ahead_test.go
+++ b/internal/route/director/ahead_test.go
@@ -7,10 +7,10 @@
 	"github.com/cuminwick/cuminwick/internal/config/declarer"
 )
 
-// A replica that looked caught up lacks a write by the time of the read index,
-// again and again. Each such read is run twice and takes a slot from others, so
-// after a few of them reads wait for their index first.
-func TestReadsAheadEndWithTheirBudget(t *testing.T) {
+// Guards against reads that repeatedly run ahead of their read index in vain. A replica that had caught
+// up at its last poll lacks a write covered by the read index, again and again. Each such read is run
+// twice and takes a slot from others, so after a few of them reads must wait for their index first.
+func TestReadsRunAheadOnlyWithinTheirBudget(t *testing.T) {
 	d, _ := deploy(t, &declarer.File{})
 	q := server.Query{Group: "g", ReplicaSafe: true, Repeatable: true}
 	runs := 0
@@ -35,6 +35,6 @@
 	}
 	q.Repeatable = false
 	if c, err := d.Choose(t.Context(), q); err != nil || c.Ahead != nil {
-		t.Errorf("a read that can't be run again got %+v, %v", c, err)
+		t.Errorf("a read that cannot be run again got %+v, %v", c, err)
 	}
 }
--- a/internal/route/director/decisions.go
+++ b/internal/route/director/decisions.go
@@ -7,26 +7,27 @@
 	"github.com/cuminwick/cuminwick/internal/route/chooser"
 )
 
-// DecisionLog takes one line for each routing decision. It keeps no reference to d.
+// DecisionLog logs routing decisions.
 type DecisionLog interface {
+	// Decide logs one decision as one line. It keeps no reference to d.
 	Decide(d *encoder.Decision)
 }
 
-// line is a decision with room for the servers that were passed over.
-type line struct {
+// decisionLine is a decision with space for the servers that were passed over.
+type decisionLine struct {
 	encoder.Decision
 	passed [chooser.MaximumCandidates]encoder.PassedOver
 }
 
-// lines lends the memory of log lines, as there is one for each request.
-var lines = sync.Pool{New: func() any { return new(line) }}
+// linePool reuses the memory of log lines, since each request has one.
+var linePool = sync.Pool{New: func() any { return new(decisionLine) }}
 
-// log writes the decision's line; x is nil where there was nothing to choose from.
-func (s *search) log(chosen string, why chooser.Reason, x *chooser.Decision, l []chooser.Candidate) {
+// logDecision logs the decision; x is nil if no servers were evaluated.
+func (s *search) logDecision(chosen string, why chooser.Reason, x *chooser.Decision, l []chooser.Candidate) {
 	if s.director.Decisions == nil {
 		return
 	}
-	p := lines.Get().(*line)
+	p := linePool.Get().(*decisionLine)
 	p.Decision = encoder.Decision{
 		Kind:          "route",
 		Request:       s.query.Request,
@@ -47,5 +48,5 @@
 		p.PassedOver = p.passed[:n]
 	}
 	s.director.Decisions.Decide(&p.Decision)
-	lines.Put(p)
+	linePool.Put(p)
 }
--- a/internal/route/director/director.go
+++ b/internal/route/director/director.go
@@ -1,4 +1,4 @@
-// Package director finds the backend server for each request of this entry host's callers.
+// Package director selects the backend server for each request of this entry host's callers.
 package director
 
 import (
@@ -17,42 +17,41 @@
 	"github.com/cuminwick/cuminwick/internal/route/matcher"
 )
 
-// Errors of a request for which no backend server is found; nothing was sent.
+// Errors of a request for which no backend server is found. Nothing was sent.
 const (
-	// ErrUnknownGroup says that the configuration has no such database group.
+	// ErrUnknownGroup: the configuration in force has no such database group.
 	ErrUnknownGroup = errors.ConstError("unknown database group")
-	// ErrUnconfirmed says that nobody can tell whether a reachable backend
-	// server holds what the session must see.
+	// ErrUnconfirmed: it cannot be determined whether a reachable backend server holds the
+	// writes that the session must see.
 	ErrUnconfirmed = errors.ConstError("no backend server is known to hold what the session must see")
-	// ErrNoServer says that the reachable backend servers don't hold what the
-	// session must see.
+	// ErrNoServer: no reachable backend server holds the writes that the session must see.
 	ErrNoServer = errors.ConstError("no reachable backend server holds what the session must see")
-	// ErrRetryBudget says that too much of the traffic is retries already.
+	// ErrRetryBudget: retries already make up too large a share of the requests.
 	ErrRetryBudget = errors.ConstError("retry budget spent")
 )
 
-// Runtime is the configuration in force, with what serves it. It is compiled
-// once and isn't changed afterwards.
+// Runtime is a configuration with the groups that serve it. It is compiled once and does not change
+// afterwards. The exported fields are set before Compile.
 type Runtime struct {
 	Revision uint64
 	File     *declarer.File
 	Groups   map[string]*Group
-	// Names are those of Groups.
+	// Names are the keys of Groups.
 	Names []string
 
 	matcher *matcher.Matcher
-	// teams are the teams by role.
+	// teams holds the teams by role name.
 	teams  map[string]*declarer.Team
 	budget *retrier.Budget
 }
 
-// Compile prepares the look-ups of the request path. The retry budget of the
-// configuration before, which may be nil, goes on if its share is the same:
-// with a fresh one each change would allow a burst of retries.
-func (r *Runtime) Compile(before *Runtime) {
+// Compile prepares the data that requests look up. The retry budget of previous, which may be nil, is
+// kept if its share is the same, since a new budget would allow a burst of retries with each change
+// of the configuration.
+func (r *Runtime) Compile(previous *Runtime) {
 	r.budget = &retrier.Budget{Share: r.File.Limits.RetryShare, Burst: retryBurst}
-	if before != nil && before.budget.Share == r.budget.Share {
-		r.budget = before.budget
+	if previous != nil && previous.budget.Share == r.budget.Share {
+		r.budget = previous.budget
 	}
 	r.matcher = matcher.Compile(*r.File)
 	r.teams = make(map[string]*declarer.Team)
@@ -62,16 +61,16 @@
 			r.teams[o.Name] = t
 		}
 	}
-	var longest time.Duration
+	var maximumAge time.Duration
 	for _, u := range r.File.RoutingRules {
-		longest = max(longest, u.MaximumAge)
+		maximumAge = max(maximumAge, u.MaximumAge)
 	}
 	for _, g := range r.Groups {
-		g.longest.Store(int64(longest))
+		g.maximumAge.Store(int64(maximumAge))
 	}
 }
 
-// team returns the name of the role's team, empty if it has none.
+// team returns the name of the role's team, empty if the role has none.
 func (r *Runtime) team(role string) string {
 	if t := r.teams[role]; t != nil {
 		return t.Name
@@ -79,9 +78,9 @@
 	return ""
 }
 
-// mayReach reports whether the role may use the group. Where no teams are
-// declared, everybody may.
-func (r *Runtime) mayReach(group, role string) bool {
+// mayUse reports whether the role may use the group. If no teams are declared, each role may use each
+// group.
+func (r *Runtime) mayUse(group, role string) bool {
 	if len(r.File.Teams) == 0 {
 		return true
 	}
@@ -93,21 +92,22 @@
 type Director struct {
 	AvailabilityZone string
 	Region           string
-	// PrimaryReads sends all reads to the primary, as a baseline to measure against.
+	// PrimaryReads sends all reads to the primary, as a baseline for measurements.
 	PrimaryReads bool
-	Decisions    DecisionLog
-	// Draw returns random numbers, among others for the draw between equal servers.
+	// Decisions may be nil.
+	Decisions DecisionLog
+	// Draw returns random numbers, with which the chooser draws between equal servers.
 	Draw    func() uint64
 	Chooser chooser.Chooser
 	// Metrics may be nil.
 	Metrics *Metrics
 
-	// Configuration returns the compiled configuration in force, nil before the
-	// first. It is called for each request and must not wait.
+	// Configuration returns the compiled configuration in force, nil before the first one. It is
+	// called for each request and must not block.
 	Configuration func() *Runtime
 }
 
-// Runtime returns the configuration in force, nil before the first.
+// Runtime returns the configuration in force, nil before the first one.
 func (d *Director) Runtime() *Runtime {
 	return d.Configuration()
 }
@@ -123,7 +123,7 @@
 // Exists implements server.Director.
 func (d *Director) Exists(group, role string) bool {
 	r, _, err := d.group(group)
-	return err == nil && r.mayReach(group, role)
+	return err == nil && r.mayUse(group, role)
 }
 
 func (d *Director) group(name string) (*Runtime, *Group, error) {
@@ -161,14 +161,13 @@
 	g.Driver.Attend(ctx)
 	s := &search{director: d, runtime: r, group: g, query: q, team: r.team(q.Role)}
 	if q.Write || !q.ReplicaSafe || d.PrimaryReads {
-		return s.write(ctx)
+		return s.chooseForWrite(ctx)
 	}
-	return s.read(ctx)
+	return s.chooseForRead(ctx)
 }
 
-// replaced reports whether err only says that a configuration has come into
-// force under which the group's servers differ from those of g, so that what
-// failed with it is to be done again with the group as it is now.
+// replaced reports whether err is due to a new configuration under which the servers of the group
+// differ from those of g. The failed operation is then to be repeated with the group as it is now.
 func (d *Director) replaced(g *Group, err error) bool {
 	if !errors.Is(err, driver.ErrStopped) {
 		return false
@@ -177,24 +176,23 @@
 	return e == nil && n != g
 }
 
-// retryBurst is how many retries may be saved up. When a primary fails, the
-// requests that were on their way to it come back together, and they are few
-// beside what its slots and queue hold.
+// retryBurst is the number of unused retries that may accumulate. When a primary fails, the requests
+// in flight to it are retried together; they are few compared with the capacity of its slots and
+// queue.
 const retryBurst = 100
 
-// admitRetry counts a first attempt, and refuses further ones beyond the budget.
-// An attempt only comes here again if the one before certainly did not run or
-// was a read.
+// admitRetry counts a first attempt and refuses further attempts beyond the budget. A further attempt
+// is made only if the previous one certainly did not run or was a read.
 func (d *Director) admitRetry(b *retrier.Budget, q server.Query) error {
 	if q.Attempt == 0 {
 		b.Count()
 		return nil
 	}
 	if !b.Allow(retrier.OutcomeNotRun, true) {
-		d.Metrics.retry(false)
+		d.Metrics.countRetry(false)
 		return errors.Annotatef(ErrRetryBudget, "attempt %d in %s", q.Attempt+1, q.Group)
 	}
-	d.Metrics.retry(true)
+	d.Metrics.countRetry(true)
 	return nil
 }
 
@@ -212,5 +210,5 @@
 	}
 }
 
-// Observe implements server.Director.
+// Observe implements server.Director. It does nothing: positions are observed by polling.
 func (d *Director) Observe(string, string, marker.Mark) {}
--- a/internal/route/director/director_test.go
+++ b/internal/route/director/director_test.go
@@ -31,7 +31,7 @@
 
 func (c control) Status(context.Context) (controller.Status, error) { return c.status, nil }
 
-// decisions keeps the last line.
+// decisions keeps the last logged decision.
 type decisions struct{ last encoder.Decision }
 
 func (d *decisions) Decide(x *encoder.Decision) { d.last = *x }
@@ -41,7 +41,7 @@
 // deploy runs a group of a primary at position 10 and two replicas at 10 and 8.
 func deploy(t testing.TB, f *declarer.File) (*Director, *decisions) {
 	t.Helper()
-	n := drive(t.Context(), t)
+	n := startGroup(t.Context(), t)
 	f.DatabaseGroups = []declarer.DatabaseGroup{n.Declared}
 	l := new(decisions)
 	d := &Director{Region: "one", AvailabilityZone: "b", Decisions: l, Draw: func() uint64 { return 0 }}
@@ -52,8 +52,8 @@
 	return d, l
 }
 
-// drive runs the driver of a group until ctx ends, and returns once all servers have answered.
-func drive(ctx context.Context, t testing.TB) *Group {
+// startGroup runs the driver of a group until ctx ends, and returns once all servers have answered.
+func startGroup(ctx context.Context, t testing.TB) *Group {
 	t.Helper()
 	g := declarer.DatabaseGroup{Name: "g", Service: "s", BackendServers: []declarer.BackendServer{
 		{Name: "a", AvailabilityZone: "a", Region: "one", Slots: 2},
@@ -70,11 +70,11 @@
 		o.Controls[b.Name] = control{status: s}
 		n.Lessors[b.Name] = noLessor{}
 	}
-	// Nothing here is about silence, and a busy machine polls late.
+	// Statuses must stay fresh on a busy machine, which polls late.
 	o.Settings.Observer.MaximumStatusAge = time.Hour
 	n.Driver = o
 	go o.Run(ctx)
-	// A primary is confirmed by a majority, so the third answer may still be out.
+	// A majority confirms a primary, so the third answer may still be missing after that.
 	for n.Driver.View().Reachable < len(g.BackendServers) {
 		if err := scheduler.Pause(ctx, time.Millisecond); err != nil {
 			t.Fatal(err)
@@ -84,15 +84,15 @@
 	return n
 }
 
-// A file changes a group's servers while a write has chosen the primary by the
-// driver before. The pool refuses it as closed, and the view of the stopped driver
-// never shows anything newer. Without its end being told, the caller waits out its
-// time and is refused, though another driver serves the group all the while.
+// Guards against a write that is refused because its driver was replaced. A configuration changes the
+// group's servers after the write has chosen the primary with the previous driver. The pool refuses
+// the write as closed, and the view of the stopped driver never changes. Unless the stop is detected,
+// the caller waits until its deadline and is refused although another driver serves the group.
 func TestWriteGoesOnAtTheNextDriver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x, stop := context.WithCancel(t.Context())
-		before := drive(x, t)
-		after := drive(t.Context(), t)
+		before := startGroup(x, t)
+		after := startGroup(t.Context(), t)
 		stop()
 		synctest.Wait()
 		f := &declarer.File{DatabaseGroups: []declarer.DatabaseGroup{before.Declared}}
@@ -149,7 +149,7 @@
 			want: encoder.Decision{Team: "costing", Rule: "reviewer", Chosen: "b", Why: "within-age", PassedOver: []encoder.PassedOver{{Name: "a", Why: "later"}, {Name: "c", Why: "later"}}},
 		},
 		{
-			name: "one replica refused before, the other doesn't catch up",
+			name: "one replica refused before, the other one does not catch up",
 			q:    server.Query{Role: "officer", ReplicaSafe: true, Avoid: "b", Attempt: 1},
 			want: encoder.Decision{Team: "costing", Chosen: "a", Why: "only-primary", PassedOver: []encoder.PassedOver{{Name: "b", Why: "excluded"}, {Name: "c", Why: "excluded"}}},
 		},
@@ -185,9 +185,9 @@
 	}
 }
 
-// Every server refuses, and each request is tried again at once. Beyond the
-// budget a request is refused itself, so that retries can't double the load.
-func TestRetriesEndWithTheBudget(t *testing.T) {
+// Guards against retries that double the load: every server refuses, and each request is retried at
+// once. Beyond the budget the request itself must be refused.
+func TestRetriesAreRefusedBeyondTheBudget(t *testing.T) {
 	d, _ := deploy(t, &declarer.File{})
 	q := server.Query{Group: "g", ReplicaSafe: true, Attempt: 1}
 	for n := range retryBurst + 1 {
@@ -198,9 +198,9 @@
 	}
 }
 
-// A primary that was superseded without our notice still answers its own
-// position. An age measured by it would miss what its successor acknowledged.
-func TestObservationTakesAMajority(t *testing.T) {
+// Guards against an age that is determined by a superseded primary. Such a primary still reports its
+// own position, so the age would ignore the writes that its successor has acknowledged.
+func TestObservationRequiresAMajority(t *testing.T) {
 	at := func(ms int, term marker.Term, p marker.Position) observer.Server {
 		return observer.Server{Observation: observer.Observation{Answered: true, PolledAt: time.Duration(ms) * time.Millisecond, Status: controller.Status{Last: marker.Mark{Term: term, Position: p}}}}
 	}
@@ -210,13 +210,13 @@
 		want time.Duration
 		mark marker.Mark
 	}{
-		{name: "old primary asked last", l: []observer.Server{at(100, 1, 9), at(50, 2, 8), at(20, 1, 7)}, want: 50 * time.Millisecond, mark: marker.Mark{Term: 2, Position: 8}},
-		{name: "successor not seen yet", l: []observer.Server{at(100, 1, 9), at(50, 1, 8), at(20, 1, 7)}, want: 50 * time.Millisecond, mark: marker.Mark{Term: 1, Position: 9}},
+		{name: "superseded primary polled last", l: []observer.Server{at(100, 1, 9), at(50, 2, 8), at(20, 1, 7)}, want: 50 * time.Millisecond, mark: marker.Mark{Term: 2, Position: 8}},
+		{name: "successor not observed", l: []observer.Server{at(100, 1, 9), at(50, 1, 8), at(20, 1, 7)}, want: 50 * time.Millisecond, mark: marker.Mark{Term: 1, Position: 9}},
 		{name: "one answer of three", l: []observer.Server{at(100, 1, 9), {}, {}}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			o, ok := observation(&observer.View{Servers: tt.l})
+			o, ok := majorityObservation(&observer.View{Servers: tt.l})
 			if ok != (tt.want > 0) || o.Asked != tt.want || o.Mark != tt.mark {
 				t.Errorf("observation %v of %v, %t", o.Mark, o.Asked, ok)
 			}
@@ -229,7 +229,7 @@
 	g := d.Runtime().Groups["g"]
 	s := &search{director: d, runtime: d.Runtime(), group: g}
 	s.request = chooser.Request{HasMark: true, HasReadIndex: true}
-	if n := testing.AllocsPerRun(100, func() { s.look() }); n != 0 {
+	if n := testing.AllocsPerRun(100, func() { s.choose() }); n != 0 {
 		t.Errorf("%v allocations for a decision", n)
 	}
 }
@@ -245,19 +245,19 @@
 	}
 }
 
-// A new configuration with a fresh retry budget would let a burst of retries
-// through at each change, just when a backend server struggles.
-func TestRetryBudgetOutlastsConfiguration(t *testing.T) {
+// Guards against a burst of retries with each change of the configuration, which a new retry budget
+// would allow even while a backend server is overloaded.
+func TestRetryBudgetIsKeptAcrossConfigurations(t *testing.T) {
 	a := &Runtime{File: &declarer.File{Limits: declarer.Limits{RetryShare: 0.1}}}
 	a.Compile(nil)
 	b := &Runtime{File: &declarer.File{Limits: declarer.Limits{RetryShare: 0.1}}}
 	b.Compile(a)
 	if b.budget != a.budget {
-		t.Error("a change that leaves the share alone made a fresh budget")
+		t.Error("a configuration with the same share has a new budget")
 	}
 	c := &Runtime{File: &declarer.File{Limits: declarer.Limits{RetryShare: 0.2}}}
 	c.Compile(b)
 	if c.budget == b.budget || c.budget.Share != 0.2 {
-		t.Errorf("a new share isn't in force: %v", c.budget.Share)
+		t.Errorf("the new share is not in force: %v", c.budget.Share)
 	}
 }
--- a/internal/route/director/group.go
+++ b/internal/route/director/group.go
@@ -20,91 +20,94 @@
 	"github.com/cuminwick/cuminwick/internal/route/historian"
 )
 
-// LoadReporter tells what waits and runs at a backend server. A lessor that has one is
-// asked for it with each choice.
+// LoadReporter reports the load of a backend server. If a lessor implements it, Load is called for
+// each choice of a server.
 type LoadReporter interface {
 	Load() gate.Load
 }
 
-// Driver is what the director needs of whoever looks after a database group: a
-// driver.Driver at a host that serves the group, else what follows one.
+// Driver is the source of a database group's state for the director: a driver.Driver at a host that
+// serves the group, else a client of such a host.
 type Driver interface {
-	// Attend returns once the view is of use for a request, or gives up.
+	// Attend returns once the view can be used for a request, or when ctx or a timeout ends.
 	Attend(ctx context.Context)
-	// View returns what is known of the group. It must not be changed.
+	// View returns the present view of the group. It must not be changed.
 	View() *observer.View
-	// Now returns the time that the view's times are read from.
+	// Now returns the present time on the clock of the view's times.
 	Now() time.Duration
-	// Stopped reports whether the group isn't looked after any more.
+	// Stopped reports whether the driver has stopped.
 	Stopped() bool
-	// HandingOver reports whether new writes had better wait.
+	// HandingOver reports whether new writes should wait because of a hand-over.
 	HandingOver() bool
-	// Hurry has all backend servers looked at at once.
+	// Hurry has all backend servers polled at once.
 	Hurry()
-	// BeginReadIndex, WaitAcknowledged, WaitCovered, WaitPrimary and HandOver are
-	// as with driver.Driver.
+	// BeginReadIndex, WaitAcknowledged, WaitCovered, WaitPrimary and HandOver are the same as the
+	// methods of driver.Driver.
 	BeginReadIndex(ctx context.Context) driver.Index
 	WaitAcknowledged(ctx context.Context, m marker.Mark) error
 	WaitCovered(ctx context.Context, server string, m marker.Mark) error
 	WaitPrimary(ctx context.Context) (*observer.View, error)
 	HandOver(ctx context.Context, from string) error
-	// Thresholds are the settings of the group's drivers.
+	// Thresholds returns the settings of the group's drivers.
 	Thresholds() driver.Settings
 }
 
-// Group is what the director needs of one database group. The exported fields
-// are set before Prepare.
+// Group is the director's state of one database group. The exported fields are set before Prepare.
 type Group struct {
 	Declared declarer.DatabaseGroup
 	Driver   Driver
 	// Lessors lend connections, by the name of the backend server.
 	Lessors map[string]lessor.Lessor
 
-	servers []serverOf
-	// longest is the longest age that a rule allows.
-	longest   atomic.Int64
-	knowledge atomic.Pointer[knowledge]
+	servers []groupServer
+	// maximumAge is the longest age that a routing rule allows, a time.Duration.
+	maximumAge atomic.Int64
+	statistics atomic.Pointer[statistics]
 
 	mu         sync.Mutex
 	historian  historian.Historian
 	estimators []estimator.Estimator
-	leaving    []time.Duration
+	// leavingSince is when each server was first observed to be leaving, zero if it is not.
+	leavingSince []time.Duration
 }
 
-// serverOf is what doesn't change about one backend server.
-type serverOf struct {
+// groupServer is the constant state of one backend server.
+type groupServer struct {
 	declared declarer.BackendServer
 	writer   lessor.Lessor
 	reader   lessor.Lessor
-	gauge    LoadReporter
-	// repeats bounds the reads that are run again, see search.ahead.
-	repeats *retrier.Budget
+	// loads is nil if the lessor does not report its load.
+	loads LoadReporter
+	// repeatBudget bounds the reads that are run again, see search.runAhead.
+	repeatBudget *retrier.Budget
 }
 
-// repeatShare and repeatBurst bound the reads at one backend server that run
-// ahead of their read index in vain. Each takes a slot a second time, so a server
-// that is often behind by the time of the index is soon read after it again.
+// repeatShare and repeatBurst bound the reads at one backend server that run ahead of their read
+// index and must be run again. Each takes a slot a second time, so reads at a server that often lags
+// behind the read index soon wait for the index first.
 const (
 	repeatShare = 0.02
 	repeatBurst = 4
 )
 
-// knowledge is what the decisions need of the past. It isn't changed once it is
-// published, so that requests read it without a lock.
-type knowledge struct {
+// statistics is the history that routing decisions use. It does not change after publication, so
+// requests read it without a lock.
+type statistics struct {
 	historian historian.Historian
 	servers   []estimate
 }
 
-// estimate is what is expected of one backend server.
+// estimate is the expected behaviour of one backend server.
 type estimate struct {
-	rate         float64
-	lag          time.Duration
+	// rate is how many records per second the server applies when it lags.
+	rate float64
+	// lag is the usual wait for the server to cover a read index.
+	lag time.Duration
+	// leavingSince is when the server was first observed to be leaving, zero if it is not.
 	leavingSince time.Duration
 }
 
-// readLessor lends connections for reads, which don't count as writes at the
-// primary either.
+// readLessor lends connections for reads. A read does not count as a write at the primary either.
 type readLessor struct {
 	lessor.Lessor
 }
@@ -120,63 +123,64 @@
 	for _, b := range g.Declared.BackendServers {
 		l := g.Lessors[b.Name]
 		o, _ := l.(LoadReporter)
-		g.servers = append(g.servers, serverOf{declared: b, writer: l, reader: readLessor{l}, gauge: o, repeats: &retrier.Budget{Share: repeatShare, Burst: repeatBurst}})
+		g.servers = append(g.servers, groupServer{declared: b, writer: l, reader: readLessor{l}, loads: o, repeatBudget: &retrier.Budget{Share: repeatShare, Burst: repeatBurst}})
 	}
 	g.estimators = make([]estimator.Estimator, len(g.servers))
-	g.leaving = make([]time.Duration, len(g.servers))
+	g.leavingSince = make([]time.Duration, len(g.servers))
 	g.publish(g.Driver.Now())
 }
 
-// Sample takes in what the driver's view shows. It is called a few times within
-// the shortest age that rules allow.
+// Sample adds the driver's present view to the statistics. It is to be called several times within
+// the shortest age that routing rules allow.
 func (g *Group) Sample() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	v := g.Driver.View()
-	g.historian.MaximumAge = time.Duration(g.longest.Load())
-	if o, ok := observation(v); ok {
+	g.historian.MaximumAge = time.Duration(g.maximumAge.Load())
+	if o, ok := majorityObservation(v); ok {
 		g.historian.Add(o)
 	}
 	p, _ := v.Server(v.Primary)
 	for i := range v.Servers {
-		g.learn(i, &v.Servers[i], p.Status.Last, v.At)
+		g.sampleServer(i, &v.Servers[i], p.Status.Last, v.At)
 	}
 	g.publish(g.Driver.Now())
 }
 
-func (g *Group) learn(i int, s *observer.Server, primary marker.Mark, now time.Duration) {
+func (g *Group) sampleServer(i int, s *observer.Server, primary marker.Mark, now time.Duration) {
 	if s.Answered && !primary.IsZero() {
 		g.estimators[i].Observe(s.PolledAt, s.Status.Last, primary)
 	}
 	switch {
 	case !s.Status.Leaving:
-		g.leaving[i] = 0
-	case g.leaving[i] == 0:
-		g.leaving[i] = now
+		g.leavingSince[i] = 0
+	case g.leavingSince[i] == 0:
+		g.leavingSince[i] = now
 	}
 }
 
-// publish makes a snapshot for the request path.
+// publish makes the present statistics available to requests.
 func (g *Group) publish(now time.Duration) {
-	k := &knowledge{historian: g.historian, servers: make([]estimate, len(g.servers))}
+	k := &statistics{historian: g.historian, servers: make([]estimate, len(g.servers))}
 	for i := range g.servers {
 		e := &g.estimators[i]
-		k.servers[i] = estimate{rate: e.Rate(now), lag: e.Lag(), leavingSince: g.leaving[i]}
+		k.servers[i] = estimate{rate: e.Rate(now), lag: e.Lag(), leavingSince: g.leavingSince[i]}
 	}
-	g.knowledge.Store(k)
+	g.statistics.Store(k)
 }
 
-// waited notes how long a read waited for server i to cover its mark.
-func (g *Group) waited(i int, t time.Duration) {
+// recordWait records how long a read waited for server i to cover its mark.
+func (g *Group) recordWait(i int, t time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.estimators[i].Waited(t)
 }
 
-// observation returns the latest mark that covers all writes acknowledged
-// before its time. As for a read index, any majority of servers asked since
-// then gives one; the primary alone doesn't, as it may be superseded already.
-func observation(v *observer.View) (historian.Observation, bool) {
+// majorityObservation returns the latest mark that covers all writes acknowledged before the time of
+// the observation, false if fewer than a majority of the servers have answered. As for a read index,
+// the answers of any majority of servers to polls since that time give such a mark. The primary's
+// answer alone does not, since the primary may already be superseded.
+func majorityObservation(v *observer.View) (historian.Observation, bool) {
 	var b [chooser.MaximumCandidates]observer.Observation
 	l := b[:0]
 	for i := range v.Servers {
@@ -196,8 +200,8 @@
 	return o, true
 }
 
-// candidates fills l with what is known of the servers now.
-func (g *Group) candidates(d *Director, k *knowledge, l []chooser.Candidate) []chooser.Candidate {
+// candidates appends the present state of the servers to l, up to its capacity.
+func (g *Group) candidates(d *Director, k *statistics, l []chooser.Candidate) []chooser.Candidate {
 	v := g.Driver.View()
 	for i := range g.servers[:min(len(g.servers), len(v.Servers), cap(l))] {
 		s := &v.Servers[i]
@@ -220,8 +224,8 @@
 		if c.Leaving && c.LeavingSince == 0 {
 			c.LeavingSince = v.At
 		}
-		if b.gauge != nil {
-			o := b.gauge.Load()
+		if b.loads != nil {
+			o := b.loads.Load()
 			c.Busy, c.Queued, c.Slots, c.ServiceTime = o.Running, o.Waiting, o.Slots, o.ServiceTime
 		}
 		l = append(l, c)
@@ -229,6 +233,6 @@
 	return l
 }
 
-// unreachableFailures is how many calls in a row must fail: the first one may be
-// due to an old connection gone silent, the next one is made on a new one.
+// unreachableFailures is how many consecutive calls to a server must fail before it counts as
+// unreachable. The first call may have used a stale connection, the second one used a fresh one.
 const unreachableFailures = 2
--- a/internal/route/director/metrics.go
+++ b/internal/route/director/metrics.go
@@ -8,10 +8,10 @@
 	"github.com/cuminwick/cuminwick/internal/route/chooser"
 )
 
-// reasonCount is above all reasons of a decision as a whole.
+// reasonCount is the number of reasons that apply to a decision as a whole, which come first.
 const reasonCount = int(chooser.ReasonNoServer) + 1
 
-// Metrics are the director's counters, resolved once. A nil one counts nothing.
+// Metrics are the director's counters. The methods of a nil *Metrics do nothing.
 type Metrics struct {
 	primaryReads prometheus.Counter
 	replicaReads prometheus.Counter
@@ -20,7 +20,7 @@
 	decisions    [reasonCount]prometheus.Counter
 }
 
-// Resolve returns the director's counters of c.
+// Resolve looks up the director's counters in c.
 func Resolve(c *collector.Collector) *Metrics {
 	m := &Metrics{
 		primaryReads: c.Reads.WithLabelValues(string(controller.RolePrimary)),
@@ -34,7 +34,7 @@
 	return m
 }
 
-func (m *Metrics) read(primary bool) {
+func (m *Metrics) countRead(primary bool) {
 	switch {
 	case m == nil:
 	case primary:
@@ -44,7 +44,7 @@
 	}
 }
 
-func (m *Metrics) retry(allowed bool) {
+func (m *Metrics) countRetry(allowed bool) {
 	switch {
 	case m == nil:
 	case allowed:
@@ -54,7 +54,7 @@
 	}
 }
 
-func (m *Metrics) decided(r chooser.Reason) {
+func (m *Metrics) countDecision(r chooser.Reason) {
 	if m != nil {
 		m.decisions[r].Inc()
 	}
--- a/internal/route/director/outcomes.go
+++ b/internal/route/director/outcomes.go
@@ -12,17 +12,17 @@
 	"github.com/cuminwick/cuminwick/internal/pool/lessor"
 )
 
-// asked is a database group as the inquirer sees it.
+// inquirerGroup implements inquirer.Group.
 //
-// It looks the group up anew each time: it outlasts a change of the group's
-// servers, after which nothing of the group before answers any more.
-type asked struct {
+// Each call looks up the group by name, since an inquirer may outlive a change of the group's
+// servers, after which the previous Group does not answer.
+type inquirerGroup struct {
 	director *Director
 	group    string
 }
 
 // Primary implements inquirer.Group.
-func (a asked) Primary(ctx context.Context) (lessor.Lessor, error) {
+func (a inquirerGroup) Primary(ctx context.Context) (lessor.Lessor, error) {
 	_, g, err := a.director.group(a.group)
 	if err != nil {
 		return nil, err
@@ -38,7 +38,7 @@
 }
 
 // Acknowledge implements inquirer.Group.
-func (a asked) Acknowledge(ctx context.Context, m marker.Mark) error {
+func (a inquirerGroup) Acknowledge(ctx context.Context, m marker.Mark) error {
 	return a.director.Acknowledge(ctx, a.group, m)
 }
 
@@ -46,7 +46,7 @@
 	if _, _, err := d.group(group); err != nil {
 		return nil, err
 	}
-	return &inquirer.Inquirer{Group: asked{director: d, group: group}}, nil
+	return &inquirer.Inquirer{Group: inquirerGroup{director: d, group: group}}, nil
 }
 
 // LookUp implements server.Director.
@@ -76,7 +76,7 @@
 	return i.CreateTable(ctx)
 }
 
-// Expire forgets the group's idempotency keys that are older than retention.
+// Expire deletes the group's idempotency keys that are older than retention.
 func (d *Director) Expire(ctx context.Context, group string, now time.Time, retention time.Duration) error {
 	i, err := d.inquirer(group)
 	if err != nil {
--- a/internal/route/director/refusal.go
+++ b/internal/route/director/refusal.go
@@ -8,13 +8,13 @@
 	"github.com/cuminwick/cuminwick/internal/group/driver"
 )
 
-// Refusal is the error of a request for which no backend server was found. The
-// caller is answered at once and told when to come back: one that isn't told
-// asks again immediately, and in an outage all callers would do so together.
+// Refusal is the error of a request for which no backend server was found. It carries the time after
+// which the caller may retry. Without that time callers retry immediately, and during an outage all
+// of them would do so together.
 type Refusal struct {
-	// Cause is one of the errors above, or of the driver's.
+	// Cause wraps one of this package's errors or of the errors of package driver.
 	Cause error
-	// RetryAfter is when a retry may have better luck.
+	// RetryAfter is the time after which a retry may succeed.
 	RetryAfter time.Duration
 }
 
@@ -27,24 +27,24 @@
 // RetryAfterHint returns RetryAfter.
 func (r *Refusal) RetryAfterHint() time.Duration { return r.RetryAfter }
 
-// retryAfter returns when a request refused for err may have better luck, by
-// what has to change until then; cut says that no majority can be reached.
-func retryAfter(err error, cut bool, s driver.Settings) time.Duration {
+// retryAfter returns the time after which a request refused with err may succeed, which depends on
+// what has to change until then. noMajority reports whether this host reaches no majority.
+func retryAfter(err error, noMajority bool, s driver.Settings) time.Duration {
 	switch {
-	case cut, errors.Is(err, driver.ErrNoMajority):
-		// A cut is told from a missed status or two only after this long, so one
-		// of that length is over by then.
+	case noMajority, errors.Is(err, driver.ErrNoMajority):
+		// Only after this time does a loss of the majority count as more than a missed status or
+		// two, so a loss of that length is over by then.
 		return s.Patience
 	case errors.Is(err, driver.ErrNoPrimary):
-		// The loss of a primary is noticed within this time, then it is replaced.
+		// The failure of a primary is detected within this time, and the primary is then replaced.
 		return s.Observer.IsolationTimeout
 	default:
-		// By then each server has been asked for its status again.
+		// By then each server has been polled again.
 		return s.StatusInterval
 	}
 }
 
-// refuse adds to err when the caller may come back.
+// refuse returns err as a Refusal, with the time after which the caller may retry.
 func (g *Group) refuse(err error) error {
 	return &Refusal{
 		Cause:      err,
--- a/internal/route/director/search.go
+++ b/internal/route/director/search.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// firstPause is the time before a server is looked for again; the driver
-	// needs a status or two to see what has changed.
+	// firstPause is the time before the first repeated choice. The driver needs a status or two
+	// to observe a change.
 	firstPause = 5 * time.Millisecond
 	// maximumPause bounds the pause, which doubles each time.
 	maximumPause = 50 * time.Millisecond
-	// indexTimeout ends the wait for a read index, so that a host that has just
-	// been cut off serves what it can in time.
+	// indexTimeout bounds the wait for a read index, so that a host that has just lost its
+	// connection to the majority still serves what it can within the deadlines of its requests.
 	indexTimeout = 500 * time.Millisecond
-	// coverTimeout ends the wait for a replica; another server is taken then.
+	// coverTimeout bounds the wait for a replica to catch up. Another server is chosen then.
 	coverTimeout = 4 * chooser.DefaultMaximumCatchUp
 )
 
-// search looks for the backend server of one request.
+// search selects the backend server of one request.
 type search struct {
 	director *Director
 	runtime  *Runtime
@@ -35,26 +35,27 @@
 	query    server.Query
 	team     string
 
-	rule       *declarer.RoutingRule
-	request    chooser.Request
+	rule    *declarer.RoutingRule
+	request chooser.Request
+	// excluded is a set of bits by server index.
 	excluded   uint32
 	candidates [chooser.MaximumCandidates]chooser.Candidate
-	// pending is a read index that is being taken.
+	// pending is the read index that has been requested, nil if none has.
 	pending driver.Index
 }
 
-// look chooses among the servers as they are known now.
-func (s *search) look() (chooser.Decision, []chooser.Candidate) {
+// choose chooses among the servers by their present state.
+func (s *search) choose() (chooser.Decision, []chooser.Candidate) {
 	g := s.group
-	l := g.candidates(s.director, g.knowledge.Load(), s.candidates[:0])
+	l := g.candidates(s.director, g.statistics.Load(), s.candidates[:0])
 	s.request.Excluded = s.excluded
 	s.request.Draw = s.director.Draw()
 	s.request.Now = g.Driver.Now()
 	return s.director.Chooser.Choose(&s.request, l), l
 }
 
-// avoid excludes the server that refused the attempt before.
-func (s *search) avoid() {
+// excludeAvoided excludes the server that refused the previous attempt.
+func (s *search) excludeAvoided() {
 	for i := range s.group.servers {
 		if s.group.servers[i].declared.Name == s.query.Avoid {
 			s.excluded |= 1 << i
@@ -62,8 +63,8 @@
 	}
 }
 
-// write looks for the primary, and waits for one as long as a majority answers.
-func (s *search) write(ctx context.Context) (server.Choice, error) {
+// chooseForWrite chooses the primary, and waits for one as long as a majority answers.
+func (s *search) chooseForWrite(ctx context.Context) (server.Choice, error) {
 	s.request.Write = true
 	since := s.group.Driver.Now()
 	if s.query.Attempt > 0 {
@@ -77,9 +78,9 @@
 		if err != nil {
 			return s.refused(chooser.ReasonNoPrimary, nil, nil, err)
 		}
-		x, l := s.look()
-		if !x.Refused && !s.mustLookAgain(l[x.Index], since) {
-			return s.chosen(&x, l), nil
+		x, l := s.choose()
+		if !x.Refused && !s.mustChooseAgain(l[x.Index], since) {
+			return s.choice(&x, l), nil
 		}
 		if err := scheduler.Pause(ctx, backoff(n)); err != nil {
 			return s.refused(chooser.ReasonNoPrimary, &x, l, err)
@@ -87,36 +88,35 @@
 	}
 }
 
-// mustLookAgain reports whether the chosen primary is about to change, or has
-// refused the attempt before and hasn't been asked for its status since then.
-// Without this a primary that was fenced would be tried again and again until
-// the retry budget is spent.
-func (s *search) mustLookAgain(c chooser.Candidate, since time.Duration) bool {
+// mustChooseAgain reports whether the chosen primary is about to change, or has refused the previous
+// attempt and has not been polled since. Otherwise a fenced primary would be tried again and again
+// until the retry budget is spent.
+func (s *search) mustChooseAgain(c chooser.Candidate, since time.Duration) bool {
 	return s.group.Driver.HandingOver() || c.Name == s.query.Avoid && c.Observed < since
 }
 
-// read looks for a server that may show the session what it must see.
-func (s *search) read(ctx context.Context) (server.Choice, error) {
-	s.ask()
-	s.avoid()
-	if c, ok := s.ahead(ctx); ok {
+// chooseForRead chooses a server that holds the writes that the session must see.
+func (s *search) chooseForRead(ctx context.Context) (server.Choice, error) {
+	s.prepareRequest()
+	s.excludeAvoided()
+	if c, ok := s.runAhead(ctx); ok {
 		return c, nil
 	}
 	since := s.group.Driver.Now()
 	for n := 0; ; n++ {
-		s.index(ctx)
+		s.takeReadIndex(ctx)
 		if s.group.Driver.Stopped() {
 			return server.Choice{}, errors.Annotatef(driver.ErrStopped, "choose backend server of %s", s.query.Group)
 		}
-		x, l := s.look()
+		x, l := s.choose()
 		switch {
-		case !x.Refused && s.cover(ctx, &x) == nil:
-			return s.chosen(&x, l), nil
+		case !x.Refused && s.waitCovered(ctx, &x) == nil:
+			return s.choice(&x, l), nil
 		case !x.Refused:
-			// It is behind for longer than expected, so another one may do.
+			// The server lags for longer than expected, so another one is chosen.
 			s.excluded |= 1 << x.Index
 			continue
-		case !s.mayCome(x.Why, since):
+		case !s.mayBecomeAvailable(x.Why, since):
 			return s.refused(x.Why, &x, l, refusals[x.Why])
 		}
 		s.excluded = 0
@@ -126,10 +126,10 @@
 	}
 }
 
-// mayCome reports whether a server may turn up for a read that has looked for
-// one since the given time. A host whose majority has been out of reach for
-// long answers at once; a gap of a few statuses isn't taken for that yet.
-func (s *search) mayCome(why chooser.Reason, since time.Duration) bool {
+// mayBecomeAvailable reports whether a server may become available for a read that has been waiting
+// since the given time. A host that has not reached a majority for long refuses at once; a few
+// missed statuses do not count as that.
+func (s *search) mayBecomeAvailable(why chooser.Reason, since time.Duration) bool {
 	v := s.group.Driver.View()
 	p := s.group.Driver.Thresholds().Patience
 	if !v.HasMajority() && v.At-v.NoMajoritySince >= p {
@@ -138,8 +138,8 @@
 	return why == chooser.ReasonNoServer || why == chooser.ReasonNoFreshness && s.group.Driver.Now()-since < p
 }
 
-// ask sets what is known of the request when it arrives.
-func (s *search) ask() {
+// prepareRequest sets the parts of the chooser's request that are known when the request arrives.
+func (s *search) prepareRequest() {
 	q := &s.query
 	s.request.Mark, s.request.HasMark = q.Mark, q.HasMark
 	s.request.ReadIndex, s.request.HasReadIndex = q.Index, q.HasIndex
@@ -157,12 +157,12 @@
 		return
 	}
 	s.request.Aged = true
-	k := s.group.knowledge.Load()
+	k := s.group.statistics.Load()
 	s.request.AgeMark, s.request.HasAgeMark = k.historian.Need(s.group.Driver.Now(), a)
 }
 
-// index asks for a read index if the read needs one and a majority can give it.
-func (s *search) index(ctx context.Context) {
+// takeReadIndex waits for a read index if the read needs one and a majority is reachable.
+func (s *search) takeReadIndex(ctx context.Context) {
 	if !chooser.NeedsReadIndex(&s.request) || !s.group.Driver.View().HasMajority() {
 		return
 	}
@@ -174,8 +174,8 @@
 	s.request.ReadIndex, s.request.HasReadIndex = m, err == nil
 }
 
-// cover waits until the chosen server holds what the read needs.
-func (s *search) cover(ctx context.Context, x *chooser.Decision) error {
+// waitCovered waits until the chosen server holds the writes that the read needs.
+func (s *search) waitCovered(ctx context.Context, x *chooser.Decision) error {
 	if !x.WaitForMark {
 		return nil
 	}
@@ -183,15 +183,15 @@
 	defer cancel()
 	t := s.group.Driver.Now()
 	err := s.group.Driver.WaitCovered(y, s.group.servers[x.Index].declared.Name, x.Need)
-	s.group.waited(x.Index, s.group.Driver.Now()-t)
+	s.group.recordWait(x.Index, s.group.Driver.Now()-t)
 	return err
 }
 
-// chosen turns a decision into the session's choice.
-func (s *search) chosen(x *chooser.Decision, l []chooser.Candidate) server.Choice {
+// choice records a decision and converts it to the session's choice.
+func (s *search) choice(x *chooser.Decision, l []chooser.Candidate) server.Choice {
 	b := &s.group.servers[x.Index]
 	c := &l[x.Index]
-	s.note(x, l)
+	s.recordDecision(x, l)
 	r := server.Choice{
 		Server:     c.Name,
 		Lessor:     b.writer,
@@ -202,7 +202,7 @@
 	if s.request.Write {
 		return r
 	}
-	s.director.Metrics.read(c.Confirmed)
+	s.director.Metrics.countRead(c.Confirmed)
 	r.Lessor = b.reader
 	if !chooser.MustHold(c.Last, c, len(s.group.servers)) {
 		r.SafeTerm = c.Last.Term
@@ -210,25 +210,26 @@
 	return r
 }
 
-// refusals are the errors of reads that aren't worth a wait.
+// refusals holds the errors of reads that are refused without a further wait.
 var refusals = map[chooser.Reason]error{
 	chooser.ReasonNoFreshness: ErrUnconfirmed,
 	chooser.ReasonNoServer:    ErrNoServer,
 }
 
-// refused logs the refusal and returns its error.
+// refused logs and counts the refusal and returns its error.
 func (s *search) refused(why chooser.Reason, x *chooser.Decision, l []chooser.Candidate, cause error) (server.Choice, error) {
-	s.log("", why, x, l)
-	s.director.Metrics.decided(why)
+	s.logDecision("", why, x, l)
+	s.director.Metrics.countDecision(why)
 	return server.Choice{}, errors.Annotatef(s.group.refuse(cause), "choose backend server of %s", s.query.Group)
 }
 
-func (s *search) note(x *chooser.Decision, l []chooser.Candidate) {
-	s.log(l[x.Index].Name, x.Why, x, l)
-	s.director.Metrics.decided(x.Why)
+// recordDecision logs and counts a decision.
+func (s *search) recordDecision(x *chooser.Decision, l []chooser.Candidate) {
+	s.logDecision(l[x.Index].Name, x.Why, x, l)
+	s.director.Metrics.countDecision(x.Why)
 }
 
-// backoff returns the time before the servers are looked at again for the nth time.
+// backoff returns the pause before the nth repeated choice, counted from zero.
 func backoff(n int) time.Duration {
 	const doublings = 4
 	return min(firstPause<<min(n, doublings), maximumPause)
