--- a/internal/group/observer/observer.go
+++ b/internal/group/observer/observer.go
@@ -20,7 +20,7 @@
 	SuspicionTimeout time.Duration
 	// RefusalTimeout replaces SuspicionTimeout for a primary whose machine refuses connections;
 	// zero means SuspicionTimeout. It is shorter, since a silent process may only be paused,
-	// whereas refused connections show that the process has ended.
+	// whereas a paused process does not refuse connections.
 	RefusalTimeout time.Duration
 	// IsolationTimeout is how long a majority of the replicas must have received nothing from
 	// a primary before it is suspected even though it answers entry hosts. It is longer than
