--- a/internal/proxy/successor/successor.go
+++ b/internal/proxy/successor/successor.go
@@ -1,4 +1,4 @@
-// Package successor decides when a database group needs another primary, and which.
+// Package successor decides whether a database group needs another primary, and which server to promote.
 package successor
 
 import (
@@ -11,24 +11,26 @@
 )
 
 const (
-	// absentAfter is how long a primary's host refuses connections to it before it is
-	// taken for lost. A process that is gone takes longer to come back.
-	absentAfter = 300 * time.Millisecond
-	// silentAfter is the same for a primary that doesn't answer, where other hosts say
-	// so as well: by itself it may be a fault between it and this host.
-	silentAfter = 500 * time.Millisecond
-	// stalledAfter is how long a primary with statements under way may answer none of
-	// them before it is asked on a new connection.
+	// notListeningAfter is how long connections to the primary must have been refused before
+	// it counts as lost. A process that has ended needs longer than this to restart.
+	notListeningAfter = 300 * time.Millisecond
+	// unresponsiveAfter is how long the primary must have been unresponsive to this host before
+	// it counts as lost, provided that other hosts report the same: otherwise the fault may be
+	// between the primary and this host.
+	unresponsiveAfter = 500 * time.Millisecond
+	// stalledAfter is how long a primary with statements in progress may answer none of them
+	// before it is probed on a new connection.
 	stalledAfter = 250 * time.Millisecond
-	// leaderlessAfter is how long no server may report the lead. A promotion that
-	// somebody else ordered shows by then.
-	leaderlessAfter = 1500 * time.Millisecond
-	// spread is the most that one host waits longer than another.
-	spread = 100 * time.Millisecond
+	// noPrimaryAfter is how long a group may have no server that reports to be the primary. A
+	// promotion ordered by another host is visible within this time.
+	noPrimaryAfter = 1500 * time.Millisecond
+	// maximumDelay bounds the delay by which each host postpones its decision.
+	maximumDelay = 100 * time.Millisecond
 )
 
-// DownAfter is how long a primary may be unreachable where no other host has had an
-// answer of it either. Its entry on the platform's list lapses after about as long.
+// DownAfter is how long a primary may be unreachable before it counts as lost even if other
+// hosts can't confirm it, unless one of them has received an answer from it. The primary's
+// entry in the platform's list expires after about the same time.
 const DownAfter = 4 * time.Second
 
 // Reason says why a group needs another primary.
@@ -36,42 +38,44 @@
 
 // Reasons.
 const (
-	// ReasonNone is a group that needs none.
+	// ReasonNone means that the group needs no other primary.
 	ReasonNone Reason = ""
-	// ReasonNotListening: no process listens at the primary's address.
+	// ReasonNotListening means that no process listens at the primary's address.
 	ReasonNotListening Reason = "primary-absent"
-	// ReasonUnresponsive: the primary doesn't answer this host. Others must say so too.
+	// ReasonUnresponsive means that the primary doesn't answer this host. Other hosts must
+	// confirm that they can't reach it either.
 	ReasonUnresponsive Reason = "primary-silent"
-	// ReasonDown: the primary doesn't answer for long. No other host may have had an
-	// answer; that none can be asked is enough.
+	// ReasonDown means that the primary hasn't answered this host for DownAfter. It is
+	// sufficient if no other host reports an answer, even if no other host can be asked.
 	ReasonDown Reason = "primary-unheard"
-	// ReasonNoPrimary: no server reports the lead.
+	// ReasonNoPrimary means that no server reports to be the primary.
 	ReasonNoPrimary Reason = "no-primary"
-	// ReasonDraining: the primary will stop soon.
+	// ReasonDraining means that the primary will stop soon.
 	ReasonDraining Reason = "primary-leaving"
 )
 
-// Detector decides for one group at one entry host. Its exported fields are set before
-// use; it belongs to one goroutine.
+// Detector detects on one entry host that one group needs another primary. Its exported
+// fields are set before use; it must be used by one goroutine only.
 type Detector struct {
-	// Host is this entry host, Group the group.
+	// Host is the name of this entry host, Group that of the group.
 	Host  string
 	Group string
 
-	leaderless time.Duration
-	reason     Reason
-	since      time.Duration
+	noPrimarySince time.Duration
+	reason         Reason
+	since          time.Duration
 }
 
-// View is what the judge is told.
+// View is the state of a group as this host has observed it.
 type View struct {
+	// Now is the present time on the clock of the times in Primary and Servers.
 	Now time.Duration
-	// Primary is the one believed in, nil for none.
+	// Primary is the server that this host assumes to be the primary, nil for none.
 	Primary *grouptracker.Server
 	Servers []*grouptracker.Server
 }
 
-// ShouldProbe reports whether the primary should be asked on a new connection now.
+// ShouldProbe reports whether the primary should be probed on a new connection now.
 func (j *Detector) ShouldProbe(s View) bool {
 	p := s.Primary
 	if p == nil {
@@ -81,10 +85,10 @@
 	return stalled || p.FailingSince != 0
 }
 
-// Decide returns why this host should give the group another primary now. Each host
-// waits a little differently, so that mostly one goes first.
+// Decide returns why this host should give the group another primary now. Each host delays
+// its decision by a different time, so that usually one acts before the others.
 func (j *Detector) Decide(s View) Reason {
-	r := j.reasonNow(s)
+	r := j.currentReason(s)
 	if r != j.reason {
 		j.reason, j.since = r, s.Now
 	}
@@ -94,7 +98,8 @@
 	return r
 }
 
-func (j *Detector) reasonNow(s View) Reason {
+// currentReason returns the reason that applies now, without the delay of Decide.
+func (j *Detector) currentReason(s View) Reason {
 	if len(s.Servers) == 0 {
 		return ReasonNone
 	}
@@ -102,15 +107,15 @@
 	if p == nil {
 		return j.withoutPrimary(s)
 	}
-	j.leaderless = 0
+	j.noPrimarySince = 0
 	failing := p.FailingSince != 0
-	mute := failing && s.Now-max(p.FailingSince, p.AnsweredAt) > silentAfter
+	unresponsive := failing && s.Now-max(p.FailingSince, p.AnsweredAt) > unresponsiveAfter
 	switch {
-	case failing && p.RefusedSince != 0 && s.Now-p.RefusedSince > absentAfter:
+	case failing && p.RefusedSince != 0 && s.Now-p.RefusedSince > notListeningAfter:
 		return ReasonNotListening
-	case mute && s.Now-p.FailingSince <= DownAfter:
+	case unresponsive && s.Now-p.FailingSince <= DownAfter:
 		return ReasonUnresponsive
-	case mute:
+	case unresponsive:
 		return ReasonDown
 	case p.Draining:
 		return ReasonDraining
@@ -118,42 +123,47 @@
 	return ReasonNone
 }
 
+// withoutPrimary returns the reason that applies to a group without a known primary.
 func (j *Detector) withoutPrimary(s View) Reason {
-	if j.leaderless == 0 {
-		j.leaderless = s.Now
+	if j.noPrimarySince == 0 {
+		j.noPrimarySince = s.Now
 	}
-	if s.Now-j.leaderless > leaderlessAfter {
+	if s.Now-j.noPrimarySince > noPrimaryAfter {
 		return ReasonNoPrimary
 	}
 	return ReasonNone
 }
 
-// Delay spreads the hosts by a hash, differently for each group.
+// Delay returns how long this host delays its decision, at most maximumDelay. It is derived
+// from a hash of host and group, so that the order of the hosts differs between groups.
 func (j *Detector) Delay() time.Duration {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(j.Host + "/" + j.Group))
-	return time.Duration(h.Sum32()) * spread / (1 << 32)
+	return time.Duration(h.Sum32()) * maximumDelay / (1 << 32)
 }
 
-// Candidate is one server's own word, asked for a promotion.
+// Candidate is a server and the status that it reported when it was probed for a promotion.
 type Candidate struct {
 	Server declarer.Server
 	Status declarer.Status
 }
 
-// Choose returns the candidate with the longest log, of equals the first in the same
-// zone as the old primary's, false if there is none that may lead. What it lacks is
-// lost: with asynchronous replication the last commits of a lost primary may be.
+// Choose returns the candidate to promote: the one with the longest log. Among equals it
+// prefers a server that isn't draining, then one in the given availability zone, which is the
+// old primary's, then the lowest ID. It returns false if no candidate may be promoted. Commits
+// that the chosen server lacks are lost; with asynchronous replication these may be the last
+// commits of a lost primary.
 //
-// Unless a majority of the listed servers has answered, none may. Where a cut leaves a
-// host with the old primary alone, another host may have promoted one beyond the cut:
-// giving the lead back would drop all that was written there since, and bring back what
-// was dropped before.
+// No candidate may be promoted unless a majority of the listed servers has answered. If a
+// network partition leaves this host with the old primary alone, another host may have promoted
+// a server on the other side of it. Promoting the old primary again would drop all that was
+// written there since, and restore what had been dropped before.
 //
-// Where commits are acknowledged once so many replicas have them, synchronous isn't zero,
-// so many must have answered that one of them has each commit: all but as many as would
-// have one, and the primary. One that leaves then leads for as long as it runs, if nobody
-// else has as much.
+// If synchronous isn't zero, a commit is acknowledged once that many replicas have it. Each
+// acknowledged commit must then be on at least one of the servers that have answered. As it is
+// on that many replicas and on the primary, at most that many servers may be missing. In this
+// mode a draining server may be promoted too, and is the primary until it stops, if no other
+// candidate has a log as long.
 func Choose(l []Candidate, listed, synchronous int, zone string) (Candidate, bool) {
 	var best Candidate
 	found := false
@@ -171,6 +181,7 @@
 	return best, found
 }
 
+// better reports whether c should be promoted rather than o.
 func better(c, o Candidate, zone string) bool {
 	if n := c.Status.Received.Compare(o.Status.Received); n != 0 {
 		return n > 0
@@ -184,7 +195,7 @@
 	return c.Server.ID < o.Server.ID
 }
 
-// NewestTerm returns the newest term among the candidates.
+// NewestTerm returns the newest term that any of the candidates has reported.
 func NewestTerm(l []Candidate) marker.Term {
 	var t marker.Term
 	for _, c := range l {
--- a/internal/proxy/successor/successor_test.go
+++ b/internal/proxy/successor/successor_test.go
@@ -11,8 +11,8 @@
 
 const now = time.Minute
 
-// sight is that of a primary in good order.
-func sight(change func(p *grouptracker.Server)) View {
+// viewOf returns a view with a healthy primary, to which change is applied.
+func viewOf(change func(p *grouptracker.Server)) View {
 	p := &grouptracker.Server{Server: declarer.Server{ID: "a"}, AnsweredAt: now}
 	change(p)
 	return View{Now: now, Primary: p, Servers: []*grouptracker.Server{p}}
@@ -24,15 +24,15 @@
 		change func(p *grouptracker.Server)
 		want   Reason
 	}{
-		"in good order": {change: func(*grouptracker.Server) {}},
-		"leaving":       {change: func(p *grouptracker.Server) { p.Draining = true }, want: ReasonDraining},
-		"unreachable from here": {change: func(p *grouptracker.Server) {
+		"healthy primary": {change: func(*grouptracker.Server) {}},
+		"leaving":         {change: func(p *grouptracker.Server) { p.Draining = true }, want: ReasonDraining},
+		"unreachable from this host": {change: func(p *grouptracker.Server) {
 			p.FailingSince, p.AnsweredAt = now-time.Second, now-time.Second
 		}, want: ReasonUnresponsive},
-		"unreachable for new connections, answers on others": {change: func(p *grouptracker.Server) {
+		"new connections fail, existing ones answer": {change: func(p *grouptracker.Server) {
 			p.FailingSince = now - time.Second
 		}},
-		"unreachable from here, for long": {change: func(p *grouptracker.Server) {
+		"unreachable from this host for long": {change: func(p *grouptracker.Server) {
 			p.FailingSince, p.AnsweredAt = now-long, now-long
 		}, want: ReasonDown},
 		"no process listens": {change: func(p *grouptracker.Server) {
@@ -44,9 +44,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			j := &Detector{Host: "h", Group: "db"}
-			s := sight(c.change)
+			s := viewOf(c.change)
 			if r := j.Decide(s); r != ReasonNone && j.Delay() > 0 {
-				t.Errorf("decided %s without its delay", r)
+				t.Errorf("decided %s before the delay", r)
 			}
 			s.Now += j.Delay()
 			if r := j.Decide(s); r != c.want {
@@ -56,20 +56,20 @@
 	}
 }
 
-// Nobody reports the lead, for instance after a primary was removed for good. The
-// group would take no writes until an operator steps in.
-func TestLeaderlessGroupGetsPrimary(t *testing.T) {
+// Guards against a group that takes no writes until an operator intervenes: no server reports
+// to be the primary, for example after the primary was removed permanently.
+func TestGroupWithoutPrimaryGetsOne(t *testing.T) {
 	j := &Detector{Host: "h", Group: "db"}
 	s := View{Now: now, Servers: []*grouptracker.Server{{}}}
-	for s.Now < now+leaderlessAfter {
+	for s.Now < now+noPrimaryAfter {
 		if r := j.Decide(s); r != ReasonNone {
 			t.Fatalf("decided %s after %s", r, s.Now-now)
 		}
 		s.Now += 100 * time.Millisecond
 	}
-	s.Now += spread
+	s.Now += maximumDelay
 	j.Decide(s)
-	s.Now += spread
+	s.Now += maximumDelay
 	if r := j.Decide(s); r != ReasonNoPrimary {
 		t.Errorf("decided %q", r)
 	}
@@ -79,37 +79,37 @@
 	at := func(id, zone string, p uint64) Candidate {
 		return Candidate{Server: declarer.Server{ID: id, AvailabilityZone: zone}, Status: declarer.Status{Received: marker.Mark{Term: 1, Position: marker.Position(p)}}}
 	}
-	leaving := at("c", "z", 99)
-	leaving.Server.Draining = true
-	ahead := at("c", "z", 9)
-	ahead.Server.Draining = true
-	leads := at("d", "z", 99)
-	leads.Status.Primary = true
+	draining := at("c", "z", 99)
+	draining.Server.Draining = true
+	longest := at("c", "z", 9)
+	longest.Server.Draining = true
+	primary := at("d", "z", 99)
+	primary.Status.Primary = true
 	for name, c := range map[string]struct {
 		l      []Candidate
 		listed int
 		want   string
-		// synchronous is how many replicas have each commit.
+		// synchronous is how many replicas have a commit before it is acknowledged.
 		synchronous int
 	}{
-		"longest log":           {[]Candidate{at("a", "z", 3), at("b", "y", 5)}, 3, "b", 0},
-		"same zone of equal":    {[]Candidate{at("a", "y", 5), at("b", "z", 5)}, 3, "b", 0},
-		"first by id":           {[]Candidate{at("b", "z", 5), at("a", "z", 5)}, 3, "a", 0},
-		"not one that stops":    {[]Candidate{leaving, at("a", "y", 1)}, 3, "a", 0},
-		"not the leader":        {[]Candidate{leads, at("a", "y", 1)}, 3, "a", 0},
-		"nobody may":            {[]Candidate{leaving}, 1, "", 0},
-		"one of three answers":  {[]Candidate{at("a", "z", 9)}, 3, "", 0},
-		"one of two answers":    {[]Candidate{at("a", "z", 9)}, 2, "", 0},
-		"the only one listed":   {[]Candidate{at("a", "z", 9)}, 1, "a", 0},
-		"none listed, none may": {nil, 0, "", 0},
-		// With a synchronous replica of five servers, two that didn't answer could be the
-		// primary and the only one that has the last commit.
+		"longest log":          {[]Candidate{at("a", "z", 3), at("b", "y", 5)}, 3, "b", 0},
+		"same zone if equal":   {[]Candidate{at("a", "y", 5), at("b", "z", 5)}, 3, "b", 0},
+		"first by id":          {[]Candidate{at("b", "z", 5), at("a", "z", 5)}, 3, "a", 0},
+		"not a draining one":   {[]Candidate{draining, at("a", "y", 1)}, 3, "a", 0},
+		"not the primary":      {[]Candidate{primary, at("a", "y", 1)}, 3, "a", 0},
+		"none eligible":        {[]Candidate{draining}, 1, "", 0},
+		"one of three answers": {[]Candidate{at("a", "z", 9)}, 3, "", 0},
+		"one of two answers":   {[]Candidate{at("a", "z", 9)}, 2, "", 0},
+		"the only one listed":  {[]Candidate{at("a", "z", 9)}, 1, "a", 0},
+		"none listed":          {nil, 0, "", 0},
+		// If one of five servers acknowledges each commit synchronously, the two that did not answer
+		// may be the primary and the only replica that has the last commit.
 		"three of five, synchronous": {[]Candidate{at("a", "z", 5), at("b", "z", 5), at("e", "z", 5)}, 5, "", 1},
 		"four of five, synchronous":  {[]Candidate{at("a", "z", 5), at("b", "z", 6), at("e", "z", 5), at("f", "z", 5)}, 5, "b", 1},
 		"two of three, synchronous":  {[]Candidate{at("a", "z", 5), at("b", "z", 6)}, 3, "b", 1},
-		// One that leaves counts among those that must have a commit.
-		"only the one that leaves has it": {[]Candidate{ahead, at("a", "z", 5)}, 3, "c", 1},
-		"another has as much":             {[]Candidate{ahead, at("z", "y", 9)}, 3, "z", 1},
+		// A draining replica counts among those that acknowledge a commit.
+		"only the draining one has it": {[]Candidate{longest, at("a", "z", 5)}, 3, "c", 1},
+		"another has a log as long":    {[]Candidate{longest, at("z", "y", 9)}, 3, "z", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, ok := Choose(c.l, c.listed, c.synchronous, "z")
