--- a/internal/proxy/promoter/claims.go
+++ b/internal/proxy/promoter/claims.go
@@ -12,87 +12,95 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/declarer"
 )
 
-// Claim says which host may give a group a primary, beyond which term.
+// Claim names the host that may promote a server of a group. The platform keeps one claim for
+// each group.
 type Claim struct {
+	// Holder is the name of the host that holds the claim.
 	Holder string
-	// Server is whom the holder has chosen, empty for nobody yet.
+	// Server is the server that the holder has chosen, empty for none yet.
 	Server string
-	// AboveTerm is the newest term at which the holder found the group.
+	// AboveTerm is the newest term that the holder found in the group. A promotion under this
+	// claim leads to a newer one.
 	AboveTerm marker.Term
-	// Token orders claims; each change of a claim raises it.
+	// Token is the fencing token: each change of the claim increases it.
 	Token uint64
 }
 
-// Platform makes claims and orders promotions through the platform.
+// Platform is the platform's interface for claims and promotions.
 type Platform interface {
+	// Claim returns the present claim of the group, or ErrNoClaim.
 	Claim(ctx context.Context, group string) (Claim, error)
-	// PutClaim replaces the claim whose token is that of c, zero for none.
+	// PutClaim replaces the claim whose token is that of c, or creates one if the token is
+	// zero, and returns it with its new token. It returns ErrClaimChanged if the present claim
+	// has another token.
 	PutClaim(ctx context.Context, group string, c Claim) (Claim, error)
+	// Promote requests that the server becomes the primary of the group, under the claim with
+	// the given holder and token. It returns ErrFenced if the platform refuses.
 	Promote(ctx context.Context, group, server, holder string, token uint64) error
 }
 
-// claimUnclaimed claims the group if nobody has, so that its holder can order a promotion
-// while the platform's store is away. Only the first hosts of the group's order do, each
-// a little later than the other: all at once would make two calls a host and group.
-func (p *Promoter) claimUnclaimed(ctx context.Context) {
-	if scheduler.Pause(ctx, firstClaimDelay+firstClaimSpread*p.judge.Delay()) != nil || !p.Roles.MayClaim(p.Group) {
+// claimIfUnclaimed claims the group if no host has, so that the holder can request a promotion
+// while the platform's store is unavailable. Only a few hosts do so, each after a different
+// delay: all at once would make two calls for each host and group.
+func (p *Promoter) claimIfUnclaimed(ctx context.Context) {
+	if scheduler.Pause(ctx, firstClaimDelay+firstClaimDelayFactor*p.detector.Delay()) != nil || !p.Roles.MayClaim(p.Group) {
 		return
 	}
-	if _, err := p.claim(ctx); errors.Is(err, ErrNoClaim) {
-		_, _ = p.take(ctx, Claim{Holder: p.Host})
+	if _, err := p.readClaim(ctx); errors.Is(err, ErrNoClaim) {
+		_, _ = p.putClaim(ctx, Claim{Holder: p.Host})
 	}
 }
 
-// win makes the claim to promote the server in place of the present one, which was read
-// with err, and reports whether this host may.
-func (p *Promoter) win(ctx context.Context, present Claim, err error, server string, above marker.Term) (Claim, bool) {
+// acquireClaim replaces the present claim by one to promote the server, and reports whether this
+// host may promote it. The error is that of reading the present claim.
+func (p *Promoter) acquireClaim(ctx context.Context, present Claim, err error, server string, above marker.Term) (Claim, bool) {
 	switch {
 	case errors.Is(err, ErrNoClaim):
 	case err != nil:
-		return p.fromHeld(server, above)
-	case p.defers(ctx, present, server):
+		return p.reuseHeldClaim(server, above)
+	case p.defersTo(ctx, present, server):
 		return Claim{}, false
 	}
-	c, failure := p.take(ctx, Claim{Holder: p.Host, Server: server, AboveTerm: above, Token: present.Token})
+	c, failure := p.putClaim(ctx, Claim{Holder: p.Host, Server: server, AboveTerm: above, Token: present.Token})
 	return c, failure == nil
 }
 
-// defers reports whether another host holds the claim and is let act first, anew with
-// each change of the claim. One that doesn't answer won't act.
-func (p *Promoter) defers(ctx context.Context, c Claim, server string) bool {
+// defersTo reports whether another host holds the claim and is given time to act first. The
+// time starts again with each change of the claim. A holder that doesn't answer is not waited
+// for, as it won't act.
+func (p *Promoter) defersTo(ctx context.Context, c Claim, server string) bool {
 	if c.Holder == p.Host {
 		return false
 	}
-	if p.rivalAt.IsZero() || c.Token != p.rival {
-		p.rival, p.rivalAt = c.Token, time.Now()
+	if p.otherClaimAt.IsZero() || c.Token != p.otherToken {
+		p.otherToken, p.otherClaimAt = c.Token, time.Now()
 	}
-	if time.Since(p.rivalAt) >= max(deference, p.Lease()+leaseSlack) {
+	if time.Since(p.otherClaimAt) >= max(holderGracePeriod, p.Lease()+leaseSlack) {
 		return false
 	}
 	return p.Dialer.Answers(ctx, c.Holder, declarer.Server{ID: server})
 }
 
-// fromHeld goes on with the claim that this host made last, where the store can't be
-// asked. If another host has made one since, the platform refuses the order. The claim
-// serves for one server only: an order for another one, carried out late, would have
-// the same token.
-func (p *Promoter) fromHeld(server string, above marker.Term) (Claim, bool) {
-	if p.held.Token == 0 || p.held.Server != "" && p.held.Server != server {
+// reuseHeldClaim returns the last claim that this host made, for use while the store is
+// unavailable. If another host has made one since, the platform refuses the promotion. The claim
+// is valid for one server only: a late request for another server would have the same token.
+func (p *Promoter) reuseHeldClaim(server string, above marker.Term) (Claim, bool) {
+	if p.heldClaim.Token == 0 || p.heldClaim.Server != "" && p.heldClaim.Server != server {
 		return Claim{}, false
 	}
-	p.held.Server, p.held.AboveTerm = server, above
-	return p.held, true
+	p.heldClaim.Server, p.heldClaim.AboveTerm = server, above
+	return p.heldClaim, true
 }
 
-// renew puts the claim anew for no server, once the order that it was made for is over. Where
-// the store is lost together with the next primary, the host could else not act, as its claim
-// serves for the server of the last order only.
-func (p *Promoter) renew(ctx context.Context) {
-	if p.held.Server == "" || time.Since(p.renewed) < renewInterval {
+// renewClaim replaces the held claim by one for no server, once the promotion that it was made
+// for is over. Otherwise, the host could not act if the store were lost together with the next
+// primary, as its claim would be valid for the server of the last promotion only.
+func (p *Promoter) renewClaim(ctx context.Context) {
+	if p.heldClaim.Server == "" || time.Since(p.renewedAt) < claimRenewInterval {
 		return
 	}
-	p.renewed = time.Now()
-	x := p.held
+	p.renewedAt = time.Now()
+	x := p.heldClaim
 	x.Server = ""
 	c, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -100,41 +108,45 @@
 	l := p.Log.WithFields(log.Fields{"database-group": p.Group, "token": x.Token})
 	switch {
 	case err == nil:
-		p.held = n
+		p.heldClaim = n
 		l.WithField("token", n.Token).Info("claim renewed")
 	case errors.Is(err, ErrClaimChanged):
-		// Another host has it, or this call's answer was lost the last time.
-		p.held = Claim{}
+		// Another host holds the claim, or the answer to the last renewal was lost.
+		p.heldClaim = Claim{}
 		l.WithError(err).Info("claim given up")
 	default:
 		l.WithError(err).Warn("claim not renewed")
 	}
 }
 
-func (p *Promoter) claim(ctx context.Context) (Claim, error) {
+// readClaim reads the present claim of the group from the platform.
+func (p *Promoter) readClaim(ctx context.Context) (Claim, error) {
 	c, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	return p.Platform.Claim(c, p.Group)
 }
 
-// take puts the claim. Where the answer is lost it reads back whether it was made.
-func (p *Promoter) take(ctx context.Context, x Claim) (Claim, error) {
+// putClaim makes or replaces the claim. If the answer is lost, it reads the claim back to find
+// out whether it was made.
+func (p *Promoter) putClaim(ctx context.Context, x Claim) (Claim, error) {
 	c, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	n, err := p.Platform.PutClaim(c, p.Group, x)
 	if err != nil && !errors.Is(err, ErrClaimChanged) {
-		n, err = p.settle(ctx, x, err)
+		n, err = p.confirmPut(ctx, x, err)
 	}
 	if err != nil {
 		p.Log.WithError(err).WithField("database-group", p.Group).Warn("claim not made")
 		return n, err
 	}
-	p.held = n
+	p.heldClaim = n
 	return n, nil
 }
 
-func (p *Promoter) settle(ctx context.Context, x Claim, cause error) (Claim, error) {
-	n, err := p.claim(ctx)
+// confirmPut returns the present claim if it is the one put as x, although the call failed with
+// cause.
+func (p *Promoter) confirmPut(ctx context.Context, x Claim, cause error) (Claim, error) {
+	n, err := p.readClaim(ctx)
 	if err != nil {
 		return n, errors.Annotatef(cause, "and not read back: %v", err)
 	}
--- a/internal/proxy/promoter/prober.go
+++ b/internal/proxy/promoter/prober.go
@@ -11,27 +11,29 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/declarer"
 )
 
-// ErrCommandRefused is a command that a server refused.
+// ErrCommandRefused is returned if a server answers a command with an error.
 const ErrCommandRefused = errors.ConstError("command refused")
 
-// Prober asks servers on new connections: an old one may have gone silent though the
-// server is well.
+// Prober sends commands to servers on new connections: an existing connection may be
+// unresponsive although the server works.
 type Prober struct {
 	Dialer connpooler.Dialer
-	// Parse reads the row in which a server tells its status.
+	// Parse parses the row in which a server reports its status.
 	Parse func(row string) (declarer.Status, error)
 }
 
-// Status returns the server's word on itself.
+// Status returns the status that the server reports.
 func (p *Prober) Status(ctx context.Context, s declarer.Server) (declarer.Status, error) {
 	return p.command(ctx, s, declarer.Request{Verb: declarer.VerbStatus})
 }
 
-// Demote has a primary below the term step down.
+// Demote makes the server step down if it is the primary of an earlier term than t, and returns
+// its status.
 func (p *Prober) Demote(ctx context.Context, s declarer.Server, t marker.Term) (declarer.Status, error) {
 	return p.command(ctx, s, declarer.Request{Verb: declarer.VerbDemote, Term: t})
 }
 
+// command sends one command and parses the answer as a status.
 func (p *Prober) command(ctx context.Context, s declarer.Server, q declarer.Request) (declarer.Status, error) {
 	c, _, err := p.Dialer.Dial(ctx, s)
 	if err != nil {
--- a/internal/proxy/promoter/promoter.go
+++ b/internal/proxy/promoter/promoter.go
@@ -1,4 +1,4 @@
-// Package promoter gives a database group another primary when it needs one.
+// Package promoter has another server of a database group promoted when the group needs a new primary.
 package promoter
 
 import (
@@ -19,153 +19,166 @@
 
 // Errors of claims. After any other error the claim may have been made.
 const (
-	// ErrNoClaim is a group that nobody has claimed.
+	// ErrNoClaim is returned if no host has claimed the group.
 	ErrNoClaim = errors.ConstError("no claim")
-	// ErrClaimChanged is a claim that another host has changed.
+	// ErrClaimChanged is returned if another host has changed the claim.
 	ErrClaimChanged = errors.ConstError("claim was changed by another host")
-	// ErrFenced is an order that came too late, or whose server doesn't run.
+	// ErrFenced is returned if the platform refuses a promotion, as a newer one was requested
+	// or the server doesn't run.
 	ErrFenced = errors.ConstError("promotion refused")
 )
 
 const (
-	// firstClaimDelay is when after its start a host claims a group that nobody has, and
-	// firstClaimSpread times its own delay is added.
-	firstClaimDelay  = 2 * time.Second
-	firstClaimSpread = 30
-	// promoteTick is how often a group is looked at.
-	promoteTick = 50 * time.Millisecond
-	// outsideTick is the same at hosts that stand by for the others.
-	outsideTick = 1500 * time.Millisecond
-	// probeTimeout bounds a status: 250 ms for the direct way, as long for another
-	// host's, and 100 ms for a new connection and a busy slot.
+	// firstClaimDelay is how long after its start a host waits before it claims an unclaimed
+	// group. firstClaimDelayFactor times the delay of its detector is added.
+	firstClaimDelay       = 2 * time.Second
+	firstClaimDelayFactor = 30
+	// activeCheckInterval is how often a host that watches a group at full rate checks it.
+	activeCheckInterval = 50 * time.Millisecond
+	// standbyCheckInterval is the same for the other hosts.
+	standbyCheckInterval = 1500 * time.Millisecond
+	// probeTimeout bounds a status query: 250 ms for the direct route, 250 ms for a route through
+	// another host, and 100 ms for opening the connection and waiting for a busy slot.
 	probeTimeout = 600 * time.Millisecond
-	// majorityGrace is how long the rest is waited for once more than half of the
-	// servers have answered: one in another region may have the longest log.
+	// majorityGrace is how long the remaining answers are awaited once more than half of the
+	// servers have answered: a server in another region may have the longest log.
 	majorityGrace = 100 * time.Millisecond
 	// probeInterval is the least time between two probes of a suspected primary.
 	probeInterval = 150 * time.Millisecond
-	// claimTimeout bounds a call about a claim, orderTimeout an order.
-	claimTimeout = 500 * time.Millisecond
-	orderTimeout = time.Second
-	// deference is how long the host that holds a group's claim is let act. Hosts that
-	// promote in turn, each by what it sees, would take the lead from one server after
-	// the other. It is longer than the spread of the hosts' decisions and an order.
-	deference = 1200 * time.Millisecond
-	// leaseSlack is what a host waits beyond another's lease, for an order on its way.
+	// claimTimeout bounds a read or change of a claim, requestTimeout a promotion request.
+	claimTimeout   = 500 * time.Millisecond
+	requestTimeout = time.Second
+	// holderGracePeriod is how long another host that holds a group's claim is given to act
+	// first. Hosts that promote one after the other, each by its own view, would replace each
+	// other's new primary. The period exceeds the largest difference between the hosts'
+	// decision delays plus the time of a promotion request.
+	holderGracePeriod = 1200 * time.Millisecond
+	// leaseSlack is how long a host waits beyond another host's lease, for a promotion request
+	// that is still in transit.
 	leaseSlack = 200 * time.Millisecond
-	// claimInterval is the least time between two looks at the claim.
-	claimInterval = 200 * time.Millisecond
-	// moveInterval is the least time between two planned moves of which the first was given
-	// up, as each leaves the group without a primary for a second or so.
-	moveInterval = 3 * time.Second
-	// renewInterval is the least time between two attempts to renew a claim.
-	renewInterval = 2 * time.Second
-	// leadTimeout bounds the wait until a promoted server leads.
-	leadTimeout = 4 * time.Second
-	leadStep    = 50 * time.Millisecond
-	// catchUp bounds the wait for the heir in a planned move.
-	catchUp     = 500 * time.Millisecond
-	catchUpStep = 10 * time.Millisecond
+	// claimReadInterval is the least time between two reads of the claim.
+	claimReadInterval = 200 * time.Millisecond
+	// switchoverRetryInterval is the least time between an abandoned planned switchover and the
+	// next one, as each leaves the group without a primary for about a second.
+	switchoverRetryInterval = 3 * time.Second
+	// claimRenewInterval is the least time between two attempts to renew a claim.
+	claimRenewInterval = 2 * time.Second
+	// promotionTimeout bounds the wait until a promoted server reports to be the primary, and
+	// promotionPollInterval is how often it is queried.
+	promotionTimeout      = 4 * time.Second
+	promotionPollInterval = 50 * time.Millisecond
+	// catchUpTimeout bounds the wait until the candidate of a planned switchover has the whole
+	// log of the old primary, and catchUpPollInterval is how often it is queried.
+	catchUpTimeout      = 500 * time.Millisecond
+	catchUpPollInterval = 10 * time.Millisecond
 )
 
-// Roles says which part this entry host has among the others in looking after a group.
+// Roles tells which duties this entry host has for a group among all entry hosts.
 type Roles interface {
-	// Watches reports whether it looks after the group at full rate.
+	// Watches reports whether this host checks the group at full rate.
 	Watches(group string) bool
-	// MayClaim reports whether it may claim a group that nobody has claimed.
+	// MayClaim reports whether this host may claim an unclaimed group.
 	MayClaim(group string) bool
 }
 
-// Counter counts promotions.
+// Counter records metrics of promotions.
 type Counter interface {
-	// Phase notes how long a phase of a promotion took.
+	// Phase records the duration of a phase of a promotion.
 	Phase(phase string, d time.Duration)
+	// Promotion counts a promotion by its reason and result.
 	Promotion(reason, result string)
 }
 
-// Promoter looks after the lead of one group. Its exported fields are set before Run.
+// Promoter detects that one group needs another primary and has a server promoted. Its exported
+// fields are set before Run.
 type Promoter struct {
-	// Host is this entry host.
+	// Host is the name of this entry host, Group that of the group.
 	Host  string
 	Group string
+	// Board holds this host's view of the group.
 	Board *blackboard.Board
 	Roles Roles
-	// Dialer asks other hosts about a server, Prober asks servers.
+	// Dialer queries other hosts about a server, Prober queries the servers themselves.
 	Dialer   *relaydialer.Dialer
 	Prober   *Prober
 	Platform Platform
 	Counter  Counter
-	// Lease returns how long a host that has ordered a promotion is respected.
+	// Lease returns for how long the group is left to the host that holds its claim.
 	Lease func() time.Duration
 	Log   log.Interface
 
-	judge  successor.Detector
-	probed time.Time
-	// held is this host's claim, if it made the last one it knows of.
-	held Claim
-	// unmoved is when a planned move was last given up.
-	unmoved time.Time
-	// renewed is when it was last put anew.
-	renewed time.Time
-	// needed says that the group needs another primary.
+	detector successor.Detector
+	probedAt time.Time
+	// heldClaim is the claim of this host, zero if it has none or another host has replaced it.
+	heldClaim Claim
+	// switchoverFailedAt is when a planned switchover was last abandoned.
+	switchoverFailedAt time.Time
+	// renewedAt is when a renewal of heldClaim was last attempted.
+	renewedAt time.Time
+	// needed is set while the group needs another primary.
 	needed bool
-	// neededAt is since when.
+	// neededAt is when needed was last set.
 	neededAt time.Time
-	// rival is the token of the claim that was found since, rivalAt when it was.
-	rival   uint64
-	rivalAt time.Time
-	// warned says that the need was told already.
-	warned bool
-	// blind says that it was told that the claim can't be read.
-	blind bool
-	// looked is when the claim was last read.
-	looked time.Time
+	// otherToken is the token of another host's claim that was read since neededAt, and
+	// otherClaimAt is when it was first read, zero for none.
+	otherToken   uint64
+	otherClaimAt time.Time
+	// warnedNoCandidate is set once it has been logged since neededAt that no server can be
+	// promoted.
+	warnedNoCandidate bool
+	// warnedUnreadable is set once it has been logged since neededAt that the claim can't be
+	// read.
+	warnedUnreadable bool
+	// claimReadAt is when the claim was last read.
+	claimReadAt time.Time
 }
 
-// Run looks at the group until ctx ends.
+// Run checks the group at intervals until ctx ends.
 func (p *Promoter) Run(ctx context.Context) {
-	p.judge = successor.Detector{Host: p.Host, Group: p.Group}
-	p.claimUnclaimed(ctx)
-	for scheduler.Pause(ctx, p.tick()) == nil {
-		p.step(ctx)
+	p.detector = successor.Detector{Host: p.Host, Group: p.Group}
+	p.claimIfUnclaimed(ctx)
+	for scheduler.Pause(ctx, p.checkInterval()) == nil {
+		p.check(ctx)
 	}
 }
 
-// tick is how long this host waits until it looks at the group again. In a large
-// deployment only some hosts look often: all of them would fill a group's few slots with
-// their questions as soon as its primary is lost.
-func (p *Promoter) tick() time.Duration {
+// checkInterval returns how long this host waits until it checks the group again. In a large
+// deployment only some hosts check at full rate: the status queries of all of them would fill
+// the group's few slots as soon as its primary is lost.
+func (p *Promoter) checkInterval() time.Duration {
 	if p.Roles.Watches(p.Group) {
-		return promoteTick
+		return activeCheckInterval
 	}
-	return outsideTick
+	return standbyCheckInterval
 }
 
-func (p *Promoter) step(ctx context.Context) {
+// check probes the primary if necessary, and replaces it if the detector finds a reason.
+func (p *Promoter) check(ctx context.Context) {
 	s := p.view()
-	if p.judge.ShouldProbe(s) && time.Since(p.probed) > probeInterval {
+	if p.detector.ShouldProbe(s) && time.Since(p.probedAt) > probeInterval {
 		p.probe(ctx, s)
 		s = p.view()
 	}
-	r := p.judge.Decide(s)
+	r := p.detector.Decide(s)
 	if r == successor.ReasonNone {
 		p.needed = false
-		p.renew(ctx)
+		p.renewClaim(ctx)
 		return
 	}
 	if !p.needed {
-		p.needed, p.warned, p.blind, p.rivalAt = true, false, false, time.Time{}
+		p.needed, p.warnedNoCandidate, p.warnedUnreadable, p.otherClaimAt = true, false, false, time.Time{}
 		p.neededAt = time.Now()
 	}
-	if r == successor.ReasonDraining && time.Since(p.unmoved) < moveInterval {
+	if r == successor.ReasonDraining && time.Since(p.switchoverFailedAt) < switchoverRetryInterval {
 		return
 	}
-	if time.Since(p.looked) >= claimInterval {
-		p.looked = time.Now()
+	if time.Since(p.claimReadAt) >= claimReadInterval {
+		p.claimReadAt = time.Now()
 		p.replace(ctx, s, r)
 	}
 }
 
+// view returns a copy of what the board holds of the group.
 func (p *Promoter) view() successor.View {
 	s := successor.View{Now: p.Board.Time()}
 	p.Board.Do(p.Group, func(g *grouptracker.Group) {
@@ -181,55 +194,55 @@
 	return s
 }
 
-// replace gives the group another primary, unless another host is about to.
+// replace has another server promoted, unless another host is about to do so.
 func (p *Promoter) replace(ctx context.Context, s successor.View, r successor.Reason) {
 	l := p.Log.WithFields(log.Fields{"database-group": p.Group, "reason": r})
-	others := p.inquire(ctx, s, r)
-	// The claim is read before the servers are asked: where another host promotes in
-	// between, this host's claim fails, and its old answers decide nothing.
-	present, err := p.claim(ctx)
-	if err != nil && !errors.Is(err, ErrNoClaim) && !p.blind {
-		p.blind = true
+	others := p.startPeerQuery(ctx, s, r)
+	// The claim is read before the servers are queried: if another host promotes a server in
+	// between, this host's claim fails, so that it doesn't act on outdated answers.
+	present, err := p.readClaim(ctx)
+	if err != nil && !errors.Is(err, ErrNoClaim) && !p.warnedUnreadable {
+		p.warnedUnreadable = true
 		l.WithError(err).Warn("claim not read")
 	}
-	c := p.ask(ctx, reachable(s))
-	if !confirms(r, <-others.done) {
+	c := p.queryStatus(ctx, worthProbing(s))
+	if !confirmsLoss(r, <-others.done) {
 		return
 	}
 	for _, x := range c {
 		if x.Status.Primary && r != successor.ReasonDraining {
-			return // it leads; ask has noted so
+			return // it is the primary, which queryStatus has recorded
 		}
 	}
 	zone := ""
 	if s.Primary != nil {
 		zone = s.Primary.AvailabilityZone
 	}
-	heir, ok := successor.Choose(c, len(s.Servers), p.synchronous(), zone)
+	candidate, ok := successor.Choose(c, len(s.Servers), p.synchronous(), zone)
 	if !ok {
-		if !p.warned {
-			p.warned = true
+		if !p.warnedNoCandidate {
+			p.warnedNoCandidate = true
 			l.WithField("answers", len(c)).WithField("servers", len(s.Servers)).Warn("no server can take over")
 		}
 		return
 	}
-	claim, ok := p.win(ctx, present, err, heir.Server.ID, successor.NewestTerm(c))
+	claim, ok := p.acquireClaim(ctx, present, err, candidate.Server.ID, successor.NewestTerm(c))
 	if !ok {
 		return
 	}
-	l = l.WithFields(log.Fields{"heir": heir.Server.ID, "position": heir.Status.Received.String(), "token": claim.Token, "above": claim.AboveTerm})
+	l = l.WithFields(log.Fields{"heir": candidate.Server.ID, "position": candidate.Status.Received.String(), "token": claim.Token, "above": claim.AboveTerm})
 	p.Counter.Phase(phaseDecide, time.Since(p.neededAt))
-	if r == successor.ReasonDraining && !p.stepDown(ctx, s.Primary.Server, heir, claim.AboveTerm, l) && p.synchronous() > 0 {
-		// Another replica may have an acknowledged commit that the heir lacks. Without a
-		// leader the longest log is looked for anew.
-		p.unmoved = time.Now()
+	if r == successor.ReasonDraining && !p.stepDown(ctx, s.Primary.Server, candidate, claim.AboveTerm, l) && p.synchronous() > 0 {
+		// Another replica may have an acknowledged commit that the candidate lacks. Once the
+		// group is without a primary, the server with the longest log is chosen again.
+		p.switchoverFailedAt = time.Now()
 		p.Board.Do(p.Group, func(g *grouptracker.Group) { g.Refused(s.Primary.ID) })
 		return
 	}
-	p.Counter.Promotion(string(r), p.order(ctx, heir.Server, claim, l))
+	p.Counter.Promotion(string(r), p.promote(ctx, candidate.Server, claim, l))
 }
 
-// synchronous returns how many replicas have a commit of the group before it is
+// synchronous returns how many replicas must have a commit of the group before it is
 // acknowledged.
 func (p *Promoter) synchronous() int {
 	if c := p.Board.Configuration(); c != nil {
@@ -238,52 +251,53 @@
 	return 0
 }
 
-// stepDown has the leaving primary stop leading, and waits until the heir has all of
-// its log, which it reports. Commits that it made until the promotion took effect would be
-// dropped.
-func (p *Promoter) stepDown(ctx context.Context, old declarer.Server, heir successor.Candidate, above marker.Term, l log.Interface) bool {
+// stepDown demotes the draining primary and reports whether the candidate then got all of its
+// log. Without this step, commits made until the promotion takes effect would be dropped.
+func (p *Promoter) stepDown(ctx context.Context, old declarer.Server, candidate successor.Candidate, above marker.Term, l log.Interface) bool {
 	c, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	s, err := p.Prober.Demote(c, old, above+1)
 	if err != nil {
-		l.WithError(err).Warn("leaving primary did not step down")
+		l.WithError(err).Warn("draining primary did not step down")
 		return false
 	}
-	end := time.Now().Add(catchUp)
+	end := time.Now().Add(catchUpTimeout)
 	for time.Now().Before(end) {
-		h, err := p.Prober.Status(c, heir.Server)
+		h, err := p.Prober.Status(c, candidate.Server)
 		if err == nil && h.Received.Covers(s.Received) {
 			return true
 		}
-		if scheduler.Pause(c, catchUpStep) != nil {
+		if scheduler.Pause(c, catchUpPollInterval) != nil {
 			break
 		}
 	}
-	l.WithField("want", s.Received.String()).Warn("heir did not catch up")
+	l.WithField("want", s.Received.String()).Warn("promotion candidate did not catch up")
 	return false
 }
 
 // Phases of a promotion.
 const (
-	// phaseDecide is from the need, which shows within a second of the loss, to the order.
+	// phaseDecide lasts from the detection of the need, within a second of the loss, to the
+	// promotion request.
 	phaseDecide = "need-to-order"
-	// phaseLead is from the order to the lead.
+	// phaseLead lasts from the promotion request until the server reports to be the primary.
 	phaseLead = "order-to-lead"
 )
 
-// Results of an order.
+// Results of a promotion.
 const (
 	resultDone        = "done"
 	resultRefused     = "refused"
 	resultUnconfirmed = "unconfirmed"
 )
 
-// order has the platform promote the server, and waits until it leads.
-func (p *Promoter) order(ctx context.Context, s declarer.Server, x Claim, l log.Interface) string {
+// promote has the platform promote the server, waits until the server reports to be the
+// primary, and returns the result.
+func (p *Promoter) promote(ctx context.Context, s declarer.Server, x Claim, l log.Interface) string {
 	began := time.Now()
 	l.Info("promotion ordered")
-	for time.Since(began) < leadTimeout {
-		err := p.orderOnce(ctx, s, x)
+	for time.Since(began) < promotionTimeout {
+		err := p.requestPromotion(ctx, s, x)
 		switch {
 		case errors.Is(err, ErrFenced):
 			l.WithError(err).Warn("promotion refused")
@@ -291,7 +305,7 @@
 		case err != nil:
 			l.WithError(err).Warn("promotion not answered")
 		}
-		if p.awaitLead(ctx, s, began) {
+		if p.awaitPrimary(ctx, s, began) {
 			p.Counter.Phase(phaseLead, time.Since(began))
 			l.WithField("took", time.Since(began).String()).Info("promotion done")
 			return resultDone
@@ -304,21 +318,23 @@
 	return resultUnconfirmed
 }
 
-func (p *Promoter) orderOnce(ctx context.Context, s declarer.Server, x Claim) error {
-	c, cancel := context.WithTimeout(ctx, orderTimeout)
+// requestPromotion sends one promotion request to the platform.
+func (p *Promoter) requestPromotion(ctx context.Context, s declarer.Server, x Claim) error {
+	c, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	return p.Platform.Promote(c, p.Group, s.ID, p.Host, x.Token)
 }
 
-// awaitLead asks the server until it leads.
-func (p *Promoter) awaitLead(ctx context.Context, s declarer.Server, began time.Time) bool {
-	for time.Since(began) < leadTimeout {
-		for _, c := range p.ask(ctx, []*grouptracker.Server{{Server: s}}) {
+// awaitPrimary queries the server until it reports to be the primary, and returns false if it
+// doesn't within promotionTimeout from began.
+func (p *Promoter) awaitPrimary(ctx context.Context, s declarer.Server, began time.Time) bool {
+	for time.Since(began) < promotionTimeout {
+		for _, c := range p.queryStatus(ctx, []*grouptracker.Server{{Server: s}}) {
 			if c.Status.Primary {
 				return true
 			}
 		}
-		if scheduler.Pause(ctx, leadStep) != nil {
+		if scheduler.Pause(ctx, promotionPollInterval) != nil {
 			return false
 		}
 	}
--- a/internal/proxy/promoter/promoter_test.go
+++ b/internal/proxy/promoter/promoter_test.go
@@ -24,34 +24,36 @@
 
 var quiet = &log.Logger{Handler: discard.New()}
 
-// state is what one server says of itself.
+// state is the state of one server.
 type state struct {
 	primary bool
 	term    marker.Term
 	length  marker.Position
 	gone    bool
-	// deaf receives nothing.
-	deaf bool
-	// full is how it refuses for want of room, nil if it doesn't.
+	// stalled is set if the server receives nothing of the primary's log.
+	stalled bool
+	// full is the error with which it rejects connections or queries for lack of capacity, nil if
+	// it has capacity.
 	full error
 }
 
-// cluster is one group with the platform's calls about it.
+// cluster simulates one group, the platform and the other hosts.
 type cluster struct {
 	mu      sync.Mutex
 	servers map[string]*state
 	claim   *Claim
-	// claims are all that were made, in order.
+	// claims are all claims that were made, in order.
 	claims []Claim
-	// away makes all calls about claims fail, lost those that were carried out.
-	away, lost bool
-	// refuses makes promotions fail as fenced.
+	// unavailable makes all calls about claims fail, loseAnswer the next one that changes a claim,
+	// after the change.
+	unavailable, loseAnswer bool
+	// refuses makes promotions fail with ErrFenced.
 	refuses bool
-	// heard says that other hosts hear from servers that this one doesn't reach, and hung
-	// that they only reach them.
-	heard, hung bool
-	steps       []string
-	// phases are the times of promotions by phase.
+	// othersReach is set if other hosts reach the servers that this host doesn't reach, and hangs
+	// if these servers accept connections there but don't answer.
+	othersReach, hangs bool
+	actions            []string
+	// phases are the durations of promotions by phase.
 	phases map[string]time.Duration
 }
 
@@ -61,13 +63,15 @@
 	}}
 }
 
-func (c *cluster) note(format string, a ...any) { c.steps = append(c.steps, fmt.Sprintf(format, a...)) }
+func (c *cluster) note(format string, a ...any) {
+	c.actions = append(c.actions, fmt.Sprintf(format, a...))
+}
 
 func (c *cluster) Claim(context.Context, string) (Claim, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.away:
+	case c.unavailable:
 		return Claim{}, errors.New("away")
 	case c.claim == nil:
 		return Claim{}, ErrNoClaim
@@ -83,7 +87,7 @@
 		present = c.claim.Token
 	}
 	switch {
-	case c.away:
+	case c.unavailable:
 		return x, errors.New("away")
 	case x.Token != present:
 		return x, ErrClaimChanged
@@ -91,8 +95,8 @@
 	x.Token = present + 3
 	c.claim = &x
 	c.claims = append(c.claims, x)
-	if c.lost {
-		c.lost = false
+	if c.loseAnswer {
+		c.loseAnswer = false
 		return Claim{}, errors.New("answer lost")
 	}
 	return x, nil
@@ -122,19 +126,19 @@
 	if f := c.servers[s.ID].full; errors.Is(f, connpooler.ErrTooManyConnections) {
 		return nil, marker.Mark{}, f
 	}
-	return &line{cluster: c, id: s.ID}, marker.Mark{}, nil
+	return &connection{cluster: c, id: s.ID}, marker.Mark{}, nil
 }
 
 func (c *cluster) Via(ctx context.Context, _ string, s declarer.Server) (connpooler.Connection, marker.Mark, error) {
 	return c.Dial(ctx, s)
 }
 
-// Heard is what another host says of the server.
+// Heard returns what another host reports about the server.
 func (c *cluster) Heard(_ context.Context, _ string, s declarer.Server, q relaydialer.Question) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	x := c.servers[s.ID]
-	if (x.gone || x.full != nil) && (!c.heard || c.hung && q == relaydialer.QuestionAnswer) {
+	if (x.gone || x.full != nil) && (!c.othersReach || c.hangs && q == relaydialer.QuestionAnswer) {
 		return connpooler.ErrNoRouteAnywhere
 	}
 	return connpooler.ErrServerAlive
@@ -161,16 +165,16 @@
 	return l
 }
 
-// line is a connection on which only commands are given.
-type line struct {
+// connection is a connection on which only commands are sent.
+type connection struct {
 	connpooler.Connection
 	cluster *cluster
 	id      string
 }
 
-func (l *line) Close() {}
+func (l *connection) Close() {}
 
-func (l *line) Send(r []declarer.Request, _ time.Time) error {
+func (l *connection) Send(r []declarer.Request, _ time.Time) error {
 	l.cluster.mu.Lock()
 	defer l.cluster.mu.Unlock()
 	if r[0].Verb == declarer.VerbDemote {
@@ -180,7 +184,7 @@
 	return nil
 }
 
-func (l *line) Receive(a *declarer.Answer, _ time.Time) error {
+func (l *connection) Receive(a *declarer.Answer, _ time.Time) error {
 	l.cluster.mu.Lock()
 	defer l.cluster.mu.Unlock()
 	if l.cluster.servers[l.id].full != nil {
@@ -190,8 +194,8 @@
 	return nil
 }
 
-// parse tells the status of the server whose id is the row. A replica catches up with
-// each look at it.
+// parse returns the status of the server whose id is the row. With each call, a replica advances by
+// one position towards the longest log.
 func (c *cluster) parse(id string) (declarer.Status, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -199,7 +203,7 @@
 	x := declarer.Status{Primary: s.primary, Term: s.term, Received: marker.Mark{Term: s.term, Position: s.length}}
 	if !s.primary {
 		for _, o := range c.servers {
-			if o.length > s.length && !o.gone && !s.deaf {
+			if o.length > s.length && !o.gone && !s.stalled {
 				s.length++
 				break
 			}
@@ -208,40 +212,41 @@
 	return x, nil
 }
 
-// promoterOf makes host h's promoter, which knows a as the primary.
+// promoterOf returns the promoter of host h, which assumes a to be the primary.
 func promoterOf(c *cluster, h string) *Promoter {
 	began := time.Now()
 	b := &blackboard.Board{Now: func() time.Duration { return time.Since(began) + time.Hour }}
 	b.TakeServers([]declarer.Server{{ID: "a", Group: "db", Primary: true}, {ID: "b", Group: "db"}, {ID: "c", Group: "db"}})
 	return &Promoter{
-		Host: h, Group: "db", Board: b, Roles: among{}, Platform: c, Counter: c, Log: quiet,
+		Host: h, Group: "db", Board: b, Roles: allRoles{}, Platform: c, Counter: c, Log: quiet,
 		Dialer: &relaydialer.Dialer{Transport: c, Hosts: c.hosts}, Prober: &Prober{Dialer: c, Parse: c.parse},
-		Lease: func() time.Duration { return 0 },
-		judge: successor.Detector{Host: h, Group: "db"},
+		Lease:    func() time.Duration { return 0 },
+		detector: successor.Detector{Host: h, Group: "db"},
 	}
 }
 
-// among has a host look after every group.
-type among struct{}
+// allRoles gives a host all roles for every group.
+type allRoles struct{}
 
-func (among) Watches(string) bool  { return true }
-func (among) MayClaim(string) bool { return true }
+func (allRoles) Watches(string) bool  { return true }
+func (allRoles) MayClaim(string) bool { return true }
 
-// win reads the claim and makes one of the host's own.
-func win(p *Promoter, server string) (Claim, bool) {
-	c, err := p.claim(context.Background())
-	return p.win(context.Background(), c, err, server, 1)
+// acquireClaim reads the present claim and tries to replace it by one of the host.
+func acquireClaim(p *Promoter, server string) (Claim, bool) {
+	c, err := p.readClaim(context.Background())
+	return p.acquireClaim(context.Background(), c, err, server, 1)
 }
 
-// steps runs the promoter for the time.
-func steps(p *Promoter, d time.Duration) {
-	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(promoteTick) {
-		p.step(context.Background())
+// runFor runs the checks of the promoter for d.
+func runFor(p *Promoter, d time.Duration) {
+	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(activeCheckInterval) {
+		p.check(context.Background())
 	}
 }
 
-// A primary is gone and its host with it. Another one leads soon, the one with the
-// longest log, or acknowledged lines would be dropped without need.
+// Guards against a group without a primary, and against loss of acknowledged writes that another
+// server has: a primary and its host are lost, and the server with the longest log must be
+// promoted soon.
 func TestLostPrimaryIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
@@ -249,9 +254,9 @@
 		p := promoterOf(c, "h1")
 		p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
 		began := time.Now()
-		steps(p, 5*time.Second)
-		if len(c.steps) != 1 || !c.servers["b"].primary {
-			t.Fatalf("steps %q", c.steps)
+		runFor(p, 5*time.Second)
+		if len(c.actions) != 1 || !c.servers["b"].primary {
+			t.Fatalf("actions %q", c.actions)
 		}
 		if d := time.Since(began); d > 6*time.Second {
 			t.Errorf("took %s", d)
@@ -265,8 +270,8 @@
 	})
 }
 
-// Two hosts see the same loss. If both ordered, the second order would take the lead
-// from the server that has just got it, with what was written there.
+// Guards against two promotions for one loss, which several hosts detect: the second one would
+// replace the new primary and drop what was written there.
 func TestOnlyOneHostPromotes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
@@ -275,47 +280,47 @@
 		for _, h := range []string{"h1", "h2", "h3"} {
 			p := promoterOf(c, h)
 			p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
-			g.Go(func() { steps(p, 4*time.Second) })
+			g.Go(func() { runFor(p, 4*time.Second) })
 		}
 		g.Wait()
-		if len(c.steps) != 1 {
-			t.Errorf("steps %q", c.steps)
+		if len(c.actions) != 1 {
+			t.Errorf("actions %q", c.actions)
 		}
 	})
 }
 
-// A cut keeps this host from the primary, others still write there. Replacing it would
-// drop what they wrote since the heir last heard from it.
-func TestPrimaryThatOthersHearIsKept(t *testing.T) {
+// Guards against the replacement of a primary that only this host can't reach because of a
+// network partition: writes of other hosts that the promoted server lacks would be dropped.
+func TestPrimaryThatOthersReachIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
-		c.servers["a"].gone, c.heard = true, true
+		c.servers["a"].gone, c.othersReach = true, true
 		p := promoterOf(c, "h1")
 		p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
-		steps(p, 12*time.Second)
-		if len(c.steps) > 0 {
-			t.Errorf("steps %q", c.steps)
+		runFor(p, 12*time.Second)
+		if len(c.actions) > 0 {
+			t.Errorf("actions %q", c.actions)
 		}
 	})
 }
 
-// Guards against a process that hangs: its host goes on to take connections, so others
-// reach the primary, but none gets an answer. The group would stay without a primary.
+// Guards against a group that stays without a working primary: the process hangs, but its host
+// still accepts connections, so that other hosts reach the primary without getting an answer.
 func TestHungPrimaryIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
-		c.servers["a"].gone, c.heard, c.hung = true, true, true
+		c.servers["a"].gone, c.othersReach, c.hangs = true, true, true
 		p := promoterOf(c, "h1")
 		p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
-		steps(p, 8*time.Second)
-		if len(c.steps) != 1 || !c.servers["b"].primary {
-			t.Errorf("steps %q", c.steps)
+		runFor(p, 8*time.Second)
+		if len(c.actions) != 1 || !c.servers["b"].primary {
+			t.Errorf("actions %q", c.actions)
 		}
 	})
 }
 
-// Guards against overload taken for death: after a loss of power the primary is at its
-// limit of connections, or has no slot for a status. Replacing it would drop commits.
+// Guards against the replacement of an overloaded primary, which would drop commits: after a loss
+// of power it is at its limit of connections, or has no slot for a status query.
 func TestOverloadedPrimaryIsKept(t *testing.T) {
 	for _, cause := range []error{connpooler.ErrTooManyConnections, ErrCommandRefused} {
 		synctest.Test(t, func(t *testing.T) {
@@ -323,16 +328,16 @@
 			c.servers["a"].full = cause
 			p := promoterOf(c, "h1")
 			p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
-			steps(p, 12*time.Second)
-			if len(c.steps) > 0 {
-				t.Errorf("%v: steps %q", cause, c.steps)
+			runFor(p, 12*time.Second)
+			if len(c.actions) > 0 {
+				t.Errorf("%v: actions %q", cause, c.actions)
 			}
 		})
 	}
 }
 
-// A cut leaves this host with the old primary alone, which has lost the lead to a server
-// beyond the cut. Giving it back would drop all that was written there since.
+// Guards against the promotion of the old primary by a host that a network partition leaves with
+// that server alone: all that was written to the new primary on the other side would be dropped.
 func TestMinorityDoesNotPromote(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
@@ -340,156 +345,157 @@
 		c.servers["b"].gone, c.servers["c"].gone = true, true
 		p := promoterOf(c, "h1")
 		p.Board.Do("db", func(g *grouptracker.Group) { g.Refused("a") })
-		steps(p, 10*time.Second)
-		if len(c.steps) > 0 {
-			t.Errorf("steps %q", c.steps)
+		runFor(p, 10*time.Second)
+		if len(c.actions) > 0 {
+			t.Errorf("actions %q", c.actions)
 		}
 		c.servers["c"].gone = false
-		steps(p, 5*time.Second)
-		if len(c.steps) != 1 {
-			t.Errorf("steps %q once a majority answers", c.steps)
+		runFor(p, 5*time.Second)
+		if len(c.actions) != 1 {
+			t.Errorf("actions %q after a majority answers", c.actions)
 		}
 	})
 }
 
-// Another host promotes and is gone while this one still asks the servers. What they said
-// before mustn't decide any more.
-func TestOldAnswersDecideNothing(t *testing.T) {
+// Guards against a promotion based on outdated answers: another host promotes a server and stops
+// while this host still queries the servers.
+func TestOutdatedAnswersAreNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
 		p := promoterOf(c, "h1")
-		x, err := p.claim(t.Context())
+		x, err := p.readClaim(t.Context())
 		if _, err := c.PutClaim(t.Context(), "db", Claim{Holder: "h7", Server: "c"}); err != nil {
 			t.Fatal(err)
 		}
-		if y, ok := p.win(t.Context(), x, err, "b", 1); ok {
-			t.Errorf("claim %+v made by answers of before", y)
+		if y, ok := p.acquireClaim(t.Context(), x, err, "b", 1); ok {
+			t.Errorf("claim %+v made with outdated answers", y)
 		}
 	})
 }
 
-// Two hosts defer to a third that does nothing. The first to act must be let finish by
-// the second, which has waited as long.
-func TestDeferenceBeginsAnewWithEachClaim(t *testing.T) {
+// Guards against two promotions in a row: two hosts have waited equally long for a third one that
+// holds the claim and does nothing. The second must wait again once the first has claimed.
+func TestGracePeriodRestartsWithEachClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := promoterOf(newCluster(), "h1")
-		if !p.defers(t.Context(), Claim{Holder: "h9", Token: 4}, "b") {
-			t.Error("a claim just found is overtaken")
+		if !p.defersTo(t.Context(), Claim{Holder: "h9", Token: 4}, "b") {
+			t.Error("host doesn't defer to a claim that it has just read")
 		}
-		time.Sleep(deference)
-		if p.defers(t.Context(), Claim{Holder: "h9", Token: 4}, "b") {
-			t.Error("a claim of which nothing comes is respected")
+		time.Sleep(holderGracePeriod)
+		if p.defersTo(t.Context(), Claim{Holder: "h9", Token: 4}, "b") {
+			t.Error("host defers to a holder that hasn't acted")
 		}
-		if !p.defers(t.Context(), Claim{Holder: "h8", Token: 7}, "b") {
-			t.Error("a new claim is overtaken")
+		if !p.defersTo(t.Context(), Claim{Holder: "h8", Token: 7}, "b") {
+			t.Error("host doesn't defer to a new claim")
 		}
 	})
 }
 
-// drainPrimary has the platform say that the primary is to leave.
+// drainPrimary has the platform list the primary as draining.
 func drainPrimary(p *Promoter) {
 	p.Board.TakeServers([]declarer.Server{{ID: "a", Group: "db", Primary: true, Draining: true}, {ID: "b", Group: "db"}, {ID: "c", Group: "db"}})
 }
 
-// The primary leaves as planned. Lines saved while the move is under way must not be
-// dropped: it steps down first, and the heir gets all of its log.
-func TestLeavingPrimaryStepsDownFirst(t *testing.T) {
+// Guards against the loss of rows written during a planned switchover: the draining primary must
+// step down first, and the candidate must receive all of its log.
+func TestDrainingPrimaryStepsDownFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
 		p := promoterOf(c, "h1")
 		drainPrimary(p)
-		steps(p, 3*time.Second)
+		runFor(p, 3*time.Second)
 		want := []string{"demote a below 2", "promote b by h1 with 3 at length 10"}
-		if !slices.Equal(c.steps, want) {
-			t.Errorf("steps %q, want %q", c.steps, want)
+		if !slices.Equal(c.actions, want) {
+			t.Errorf("actions %q, want %q", c.actions, want)
 		}
 	})
 }
 
-// The primary leaves as planned, each commit is on one of two replicas before it is
-// acknowledged, and the heir receives nothing any more. Promoted all the same, it would lack
-// what the other replica has.
-func TestHeirThatLacksSynchronousCommitsIsNotPromoted(t *testing.T) {
+// Guards against the loss of acknowledged commits in a planned switchover: each commit is on one of
+// two replicas before it is acknowledged, and the candidate has stopped receiving the log. If it
+// were promoted, it would lack commits that the other replica may have.
+func TestCandidateThatLacksSynchronousCommitsIsNotPromoted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
-		c.servers["b"].deaf, c.servers["c"].deaf = true, true
+		c.servers["b"].stalled, c.servers["c"].stalled = true, true
 		p := promoterOf(c, "h1")
 		p.Board.Configure(&declarer.Configuration{Version: 1, Groups: map[string]declarer.Group{"db": {Name: "db", Synchronous: 1}}})
 		drainPrimary(p)
-		steps(p, 2500*time.Millisecond)
+		runFor(p, 2500*time.Millisecond)
 		want := []string{"demote a below 2", "promote a by h1 with 9 at length 10"}
-		if !slices.Equal(c.steps, want) {
-			t.Errorf("steps %q, want %q: only the old one has every commit, and it isn't moved again at once", c.steps, want)
+		if !slices.Equal(c.actions, want) {
+			t.Errorf("actions %q, want %q: only the old primary has every commit, and the switchover isn't repeated at once", c.actions, want)
 		}
 	})
 }
 
-// The store makes the claim and its answer is lost. Taking it for not made would leave
-// the group without a primary until another host tries.
+// Guards against a claim that was made but counts as failed, as the answer of the store was lost:
+// the group would be without a primary until another host tries.
 func TestLostAnswerToClaimIsReadBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
-		c.lost = true
+		c.loseAnswer = true
 		p := promoterOf(c, "h1")
-		x, ok := win(p, "b")
-		if !ok || x.Token != 3 || p.held != x {
-			t.Errorf("claim %+v %t, held %+v", x, ok, p.held)
+		x, ok := acquireClaim(p, "b")
+		if !ok || x.Token != 3 || p.heldClaim != x {
+			t.Errorf("claim %+v %t, held %+v", x, ok, p.heldClaim)
 		}
 	})
 }
 
-// The store is away while a primary is lost. The host that holds the claim goes on with
-// it, for one server only: a late order for another would bear the same token.
-func TestHeldClaimServesWhileStoreIsAway(t *testing.T) {
+// Guards against a group that gets no primary while the store is unavailable: the holder of the
+// claim must be able to use it, but for one server only, as a late request for another server
+// would have the same token.
+func TestHeldClaimIsUsedWhileStoreIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
 		holder, other := promoterOf(c, "h1"), promoterOf(c, "h2")
-		if _, err := holder.take(t.Context(), Claim{Holder: "h1"}); err != nil {
+		if _, err := holder.putClaim(t.Context(), Claim{Holder: "h1"}); err != nil {
 			t.Fatal(err)
 		}
-		c.away = true
-		if _, ok := win(other, "b"); ok {
-			t.Error("a host without a claim goes on")
+		c.unavailable = true
+		if _, ok := acquireClaim(other, "b"); ok {
+			t.Error("a host without a claim may promote")
 		}
-		if x, ok := win(holder, "b"); !ok || x.Token != 3 {
+		if x, ok := acquireClaim(holder, "b"); !ok || x.Token != 3 {
 			t.Errorf("claim %+v %t", x, ok)
 		}
-		if x, ok := win(holder, "c"); ok {
-			t.Errorf("the claim serves for a second server: %+v", x)
+		if x, ok := acquireClaim(holder, "c"); ok {
+			t.Errorf("the claim is used for a second server: %+v", x)
 		}
 	})
 }
 
-// A host has promoted once, and the next primary is lost together with the store. Writes
-// would fail until the store is back if the claim served for the first server only.
+// Guards against a claim that stays bound to the server of the last promotion: if the next primary
+// is lost together with the store, writes would fail until the store is available again.
 func TestClaimIsRenewedForTheNextLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
 		c.servers["a"].gone = true
 		p := promoterOf(c, "h1")
 		p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
-		steps(p, 5*time.Second)
+		runFor(p, 5*time.Second)
 		first := *c.claim
 		if !c.servers["b"].primary || first.Server != "" {
-			t.Fatalf("steps %q, claim %+v", c.steps, first)
+			t.Fatalf("actions %q, claim %+v", c.actions, first)
 		}
-		c.away = true
+		c.unavailable = true
 		c.servers["a"].gone, c.servers["b"].gone = false, true
 		p.Board.Unreachable("db", "b", p.Board.Time(), connpooler.ErrNoRoute)
-		steps(p, 5*time.Second)
-		if len(c.steps) != 2 || c.servers["b"].primary || c.servers["a"].primary == c.servers["c"].primary {
-			t.Errorf("steps %q", c.steps)
+		runFor(p, 5*time.Second)
+		if len(c.actions) != 2 || c.servers["b"].primary || c.servers["a"].primary == c.servers["c"].primary {
+			t.Errorf("actions %q", c.actions)
 		}
 	})
 }
 
-// A host renews its claim after another one has made its own. The other's must stand, and
-// this host must not act on its old one any more.
-func TestRenewalGivesWayToAnotherClaim(t *testing.T) {
+// Guards against a renewal that replaces the claim of another host: that claim must stay, and this
+// host must drop its outdated one.
+func TestRenewalDoesNotReplaceAnotherClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
 		p := promoterOf(c, "h1")
-		if _, ok := win(p, "b"); !ok {
+		if _, ok := acquireClaim(p, "b"); !ok {
 			t.Fatal("claim not made")
 		}
 		x := *c.claim
@@ -497,16 +503,16 @@
 		if _, err := c.PutClaim(t.Context(), "db", x); err != nil {
 			t.Fatal(err)
 		}
-		p.renew(t.Context())
-		if c.claim.Holder != "h2" || p.held != (Claim{}) {
-			t.Errorf("claim %+v, held %+v", c.claim, p.held)
+		p.renewClaim(t.Context())
+		if c.claim.Holder != "h2" || p.heldClaim != (Claim{}) {
+			t.Errorf("claim %+v, held %+v", c.claim, p.heldClaim)
 		}
 	})
 }
 
-// Another host holds the group's claim. It is let act first, as hosts that promote in
-// turn take the lead from one server after the other; where nothing comes of it, or the
-// holder has left, this host acts.
+// Guards against hosts that promote one after the other and replace each other's new primary: the
+// host that holds the group's claim must be given time to act first. If it doesn't act, this host
+// must.
 func TestHolderOfClaimActsFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
@@ -514,73 +520,74 @@
 		c.claim = &Claim{Holder: "h9", Token: 40}
 		p := promoterOf(c, "h1")
 		p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
-		steps(p, deference)
-		if len(c.steps) > 0 {
-			t.Errorf("steps %q while the holder may act", c.steps)
+		runFor(p, holderGracePeriod)
+		if len(c.actions) > 0 {
+			t.Errorf("actions %q while the holder may act", c.actions)
 		}
-		steps(p, deference)
-		if len(c.steps) != 1 || c.claim.Holder != "h1" {
-			t.Errorf("steps %q, claim %+v", c.steps, c.claim)
+		runFor(p, holderGracePeriod)
+		if len(c.actions) != 1 || c.claim.Holder != "h1" {
+			t.Errorf("actions %q, claim %+v", c.actions, c.claim)
 		}
 	})
 }
 
-// The holder of the claim is gone together with the primary.
-func TestHolderThatIsGoneIsNotWaitedFor(t *testing.T) {
+// Guards against a needless wait for the holder of the claim, which was lost together with the
+// primary.
+func TestUnreachableHolderIsNotAwaited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
 		c.claim = &Claim{Holder: "h7", Token: 40}
 		p := promoterOf(c, "h1")
-		if x, ok := win(p, "b"); !ok || x.Token <= 40 {
+		if x, ok := acquireClaim(p, "b"); !ok || x.Token <= 40 {
 			t.Errorf("claim %+v %t", x, ok)
 		}
 	})
 }
 
-// A promotion is refused as fenced. Asking again with the same token would be refused
-// again, and counts as a duty missed.
-func TestFencedOrderIsNotRepeated(t *testing.T) {
+// Guards against the repetition of a promotion that was refused as fenced: a request with the same
+// token would be refused again, and counts as an unfulfilled duty.
+func TestFencedPromotionIsNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
 		c.refuses = true
 		p := promoterOf(c, "h1")
 		began := time.Now()
-		p.order(t.Context(), declarer.Server{ID: "b", Group: "db"}, Claim{Token: 3}, quiet)
+		p.promote(t.Context(), declarer.Server{ID: "b", Group: "db"}, Claim{Token: 3}, quiet)
 		if time.Since(began) > 0 {
-			t.Errorf("went on for %s", time.Since(began))
+			t.Errorf("retried for %s", time.Since(began))
 		}
 	})
 }
 
-// A deployment gives a lease of three seconds. A second host that orders within it takes
-// turns with the first, whatever it sees.
+// Guards against a host that promotes within another host's lease, here three seconds: the two
+// would replace each other's new primary, each by its own view.
 func TestLeaseIsRespected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := promoterOf(newCluster(), "h1")
 		p.Lease = func() time.Duration { return 3 * time.Second }
 		c := Claim{Holder: "h9", Server: "b", Token: 4}
 		for range 15 {
-			if !p.defers(t.Context(), c, "b") {
-				t.Fatal("overtaken within the lease")
+			if !p.defersTo(t.Context(), c, "b") {
+				t.Fatal("host doesn't defer within the lease")
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
 		time.Sleep(leaseSlack)
-		if p.defers(t.Context(), c, "b") {
-			t.Error("respected for longer than the lease")
+		if p.defersTo(t.Context(), c, "b") {
+			t.Error("host defers for longer than the lease")
 		}
 	})
 }
 
-// A group has no claim yet and several hosts have started. One of them makes it; the
-// others find it.
-func TestStandInClaimsOnce(t *testing.T) {
+// Guards against several claims of a group that has none when several hosts start: one host must
+// make the claim, and the others must find it.
+func TestUnclaimedGroupIsClaimedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
 		var g sync.WaitGroup
 		for _, h := range []string{"h1", "h2", "h3"} {
 			p := promoterOf(c, h)
-			g.Go(func() { p.claimUnclaimed(t.Context()) })
+			g.Go(func() { p.claimIfUnclaimed(t.Context()) })
 		}
 		g.Wait()
 		if c.claim == nil || c.claim.Token != 3 || c.claim.Server != "" {
--- a/internal/proxy/promoter/questions.go
+++ b/internal/proxy/promoter/questions.go
@@ -15,38 +15,39 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/successor"
 )
 
-// probe asks a suspected primary, or all servers where none is known.
+// probe queries the primary, or all servers if none is known.
 func (p *Promoter) probe(ctx context.Context, s successor.View) {
-	p.probed = time.Now()
+	p.probedAt = time.Now()
 	l := s.Servers
 	if s.Primary != nil {
 		l = []*grouptracker.Server{s.Primary}
 	}
-	p.ask(ctx, l)
+	p.queryStatus(ctx, l)
 }
 
-// ask has all of l tell their status at once, and returns those that did. Once more than
-// half have, the others are waited for only a little.
-func (p *Promoter) ask(ctx context.Context, l []*grouptracker.Server) []successor.Candidate {
+// queryStatus queries the status of all servers of l at once, and returns those that answered.
+// Once more than half have answered, the others are awaited for majorityGrace only.
+func (p *Promoter) queryStatus(ctx context.Context, l []*grouptracker.Server) []successor.Candidate {
 	c, cancel := context.WithTimeout(ctx, probeTimeout)
 	r := make(chan reply, len(l))
 	g := &sync.WaitGroup{}
 	for _, s := range l {
 		g.Add(1)
-		go (&question{promoter: p, server: s.Server, replies: r}).run(c, g)
+		go (&statusQuery{promoter: p, server: s.Server, replies: r}).run(c, g)
 	}
-	go (&closing{wait: g, cancel: cancel}).run()
-	return gather(r, len(l))
+	go (&cleanup{wait: g, cancel: cancel}).run()
+	return collect(r, len(l))
 }
 
-// reply is a server's answer to a question.
+// reply is the result of a status query.
 type reply struct {
 	candidate successor.Candidate
 	err       error
 }
 
-// gather collects up to n replies.
-func gather(r <-chan reply, n int) []successor.Candidate {
+// collect receives up to n replies and returns those without an error. Once more than half of
+// n are such, the others are awaited for majorityGrace only.
+func collect(r <-chan reply, n int) []successor.Candidate {
 	var l []successor.Candidate
 	var late <-chan time.Time
 	for range n {
@@ -65,39 +66,40 @@
 	return l
 }
 
-// closing frees what questions use once all have ended. Those that are late still note
-// on the blackboard what they learn.
-type closing struct {
+// cleanup cancels the context of status queries once all have ended. Late queries still record
+// their results on the board.
+type cleanup struct {
 	wait   *sync.WaitGroup
 	cancel context.CancelFunc
 }
 
-func (x *closing) run() {
+func (x *cleanup) run() {
 	x.wait.Wait()
 	x.cancel()
 }
 
-// question is one status asked for.
-type question struct {
+// statusQuery queries the status of one server.
+type statusQuery struct {
 	promoter *Promoter
 	server   declarer.Server
 	replies  chan<- reply
 }
 
-func (q *question) run(ctx context.Context, g *sync.WaitGroup) {
+func (q *statusQuery) run(ctx context.Context, g *sync.WaitGroup) {
 	defer g.Done()
 	b := q.promoter.Board
 	asked := b.Time()
 	s, err := q.promoter.Prober.Status(ctx, q.server)
-	q.note(asked, s, err)
+	q.record(asked, s, err)
 	q.replies <- reply{candidate: successor.Candidate{Server: q.server, Status: s}, err: err}
 }
 
-func (q *question) note(asked time.Duration, s declarer.Status, err error) {
+// record notes the result of a query that began at asked on the board.
+func (q *statusQuery) record(asked time.Duration, s declarer.Status, err error) {
 	b := q.promoter.Board
 	switch {
 	case errors.Is(err, ErrCommandRefused), errors.Is(err, connpooler.ErrTooManyConnections):
-		// It has no room for the question, but it lives.
+		// The server has no free slot for the query, but it works.
 		b.Do(q.server.Group, func(g *grouptracker.Group) { g.Answered(q.server.ID, b.Time(), 0, marker.Mark{}) })
 		return
 	case err != nil:
@@ -110,21 +112,21 @@
 	}
 }
 
-// inquiry asks other hosts about a primary that doesn't answer here.
-type inquiry struct {
+// peerQuery asks other hosts about a primary that doesn't answer this host.
+type peerQuery struct {
 	dialer   *relaydialer.Dialer
 	server   declarer.Server
 	question relaydialer.Question
 	done     chan relaydialer.Word
 }
 
-func (x *inquiry) run(ctx context.Context) {
+func (x *peerQuery) run(ctx context.Context) {
 	x.done <- x.dialer.Ask(ctx, x.server, x.question)
 }
 
-// inquire begins to ask other hosts what the reason to replace the primary needs.
-func (p *Promoter) inquire(ctx context.Context, s successor.View, r successor.Reason) *inquiry {
-	x := &inquiry{dialer: p.Dialer, done: make(chan relaydialer.Word, 1)}
+// startPeerQuery starts asking other hosts for the confirmation that the reason needs, if any.
+func (p *Promoter) startPeerQuery(ctx context.Context, s successor.View, r successor.Reason) *peerQuery {
+	x := &peerQuery{dialer: p.Dialer, done: make(chan relaydialer.Word, 1)}
 	switch r {
 	case successor.ReasonUnresponsive:
 		x.server, x.question = s.Primary.Server, relaydialer.QuestionReach
@@ -138,19 +140,19 @@
 	return x
 }
 
-// confirms reports whether what other hosts say lets the primary be replaced. Silence
-// needs their word that they don't hear from it either; after long they may all be out of
-// reach, but none may have had an answer.
-func confirms(r successor.Reason, w relaydialer.Word) bool {
+// confirmsLoss reports whether the answer of the other hosts allows to replace the primary. For
+// an unresponsive primary, other hosts must report that they can't reach it either. For one that
+// is down, it is enough that none reports an answer from it, even if none can be asked.
+func confirmsLoss(r successor.Reason, w relaydialer.Word) bool {
 	if r == successor.ReasonDown {
 		return w != relaydialer.WordAlive
 	}
 	return w == relaydialer.WordLost
 }
 
-// reachable returns the servers but for a primary that doesn't answer: to ask it once
-// more would only hold the promotion up.
-func reachable(s successor.View) []*grouptracker.Server {
+// worthProbing returns all servers except a primary that doesn't answer: another query to it
+// would only delay the promotion.
+func worthProbing(s successor.View) []*grouptracker.Server {
 	var l []*grouptracker.Server
 	for _, x := range s.Servers {
 		if s.Primary == nil || x.ID != s.Primary.ID || x.FailingSince == 0 {
