--- a/internal/proxy/promoter/claims.go
+++ b/internal/proxy/promoter/claims.go
@@ -22,7 +22,7 @@
 	// AboveTerm is the newest term that the holder found in the group. A promotion under this
 	// claim leads to a newer one.
 	AboveTerm marker.Term
-	// Token is the fencing token: each change of the claim increases it.
+	// Token is the fencing token, which each change of the claim increases.
 	Token uint64
 }
 
--- a/internal/proxy/promoter/promoter_test.go
+++ b/internal/proxy/promoter/promoter_test.go
@@ -52,7 +52,7 @@
 	// othersReach is set if other hosts reach the servers that this host doesn't reach, and hangs
 	// if these servers accept connections there but don't answer.
 	othersReach, hangs bool
-	actions            []string
+	calls              []string
 	// phases are the durations of promotions by phase.
 	phases map[string]time.Duration
 }
@@ -63,9 +63,7 @@
 	}}
 }
 
-func (c *cluster) note(format string, a ...any) {
-	c.actions = append(c.actions, fmt.Sprintf(format, a...))
-}
+func (c *cluster) note(format string, a ...any) { c.calls = append(c.calls, fmt.Sprintf(format, a...)) }
 
 func (c *cluster) Claim(context.Context, string) (Claim, error) {
 	c.mu.Lock()
@@ -255,8 +253,8 @@
 		p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
 		began := time.Now()
 		runFor(p, 5*time.Second)
-		if len(c.actions) != 1 || !c.servers["b"].primary {
-			t.Fatalf("actions %q", c.actions)
+		if len(c.calls) != 1 || !c.servers["b"].primary {
+			t.Fatalf("calls %q", c.calls)
 		}
 		if d := time.Since(began); d > 6*time.Second {
 			t.Errorf("took %s", d)
@@ -283,8 +281,8 @@
 			g.Go(func() { runFor(p, 4*time.Second) })
 		}
 		g.Wait()
-		if len(c.actions) != 1 {
-			t.Errorf("actions %q", c.actions)
+		if len(c.calls) != 1 {
+			t.Errorf("calls %q", c.calls)
 		}
 	})
 }
@@ -298,8 +296,8 @@
 		p := promoterOf(c, "h1")
 		p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
 		runFor(p, 12*time.Second)
-		if len(c.actions) > 0 {
-			t.Errorf("actions %q", c.actions)
+		if len(c.calls) > 0 {
+			t.Errorf("calls %q", c.calls)
 		}
 	})
 }
@@ -313,8 +311,8 @@
 		p := promoterOf(c, "h1")
 		p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
 		runFor(p, 8*time.Second)
-		if len(c.actions) != 1 || !c.servers["b"].primary {
-			t.Errorf("actions %q", c.actions)
+		if len(c.calls) != 1 || !c.servers["b"].primary {
+			t.Errorf("calls %q", c.calls)
 		}
 	})
 }
@@ -329,8 +327,8 @@
 			p := promoterOf(c, "h1")
 			p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
 			runFor(p, 12*time.Second)
-			if len(c.actions) > 0 {
-				t.Errorf("%v: actions %q", cause, c.actions)
+			if len(c.calls) > 0 {
+				t.Errorf("%v: calls %q", cause, c.calls)
 			}
 		})
 	}
@@ -346,13 +344,13 @@
 		p := promoterOf(c, "h1")
 		p.Board.Do("db", func(g *grouptracker.Group) { g.Refused("a") })
 		runFor(p, 10*time.Second)
-		if len(c.actions) > 0 {
-			t.Errorf("actions %q", c.actions)
+		if len(c.calls) > 0 {
+			t.Errorf("calls %q", c.calls)
 		}
 		c.servers["c"].gone = false
 		runFor(p, 5*time.Second)
-		if len(c.actions) != 1 {
-			t.Errorf("actions %q after a majority answers", c.actions)
+		if len(c.calls) != 1 {
+			t.Errorf("calls %q after a majority answers", c.calls)
 		}
 	})
 }
@@ -405,8 +403,8 @@
 		drainPrimary(p)
 		runFor(p, 3*time.Second)
 		want := []string{"demote a below 2", "promote b by h1 with 3 at length 10"}
-		if !slices.Equal(c.actions, want) {
-			t.Errorf("actions %q, want %q", c.actions, want)
+		if !slices.Equal(c.calls, want) {
+			t.Errorf("calls %q, want %q", c.calls, want)
 		}
 	})
 }
@@ -423,8 +421,8 @@
 		drainPrimary(p)
 		runFor(p, 2500*time.Millisecond)
 		want := []string{"demote a below 2", "promote a by h1 with 9 at length 10"}
-		if !slices.Equal(c.actions, want) {
-			t.Errorf("actions %q, want %q: only the old primary has every commit, and the switchover isn't repeated at once", c.actions, want)
+		if !slices.Equal(c.calls, want) {
+			t.Errorf("calls %q, want %q: only the old primary has every commit, and the switchover isn't repeated at once", c.calls, want)
 		}
 	})
 }
@@ -477,14 +475,14 @@
 		runFor(p, 5*time.Second)
 		first := *c.claim
 		if !c.servers["b"].primary || first.Server != "" {
-			t.Fatalf("actions %q, claim %+v", c.actions, first)
+			t.Fatalf("calls %q, claim %+v", c.calls, first)
 		}
 		c.unavailable = true
 		c.servers["a"].gone, c.servers["b"].gone = false, true
 		p.Board.Unreachable("db", "b", p.Board.Time(), connpooler.ErrNoRoute)
 		runFor(p, 5*time.Second)
-		if len(c.actions) != 2 || c.servers["b"].primary || c.servers["a"].primary == c.servers["c"].primary {
-			t.Errorf("actions %q", c.actions)
+		if len(c.calls) != 2 || c.servers["b"].primary || c.servers["a"].primary == c.servers["c"].primary {
+			t.Errorf("calls %q", c.calls)
 		}
 	})
 }
@@ -521,12 +519,12 @@
 		p := promoterOf(c, "h1")
 		p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
 		runFor(p, holderGracePeriod)
-		if len(c.actions) > 0 {
-			t.Errorf("actions %q while the holder may act", c.actions)
+		if len(c.calls) > 0 {
+			t.Errorf("calls %q while the holder may act", c.calls)
 		}
 		runFor(p, holderGracePeriod)
-		if len(c.actions) != 1 || c.claim.Holder != "h1" {
-			t.Errorf("actions %q, claim %+v", c.actions, c.claim)
+		if len(c.calls) != 1 || c.claim.Holder != "h1" {
+			t.Errorf("calls %q, claim %+v", c.calls, c.claim)
 		}
 	})
 }
--- a/internal/proxy/promoter/questions.go
+++ b/internal/proxy/promoter/questions.go
@@ -66,7 +66,7 @@
 	return l
 }
 
-// cleanup cancels the context of status queries once all have ended. Late queries still record
+// cleanup cancels the context of status queries once all have ended: late queries still record
 // their results on the board.
 type cleanup struct {
 	wait   *sync.WaitGroup
