--- a/internal/proxy/connpooler/connpooler.go
+++ b/internal/proxy/connpooler/connpooler.go
@@ -1,5 +1,5 @@
-// Package connpooler keeps the connections of one entry host to one backend server, and
-// lends each to one session at a time.
+// Package connpooler pools the connections of one entry host to one backend server and leases
+// each to one session at a time.
 package connpooler
 
 import (
@@ -13,29 +13,32 @@
 )
 
 const (
-	// idleFor is how long a connection beyond the first is kept unused. Others'
-	// callers need it: the server's limit is for all entry hosts together.
-	idleFor = time.Second
-	// linkIdleFor is the same for connections to other hosts, which nobody else needs.
-	linkIdleFor = 10 * time.Second
-	// recoverFor bounds the wait for an answer that nobody needs any more. A connection that
-	// has gone silent takes up one of the server's few until it is closed.
-	recoverFor = 2 * time.Second
-	// suspectAfter is how long a connection is unused before it is looked at.
-	suspectAfter = 50 * time.Millisecond
+	// idleTimeout is how long an idle connection beyond Pool.MinOpen is kept. The server's
+	// connection limit applies to all entry hosts together, so that other hosts may need it.
+	idleTimeout = time.Second
+	// linkIdleTimeout is the same for connections to other entry hosts, which only this host can
+	// use.
+	linkIdleTimeout = 10 * time.Second
+	// recoverTimeout bounds the wait for the pending answers of a returned connection, whose
+	// session has given up on them. An unresponsive connection takes up one of the server's few
+	// connections until it is closed.
+	recoverTimeout = 2 * time.Second
+	// checkAfterIdle is how long a connection must have been idle to be checked, before it is
+	// leased, for whether the server has closed it.
+	checkAfterIdle = 50 * time.Millisecond
 )
 
-// Pool keeps the connections to one server. Its exported fields are set before use.
+// Pool holds the connections to one server. Its exported fields are set before use.
 type Pool struct {
 	Server   declarer.Server
 	Dialer   Dialer
 	Observer Observer
-	// Limit is the most connections that this host may open, and Keep how many stay open
-	// though unused. Resize changes both later.
+	// Limit is the maximum number of connections that this host may open, and MinOpen how many
+	// stay open even if they are idle. Resize changes both later.
 	Limit   int
 	MinOpen int
-	// OnDemand opens a connection for whoever waits: those to another entry host take
-	// nothing of the server's.
+	// OnDemand opens a connection for each waiter. It is set for connections to another entry
+	// host, which take up none of the server's.
 	OnDemand bool
 
 	mu      sync.Mutex
@@ -44,39 +47,46 @@
 	idle    []*Lease
 	open    int
 	opening int
-	// recovering are those of the open ones that nobody can use yet: an answer is still to
-	// come that nobody needs any more.
+	// recovering is how many of the open connections can't be leased yet: they still have
+	// pending answers or an open transaction of their last session.
 	recovering int
 	closed     bool
-	// retryAt is until when no connection is opened after the server was at its limit, backoff how long that was.
+	// retryAt is until when no connection is opened after the server was at its limit, and
+	// backoff is the basis of this pause.
 	retryAt time.Time
 	backoff time.Duration
-	// refusals counts the attempts in a row that found the server at its limit.
+	// refusals counts the consecutive attempts that found the server at its limit.
 	refusals int
 }
 
-// AcquireRequest is what a lease is wanted for.
+// AcquireRequest describes the request of a caller that waits for a lease or a permit.
 type AcquireRequest struct {
+	// Deadline is when the wait ends with a refusal.
 	Deadline time.Time
-	// Objective is by when it should be given, zero for none: a longer wait that is foreseen
-	// is refused.
+	// Objective is by when the lease should be granted, zero for none: if the expected wait is
+	// longer, the request is refused at once.
 	Objective time.Time
 	Class     admitter.Class
-	// Team shares the connections fairly with others.
+	// Team is the name of the team that the request counts for. Connections are shared fairly
+	// between teams.
 	Team string
 }
 
-// epoch is where the queue's clock begins.
+// epoch is the zero of the queue's clock.
 var epoch = time.Now()
 
+// sinceEpoch returns t on the queue's clock.
 func sinceEpoch(t time.Time) time.Duration { return t.Sub(epoch) }
 
-// waiter is who waits for an entry's grant.
+// waiter is a caller that waits until its queue entry is granted or refused.
 type waiter struct {
+	// done receives nil for a grant, or why the entry was refused.
 	done chan error
 }
 
-// Acquire waits for a connection until the deadline.
+// Acquire waits for a connection until the deadline of the request. It returns a *Refusal if the
+// wait was or would be too long, ErrUnreachable if the server can't be reached, and ErrClosed if
+// the pool is closed.
 func (p *Pool) Acquire(a AcquireRequest) (*Lease, error) {
 	for {
 		l, err := p.acquire(a)
@@ -86,35 +96,37 @@
 	}
 }
 
-// errEnded is a grant for which no connection was left that the server hadn't closed. They
-// are dropped, so that the next attempt waits for a new one.
+// errEnded is returned if the server had closed all idle connections when a waiter was granted
+// one. They have been dropped, so that the next attempt waits for a new connection.
 const errEnded = errors.ConstError("connections ended")
 
+// acquire makes one attempt to acquire a connection. It returns errEnded if another one is needed.
 func (p *Pool) acquire(a AcquireRequest) (*Lease, error) {
 	e := &admitter.Entry{Team: a.Team, Class: a.Class, Deadline: sinceEpoch(a.Deadline)}
 	w := &waiter{done: make(chan error, 1)}
 	e.Owner = w
-	if err := p.offer(e, a.Objective); err != nil {
+	if err := p.enqueue(e, a.Objective); err != nil {
 		return nil, err
 	}
 	t := time.NewTimer(time.Until(a.Deadline))
 	defer t.Stop()
 	select {
 	case err := <-w.done:
-		return p.granted(a, e, err)
+		return p.takeIdle(a, e, err)
 	case <-t.C:
 	}
 	p.mu.Lock()
 	p.queue.Expire(e, sinceEpoch(time.Now()))
-	p.settle()
+	p.notifyWaiters()
 	p.mu.Unlock()
-	return p.granted(a, e, <-w.done)
+	return p.takeIdle(a, e, <-w.done)
 }
 
-func (p *Pool) offer(e *admitter.Entry, objective time.Time) error {
+// enqueue offers the entry to the queue, and opens a connection if one is needed.
+func (p *Pool) enqueue(e *admitter.Entry, objective time.Time) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !objective.IsZero() && p.full() {
+	if !objective.IsZero() && p.saturated() {
 		e.Objective = sinceEpoch(objective)
 	}
 	if p.closed {
@@ -124,13 +136,14 @@
 		p.queue.Forget()
 	}
 	if p.open == 0 && time.Now().Before(p.retryAt) && e.Deadline < sinceEpoch(p.retryAt) {
-		return p.noConnection()
+		return p.noConnectionError()
 	}
 	p.queue.Slots = p.usable()
 	p.queue.Offer(e, sinceEpoch(time.Now()))
-	// Whoever is refused for the wait would have waited if there were more connections.
+	// A request that is refused because of its expected wait or a full queue also counts as
+	// demand for another connection.
 	wanted := e.State == admitter.StateRefused && (e.Reason == admitter.ReasonExpectedWait || e.Reason == admitter.ReasonQueueFull)
-	p.settle()
+	p.notifyWaiters()
 	if wanted {
 		p.growFor(p.queue.Waiting() + 1)
 	} else {
@@ -139,20 +152,22 @@
 	return nil
 }
 
-// settle tells those whom the queue has just decided on. The mutex is held.
-func (p *Pool) settle() {
+// notifyWaiters notifies the waiters whose entries the queue has just granted or refused. The
+// caller must hold the mutex.
+func (p *Pool) notifyWaiters() {
 	for _, e := range p.queue.Granted {
 		e.Owner.(*waiter).done <- nil
 	}
 	for _, e := range p.queue.Refused {
-		e.Owner.(*waiter).done <- p.refusal(e)
+		e.Owner.(*waiter).done <- p.refusalError(e)
 	}
 	p.queue.Granted = p.queue.Granted[:0]
 	p.queue.Refused = p.queue.Refused[:0]
 }
 
-// granted hands out an idle connection; each grant has one.
-func (p *Pool) granted(a AcquireRequest, e *admitter.Entry, err error) (*Lease, error) {
+// takeIdle leases an idle connection to the granted entry e; there is one for each grant, unless
+// the server has closed it. If err isn't nil, it returns err.
+func (p *Pool) takeIdle(a AcquireRequest, e *admitter.Entry, err error) (*Lease, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -161,7 +176,7 @@
 	for len(p.idle) > 0 {
 		l := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		if time.Since(l.used) > suspectAfter && l.Ended() {
+		if time.Since(l.usedAt) > checkAfterIdle && l.Ended() {
 			p.drop(l)
 			continue
 		}
@@ -170,52 +185,54 @@
 		return l, nil
 	}
 	p.queue.Return(e, sinceEpoch(time.Now()))
-	p.settle()
+	p.notifyWaiters()
 	if p.closed {
 		return nil, ErrClosed
 	}
 	return nil, errEnded
 }
 
-// usable is how many connections may be lent. The mutex is held.
+// usable returns how many connections are leased or can be. The caller must hold the mutex.
 func (p *Pool) usable() int { return p.open - p.recovering }
 
-// drop forgets a connection. The mutex is held.
+// drop closes a connection and removes it from the count. The caller must hold the mutex.
 func (p *Pool) drop(l *Lease) {
 	l.Close()
 	p.open--
 	p.queue.Slots = p.usable()
 }
 
-// adjust gives out what has become free. The mutex is held.
+// adjust grants the connections that have become usable. The caller must hold the mutex.
 func (p *Pool) adjust() {
 	p.queue.Slots = p.usable()
 	p.queue.Adjust(sinceEpoch(time.Now()))
-	p.settle()
+	p.notifyWaiters()
 	p.grow()
 }
 
-func (p *Pool) finish(l *Lease, broken bool) {
+// release takes back a leased connection that can be used again at once, or closes it if it is
+// broken.
+func (p *Pool) release(l *Lease, broken bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e := l.entry
 	l.entry = nil
-	l.used = time.Now()
+	l.usedAt = time.Now()
 	if broken || p.closed {
 		p.drop(l)
 	} else {
 		p.idle = append(p.idle, l)
 	}
 	p.queue.Slots = p.usable()
-	p.queue.Release(e, sinceEpoch(l.used))
-	p.settle()
+	p.queue.Release(e, sinceEpoch(l.usedAt))
+	p.notifyWaiters()
 	p.grow()
 }
 
-// suspend ends a use of a connection that has to be brought in order before the next one.
-// The time which that takes isn't the use's: counted, it would have the queue believe that
-// statements take seconds, and refuse those that have less.
-func (p *Pool) suspend(l *Lease) {
+// beginRecovery takes back a leased connection that must be recovered before its next use. The
+// time of the recovery doesn't count as service time: otherwise, the queue would expect
+// statements to take seconds, and refuse those with less time left.
+func (p *Pool) beginRecovery(l *Lease) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e := l.entry
@@ -223,16 +240,16 @@
 	p.recovering++
 	p.queue.Slots = p.usable()
 	p.queue.Release(e, sinceEpoch(time.Now()))
-	p.settle()
+	p.notifyWaiters()
 	p.grow()
 }
 
-// restore takes such a connection back.
-func (p *Pool) restore(l *Lease, broken bool) {
+// endRecovery makes a recovered connection usable, or closes it if it is broken.
+func (p *Pool) endRecovery(l *Lease, broken bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.recovering--
-	l.used = time.Now()
+	l.usedAt = time.Now()
 	if broken || p.closed {
 		p.drop(l)
 	} else {
@@ -241,34 +258,36 @@
 	p.adjust()
 }
 
-// Resize changes how many connections may be open: a host comes to own a server's
-// connections, or doesn't any more. What is open beyond is closed once it is idle.
-func (p *Pool) Resize(limit, keep int) {
+// Resize changes Limit and MinOpen, for example when this host becomes the owner of the server's
+// connections or ceases to be. Trim closes connections beyond the limit once they are idle.
+func (p *Pool) Resize(limit, minOpen int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if limit == p.Limit && keep == p.MinOpen {
+	if limit == p.Limit && minOpen == p.MinOpen {
 		return
 	}
-	p.Limit, p.MinOpen = limit, keep
+	p.Limit, p.MinOpen = limit, minOpen
 	p.grow()
 }
 
-// Trim closes what has been idle for long, but for as many connections as are kept.
+// Trim closes connections that have been idle for long or are beyond Limit, as long as more than
+// MinOpen are open.
 func (p *Pool) Trim(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	keep := idleFor
+	timeout := idleTimeout
 	if p.OnDemand {
-		keep = linkIdleFor
+		timeout = linkIdleTimeout
 	}
-	for len(p.idle) > 0 && p.open > p.MinOpen && (p.open > p.Limit || now.Sub(p.idle[0].used) > keep) {
+	for len(p.idle) > 0 && p.open > p.MinOpen && (p.open > p.Limit || now.Sub(p.idle[0].usedAt) > timeout) {
 		l := p.idle[0]
 		p.idle = p.idle[1:]
 		p.drop(l)
 	}
 }
 
-// Close closes the idle connections now and the others as they come back.
+// Close closes the idle connections now and the others when they are released. It refuses all
+// waiters.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -278,5 +297,5 @@
 	}
 	p.idle = nil
 	p.queue.RefuseWaiting(admitter.ReasonLeaving)
-	p.settle()
+	p.notifyWaiters()
 }
--- a/internal/proxy/connpooler/connpooler_test.go
+++ b/internal/proxy/connpooler/connpooler_test.go
@@ -14,11 +14,13 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/declarer"
 )
 
-// opening is how long a fake connection takes to open.
-const opening = 20 * time.Millisecond
+// openDelay is how long a connection to a fakeServer takes to open, and at least how long an
+// answer takes.
+const openDelay = 20 * time.Millisecond
 
-// fake is a server that opens connections, or refuses them by err.
-type fake struct {
+// fakeServer is a server that accepts up to limit connections, or fails them with err. It also
+// implements Observer.
+type fakeServer struct {
 	mu          sync.Mutex
 	err         error
 	limit       int
@@ -28,17 +30,17 @@
 	open        int
 	unreachable int
 	sent        []declarer.Verb
-	// late is how long an answer takes.
-	late time.Duration
+	// answerDelay is how long an answer takes.
+	answerDelay time.Duration
 }
 
-func (f *fake) Dial(context.Context, declarer.Server) (Connection, marker.Mark, error) {
+func (f *fakeServer) Dial(context.Context, declarer.Server) (Connection, marker.Mark, error) {
 	f.mu.Lock()
 	f.attempts++
 	f.opening++
 	f.mostOpening = max(f.mostOpening, f.opening)
 	f.mu.Unlock()
-	time.Sleep(opening)
+	time.Sleep(openDelay)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.opening--
@@ -49,80 +51,81 @@
 		return nil, marker.Mark{}, ErrTooManyConnections
 	}
 	f.open++
-	return &link{fake: f}, marker.Mark{}, nil
+	return &fakeConnection{server: f}, marker.Mark{}, nil
 }
 
-func (f *fake) Connected(declarer.Server, marker.Mark) {}
+func (f *fakeServer) Connected(declarer.Server, marker.Mark) {}
 
-func (f *fake) Unreachable(declarer.Server, error) {
+func (f *fakeServer) Unreachable(declarer.Server, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.unreachable++
 }
 
-// link is one connection to it.
-type link struct {
-	fake  *fake
-	owed  int
-	state declarer.State
-	ended bool
-	err   error
+// fakeConnection is a connection to a fakeServer.
+type fakeConnection struct {
+	server  *fakeServer
+	pending int
+	state   declarer.State
+	ended   bool
+	err     error
 }
 
-func (l *link) Send(r []declarer.Request, _ time.Time) error {
-	l.fake.mu.Lock()
-	defer l.fake.mu.Unlock()
+func (l *fakeConnection) Send(r []declarer.Request, _ time.Time) error {
+	l.server.mu.Lock()
+	defer l.server.mu.Unlock()
 	for _, x := range r {
-		l.fake.sent = append(l.fake.sent, x.Verb)
+		l.server.sent = append(l.server.sent, x.Verb)
 		if x.Verb == declarer.VerbRollback {
 			l.state = declarer.StateIdle
 		}
 	}
-	l.owed += len(r)
+	l.pending += len(r)
 	return l.err
 }
 
-func (l *link) Receive(a *declarer.Answer, _ time.Time) error {
-	time.Sleep(max(opening, l.fake.late))
-	l.owed--
+func (l *fakeConnection) Receive(a *declarer.Answer, _ time.Time) error {
+	time.Sleep(max(openDelay, l.server.answerDelay))
+	l.pending--
 	a.State = l.state
 	return l.err
 }
 
-func (l *link) PendingAnswers() int { return l.owed }
-func (l *link) Ended() bool         { return l.ended }
+func (l *fakeConnection) PendingAnswers() int { return l.pending }
+func (l *fakeConnection) Ended() bool         { return l.ended }
 
-func (l *link) Close() {
-	l.fake.mu.Lock()
-	defer l.fake.mu.Unlock()
-	l.fake.open--
+func (l *fakeConnection) Close() {
+	l.server.mu.Lock()
+	defer l.server.mu.Unlock()
+	l.server.open--
 }
 
-func newPool(f *fake) *Pool {
+func newPool(f *fakeServer) *Pool {
 	return &Pool{Server: declarer.Server{ID: "i"}, Dialer: f, Observer: f, Limit: 5, MinOpen: 1}
 }
 
-func ask(wait time.Duration) AcquireRequest {
+// requestWithin returns a request for a read with the deadline after wait.
+func requestWithin(wait time.Duration) AcquireRequest {
 	return AcquireRequest{Deadline: time.Now().Add(wait), Class: admitter.ClassRead}
 }
 
-// acquire gets a lease or ends the test.
+// acquire returns a lease or fails the test.
 func acquire(t *testing.T, p *Pool) *Lease {
 	t.Helper()
-	l, err := p.Acquire(ask(time.Second))
+	l, err := p.Acquire(requestWithin(time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return l
 }
 
-// A server runs statements and their answers are lost, so that each takes as long as its
-// caller waits. After that the last connection breaks. If nobody may wait since the next
-// statement can't be expected to be faster, no connection is ever opened again, and the
-// callers of this host are refused for good though the server is well.
-func TestSlowTimesDoNotKeepPoolClosed(t *testing.T) {
+// Guards against callers that are refused forever although the server works: the answers to
+// statements are lost, so that each takes as long as its caller waits, and then the last connection
+// breaks. If callers were refused because of the expected wait, no connection would ever be opened
+// again.
+func TestPoolReopensAfterSlowStatements(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fake{limit: 16}
+		f := &fakeServer{limit: 16}
 		p := newPool(f)
 		for range 40 {
 			l := acquire(t, p)
@@ -134,7 +137,7 @@
 		if f.open != 0 {
 			t.Fatalf("%d connections open", f.open)
 		}
-		l, err := p.Acquire(ask(500 * time.Millisecond))
+		l, err := p.Acquire(requestWithin(500 * time.Millisecond))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -142,11 +145,11 @@
 	})
 }
 
-// All of a host's connections are in long transactions, so that nobody is expected to get
-// one in time. Those who are refused need another connection as much as those who wait.
+// Guards against a pool that doesn't grow while callers are refused: all connections are in long
+// transactions, so that no caller is expected to get one in time and none waits.
 func TestRefusedCallersHaveConnectionOpened(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fake{limit: 16}
+		f := &fakeServer{limit: 16}
 		p := newPool(f)
 		for range 40 {
 			l := acquire(t, p)
@@ -154,11 +157,11 @@
 			l.Release(false)
 		}
 		held := acquire(t, p)
-		if _, err := p.Acquire(ask(500 * time.Millisecond)); !errors.Is(err, ErrRefused) {
+		if _, err := p.Acquire(requestWithin(500 * time.Millisecond)); !errors.Is(err, ErrRefused) {
 			t.Fatalf("error %v", err)
 		}
-		time.Sleep(2 * opening)
-		l, err := p.Acquire(ask(500 * time.Millisecond))
+		time.Sleep(2 * openDelay)
+		l, err := p.Acquire(requestWithin(500 * time.Millisecond))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -167,12 +170,12 @@
 	})
 }
 
-// An answer comes four seconds late. The next callers of the server must get another
-// connection meanwhile, and the wait for the late answer mustn't count as a time that
-// statements take.
-func TestRecoveryIsNoServiceTime(t *testing.T) {
+// Guards against a recovery that blocks callers or distorts the service time: an answer arrives
+// four seconds late. The next callers must get another connection in the meantime, and the wait for
+// the late answer must not count as service time.
+func TestRecoveryDoesNotCountAsServiceTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fake{limit: 16, late: 4 * time.Second}
+		f := &fakeServer{limit: 16, answerDelay: 4 * time.Second}
 		p := newPool(f)
 		l := acquire(t, p)
 		_ = l.Send([]declarer.Request{{Verb: declarer.VerbRead}}, time.Now().Add(time.Second))
@@ -187,24 +190,24 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if d := p.queue.ServiceTime(); d > 100*time.Millisecond {
-			t.Errorf("statements are taken to last %v", d)
+			t.Errorf("service time is %v", d)
 		}
 		if p.usable() != 2 || len(p.idle) != 2 {
-			t.Errorf("%d usable connections, %d idle, want both of them", p.usable(), len(p.idle))
+			t.Errorf("%d usable connections, %d idle, want 2 each", p.usable(), len(p.idle))
 		}
 	})
 }
 
-// A host comes to own a server's connections after it had two of its own. Kept to two, it
-// would be the narrowest place of the whole group; and once another host owns them, what
-// it has open beyond its share must go.
+// Guards against limits that stay as they were: a host that becomes the owner of a server's
+// connections would be the bottleneck of the whole group, and one that ceases to be the owner would
+// keep more than its share.
 func TestResizedPool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fake{limit: 16}
+		f := &fakeServer{limit: 16}
 		p := newPool(f)
 		p.Limit = 1
 		l := acquire(t, p)
-		time.Sleep(200 * time.Millisecond) // so that another connection is worth it
+		time.Sleep(200 * time.Millisecond) // makes opening another connection worthwhile
 		l.Release(false)
 		held := acquire(t, p)
 		p.Resize(3, 1)
@@ -220,17 +223,17 @@
 	})
 }
 
-// All hosts have started again and each has a backlog of callers. A host that opens as
-// many connections as it has callers takes all that the server allows, and callers of
-// the other hosts are refused until that host has no more use for them.
+// Guards against a host that takes all connections of a server: after a restart of all hosts, each
+// has a backlog of callers. If a host opened as many connections as it has callers, callers of the
+// other hosts would be refused until that host no longer needs them.
 func TestBacklogOpensOneConnectionAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fake{limit: 16}
+		f := &fakeServer{limit: 16}
 		p := newPool(f)
 		var g sync.WaitGroup
 		for range admitter.DefaultLength {
 			g.Go(func() {
-				l, err := p.Acquire(ask(10 * time.Second))
+				l, err := p.Acquire(requestWithin(10 * time.Second))
 				if err != nil {
 					t.Error(err)
 					return
@@ -250,13 +253,13 @@
 	})
 }
 
-// A server is at its limit. Each attempt takes one of its slots, so a host that tries
-// on and on slows down those that it serves.
-func TestCrowdedServerIsLeftAlone(t *testing.T) {
+// Guards against a host that slows down a server at its limit by constant attempts to open
+// connections: each attempt takes one of the server's slots.
+func TestServerAtLimitIsRetriedRarely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fake{}
+		f := &fakeServer{}
 		p := newPool(f)
-		if _, err := p.Acquire(ask(2 * time.Second)); !errors.Is(err, ErrRefused) {
+		if _, err := p.Acquire(requestWithin(2 * time.Second)); !errors.Is(err, ErrRefused) {
 			t.Fatalf("error %v", err)
 		}
 		f.mu.Lock()
@@ -264,7 +267,7 @@
 			t.Errorf("%d attempts in two seconds", f.attempts)
 		}
 		if f.unreachable > 0 {
-			t.Error("a server at its limit counts as unreachable")
+			t.Error("a server at its limit is reported as unreachable")
 		}
 		f.limit = 1
 		f.mu.Unlock()
@@ -273,38 +276,38 @@
 	})
 }
 
-// A server is gone. Whoever waits for a connection to it is told at once, as another
-// server may do.
+// Guards against callers that wait for a connection to a lost server, although another server may
+// serve them.
 func TestUnreachableServerRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fake{err: ErrNoRoute}
+		f := &fakeServer{err: ErrNoRoute}
 		p := newPool(f)
 		began := time.Now()
-		if _, err := p.Acquire(ask(time.Minute)); !errors.Is(err, ErrUnreachable) {
+		if _, err := p.Acquire(requestWithin(time.Minute)); !errors.Is(err, ErrUnreachable) {
 			t.Fatalf("error %v", err)
 		}
-		if d := time.Since(began); d > 2*opening {
+		if d := time.Since(began); d > 2*openDelay {
 			t.Errorf("refused after %s", d)
 		}
 		if f.unreachable != 1 {
-			t.Errorf("told %d times", f.unreachable)
+			t.Errorf("reported as unreachable %d times", f.unreachable)
 		}
 	})
 }
 
-// A caller left in the middle of a transaction, or before its answer came. The next
-// session on the connection would work in that transaction, or get that answer.
-func TestReleaseBringsConnectionInOrder(t *testing.T) {
+// Guards against a connection that is leased again in the middle of a transaction or with a pending
+// answer of its last session: the next session would work in that transaction or get that answer.
+func TestReleaseRecoversConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fake{limit: 1}
+		f := &fakeServer{limit: 1}
 		p := newPool(f)
 		l := acquire(t, p)
-		x := l.Connection.(*link)
-		x.owed, x.state = 2, declarer.StateTransaction
+		x := l.Connection.(*fakeConnection)
+		x.pending, x.state = 2, declarer.StateTransaction
 		l.Release(false)
 		l = acquire(t, p)
-		if l.Connection != x || x.owed != 0 || x.state != declarer.StateIdle || l.State != declarer.StateIdle {
-			t.Errorf("lent with %d answers owed, state %d", x.owed, x.state)
+		if l.Connection != x || x.pending != 0 || x.state != declarer.StateIdle || l.State != declarer.StateIdle {
+			t.Errorf("leased with %d pending answers, state %d", x.pending, x.state)
 		}
 		if len(f.sent) != 1 || f.sent[0] != declarer.VerbRollback {
 			t.Errorf("sent %v", f.sent)
@@ -313,33 +316,35 @@
 		l.State = declarer.StateTransaction
 		l.Release(false)
 		if l = acquire(t, p); l.Connection == x {
-			t.Error("a connection that can't be brought in order is lent again")
+			t.Error("a connection that can't be recovered is leased again")
 		}
 		l.Release(false)
 		p.Close()
 	})
 }
 
-func TestEndedConnectionIsNotLent(t *testing.T) {
+// Guards against a lease of a connection that the server has closed while it was idle.
+func TestClosedConnectionIsNotLeased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fake{limit: 2}
+		f := &fakeServer{limit: 2}
 		p := newPool(f)
 		l := acquire(t, p)
-		old := l.Connection.(*link)
+		old := l.Connection.(*fakeConnection)
 		old.ended = true
 		l.Release(false)
-		time.Sleep(2 * suspectAfter)
+		time.Sleep(2 * checkAfterIdle)
 		if l = acquire(t, p); l.Connection == old {
-			t.Error("a connection that has ended is lent")
+			t.Error("a connection that the server has closed is leased")
 		}
 		l.Release(false)
 		p.Close()
 	})
 }
 
+// Guards against a pool that keeps more idle connections than MinOpen, which other hosts may need.
 func TestTrimKeepsOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fake{limit: 4}
+		f := &fakeServer{limit: 4}
 		p := newPool(f)
 		p.queue.Slots = 1
 		var l []*Lease
@@ -347,7 +352,7 @@
 		var mu sync.Mutex
 		for range 3 {
 			g.Go(func() {
-				x, err := p.Acquire(ask(10 * time.Second))
+				x, err := p.Acquire(requestWithin(10 * time.Second))
 				if err != nil {
 					t.Error(err)
 					return
@@ -362,25 +367,26 @@
 		g.Wait()
 		p.Trim(time.Now())
 		before := f.open
-		time.Sleep(2 * idleFor)
+		time.Sleep(2 * idleTimeout)
 		p.Trim(time.Now())
 		if f.open != 1 {
 			t.Errorf("%d connections kept of %d", f.open, before)
 		}
 		p.Close()
 		if f.open != 0 {
-			t.Errorf("%d connections open after the end", f.open)
+			t.Errorf("%d connections open after Close", f.open)
 		}
 	})
 }
 
+// Guards against callers that wait for a connection of a pool that has been closed.
 func TestClosedPoolRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPool(&fake{limit: 1})
+		p := newPool(&fakeServer{limit: 1})
 		l := acquire(t, p)
 		done := make(chan error)
 		go func() {
-			_, err := p.Acquire(ask(time.Minute))
+			_, err := p.Acquire(requestWithin(time.Minute))
 			done <- err
 		}()
 		synctest.Wait()
@@ -389,7 +395,7 @@
 			t.Errorf("error %v", err)
 		}
 		l.Release(false)
-		if _, err := p.Acquire(ask(time.Second)); !errors.Is(err, ErrClosed) {
+		if _, err := p.Acquire(requestWithin(time.Second)); !errors.Is(err, ErrClosed) {
 			t.Errorf("error %v", err)
 		}
 	})
--- a/internal/proxy/connpooler/lease.go
+++ b/internal/proxy/connpooler/lease.go
@@ -9,63 +9,67 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/declarer"
 )
 
-// Connection is one to a backend server.
+// Connection is a connection to a backend server.
 type Connection interface {
-	// Send writes all of r at once; after an error the server may have got any of it.
+	// Send writes all requests at once. After an error, the server may have received any part
+	// of them.
 	Send(r []declarer.Request, deadline time.Time) error
 	// Receive reads the next answer. It can be called again after a timeout.
 	Receive(a *declarer.Answer, deadline time.Time) error
-	// PendingAnswers returns how many answers are still to come.
+	// PendingAnswers returns how many requests haven't been answered yet.
 	PendingAnswers() int
 	// Ended reports whether the server has closed the connection.
 	Ended() bool
 	Close()
 }
 
-// BorrowedConnection is a connection that belongs to another host for each use.
+// BorrowedConnection is implemented by a Connection that goes through another entry host, which
+// owns the connections to the server and lends one of them for each use.
 type BorrowedConnection interface {
-	// Borrow begins a use, with what is sent next.
+	// Borrow begins a use. The request for a connection is sent together with the next Send.
 	Borrow(a AcquireRequest)
-	// Return ends it, whatever state the connection is in.
+	// Return ends the use, whatever state the connection is in.
 	Return() error
 }
 
-// Lease is one connection lent to one session. It belongs to one goroutine.
+// Lease is a connection that is leased to one session. It must be used by one goroutine only.
 type Lease struct {
 	Connection
-	// Values are those set on the connection, by name.
+	// Values are the session values that are set on the connection, by name.
 	Values map[string]string
-	// Prepared are the names of statements that the connection knows.
+	// Prepared are the names of the statements that are prepared on the connection.
 	Prepared map[string]struct{}
-	// State is where the connection stood after the last answer.
+	// State is the transaction state of the connection after the last answer.
 	State declarer.State
 
 	pool  *Pool
 	entry *admitter.Entry
-	used  time.Time
+	// usedAt is when the connection was opened or last released.
+	usedAt time.Time
 }
 
-// Release gives the connection back. One with an answer still to come, or inside a
-// transaction, is brought in order first; a broken one is closed.
+// Release returns the connection to its pool. A connection with pending answers or an open
+// transaction is recovered first; a broken one is closed.
 func (l *Lease) Release(broken bool) {
 	p := l.pool
 	b, borrowed := l.Connection.(BorrowedConnection)
 	switch {
 	case borrowed:
-		// Its owner puts it in order; an answer still to come would be the next use's.
-		p.finish(l, broken || l.PendingAnswers() > 0 || b.Return() != nil)
+		// The owner recovers its connection. Pending answers would be taken for those of the
+		// next use, so that the connection to the owner must be closed.
+		p.release(l, broken || l.PendingAnswers() > 0 || b.Return() != nil)
 	case broken:
-		p.finish(l, true)
+		p.release(l, true)
 	case l.PendingAnswers() > 0 || l.State != declarer.StateIdle:
-		p.suspend(l)
-		go l.run()
+		p.beginRecovery(l)
+		go l.recoverAndReturn()
 	default:
-		p.finish(l, false)
+		p.release(l, false)
 	}
 }
 
-// borrow begins a use of a connection that belongs to another host. What is set up on it
-// is that host's to know.
+// borrow begins a use if the connection is borrowed from another host. Which values and
+// statements are set up on it is tracked by that host.
 func (l *Lease) borrow(a AcquireRequest) {
 	b, ok := l.Connection.(BorrowedConnection)
 	if !ok {
@@ -77,13 +81,14 @@
 	b.Borrow(a)
 }
 
-// run waits for what is owed, and rolls back what is open.
-func (l *Lease) run() {
-	l.pool.restore(l, l.recover() != nil)
+// recoverAndReturn recovers the connection and returns it to the pool.
+func (l *Lease) recoverAndReturn() {
+	l.pool.endRecovery(l, l.recover() != nil)
 }
 
+// recover receives the pending answers and rolls back an open transaction.
 func (l *Lease) recover() error {
-	t := time.Now().Add(recoverFor)
+	t := time.Now().Add(recoverTimeout)
 	var a declarer.Answer
 	for l.PendingAnswers() > 0 {
 		if err := l.Receive(&a, t); err != nil {
--- a/internal/proxy/connpooler/opening.go
+++ b/internal/proxy/connpooler/opening.go
@@ -13,91 +13,95 @@
 )
 
 const (
-	// connectTimeout bounds the opening of a connection: a distance of 16 ms there
-	// and back, tens of milliseconds at the server, and its queue.
+	// connectTimeout bounds the opening of a connection: a round-trip time of 16 ms, tens of
+	// milliseconds at the server, and the wait in its queue.
 	connectTimeout = 700 * time.Millisecond
-	// firstBackoff is how long a server that took no more connections isn't asked for
-	// another; each further time in a row it is twice as long, up to longestBackoff.
-	// An attempt in vain takes a slot at the server like any other. A host without any
-	// connection asks more often: it can serve nothing at that server until it has one.
+	// firstBackoff is the pause after a server at its connection limit has refused a connection.
+	// It doubles with each consecutive refusal up to longestBackoff, as a failed attempt takes a
+	// slot at the server like a successful one. For a host without any connection it doesn't
+	// grow: that host can't run any statement on the server until it has one.
 	firstBackoff   = 150 * time.Millisecond
 	longestBackoff = 2 * time.Second
-	// growWait is the expected wait above which another connection is opened. Opening
-	// one takes 10 to 30 ms of one of the server's few slots; below, one that is in use
-	// comes free sooner.
+	// growWait is the expected wait above which another connection is opened. Opening one takes
+	// 10 to 30 ms of one of the server's few slots. For a shorter wait, a connection in use
+	// becomes free sooner.
 	growWait = 25 * time.Millisecond
-	// maximumRefusals is how many attempts in a row may find the server at its limit before those
-	// who wait for a first connection are refused.
+	// maximumRefusals is how many consecutive attempts may find the server at its limit before
+	// the callers that wait for the first connection are refused.
 	maximumRefusals = 2
 )
 
-// Dialer opens a connection, and tells the end of the server's log. An error of
-// type ErrTooManyConnections says that the server is at its limit of connections.
+// Dialer opens connections to servers.
 type Dialer interface {
+	// Dial opens a connection and returns it with the end of the server's log. It returns
+	// ErrTooManyConnections if the server is at its connection limit.
 	Dial(ctx context.Context, s declarer.Server) (Connection, marker.Mark, error)
 }
 
-// Errors of opening a connection. Where nothing else is said they are the server's word.
+// Errors of opening a connection. They were reported by the server unless stated otherwise.
 const (
-	// ErrTooManyConnections is a server at its limit of connections.
+	// ErrTooManyConnections is returned if the server is at its connection limit.
 	ErrTooManyConnections = errors.ConstError("server is at its limit of connections")
-	// ErrNoRoute is a server to which no connection of the network can be made. It is
-	// not the server's word, but that of whoever tried.
+	// ErrNoRoute is returned if no network connection to the server can be made. It is reported
+	// by the host that tried, not by the server.
 	ErrNoRoute = errors.ConstError("no route to the server")
-	// ErrNoRouteAnywhere is ErrNoRoute where other entry hosts say so as well.
+	// ErrNoRouteAnywhere is an ErrNoRoute that other entry hosts have confirmed.
 	ErrNoRouteAnywhere = errors.ConstError("no host has a route to the server")
-	// ErrServerAlive is ErrNoRoute from a host that the server has just answered on another
-	// connection: it takes no new ones now.
+	// ErrServerAlive is returned instead of ErrNoRoute by a host that has recently received an
+	// answer of the server on an existing connection: it works, but accepts no new connection.
 	ErrServerAlive = errors.ConstError("server lives, but takes no connection")
-	// ErrConnectionRejected is a server that refuses, as it isn't the one that is meant.
+	// ErrConnectionRejected is returned if a server rejects the connection, for example as it isn't
+	// the server that was addressed.
 	ErrConnectionRejected = errors.ConstError("server turned the connection away")
 )
 
-// Observer is told what is learnt of the server.
+// Observer is notified of the results of opening connections.
 type Observer interface {
-	// Connected is told of an answer to the start of a connection, with the end of the
-	// server's log if the server told it.
+	// Connected is called when the server has answered an attempt to open a connection, even if
+	// it is at its connection limit. The mark is the end of the server's log, zero if unknown.
 	Connected(s declarer.Server, m marker.Mark)
+	// Unreachable is called when an attempt has failed in any other way.
 	Unreachable(s declarer.Server, err error)
 }
 
-// full reports whether another connection wouldn't shorten a wait: there may be none, or the
-// server has as many statements as it gets. The mutex is held.
-func (p *Pool) full() bool { return p.open+p.opening >= p.Limit || p.permits.taken() }
+// saturated reports whether another connection wouldn't shorten the wait: no more may be opened,
+// or as many statements as allowed are in flight. The caller must hold the mutex.
+func (p *Pool) saturated() bool { return p.open+p.opening >= p.Limit || p.permits.exhausted() }
 
-// grow opens a connection for those who wait. The mutex is held.
+// grow opens a connection if the waiters need one. The caller must hold the mutex.
 func (p *Pool) grow() { p.growFor(p.queue.Waiting()) }
 
-// growFor opens a connection if so many who want one make it worth it. The mutex is held.
-func (p *Pool) growFor(wanting int) {
-	if p.closed || wanting <= p.opening || p.open+p.opening >= p.Limit {
+// growFor opens a connection if that is worthwhile for a demand of so many callers. The caller
+// must hold the mutex.
+func (p *Pool) growFor(demand int) {
+	if p.closed || demand <= p.opening || p.open+p.opening >= p.Limit {
 		return
 	}
-	if !p.OnDemand && (p.opening > 0 || time.Now().Before(p.retryAt) || !p.worth(wanting)) {
+	if !p.OnDemand && (p.opening > 0 || time.Now().Before(p.retryAt) || !p.worthOpening(demand)) {
 		return
 	}
 	p.opening++
-	go p.run()
+	go p.openOne()
 }
 
-// worth reports whether so many would wait longer than another connection costs. The mutex
-// is held.
-func (p *Pool) worth(wanting int) bool {
+// worthOpening reports whether the expected wait of so many callers is long enough to open another
+// connection. The caller must hold the mutex.
+func (p *Pool) worthOpening(demand int) bool {
 	if p.usable() == 0 {
 		return true
 	}
-	if p.permits.taken() {
+	if p.permits.exhausted() {
 		return false
 	}
-	return time.Duration(wanting)*p.queue.ServiceTime()/time.Duration(p.usable()) > growWait
+	return time.Duration(demand)*p.queue.ServiceTime()/time.Duration(p.usable()) > growWait
 }
 
-// run opens one connection.
-func (p *Pool) run() {
+// openOne opens one connection and adds it to the pool.
+func (p *Pool) openOne() {
 	ctx, cancel := context.WithTimeout(context.Background(), connectTimeout)
 	defer cancel()
 	c, m, err := p.Dialer.Dial(ctx, p.Server)
-	p.note(m, err)
+	p.observe(m, err)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.opening--
@@ -105,19 +109,20 @@
 	case err == nil && p.closed:
 		c.Close()
 	case err == nil:
-		l := &Lease{Connection: c, Values: make(map[string]string), Prepared: make(map[string]struct{}), pool: p, used: time.Now()}
+		l := &Lease{Connection: c, Values: make(map[string]string), Prepared: make(map[string]struct{}), pool: p, usedAt: time.Now()}
 		p.open++
 		p.idle = append(p.idle, l)
 		p.backoff, p.refusals = 0, 0
 	case errors.Is(err, ErrTooManyConnections):
 		p.backOff()
 	case p.opening == 0:
-		p.refuse(admitter.ReasonLeaving)
+		p.refuseWaiting(admitter.ReasonLeaving)
 	}
 	p.adjust()
 }
 
-// backOff keeps from asking a server at its limit for a while. The mutex is held.
+// backOff suspends the opening of connections to a server at its limit for a while. The caller
+// must hold the mutex.
 func (p *Pool) backOff() {
 	p.backoff = min(max(firstBackoff, 2*p.backoff), longestBackoff)
 	if p.open == 0 {
@@ -126,19 +131,20 @@
 	p.retryAt = time.Now().Add(p.backoff/2 + rand.N(p.backoff))
 	p.refusals++
 	if p.refusals >= maximumRefusals {
-		p.refuse(admitter.ReasonConnections)
+		p.refuseWaiting(admitter.ReasonConnections)
 	}
 	time.AfterFunc(time.Until(p.retryAt), p.resume)
 }
 
-// resume opens what is still wanted after a pause.
+// resume opens a connection after a pause if one is still needed.
 func (p *Pool) resume() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.grow()
 }
 
-func (p *Pool) note(m marker.Mark, err error) {
+// observe notifies the observer of the result of opening a connection.
+func (p *Pool) observe(m marker.Mark, err error) {
 	switch {
 	case err == nil:
 		p.Observer.Connected(p.Server, m)
@@ -149,11 +155,12 @@
 	}
 }
 
-// refuse ends the wait of all: they had better try elsewhere. The mutex is held.
-func (p *Pool) refuse(r admitter.Reason) {
+// refuseWaiting refuses all waiters if the pool has no connection, so that they can try another
+// server. The caller must hold the mutex.
+func (p *Pool) refuseWaiting(r admitter.Reason) {
 	if p.open > 0 {
 		return
 	}
 	p.queue.RefuseWaiting(r)
-	p.settle()
+	p.notifyWaiters()
 }
--- a/internal/proxy/connpooler/permit.go
+++ b/internal/proxy/connpooler/permit.go
@@ -13,40 +13,44 @@
 )
 
 const (
-	// leastUnderWay is how many statements may always be under way. Where each of many hosts
-	// has connections of its own, more would add up to more than the server has room for.
-	leastUnderWay = 1
-	// mostUnderWay is how many there are for each slot of a server that refuses none: one that
-	// runs, and one that is there when it ends. What is beyond waits where it can be refused,
-	// and where transactions go first.
-	mostUnderWay = 2
+	// minimumInFlight is how many statements may always be in flight. If each of many hosts has
+	// its own connections, a higher minimum would add up to more than the server has capacity
+	// for.
+	minimumInFlight = 1
+	// maximumInFlightPerSlot is how many statements may be in flight for each slot of a server
+	// that refuses none: one that runs, and one that has already arrived when it ends. Further
+	// statements wait at this host, where they can be refused and where transactions have
+	// priority.
+	maximumInFlightPerSlot = 2
 )
 
-// permits bounds how many statements are under way at the server, and orders those that
-// wait. The server sheds what its own queue has no room for, whatever it is worth, and
-// what is shed has waited in vain. Connections don't bound them well: some rest inside
-// transactions.
+// permits limits how many statements are in flight at the server, and orders those that wait.
+// Without it, the server would shed statements that exceed its own queue, regardless of their
+// class and after they have waited in vain. The number of connections is no good limit, as some
+// connections are idle inside transactions.
 type permits struct {
 	gate      gate.Gate
 	regulator regulator.Regulator
-	// limit is what the gate has.
+	// limit is the number of slots that the gate has.
 	limit int
 }
 
-// Permit is the right to have one statement under way.
+// Permit is the right to have one statement in flight.
 type Permit struct {
 	pool *Pool
+	// slot is nil for a connection that is borrowed from another host.
 	slot *gate.Slot
 }
 
-// bound gives the gate the present limit of a pool. The pool's mutex is held.
-func (t *permits) bound(p *Pool) {
-	t.regulator.Least, t.regulator.Most = leastUnderWay, max(p.Limit, leastUnderWay)
+// updateLimit sets the gate's slots to the present limit of pool p. The caller must hold the
+// mutex of p.
+func (t *permits) updateLimit(p *Pool) {
+	t.regulator.Least, t.regulator.Most = minimumInFlight, max(p.Limit, minimumInFlight)
 	if n := p.Server.Slots; n > 0 {
-		t.regulator.Most = n * mostUnderWay
+		t.regulator.Most = n * maximumInFlightPerSlot
 	}
 	if t.gate.BackendServer == "" {
-		t.gate.BackendServer = p.Server.ID // read without the pool's mutex from now on
+		t.gate.BackendServer = p.Server.ID // afterwards it is read without the pool's mutex
 	}
 	n := t.regulator.Limit()
 	if n == t.limit {
@@ -56,8 +60,9 @@
 	t.gate.Adjust(func(q *admitter.Queue) { q.Slots = n })
 }
 
-// AcquirePermit waits until a statement of the caller that has the lease may be sent. On a
-// connection that belongs to another host, that host sees to it.
+// AcquirePermit waits until a statement may be sent on the leased connection. It returns a
+// *Refusal if the wait was or would be too long. If the connection is borrowed from another host,
+// it doesn't wait, as that host limits the statements itself.
 func (l *Lease) AcquirePermit(a AcquireRequest) (*Permit, error) {
 	p := l.pool
 	if p.OnDemand {
@@ -65,10 +70,10 @@
 	}
 	left := time.Until(a.Deadline)
 	if left <= 0 {
-		return nil, &Refusal{Server: p.Server.ID, Reason: admitter.ReasonDeadline} // the gate takes zero for no bound
+		return nil, &Refusal{Server: p.Server.ID, Reason: admitter.ReasonDeadline} // zero would mean no timeout to the gate
 	}
 	p.mu.Lock()
-	p.permits.bound(p)
+	p.permits.updateLimit(p)
 	p.mu.Unlock()
 	s, err := p.permits.gate.Acquire(context.Background(), gate.Request{Team: a.Team, Class: a.Class, Timeout: left})
 	if r, ok := errors.AsType[*gate.Refusal](err); ok {
@@ -80,7 +85,8 @@
 	return &Permit{pool: p, slot: s}, nil
 }
 
-// End ends the permit, with what the server answered.
+// End returns the permit. The code is that of the server's answer; with CodeBusy, the limit is
+// lowered.
 func (t *Permit) End(c declarer.Code) {
 	if t.slot == nil {
 		return
@@ -93,13 +99,13 @@
 	} else {
 		p.permits.regulator.Taken(n)
 	}
-	p.permits.bound(p)
+	p.permits.updateLimit(p)
 	p.mu.Unlock()
 	t.slot.Release()
 }
 
-// taken reports whether as many statements are under way as may be.
-func (t *permits) taken() bool {
+// exhausted reports whether as many statements are in flight as allowed.
+func (t *permits) exhausted() bool {
 	l := t.gate.Load()
 	return l.Slots > 0 && l.Running >= l.Slots
 }
--- a/internal/proxy/connpooler/permit_test.go
+++ b/internal/proxy/connpooler/permit_test.go
@@ -11,14 +11,14 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/declarer"
 )
 
-// exhaust takes all permits of a pool before a server with one slot.
+// exhaust takes all permits of a pool for a server with one slot.
 func exhaust(t *testing.T, p *Pool) (*Lease, []*Permit) {
 	t.Helper()
 	p.Server.Slots = 1
 	l := acquire(t, p)
 	var permits []*Permit
-	for range mostUnderWay {
-		x, err := l.AcquirePermit(ask(time.Second))
+	for range maximumInFlightPerSlot {
+		x, err := l.AcquirePermit(requestWithin(time.Second))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -27,15 +27,15 @@
 	return l, permits
 }
 
-// Guards against statements that a server sheds since its own queue is full: those beyond
-// what it gets wait at their host, and one inside a transaction goes first.
+// Guards against statements that a server sheds because its own queue is full: statements beyond
+// the limit must wait at their host, where one inside a transaction has priority.
 func TestPermitsBoundStatements(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPool(&fake{limit: 16})
+		p := newPool(&fakeServer{limit: 16})
 		l, permits := exhaust(t, p)
 		order := make(chan admitter.Class, 2)
 		for _, class := range []admitter.Class{admitter.ClassRead, admitter.ClassTransaction} {
-			a := ask(time.Second)
+			a := requestWithin(time.Second)
 			a.Class = class
 			go func() {
 				x, err := l.AcquirePermit(a)
@@ -49,11 +49,11 @@
 			synctest.Wait()
 		}
 		if len(order) > 0 {
-			t.Fatal("more statements under way than may be")
+			t.Fatal("more statements in flight than allowed")
 		}
 		permits[0].End(declarer.CodeNone)
 		if first := <-order; first != admitter.ClassTransaction {
-			t.Errorf("class %d goes first", first)
+			t.Errorf("class %d got the first permit", first)
 		}
 		<-order
 		for _, x := range permits[1:] {
@@ -64,13 +64,13 @@
 	})
 }
 
-// Guards against a wait without end: a statement whose deadline has passed on the way gets no
-// permit, and doesn't wait for one either.
+// Guards against an endless wait: a statement whose deadline has already passed must neither get a
+// permit nor wait for one.
 func TestPermitAfterTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPool(&fake{limit: 16})
+		p := newPool(&fakeServer{limit: 16})
 		l, permits := exhaust(t, p)
-		if _, err := l.AcquirePermit(ask(-time.Millisecond)); !errors.Is(err, ErrRefused) {
+		if _, err := l.AcquirePermit(requestWithin(-time.Millisecond)); !errors.Is(err, ErrRefused) {
 			t.Errorf("error %v", err)
 		}
 		for _, x := range permits {
@@ -81,14 +81,14 @@
 	})
 }
 
-// Guards against a statement that waits for its permit beyond its deadline: nothing was sent,
-// so its caller can be told that it has not run.
+// Guards against a statement that waits for its permit beyond its deadline: as nothing was sent, its
+// caller can be told in time that the statement hasn't run.
 func TestPermitIsRefusedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPool(&fake{limit: 16})
+		p := newPool(&fakeServer{limit: 16})
 		l, permits := exhaust(t, p)
 		began := time.Now()
-		_, err := l.AcquirePermit(ask(200 * time.Millisecond))
+		_, err := l.AcquirePermit(requestWithin(200 * time.Millisecond))
 		if !errors.Is(err, ErrRefused) || time.Since(began) > 200*time.Millisecond {
 			t.Errorf("error %v after %s", err, time.Since(began))
 		}
@@ -101,15 +101,15 @@
 }
 
 func BenchmarkPermit(b *testing.B) {
-	p := newPool(&fake{limit: 16})
+	p := newPool(&fakeServer{limit: 16})
 	p.Server.Slots = 16
-	l, err := p.Acquire(ask(time.Minute))
+	l, err := p.Acquire(requestWithin(time.Minute))
 	if err != nil {
 		b.Fatal(err)
 	}
-	a := ask(time.Hour)
+	a := requestWithin(time.Hour)
 	var held []*Permit
-	for range 16*mostUnderWay - 1 {
+	for range 16*maximumInFlightPerSlot - 1 {
 		x, err := l.AcquirePermit(a)
 		if err != nil {
 			b.Fatal(err)
--- a/internal/proxy/connpooler/refusal.go
+++ b/internal/proxy/connpooler/refusal.go
@@ -8,16 +8,17 @@
 	"github.com/cuminwick/cuminwick/internal/limit/admitter"
 )
 
-// Refusal is a lease that wasn't given since it would take, or took, too long. It is an
-// ErrRefused.
+// Refusal is the error of a lease or permit that wasn't granted because the wait was or would be
+// too long. It matches ErrRefused.
 type Refusal struct {
+	// Server is the ID of the server.
 	Server string
 	Reason admitter.Reason
-	// RetryAfter is when there will be room.
+	// RetryAfter is after what time there should be capacity, zero if that isn't known.
 	RetryAfter time.Duration
 }
 
-// Error tells why there was no lease.
+// Error describes why the request was refused.
 func (r *Refusal) Error() string {
 	return "server " + r.Server + ": " + r.Reason.String() + ": " + ErrRefused.Error()
 }
@@ -25,31 +26,33 @@
 // Unwrap returns ErrRefused.
 func (r *Refusal) Unwrap() error { return ErrRefused }
 
-// Errors of a lease that wasn't given. Nothing was sent.
+// Errors of leases. After ErrRefused, ErrUnreachable and ErrClosed nothing was sent.
 const (
-	// ErrRefused is a wait that would take, or took, too long.
+	// ErrRefused is matched by each *Refusal.
 	ErrRefused = errors.ConstError("connection pool exhausted")
-	// ErrUnreachable is a server that takes no connection.
+	// ErrUnreachable is returned if no connection to the server can be opened.
 	ErrUnreachable = errors.ConstError("server can't be reached")
-	// ErrClosed is a pool that was closed.
+	// ErrClosed is returned if the pool is closed.
 	ErrClosed = errors.ConstError("pool is closed")
-	// ErrTimeout is an answer that didn't come by the deadline. It may still come.
+	// ErrTimeout is returned by Connection.Receive if no answer arrived by the deadline. It may
+	// still arrive.
 	ErrTimeout = errors.ConstError("no answer in time")
 )
 
-// noConnection is the refusal where there is no connection, and none to be had before the
-// next attempt. The mutex is held.
-func (p *Pool) noConnection() error {
+// noConnectionError returns the refusal for a pool that has no connection and opens none before
+// retryAt. The caller must hold the mutex.
+func (p *Pool) noConnectionError() error {
 	return &Refusal{Server: p.Server.ID, Reason: admitter.ReasonConnections, RetryAfter: max(0, time.Until(p.retryAt))}
 }
 
-// refusal tells why the queue refused e. The mutex is held.
-func (p *Pool) refusal(e *admitter.Entry) error {
+// refusalError returns the error for an entry that the queue refused. The caller must hold the
+// mutex.
+func (p *Pool) refusalError(e *admitter.Entry) error {
 	switch {
 	case p.closed:
 		return ErrClosed
 	case e.Reason == admitter.ReasonConnections:
-		return p.noConnection()
+		return p.noConnectionError()
 	case e.Reason == admitter.ReasonLeaving:
 		return errors.Annotatef(ErrUnreachable, "server %s", p.Server.ID)
 	}
--- a/internal/proxy/promoter/promoter_test.go
+++ b/internal/proxy/promoter/promoter_test.go
@@ -52,7 +52,8 @@
 	// othersReach is set if other hosts reach the servers that this host doesn't reach, and hangs
 	// if these servers accept connections there but don't answer.
 	othersReach, hangs bool
-	calls              []string
+	// calls are the demotions and promotions, in order.
+	calls []string
 	// phases are the durations of promotions by phase.
 	phases map[string]time.Duration
 }
