--- a/internal/proxy/lender/lender.go
+++ b/internal/proxy/lender/lender.go
@@ -1,8 +1,8 @@
 // Package lender lends this host's connections to a server to other entry hosts.
 //
-// Where a server takes fewer connections than there are entry hosts, one host owns them
-// all and the others borrow: one queue in front of few slots, and no host that holds an
-// idle connection while the callers of another wait.
+// If a server accepts too few connections for each entry host to have its own, one host owns all of
+// them and the others borrow: there is one queue for the few slots, and no host holds an idle
+// connection while callers of another host wait.
 package lender
 
 import (
@@ -18,86 +18,95 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/declarer"
 )
 
-// Kind is what a borrower does.
+// Kind is the kind of an Event.
 type Kind uint8
 
 // Kinds of event.
 const (
-	// KindLend asks for a connection.
+	// KindLend requests a connection.
 	KindLend Kind = iota
-	// KindStatements are to be run on it, all sent at once.
+	// KindStatements sends a batch of statements to run on the borrowed connection.
 	KindStatements
-	// KindReturn gives it back.
+	// KindReturn returns the connection.
 	KindReturn
 )
 
-// Event is what a borrower sends.
+// Event is a message of a borrower.
 type Event struct {
 	Kind Kind
 	// Wait is how long the borrower waits: for a connection, or for the answers.
 	Wait time.Duration
-	// Objective, Class and Team go with KindLend. Objective is within which the connection
-	// should be lent, zero for none.
+	// Objective, Class and Team are set with KindLend. Objective is the time within which the
+	// connection should be granted, zero for none.
 	Objective time.Duration
 	Class     admitter.Class
 	Team      string
-	// Requests go with KindStatements.
+	// Requests are the statements, set with KindStatements.
 	Requests []declarer.Request
 }
 
-// Refusal says why a borrower got no connection.
+// Refusal tells a borrower why it got no connection.
 type Refusal struct {
-	// Unreachable says that there is none to be had: the server can't be reached from here.
+	// Unreachable is set if this host has no connection to lend, for example as it can't reach
+	// the server.
 	Unreachable bool
-	// RetryAfter is when there will be one, zero if that isn't known.
+	// RetryAfter is after what time there should be a connection, zero if that isn't known.
 	RetryAfter time.Duration
-	Message    string
+	// Message describes the reason.
+	Message string
 }
 
-// Borrower is another host that borrows.
+// Borrower is the link to a host that borrows connections.
 type Borrower interface {
+	// Handshake answers the start of the link.
 	Handshake(deadline time.Time) error
 	// Next waits for the next event; an error ends the link.
 	Next() (Event, error)
-	// Answer, Done and Refuse add an answer each, which Flush sends.
+	// Answer adds the server's answer to a statement to the output.
 	Answer(a *declarer.Answer)
+	// Done adds the answer to a statement that didn't need to be sent to the server.
 	Done(s declarer.State)
+	// Refuse adds the answer to a statement that was refused.
 	Refuse(r Refusal)
+	// Flush sends the output.
 	Flush() error
 }
 
 const (
-	// greetTimeout bounds the start of a link.
-	greetTimeout = time.Second
-	// answerTimeout bounds a server's answer, whatever time the borrower gives.
+	// handshakeTimeout bounds the handshake of a link.
+	handshakeTimeout = time.Second
+	// answerTimeout bounds the wait for the answers of a batch, even if the borrower allows more
+	// time.
 	answerTimeout = 10 * time.Second
 )
 
-// Link serves one borrower. Its exported fields are set before Run.
+// Link serves the link to one borrower. Its exported fields are set before Run.
 type Link struct {
 	Borrower Borrower
-	// Pool returns this host's own connections to the server, nil if it isn't listed.
+	// Pool returns this host's own connections to the server, nil if the server isn't listed.
 	Pool func() *connpooler.Pool
-	// OnAnswer is told of each answer of the server.
+	// OnAnswer is called for each answer of the server.
 	OnAnswer func()
-	// ActiveLeases counts the leases that are out.
+	// ActiveLeases counts the connections that are lent at present, over all links that share
+	// it.
 	ActiveLeases *atomic.Int64
 
 	lease *connpooler.Lease
-	// use is what the borrower wanted when it asked for the lease.
-	use Event
-	// fresh says that nothing was run on the lease yet.
+	// request is the event with which the borrower requested the lease.
+	request Event
+	// fresh is set until the first batch of the lease.
 	fresh bool
-	// code is CodeBusy if the server had no room for one of the last statements.
+	// code is CodeBusy if the server had no capacity for one of the statements of the last batch.
 	code declarer.Code
-	// refused says why there is no lease.
-	refused Refusal
+	// refusal tells why there is no lease.
+	refusal Refusal
 }
 
-// Run serves the borrower until the link ends. What it holds then is put in order.
+// Run serves the borrower until the link ends. A connection that is still lent is then returned to
+// the pool, which recovers it.
 func (l *Link) Run() {
-	defer l.giveBack(false)
-	if l.Borrower.Handshake(time.Now().Add(greetTimeout)) != nil {
+	defer l.returnLease(false)
+	if l.Borrower.Handshake(time.Now().Add(handshakeTimeout)) != nil {
 		return
 	}
 	for {
@@ -108,50 +117,52 @@
 	}
 }
 
-// serve reports whether the link goes on.
+// serve handles an event and reports whether the link can be used further.
 func (l *Link) serve(e Event) bool {
 	switch e.Kind {
 	case KindLend:
 		l.lend(e)
 		return true
 	case KindReturn:
-		l.giveBack(false)
+		l.returnLease(false)
 		return true
 	}
 	if l.lease == nil {
-		return l.refuse(len(e.Requests))
+		return l.refuseAll(len(e.Requests))
 	}
 	err := l.run(e.Requests, min(e.Wait, answerTimeout))
 	if errors.Is(err, connpooler.ErrRefused) {
-		l.refused = refusalOf(err)
-		return l.refuse(len(e.Requests))
+		l.refusal = refusalOf(err)
+		return l.refuseAll(len(e.Requests))
 	}
 	if err != nil {
-		l.giveBack(!errors.Is(err, connpooler.ErrTimeout))
+		l.returnLease(!errors.Is(err, connpooler.ErrTimeout))
 		return false
 	}
 	return l.Borrower.Flush() == nil
 }
 
+// lend leases a connection to the borrower, or records why there is none. The borrower gets the
+// refusal as the answer to its statements.
 func (l *Link) lend(e Event) {
-	l.giveBack(false)
-	l.refused = Refusal{Unreachable: true, Message: "server isn't listed here"}
+	l.returnLease(false)
+	l.refusal = Refusal{Unreachable: true, Message: "server isn't listed here"}
 	p := l.Pool()
 	if p == nil {
 		return
 	}
 	var err error
-	l.lease, err = p.Acquire(e.ask(time.Now()))
+	l.lease, err = p.Acquire(e.acquireRequest(time.Now()))
 	if err != nil {
-		l.refused = refusalOf(err)
+		l.refusal = refusalOf(err)
 		return
 	}
-	l.fresh, l.use = true, e
+	l.fresh, l.request = true, e
 	l.ActiveLeases.Add(1)
 }
 
-// ask is what the borrower wants of the pool.
-func (e *Event) ask(now time.Time) connpooler.AcquireRequest {
+// acquireRequest returns the event as a request to the pool.
+func (e *Event) acquireRequest(now time.Time) connpooler.AcquireRequest {
 	a := connpooler.AcquireRequest{Deadline: now.Add(e.Wait), Class: e.Class, Team: e.Team}
 	if e.Objective > 0 {
 		a.Objective = now.Add(e.Objective)
@@ -159,16 +170,17 @@
 	return a
 }
 
-func (l *Link) giveBack(broken bool) {
+// returnLease returns the lease, if there is one, to its pool.
+func (l *Link) returnLease(broken bool) {
 	if l.lease != nil {
 		l.lease.Release(broken)
 		l.lease = nil
 		l.ActiveLeases.Add(-1)
 	}
-	l.refused = Refusal{Unreachable: true, Message: "nothing was borrowed"}
+	l.refusal = Refusal{Unreachable: true, Message: "nothing was borrowed"}
 }
 
-// refusalOf tells the borrower why the pool gave no connection.
+// refusalOf returns an error of the pool as a refusal for the borrower.
 func refusalOf(err error) Refusal {
 	r := Refusal{Message: err.Error()}
 	if q, ok := errors.AsType[*connpooler.Refusal](err); ok {
@@ -179,23 +191,23 @@
 	return r
 }
 
-func (l *Link) refuse(n int) bool {
+// refuseAll answers n statements with the refusal, and reports whether the link can be used further.
+func (l *Link) refuseAll(n int) bool {
 	for range n {
-		l.Borrower.Refuse(l.refused)
+		l.Borrower.Refuse(l.refusal)
 	}
 	return l.Borrower.Flush() == nil
 }
 
-// run sends the statements but for those that would set up what is there already, and
-// answers each.
-//
-// A connpooler.Refusal says that nothing was sent.
+// run runs a batch of statements and answers each. It first acquires a permit, unless all of them
+// are the proxy's own, such as those that set the connection up. If it returns a connpooler.Refusal,
+// nothing was sent.
 func (l *Link) run(requests []declarer.Request, wait time.Duration) error {
 	end := time.Now().Add(wait)
 	if !slices.ContainsFunc(requests, func(r declarer.Request) bool { return r.ID != "" }) {
-		return l.perform(requests, end)
+		return l.exchange(requests, end)
 	}
-	a := l.use.ask(time.Now())
+	a := l.request.acquireRequest(time.Now())
 	a.Deadline = end
 	if l.lease.State == declarer.StateTransaction {
 		a.Class = admitter.ClassTransaction
@@ -204,14 +216,14 @@
 	if err != nil {
 		return err
 	}
-	err = l.perform(requests, end)
+	err = l.exchange(requests, end)
 	t.End(l.code)
 	return err
 }
 
-// perform has the statements run and answers the borrower.
-func (l *Link) perform(requests []declarer.Request, end time.Time) error {
-	skipped, out := l.setUp(requests)
+// exchange sends the statements to the server, without those that are redundant, and answers each.
+func (l *Link) exchange(requests []declarer.Request, end time.Time) error {
+	skipped, out := l.planBatch(requests)
 	if len(out) > 0 {
 		if err := l.lease.Send(out, end); err != nil {
 			return err
@@ -219,7 +231,7 @@
 	}
 	l.code = declarer.CodeNone
 	var a declarer.Answer
-	for range len(out) - count(skipped) {
+	for range len(out) - countSent(skipped) {
 		if err := l.receive(&a, end); err != nil {
 			return err
 		}
@@ -237,8 +249,8 @@
 	return nil
 }
 
-// count returns how many statements aren't skipped.
-func count(skipped []bool) int {
+// countSent returns how many statements aren't skipped.
+func countSent(skipped []bool) int {
 	n := 0
 	for _, s := range skipped {
 		if !s {
@@ -248,6 +260,7 @@
 	return n
 }
 
+// receive receives the next answer of the server.
 func (l *Link) receive(a *declarer.Answer, end time.Time) error {
 	*a = declarer.Answer{Body: a.Body[:0]}
 	if err := l.lease.Receive(a, end); err != nil {
@@ -261,10 +274,11 @@
 	return nil
 }
 
-// setUp returns which statements need not be sent, and what is sent in their place. The
-// first ones of a use set all values of the borrower's session: these must be the only
-// ones on the connection. What is prepared may be there from another use.
-func (l *Link) setUp(requests []declarer.Request) (skipped []bool, out []declarer.Request) {
+// planBatch returns which statements of a batch are skipped, and what is sent to the server. The
+// first batch of a lease sets all values of the borrower's session. These must be the only values on
+// the connection, which is reset if it has others. Statements may still be prepared from an earlier
+// lease.
+func (l *Link) planBatch(requests []declarer.Request) (skipped []bool, out []declarer.Request) {
 	skipped = make([]bool, len(requests))
 	values := make(map[string]string)
 	for _, r := range requests {
@@ -272,14 +286,14 @@
 			values[r.Name] = r.Argument
 		}
 	}
-	if l.fresh && !contains(l.lease.Values, values) {
+	if l.fresh && !sameValues(l.lease.Values, values) {
 		out = append(out, declarer.Request{Verb: declarer.VerbReset})
 		clear(l.lease.Values)
 		clear(l.lease.Prepared)
 	}
 	l.fresh = false
 	for i, r := range requests {
-		skipped[i] = l.known(r)
+		skipped[i] = l.isRedundant(r)
 		if !skipped[i] {
 			out = append(out, r)
 		}
@@ -287,13 +301,14 @@
 	return skipped, out
 }
 
-// contains reports whether the connection's values are those that are set.
-func contains(present, wanted map[string]string) bool {
+// sameValues reports whether the connection has no values or exactly the wanted ones.
+func sameValues(present, wanted map[string]string) bool {
 	return len(present) == 0 || maps.Equal(present, wanted)
 }
 
-// known reports whether the statement would change nothing, and else notes its change.
-func (l *Link) known(r declarer.Request) bool {
+// isRedundant reports whether the statement would change nothing on the connection. Otherwise, it
+// records the change that the statement makes.
+func (l *Link) isRedundant(r declarer.Request) bool {
 	switch r.Verb {
 	case declarer.VerbSet:
 		if v, ok := l.lease.Values[r.Name]; ok && v == r.Argument {
--- a/internal/proxy/lender/lender_test.go
+++ b/internal/proxy/lender/lender_test.go
@@ -17,7 +17,8 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/declarer"
 )
 
-// server notes what is sent to it; each connection answers everything.
+// server records the requests that are sent to it. Its connections answer each request. It also
+// implements connpooler.Dialer and connpooler.Observer.
 type server struct {
 	sent  []string
 	full  bool
@@ -25,9 +26,9 @@
 }
 
 type connection struct {
-	server *server
-	owed   int
-	state  declarer.State
+	server  *server
+	pending int
+	state   declarer.State
 }
 
 func (s *server) Dial(context.Context, declarer.Server) (connpooler.Connection, marker.Mark, error) {
@@ -42,7 +43,7 @@
 
 func (c *connection) Send(r []declarer.Request, _ time.Time) error {
 	for _, x := range r {
-		c.server.sent = append(c.server.sent, name(x))
+		c.server.sent = append(c.server.sent, describe(x))
 		switch x.Text {
 		case "BEGIN":
 			c.state = declarer.StateTransaction
@@ -53,12 +54,12 @@
 			c.state = declarer.StateIdle
 		}
 	}
-	c.owed += len(r)
+	c.pending += len(r)
 	return nil
 }
 
-// name is a request in short.
-func name(r declarer.Request) string {
+// describe returns a request in short form.
+func describe(r declarer.Request) string {
 	switch r.Verb {
 	case declarer.VerbReset:
 		return "RESET"
@@ -76,17 +77,17 @@
 	if c.server.fails {
 		return errors.New("broken")
 	}
-	c.owed--
+	c.pending--
 	a.State = c.state
 	a.Body = append(a.Body, "DONE sig\r\n"...)
 	return nil
 }
 
-func (c *connection) PendingAnswers() int { return c.owed }
+func (c *connection) PendingAnswers() int { return c.pending }
 func (c *connection) Ended() bool         { return false }
 func (c *connection) Close()              {}
 
-// borrower plays events and collects the answers.
+// borrower sends events and records the answers.
 type borrower struct {
 	events  []Event
 	answers []string
@@ -110,14 +111,14 @@
 func (b *borrower) Refuse(Refusal)        { b.answers = append(b.answers, "refused") }
 func (b *borrower) Flush() error          { return nil }
 
-// play serves the events over one pool and returns the borrower.
-func play(s *server, p *connpooler.Pool, events ...Event) *borrower {
+// serve serves the events with a pool and returns the borrower.
+func serve(s *server, p *connpooler.Pool, events ...Event) *borrower {
 	b := &borrower{events: events}
 	var lent atomic.Int64
 	l := &Link{Borrower: b, Pool: func() *connpooler.Pool { return p }, OnAnswer: func() {}, ActiveLeases: &lent}
 	l.Run()
 	if n := lent.Load(); n != 0 {
-		panic(fmt.Sprintf("%d leases are out after the end", n))
+		panic(fmt.Sprintf("%d connections are lent after the end", n))
 	}
 	synctest.Wait()
 	return b
@@ -127,9 +128,11 @@
 	return &connpooler.Pool{Server: declarer.Server{ID: "i"}, Dialer: s, Observer: s, Limit: 1}
 }
 
+// lend returns an event that requests a connection.
 func lend() Event { return Event{Kind: KindLend, Wait: time.Second} }
 
-func run(r ...declarer.Request) Event {
+// batch returns an event that sends the statements.
+func batch(r ...declarer.Request) Event {
 	return Event{Kind: KindStatements, Wait: time.Second, Requests: r}
 }
 
@@ -150,17 +153,17 @@
 	}
 }
 
-// Sessions of several hosts use one connection in turn. A session whose statement ran
-// with another one's values would be shown another customer's lines.
-func TestConnectionIsDressedForEachUse(t *testing.T) {
+// Guards against a statement that runs with the values of another session and returns rows of
+// another customer: sessions of several hosts use one connection in turn.
+func TestConnectionIsSetUpForEachLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &server{}
 		p := pool(s)
-		b := play(s, p,
-			lend(), run(set("a", "1"), set("b", "2"), prepare("p"), text("READ x")), Event{Kind: KindReturn},
-			lend(), run(set("a", "1"), set("b", "2"), prepare("p"), text("READ y")), Event{Kind: KindReturn},
-			lend(), run(set("a", "1"), text("READ z")), Event{Kind: KindReturn},
-			lend(), run(text("READ w")), Event{Kind: KindReturn},
+		b := serve(s, p,
+			lend(), batch(set("a", "1"), set("b", "2"), prepare("p"), text("READ x")), Event{Kind: KindReturn},
+			lend(), batch(set("a", "1"), set("b", "2"), prepare("p"), text("READ y")), Event{Kind: KindReturn},
+			lend(), batch(set("a", "1"), text("READ z")), Event{Kind: KindReturn},
+			lend(), batch(text("READ w")), Event{Kind: KindReturn},
 		)
 		check(t, "sent", s.sent, []string{
 			"SET a 1", "SET b 2", "PREPARE p", "READ x",
@@ -178,64 +181,66 @@
 	})
 }
 
-// A session sets a value in the middle of its transaction. Bringing the connection back
-// to its beginning then would end the transaction's other values.
-func TestValuesWithinAUseAreAdded(t *testing.T) {
+// Guards against a reset of the connection when a session sets a value in the middle of its
+// transaction: the session's other values would be lost.
+func TestValuesWithinLeaseAreAdded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &server{}
 		p := pool(s)
-		play(s, p, lend(), run(set("a", "1"), text("BEGIN")), run(set("b", "2"), text("READ x")), run(text("COMMIT")), Event{Kind: KindReturn})
+		serve(s, p, lend(), batch(set("a", "1"), text("BEGIN")), batch(set("b", "2"), text("READ x")), batch(text("COMMIT")), Event{Kind: KindReturn})
 		check(t, "sent", s.sent, []string{"SET a 1", "BEGIN", "SET b 2", "READ x", "COMMIT"})
 		p.Close()
 	})
 }
 
-// The borrower is gone in the middle of a transaction. The next one would work in it.
+// Guards against a borrower that works in the transaction of another one, whose link ended in the
+// middle of it.
 func TestLinkThatEndsInATransactionIsRolledBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &server{}
 		p := pool(s)
-		play(s, p, lend(), run(text("BEGIN"), text("WRITE x 1")))
-		play(s, p, lend(), run(text("READ x")), Event{Kind: KindReturn})
+		serve(s, p, lend(), batch(text("BEGIN"), text("WRITE x 1")))
+		serve(s, p, lend(), batch(text("READ x")), Event{Kind: KindReturn})
 		check(t, "sent", s.sent, []string{"BEGIN", "WRITE x 1", "ROLLBACK", "READ x"})
 		p.Close()
 	})
 }
 
-// Guards against a refusal after which the connection passes for set up: a statement that
-// gets no permit in time is refused, and nothing of its batch was sent.
+// Guards against a connection that counts as set up although nothing was sent: if a statement gets
+// no permit in time, its whole batch is refused.
 func TestStatementWithoutPermitSendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &server{}
 		p := pool(s)
-		late := run(set("a", "1"), text("READ x"))
+		late := batch(set("a", "1"), text("READ x"))
 		late.Wait = 0
-		b := play(s, p, lend(), late, run(set("a", "1"), text("READ y")), Event{Kind: KindReturn})
+		b := serve(s, p, lend(), late, batch(set("a", "1"), text("READ y")), Event{Kind: KindReturn})
 		check(t, "answers", b.answers, []string{"refused", "refused", "answer 0", "answer 0"})
 		check(t, "sent", s.sent, []string{"SET a 1", "READ y"})
 		p.Close()
 	})
 }
 
-// There is no connection in time. Each statement of the batch is refused, none is sent.
+// Guards against answers that don't match their statements if there is no connection in time: each
+// statement of the batch must be refused, and none may be sent.
 func TestRefusalAnswersEachStatement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &server{full: true}
 		p := pool(s)
-		b := play(s, p, lend(), run(text("READ x"), text("BEGIN"), text("ROLLBACK")), Event{Kind: KindReturn}, run(text("READ y")))
+		b := serve(s, p, lend(), batch(text("READ x"), text("BEGIN"), text("ROLLBACK")), Event{Kind: KindReturn}, batch(text("READ y")))
 		check(t, "answers", b.answers, []string{"refused", "refused", "refused", "refused"})
 		check(t, "sent", s.sent, nil)
 		p.Close()
 	})
 }
 
-// The server breaks the connection off. The borrower's link ends too: it must not take
-// the next answer for this one's.
+// Guards against a borrower that takes an answer for that of an earlier statement: if the server
+// breaks the connection, the borrower's link must end too.
 func TestBrokenConnectionEndsLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &server{fails: true}
 		p := pool(s)
-		b := play(s, p, lend(), run(text("READ x")), lend(), run(text("READ y")))
+		b := serve(s, p, lend(), batch(text("READ x")), lend(), batch(text("READ y")))
 		if len(b.answers) > 0 || len(b.events) != 2 {
 			t.Errorf("answers %q, %d events left", b.answers, len(b.events))
 		}
