--- a/internal/proxy/promoter/promoter.go
+++ b/internal/proxy/promoter/promoter.go
@@ -1,4 +1,5 @@
-// Package promoter has another server of a database group promoted when the group needs a new primary.
+// Package promoter has another server of a database group promoted when the group needs a new
+// primary.
 package promoter
 
 import (
--- a/internal/proxy/successor/successor.go
+++ b/internal/proxy/successor/successor.go
@@ -1,4 +1,5 @@
-// Package successor decides whether a database group needs another primary, and which server to promote.
+// Package successor decides whether a database group needs another primary, and which server to
+// promote.
 package successor
 
 import (
