--- a/internal/group/promoter/claim.go
+++ b/internal/group/promoter/claim.go
@@ -12,47 +12,50 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// ClaimKind is the kind of the platform's object that holds a group's claim.
+// ClaimKind is the kind of the platform object that holds a group's claim.
 const ClaimKind = "database-group"
 
-// Claim is the value of a group's object: which host is about to promote. It
-// keeps hosts from raising terms against each other; safety rests on terms alone.
+// Claim is the JSON value of a group's claim object. It names the entry host that is about to
+// promote and the term that it will raise. Claims reduce the number of hosts that raise competing
+// terms; safety depends on the terms alone.
 type Claim struct {
 	Host string      `json:"host"`
 	Term marker.Term `json:"term"`
 }
 
-// ClaimTracker remembers when this host first saw the present claim, so that a
-// claim whose holder died is overridden without comparing clocks of two hosts.
+// ClaimTracker records when this host first read the current version of the claim. A claim whose
+// holder has crashed thus expires by this host's own clock, without comparing two hosts' clocks.
 type ClaimTracker struct {
-	Version   accessor.Version
+	// Version is the last version of the claim object that was read.
+	Version accessor.Version
+	// FirstSeen is the monotonic time at which this host first read Version.
 	FirstSeen time.Duration
 }
 
-func (m *ClaimTracker) see(now time.Duration, v accessor.Version) {
+func (m *ClaimTracker) observe(now time.Duration, v accessor.Version) {
 	if m.Version != v {
 		m.Version = v
 		m.FirstSeen = now
 	}
 }
 
-func (a *Attempt) takeClaim(now time.Duration, r Result) {
+func (a *Attempt) handleClaimResult(now time.Duration, r Result) {
 	switch {
 	case a.Step == StepReadClaim && r.Action.Kind == ActionReadClaim:
-		a.takeRead(now, r)
+		a.handleReadClaim(now, r)
 	case a.Step == StepPutClaim && r.Action.Kind == ActionPutClaim:
-		a.takePut(now, r)
+		a.handlePutClaim(now, r)
 	case a.Step == StepSettleClaim && r.Action.Kind == ActionReadClaim:
-		a.takeSettle(now, r)
+		a.handleSettleClaim(now, r)
 	}
 }
 
-func (a *Attempt) takeRead(now time.Duration, r Result) {
+func (a *Attempt) handleReadClaim(now time.Duration, r Result) {
 	if r.Err != nil && !errors.Is(r.Err, accessor.ErrNotFound) {
 		a.enter(now, StepFence)
 		return
 	}
-	if r.Err == nil && a.respects(now, r.Object) {
+	if r.Err == nil && a.claimedByOther(now, r.Object) {
 		a.abandon(now, "claimed by another host")
 		return
 	}
@@ -61,13 +64,14 @@
 		a.enter(now, StepFence)
 		return
 	}
-	a.object = accessor.Object{Kind: ClaimKind, Name: a.Group, Version: r.Object.Version, Writer: a.Writer, Value: b}
+	a.claim = accessor.Object{Kind: ClaimKind, Name: a.Group, Version: r.Object.Version, Writer: a.Writer, Value: b}
 	a.enter(now, StepPutClaim)
 }
 
-// respects reports whether o is another host's claim to a term that isn't over.
-func (a *Attempt) respects(now time.Duration, o accessor.Object) bool {
-	a.ClaimTracker.see(now, o.Version)
+// claimedByOther reports whether o is another host's unexpired claim to this attempt's term or a
+// higher one.
+func (a *Attempt) claimedByOther(now time.Duration, o accessor.Object) bool {
+	a.ClaimTracker.observe(now, o.Version)
 	var c Claim
 	if json.Unmarshal(o.Value, &c) != nil {
 		return false
@@ -75,29 +79,29 @@
 	return c.Host != a.Host && c.Term >= a.Term && now-a.ClaimTracker.FirstSeen < a.Settings.ClaimTTL
 }
 
-func (a *Attempt) takePut(now time.Duration, r Result) {
+func (a *Attempt) handlePutClaim(now time.Duration, r Result) {
 	switch {
 	case r.Err == nil:
 		a.enter(now, StepFence)
 	case errors.Is(r.Err, accessor.ErrConflict):
 		a.abandon(now, "claimed by another host")
 	default:
-		a.enter(now, StepSettleClaim) // the put may have taken effect
+		a.enter(now, StepSettleClaim) // the put may have succeeded
 	}
 }
 
-// takeSettle reads back after a put whose answer was lost: the writer's id
-// tells whether the change is this attempt's own.
-func (a *Attempt) takeSettle(now time.Duration, r Result) {
-	if r.Err == nil && r.Object.Writer != a.Writer && r.Object.Version > a.object.Version {
+// handleSettleClaim handles the read that follows a put whose answer was lost. The writer's id
+// in the object shows whether this attempt's put succeeded.
+func (a *Attempt) handleSettleClaim(now time.Duration, r Result) {
+	if r.Err == nil && r.Object.Writer != a.Writer && r.Object.Version > a.claim.Version {
 		a.abandon(now, "claimed by another host")
 		return
 	}
 	a.enter(now, StepFence)
 }
 
-// Rank returns the host's place among hosts for the next promotion of a group
-// above term t, zero first, by rendezvous hashing.
+// Rank returns the host's rank among hosts, counted from zero, for promoting the group to a term
+// above t. Ranks are assigned by rendezvous hashing. A host that isn't in hosts has rank zero.
 func Rank(hosts []string, host, group string, t marker.Term) int {
 	s := slices.Clone(hosts)
 	slices.SortFunc(s, func(x, y string) int {
@@ -125,12 +129,12 @@
 	return d.Sum64()
 }
 
-// Delay returns how long a host waits before it promotes: step for each host
-// that ranks before it, or if the hosts aren't known a part of spread by hash.
+// Delay returns how long the host waits before it promotes: step for each host that ranks before
+// it, or, if hosts doesn't contain it, a fraction of spread that is chosen by hash.
 func Delay(hosts []string, host, group string, t marker.Term, step, spread time.Duration) time.Duration {
 	if slices.Contains(hosts, host) {
 		return time.Duration(Rank(hosts, host, group, t)) * step
 	}
-	const parts = 16
-	return spread / parts * time.Duration(weight(host, group, t)%parts)
+	const buckets = 16
+	return spread / buckets * time.Duration(weight(host, group, t)%buckets)
 }
--- a/internal/group/promoter/host_test.go
+++ b/internal/group/promoter/host_test.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	hostStep  = 20 * time.Millisecond
-	patience  = 200 * time.Millisecond // of a write for its answer
-	deadline  = 3 * time.Second        // of a write
-	writeTime = 60 * time.Millisecond  // between two writes of a host
+	hostStep      = 20 * time.Millisecond
+	patience      = 200 * time.Millisecond // a write's wait for its answer
+	deadline      = 3 * time.Second        // of a write
+	writeInterval = 60 * time.Millisecond  // between two writes of a host
 )
 
-// host is an entry host: the real decisions over what the fakes answer.
+// host is a simulated entry host: it runs the real decision code on the answers of the fakes.
 type host struct {
-	w          *world
+	w          *simulation
 	name       string
 	generation int
 	dead       bool
@@ -44,21 +44,21 @@
 	nextPoll  time.Duration
 }
 
-// read is a read that waits for its read index.
+// read is a pending read that waits for its read index.
 type read struct {
 	arrived time.Duration
 	acked   int
 	polled  map[string]marker.Mark
 }
 
-func newHost(w *world, name string) *host {
+func newHost(w *simulation, name string) *host {
 	h := &host{w: w, name: name}
 	h.restart()
 	w.after(time.Duration(w.rng.IntN(20))*time.Millisecond, h.loop)
 	return h
 }
 
-// restart forgets everything, as a replaced host does.
+// restart drops the host's whole state, as if the host was replaced.
 func (h *host) restart() {
 	*h = host{w: h.w, name: h.name, generation: h.generation + 1}
 	h.ledger.Instances = len(h.w.instances)
@@ -74,15 +74,15 @@
 	}
 	h.poll()
 	c := driver.Defaults().Observer
-	h.view = observer.Observe(h.w.now, c, slices.Clone(h.servers), h.words(c), h.view)
+	h.view = observer.Observe(h.w.now, c, slices.Clone(h.servers), h.primaryReports(c), h.view)
 	h.promote()
 	h.write()
 }
 
-func (h *host) words(c observer.Settings) []observer.Word {
+func (h *host) primaryReports(c observer.Settings) []observer.Word {
 	var s []observer.Word
 	for _, o := range h.w.hosts {
-		if o != h && !o.dead && !h.w.cut(h.name, o.name) {
+		if o != h && !o.dead && !h.w.isCut(h.name, o.name) {
 			s = append(s, o.view.Word(o.name, c))
 		}
 	}
@@ -98,7 +98,7 @@
 	for n, i := range h.w.instances {
 		at := h.w.now
 		ask(h, i, func() (controller.Status, error) { return i.status(), nil }, func(s controller.Status, err error) {
-			h.fold(n, at, s, err)
+			h.recordAnswer(n, at, s, err)
 			if err == nil {
 				h.index(i.name, at, s.Last)
 			}
@@ -106,7 +106,7 @@
 	}
 }
 
-func (h *host) fold(n int, at time.Duration, s controller.Status, err error) {
+func (h *host) recordAnswer(n int, at time.Duration, s controller.Status, err error) {
 	o := &h.servers[n].Observation
 	if err != nil {
 		o.Failures++
@@ -118,7 +118,8 @@
 	}
 }
 
-// index serves the reads that wait, and checks every instance that may serve them.
+// index completes the pending reads that have a read index, and checks each instance that may serve
+// them.
 func (h *host) index(name string, began time.Duration, m marker.Mark) {
 	var rest []*read
 	for _, r := range h.reads {
@@ -139,9 +140,9 @@
 	h.reads = rest
 }
 
-// checkRead looks for the writes acknowledged last before the read; check looks
-// for all of them at the end.
-func (w *world) checkRead(x marker.Mark, acked []int) {
+// checkRead expects the latest writes acknowledged before the read at every instance that covers
+// index x. All earlier writes are checked at the end, by check.
+func (w *simulation) checkRead(x marker.Mark, acked []int) {
 	const latest = 8
 	acked = acked[max(0, len(acked)-latest):]
 	for _, i := range w.instances {
@@ -150,7 +151,7 @@
 		}
 		for _, id := range acked {
 			if !i.holds(id) {
-				w.faults = append(w.faults, fmt.Sprintf("read at %s with index %s misses acknowledged write %d", i.name, x, id))
+				w.violations = append(w.violations, fmt.Sprintf("read at %s with index %s misses acknowledged write %d", i.name, x, id))
 				return
 			}
 		}
@@ -176,7 +177,7 @@
 	for _, a := range h.attempt.Next(h.w.now, &h.view) {
 		h.act(a)
 	}
-	if h.w.dieAt != "" && string(h.attempt.Step) == h.w.dieAt {
+	if h.w.crashStep != "" && string(h.attempt.Step) == h.w.crashStep {
 		h.kill()
 		return
 	}
@@ -187,14 +188,14 @@
 }
 
 func (h *host) kill() {
-	h.w.dieAt = ""
+	h.w.crashStep = ""
 	h.dead = true
 	h.generation++
 	h.w.after(time.Second, func() { h.restart() })
 }
 
 func (h *host) delay() time.Duration {
-	if h.w.duel {
+	if h.w.simultaneous {
 		return 0
 	}
 	return promoter.Delay(nil, h.name, "kalkul", h.view.HighestTerm, 0, 150*time.Millisecond)
@@ -219,21 +220,21 @@
 	for _, i := range h.w.instances {
 		a.Servers = append(a.Servers, i.name)
 	}
-	a.Begin(h.w.now, !h.w.duel)
+	a.Begin(h.w.now, !h.w.simultaneous)
 	h.attempt = a
 }
 
-// act carries out one action; a answers the attempt that asked.
+// act carries out one action and gives the answer to the attempt that issued it.
 func (h *host) act(x promoter.Action) {
 	a, g := h.attempt, h.generation
-	take := func(r promoter.Result) {
+	deliver := func(r promoter.Result) {
 		if a != nil && h.generation == g {
 			a.HandleResult(h.w.now, r)
 		}
 	}
 	i := h.w.byName[x.Server]
 	if i == nil {
-		h.actPlatform(x, take)
+		h.actPlatform(x, deliver)
 		return
 	}
 	at := h.w.now
@@ -248,14 +249,14 @@
 		}
 	}, func(s controller.Status, err error) {
 		if err == nil {
-			h.fold(slices.Index(h.w.instances, i), at, s, nil)
+			h.recordAnswer(slices.Index(h.w.instances, i), at, s, nil)
 		}
-		take(promoter.Result{Action: x, Status: s, Err: err})
+		deliver(promoter.Result{Action: x, Status: s, Err: err})
 	})
 }
 
-func (h *host) actPlatform(x promoter.Action, take func(promoter.Result)) {
-	if h.w.platform.down || h.w.cut(h.name, "platform") {
+func (h *host) actPlatform(x promoter.Action, deliver func(promoter.Result)) {
+	if h.w.platform.down || h.w.isCut(h.name, "platform") {
 		return
 	}
 	h.w.after(5*time.Millisecond, func() {
@@ -265,11 +266,11 @@
 		} else {
 			r.Object, r.Err = h.w.platform.get()
 		}
-		h.w.after(5*time.Millisecond, func() { take(r) })
+		h.w.after(5*time.Millisecond, func() { deliver(r) })
 	})
 }
 
-// write is one request with an idempotency key, or without one.
+// write is one write request, with or without an idempotency key.
 type write struct {
 	id       int
 	attempt  recorder.Attempt
@@ -279,7 +280,7 @@
 	evidence settler.Evidence
 	mark     marker.Mark
 	rowMark  marker.Mark
-	told     recorder.Outcome
+	reported recorder.Outcome
 	h        *host
 	g        int
 }
@@ -291,10 +292,10 @@
 	return fmt.Sprintf("%s#%d", w.attempt.Key, w.attempt.Number)
 }
 
-// write begins a write now and then and carries on those that are open.
+// write starts a write every writeInterval and continues those that have no outcome yet.
 func (h *host) write() {
-	if h.view.Confirmed && h.w.now >= h.nextWrite && h.w.now < healed {
-		h.nextWrite = h.w.now + writeTime
+	if h.view.Confirmed && h.w.now >= h.nextWrite && h.w.now < healAt {
+		h.nextWrite = h.w.now + writeInterval
 		h.w.serial++
 		x := &write{id: h.w.serial, began: h.w.now, h: h, g: h.generation}
 		if h.w.rng.IntN(4) > 0 {
@@ -303,7 +304,7 @@
 		h.commit(x)
 	}
 	for _, x := range h.w.writes {
-		if x.h == h && x.g == h.generation && x.told == "" {
+		if x.h == h && x.g == h.generation && x.reported == "" {
 			h.settle(x)
 		}
 	}
@@ -316,7 +317,7 @@
 	i := h.w.byName[h.view.Primary]
 	ask(h, i, func() (reply, error) {
 		r, err := i.insert(record{id: x.id, row: x.row(h), outcome: recorder.Ran})
-		if h.w.mute {
+		if h.w.loseCommitAnswers {
 			return r, errTimeout
 		}
 		return r, err
@@ -328,7 +329,7 @@
 			x.evidence.Answer = settler.AnswerRolledBack
 		case r.row != "":
 			x.evidence.Answer = settler.AnswerLost
-			x.take(r)
+			x.recordRow(r)
 		default:
 			x.evidence.Answer, x.mark = settler.AnswerCommitted, r.mark
 		}
@@ -342,7 +343,7 @@
 	s, o := settler.Next(*e)
 	switch s {
 	case settler.Done:
-		x.told = o
+		x.reported = o
 		if o == recorder.Ran {
 			h.w.acked = append(h.w.acked, x.id)
 		}
@@ -371,23 +372,23 @@
 		if r.row == "" {
 			r.row = recorder.NotRun
 		}
-		x.take(r)
+		x.recordRow(r)
 	})
 }
 
-// take notes what the key's row says, and which write it stands for if it ran.
-func (w *write) take(r reply) {
+// recordRow records the outcome in the key's row, and the id of the write that made the row if that ran.
+func (w *write) recordRow(r reply) {
 	w.evidence.Row, w.rowMark = r.row, r.mark
 	if r.row == recorder.Ran {
 		w.id = r.id
 	}
 }
 
-// repeat is a caller that sends its request again, with the same key and at
-// another host, after it was told that the outcome is unknown.
+// repeat simulates a caller that sends its request again, with the same key and to another host,
+// after it was told that the request didn't run or that the outcome is unknown.
 func (h *host) repeat(x *write) {
 	o := h.w.hosts[(slices.Index(h.w.hosts, h)+1)%len(h.w.hosts)]
-	if x.told == recorder.Ran || x.attempt.Key == "" || o.dead || !o.view.Confirmed {
+	if x.reported == recorder.Ran || x.attempt.Key == "" || o.dead || !o.view.Confirmed {
 		return
 	}
 	i := h.w.byName[o.view.Primary]
--- a/internal/group/promoter/model_test.go
+++ b/internal/group/promoter/model_test.go
@@ -20,7 +20,7 @@
 	timeout    = 150 * time.Millisecond
 )
 
-// event is something that happens at a virtual time.
+// event is a function to call at a virtual time; n orders events of the same time.
 type event struct {
 	at time.Duration
 	n  int
@@ -50,20 +50,22 @@
 	outcome recorder.Outcome
 }
 
-// instance is a plain fake of a backend server.
+// instance is a fake of a backend server.
 type instance struct {
-	w         *world
+	w         *simulation
 	name      string
 	log       []record
 	accepted  marker.Term
 	role      controller.Role
 	following string
-	heard     time.Duration
-	synced    bool
-	down      bool
-	paused    bool
-	lagging   bool
-	inbox     []func()
+	// lastContact is when the instance last received from its primary, synced says that its log was
+	// then a prefix of the primary's.
+	lastContact time.Duration
+	synced      bool
+	down        bool
+	paused      bool
+	lagging     bool
+	inbox       []func()
 }
 
 func (i *instance) last() marker.Mark {
@@ -82,7 +84,7 @@
 		}
 	}
 	if i.role != controller.RolePrimary {
-		s.SinceHeard = i.w.now - i.heard
+		s.SinceHeard = i.w.now - i.lastContact
 	}
 	return s
 }
@@ -116,7 +118,7 @@
 		return controller.Status{}, errRefused
 	}
 	i.accepted, i.role, i.following = t, controller.RoleReplica, p
-	i.heard, i.synced = i.w.now, false
+	i.lastContact, i.synced = i.w.now, false
 	return i.status(), nil
 }
 
@@ -136,8 +138,8 @@
 	return reply{}
 }
 
-// insert commits one transaction. If its row is there already, the transaction
-// rolls back and the reply tells what the row says.
+// insert commits one transaction. If its row exists already, the transaction rolls back and the
+// reply holds that row's outcome.
 func (i *instance) insert(r record) (reply, error) {
 	if i.role != controller.RolePrimary {
 		return reply{}, errRefused
@@ -157,10 +159,10 @@
 	i.replicate()
 }
 
-// replicate takes over what the followed server's log holds.
+// replicate copies the next entries of the followed server's log.
 func (i *instance) replicate() {
 	p := i.w.byName[i.following]
-	if p == nil || i.role != controller.RoleReplica || i.down || i.paused || i.lagging || p.down || p.paused || i.w.cut(i.name, p.name) || i.w.rng.Float64() < i.w.loss {
+	if p == nil || i.role != controller.RoleReplica || i.down || i.paused || i.lagging || p.down || p.paused || i.w.isCut(i.name, p.name) || i.w.rng.Float64() < i.w.loss {
 		return
 	}
 	same := p.role == controller.RolePrimary && p.accepted == i.accepted
@@ -177,10 +179,11 @@
 	}
 	m := min(len(p.log), n+1+i.w.rng.IntN(8))
 	i.log = append(i.log[:n:n], p.log[n:m]...)
-	i.heard, i.synced = i.w.now, true
+	i.lastContact, i.synced = i.w.now, true
 }
 
-// receive handles a message now, or after the pause.
+// receive handles a message now, or after the pause if the instance is paused. An instance that is
+// down drops it.
 func (i *instance) receive(f func()) {
 	switch {
 	case i.down:
@@ -200,11 +203,11 @@
 	}
 }
 
-// platform is a plain fake of the object service with one object.
+// platform is a fake of the platform's object store with one object.
 type platform struct {
-	object accessor.Object
-	down   bool
-	silent bool
+	object      accessor.Object
+	down        bool
+	loseAnswers bool
 }
 
 func (p *platform) get() (accessor.Object, error) {
@@ -220,14 +223,14 @@
 	}
 	o.Version++
 	p.object = o
-	if p.silent {
+	if p.loseAnswers {
 		return accessor.Object{}, errTimeout
 	}
 	return o, nil
 }
 
-// world is one database group with its entry hosts in virtual time.
-type world struct {
+// simulation is one database group with its entry hosts in virtual time.
+type simulation struct {
 	now       time.Duration
 	queue     events
 	events    int
@@ -236,20 +239,25 @@
 	instances []*instance
 	byName    map[string]*instance
 	hosts     []*host
-	cuts      map[string]bool
-	loss      float64
-	mute      bool
-	duel      bool
-	dieAt     string
+	// cutLinks holds the name of each node that is cut off, and "a b" for each cut link.
+	cutLinks map[string]bool
+	// loss is the share of messages that are lost.
+	loss              float64
+	loseCommitAnswers bool
+	// simultaneous makes hosts promote without a delay and without a claim.
+	simultaneous bool
+	// crashStep is the step at which the next promoting host crashes, empty for none.
+	crashStep string
 	platform  platform
 	writes    []*write
-	acked     []int
-	owners    map[marker.Term]string
-	faults    []string
+	// acked are the ids of the acknowledged writes.
+	acked         []int
+	primaryOfTerm map[marker.Term]string
+	violations    []string
 }
 
-func newWorld(seed uint64, hosts int) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 0)), byName: map[string]*instance{}, cuts: map[string]bool{}, owners: map[marker.Term]string{}}
+func newSimulation(seed uint64, hosts int) *simulation {
+	w := &simulation{rng: rand.New(rand.NewPCG(seed, 0)), byName: map[string]*instance{}, cutLinks: map[string]bool{}, primaryOfTerm: map[marker.Term]string{}}
 	for _, n := range []string{"db-1", "db-2", "db-3"} {
 		i := &instance{w: w, name: n, role: controller.RoleReplica}
 		w.after(0, i.loop)
@@ -262,20 +270,20 @@
 	return w
 }
 
-// promoted notes a violation if two servers were primary under one term.
-func (w *world) promoted(i *instance) {
-	if o, ok := w.owners[i.accepted]; ok && o != i.name {
-		w.faults = append(w.faults, fmt.Sprintf("%s and %s both primary of term %d", o, i.name, i.accepted))
+// promoted records a violation if two servers were primary under one term.
+func (w *simulation) promoted(i *instance) {
+	if o, ok := w.primaryOfTerm[i.accepted]; ok && o != i.name {
+		w.violations = append(w.violations, fmt.Sprintf("%s and %s both primary of term %d", o, i.name, i.accepted))
 	}
-	w.owners[i.accepted] = i.name
+	w.primaryOfTerm[i.accepted] = i.name
 }
 
-func (w *world) after(d time.Duration, f func()) {
+func (w *simulation) after(d time.Duration, f func()) {
 	w.events++
 	heap.Push(&w.queue, event{at: w.now + d, n: w.events, do: f})
 }
 
-func (w *world) runUntil(t time.Duration) {
+func (w *simulation) runUntil(t time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= t {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
@@ -284,19 +292,20 @@
 	w.now = t
 }
 
-func (w *world) cut(a, b string) bool {
-	return w.cuts[a] || w.cuts[b] || w.cuts[a+" "+b] || w.cuts[b+" "+a]
+func (w *simulation) isCut(a, b string) bool {
+	return w.cutLinks[a] || w.cutLinks[b] || w.cutLinks[a+" "+b] || w.cutLinks[b+" "+a]
 }
 
-// send delivers f from a to b after a delay, unless it is lost.
-func (w *world) send(a, b string, f func()) {
-	if w.cut(a, b) || w.rng.Float64() < w.loss {
+// send runs f after the delay of a message from a to b, unless the message is lost.
+func (w *simulation) send(a, b string, f func()) {
+	if w.isCut(a, b) || w.rng.Float64() < w.loss {
 		return
 	}
 	w.after(time.Duration(1+w.rng.IntN(8))*time.Millisecond, f)
 }
 
-// ask calls instance i from host h; done gets the answer or a time-out, once.
+// ask calls instance i from host h and calls done once, with the answer or a time-out. The answer is
+// delayed while the host is paused and dropped if the host was restarted.
 func ask[T any](h *host, i *instance, req func() (T, error), done func(T, error)) {
 	g := h.generation
 	open := true
@@ -323,7 +332,7 @@
 	})
 }
 
-func (w *world) primary() *instance {
+func (w *simulation) primary() *instance {
 	var p *instance
 	for _, i := range w.instances {
 		if i.role == controller.RolePrimary && (p == nil || i.accepted > p.accepted) {
@@ -336,10 +345,10 @@
 	return p
 }
 
-func (w *world) heal() {
-	clear(w.cuts)
-	w.loss, w.mute, w.duel, w.dieAt = 0, false, false, ""
-	w.platform.down, w.platform.silent = false, false
+func (w *simulation) heal() {
+	clear(w.cutLinks)
+	w.loss, w.loseCommitAnswers, w.simultaneous, w.crashStep = 0, false, false, ""
+	w.platform.down, w.platform.loseAnswers = false, false
 	for _, i := range w.instances {
 		i.down, i.lagging = false, false
 		i.resume()
--- a/internal/group/promoter/promoter.go
+++ b/internal/group/promoter/promoter.go
@@ -1,4 +1,4 @@
-// Package promoter decides the steps by which an entry host gives a database group a new primary.
+// Package promoter decides the steps in which an entry host promotes a new primary of a database group.
 package promoter
 
 import (
@@ -12,45 +12,51 @@
 
 // Settings are the time limits of a promotion.
 type Settings struct {
-	// ClaimTimeout bounds the whole claim; promotion then goes on without it.
+	// ClaimTimeout bounds all steps of the claim together. After it the promotion goes on without
+	// a claim.
 	ClaimTimeout time.Duration
-	// ClaimTTL is how long another host's claim is respected.
+	// ClaimTTL is how long another host's claim is valid after this host first read it.
 	ClaimTTL time.Duration
-	// FenceTimeout bounds the wait for a majority to accept the term.
+	// FenceTimeout bounds the wait until a majority of the instances has accepted the term.
 	FenceTimeout time.Duration
-	// MaxRetries is how often a higher term is raised at once when two hosts have
-	// raised the same one.
+	// MaxRetries is how often an attempt raises a higher term after all instances have answered
+	// and no majority accepted the term, usually because another host raised the same one.
 	MaxRetries int
-	// RetryDelay is the least delay before that, and RetrySpread what is added to
-	// it at most.
+	// RetryDelay is the minimum delay before such a retry, and RetrySpread the most that is added
+	// to it, by a hash of the host's name.
 	RetryDelay, RetrySpread time.Duration
-	// FenceGrace is how long the rest is waited for once a majority accepted.
+	// FenceGrace is how long to wait for the remaining instances once a majority has accepted
+	// the term.
 	FenceGrace time.Duration
 	// PromoteTimeout bounds the promotion and the wait for the term-start record.
 	PromoteTimeout time.Duration
 }
 
-// Step is where a promotion stands.
+// Step is the current step of a promotion.
 type Step string
 
 // Steps of a promotion.
 const (
-	StepReadClaim   Step = "read-claim"
-	StepPutClaim    Step = "put-claim"
+	// StepReadClaim reads the group's claim.
+	StepReadClaim Step = "read-claim"
+	// StepPutClaim writes this host's claim.
+	StepPutClaim Step = "put-claim"
+	// StepSettleClaim reads the claim again after the answer to the put was lost.
 	StepSettleClaim Step = "settle-claim"
-	StepFence       Step = "fence"
+	// StepFence raises the term at all instances and waits for a majority to accept it.
+	StepFence Step = "fence"
 	// StepRetry waits before a higher term is raised.
 	StepRetry Step = "retry"
 	// StepPromote waits for the chosen instance to become primary.
 	StepPromote Step = "promote"
 	// StepConfirm waits until a majority holds the term-start record.
 	StepConfirm Step = "confirm"
-	// StepDone and StepAbandoned are final; the view tells what to do next.
+	// StepDone and StepAbandoned are final. The view shows whether another attempt is needed.
 	StepDone      Step = "done"
 	StepAbandoned Step = "abandoned"
 )
 
-// ActionKind is what an action asks for.
+// ActionKind is the kind of call that an action asks for.
 type ActionKind string
 
 // Kinds of action.
@@ -67,77 +73,88 @@
 	Kind ActionKind
 	// Server is the backend server to call.
 	Server string
-	Term   marker.Term
+	// Term is the term to raise, or under which to promote or follow.
+	Term marker.Term
 	// Primary is the server to follow.
 	Primary string
-	// Object is the claim to put.
+	// Object is the claim object to put.
 	Object accessor.Object
 }
 
 // Result is the answer to an action.
 type Result struct {
+	// Action is the action that was carried out.
 	Action Action
+	// Status is the instance's status after raise-term, promote or follow.
 	Status controller.Status
+	// Object is the claim object that was read or put.
 	Object accessor.Object
-	// Err is nil if the call is known to have succeeded.
+	// Err is nil only if the call is known to have succeeded.
 	Err error
 }
 
-// Attempt is one host's attempt to give a group a primary. It owns at most one
-// term, and under that it promotes at most one server.
+// Attempt is one host's attempt to promote a primary of a group. It gets a majority for at most one
+// term, under which it promotes at most one server. The exported fields above Step are set before
+// Begin; Step, Term, Chosen and AbandonReason are results.
 type Attempt struct {
 	Settings Settings
-	// Host is this entry host.
+	// Host is the name of this entry host.
 	Host string
-	// Group is the database group.
+	// Group is the name of the database group.
 	Group string
-	// Servers are all instances of the group.
+	// Servers are the names of all instances of the group.
 	Servers []string
-	// Prefer is chosen among equally long logs, empty for none.
+	// Prefer is the server to choose among equally long logs, empty for none.
 	Prefer string
-	// Avoid isn't chosen where the others are a majority, empty for none. It is the
-	// old primary in a hand-over, and where it was lost: one that its replicas
-	// don't hear may still answer, with the longest log of all, and would be
-	// promoted again and again without ever being confirmed.
+	// Avoid is a server that isn't chosen if the others are a majority, empty for none. It is the
+	// old primary in a hand-over, and after the loss of a primary: a primary that is isolated from
+	// its replicas may still answer, with the longest log of all, and would be promoted again and
+	// again without ever being confirmed.
 	Avoid string
-	// Planned says that nothing failed: Avoid still serves, and is only given up
-	// where another log covers its own.
+	// Planned marks a hand-over without a failure: Avoid is still the primary, and another server
+	// is only promoted if its log covers that of Avoid.
 	Planned bool
-	// HighestTerm is the highest accepted term seen; the attempt goes above it.
+	// HighestTerm is the highest accepted term that this host has observed. The attempt raises a
+	// higher one.
 	HighestTerm marker.Term
-	// Writer identifies this attempt's claim.
+	// Writer identifies this attempt as the writer of its claim.
 	Writer string
-	// ClaimTracker remembers other hosts' claims between attempts.
+	// ClaimTracker is shared by all attempts of this host for the group.
 	ClaimTracker *ClaimTracker
 
-	// Step is where the attempt stands.
+	// Step is the current step.
 	Step Step
-	// Term is the term that it raises.
+	// Term is the term that the attempt raises.
 	Term marker.Term
-	// Chosen is the server it promotes, once there is one.
+	// Chosen is the server that the attempt promotes, empty until a majority has accepted Term.
 	Chosen string
-	// AbandonReason tells why it was abandoned.
+	// AbandonReason says why the attempt was abandoned, empty if it wasn't.
 	AbandonReason string
 
-	begun    time.Duration
-	since    time.Duration
-	asked    bool
-	object   accessor.Object
-	accepted []controller.Status
-	round    int
-	refused  int
-	failed   bool
+	// started is when the attempt began, stepSince when the current step did.
+	started   time.Duration
+	stepSince time.Duration
+	// issued says that the actions of the current step have been returned by Next.
+	issued bool
+	// claim is the claim object to put.
+	claim accessor.Object
+	// accepted holds the statuses of the instances that accepted Term, refused counts the failed
+	// answers to the raise.
+	accepted      []controller.Status
+	retries       int
+	refused       int
+	promoteFailed bool
 }
 
-// Due reports whether a host that waits for delay after others begins an attempt
-// now. While a term was raised only just, another host is promoting: to raise a
-// higher one would take the primary away that it is about to give.
+// Due reports whether a host that delays its promotions by delay starts an attempt now. A term that
+// was raised recently shows that another host is promoting: a higher one would fence the primary
+// that the other host is about to promote.
 func Due(v *observer.View, c observer.Settings, delay time.Duration) bool {
 	return v.Suspected() && v.At-v.SuspectedSince >= delay && v.At-v.RaisedSince >= c.NoPrimary
 }
 
-// New returns an attempt that answers the suspicion of v. A primary whose
-// replicas hear it is chosen again if its log is the longest.
+// New returns an attempt that resolves the suspicion in v. It prefers the present primary among
+// equally long logs, except that an isolated or unreachable primary is avoided.
 func New(v *observer.View) *Attempt {
 	a := &Attempt{Prefer: v.Primary}
 	if v.Reason == observer.ReasonIsolated || v.Reason == observer.ReasonUnreachable {
@@ -147,9 +164,9 @@
 	return a
 }
 
-// Begin starts the attempt at now; without a claim it goes straight to the instances.
+// Begin starts the attempt at now. Without claim it starts with raising the term.
 func (a *Attempt) Begin(now time.Duration, claim bool) {
-	a.begun = now
+	a.started = now
 	a.Term = a.HighestTerm + 1
 	if claim {
 		a.enter(now, StepReadClaim)
@@ -158,14 +175,15 @@
 	a.enter(now, StepFence)
 }
 
+// enter makes s the current step; Next then returns its actions.
 func (a *Attempt) enter(now time.Duration, s Step) {
 	a.Step = s
-	a.since = now
-	a.asked = false
+	a.stepSince = now
+	a.issued = false
 }
 
-func (a *Attempt) abandon(now time.Duration, why string) {
-	a.AbandonReason = why
+func (a *Attempt) abandon(now time.Duration, reason string) {
+	a.AbandonReason = reason
 	a.enter(now, StepAbandoned)
 }
 
@@ -174,39 +192,39 @@
 	return a.Step == StepDone || a.Step == StepAbandoned
 }
 
-// Next returns the actions that are due at now. Each is returned once; v is
-// the host's present view.
+// Next returns the actions to carry out at now. Each action is returned once. v is the host's
+// current view.
 func (a *Attempt) Next(now time.Duration, v *observer.View) []Action {
 	a.advance(now, v)
-	if a.asked {
+	if a.issued {
 		return nil
 	}
-	a.asked = true
+	a.issued = true
 	switch a.Step {
 	case StepReadClaim, StepSettleClaim:
 		return []Action{{Kind: ActionReadClaim}}
 	case StepPutClaim:
-		return []Action{{Kind: ActionPutClaim, Object: a.object}}
+		return []Action{{Kind: ActionPutClaim, Object: a.claim}}
 	case StepFence:
-		return a.raise()
+		return a.raiseTermActions()
 	case StepPromote:
 		return []Action{{Kind: ActionPromote, Server: a.Chosen, Term: a.Term}}
 	case StepConfirm:
-		return a.follow()
+		return a.followActions()
 	}
 	return nil
 }
 
-// HandleResult folds the answer to an action into the attempt. An answer that belongs
-// to an earlier step changes nothing.
+// HandleResult applies the answer to an action. An answer that belongs to an earlier step is
+// ignored.
 func (a *Attempt) HandleResult(now time.Duration, r Result) {
 	switch r.Action.Kind {
 	case ActionReadClaim, ActionPutClaim:
-		a.takeClaim(now, r)
+		a.handleClaimResult(now, r)
 	case ActionRaiseTerm:
-		a.takeRaise(r)
+		a.handleRaiseTerm(r)
 	case ActionPromote:
-		a.takePromote(now, r)
+		a.handlePromote(now, r)
 	}
 }
 
@@ -217,7 +235,7 @@
 			a.abandon(now, "another host raised a term")
 			return
 		}
-		if now-a.begun >= a.Settings.ClaimTimeout {
+		if now-a.started >= a.Settings.ClaimTimeout {
 			a.enter(now, StepFence)
 		}
 	case StepFence:
@@ -225,7 +243,7 @@
 	case StepRetry:
 		a.advanceRetry(now, v)
 	case StepPromote:
-		if a.failed || now-a.since >= a.Settings.PromoteTimeout {
+		if a.promoteFailed || now-a.stepSince >= a.Settings.PromoteTimeout {
 			a.abandon(now, "promotion not answered")
 		}
 	case StepConfirm:
@@ -242,25 +260,25 @@
 		a.abandon(now, "another host raised a term")
 		return
 	}
-	if now-a.since >= a.Settings.PromoteTimeout {
+	if now-a.stepSince >= a.Settings.PromoteTimeout {
 		a.abandon(now, "term-start record not held by a majority")
 	}
 }
 
-func (a *Attempt) takePromote(now time.Duration, r Result) {
+func (a *Attempt) handlePromote(now time.Duration, r Result) {
 	if a.Step != StepPromote {
 		return
 	}
 	if r.Err != nil {
-		a.failed = true
+		a.promoteFailed = true
 		return
 	}
 	a.enter(now, StepConfirm)
 }
 
-// follow points all other servers at the new primary. Those that miss it are
-// pointed at it later, by Repoint and any host.
-func (a *Attempt) follow() []Action {
+// followActions returns the actions that make all other servers follow the new primary. Servers
+// that they don't reach are redirected later by any host, see Repoint.
+func (a *Attempt) followActions() []Action {
 	var s []Action
 	for _, n := range a.Servers {
 		if n != a.Chosen {
--- a/internal/group/promoter/promoter_test.go
+++ b/internal/group/promoter/promoter_test.go
@@ -19,20 +19,20 @@
 )
 
 const (
-	healed = 4 * time.Second
-	ended  = 8 * time.Second
+	healAt = 4 * time.Second
+	endAt  = 8 * time.Second
 )
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	set("rapid.seed", "1")
-	set("rapid.checks", "100")
-	set("rapid.nofailfile", "true")
+	setDefault("rapid.seed", "1")
+	setDefault("rapid.checks", "100")
+	setDefault("rapid.nofailfile", "true")
 	os.Exit(m.Run())
 }
 
-// set gives a flag its fixed value unless the command line gave another one.
-func set(name, value string) {
+// setDefault sets a flag that the command line doesn't set.
+func setDefault(name, value string) {
 	given := false
 	flag.Visit(func(f *flag.Flag) { given = given || f.Name == name })
 	if !given {
@@ -40,39 +40,40 @@
 	}
 }
 
-// fault is something that goes wrong for a while; end undoes it.
+// fault is a temporary failure. begin starts it at the n-th host or instance, end undoes it.
 type fault struct {
 	name  string
-	begin func(w *world, n int) (end func())
+	begin func(w *simulation, n int) (end func())
 }
 
-func cutting(key func(w *world, n int) []string) func(*world, int) func() {
-	return func(w *world, n int) func() {
+// cutLinks returns the begin function of a fault that cuts the links that key returns.
+func cutLinks(key func(w *simulation, n int) []string) func(*simulation, int) func() {
+	return func(w *simulation, n int) func() {
 		s := key(w, n)
 		for _, k := range s {
-			w.cuts[k] = true
+			w.cutLinks[k] = true
 		}
 		return func() {
 			for _, k := range s {
-				delete(w.cuts, k)
+				delete(w.cutLinks, k)
 			}
 		}
 	}
 }
 
 var faults = []fault{
-	{"primary isolated from replicas but not from hosts", cutting(func(w *world, _ int) []string {
+	{"primary isolated from replicas but not from hosts", cutLinks(func(w *simulation, _ int) []string {
 		var s []string
 		for _, i := range w.instances {
 			s = append(s, w.primary().name+" "+i.name)
 		}
 		return s
 	})},
-	{"primary cut off", cutting(func(w *world, _ int) []string { return []string{w.primary().name} })},
-	{"replica cut off", cutting(func(w *world, n int) []string { return []string{w.instances[n].name} })},
-	{"host cut off", cutting(func(w *world, n int) []string { return []string{w.hosts[n].name} })},
-	{"host's link to the primary broken", cutting(func(w *world, n int) []string { return []string{w.hosts[n].name + " " + w.primary().name} })},
-	{"host and primary cut off together", cutting(func(w *world, n int) []string {
+	{"primary cut off", cutLinks(func(w *simulation, _ int) []string { return []string{w.primary().name} })},
+	{"replica cut off", cutLinks(func(w *simulation, n int) []string { return []string{w.instances[n].name} })},
+	{"host cut off", cutLinks(func(w *simulation, n int) []string { return []string{w.hosts[n].name} })},
+	{"host's link to the primary broken", cutLinks(func(w *simulation, n int) []string { return []string{w.hosts[n].name + " " + w.primary().name} })},
+	{"host and primary cut off together", cutLinks(func(w *simulation, n int) []string {
 		var s []string
 		for _, i := range w.instances {
 			if i != w.primary() {
@@ -81,53 +82,53 @@
 		}
 		return s
 	})},
-	{"primary paused", func(w *world, _ int) func() {
+	{"primary paused", func(w *simulation, _ int) func() {
 		p := w.primary()
 		p.paused = true
 		return p.resume
 	}},
-	{"primary crashed", func(w *world, _ int) func() {
+	{"primary crashed", func(w *simulation, _ int) func() {
 		p := w.primary()
 		p.down = true
 		return func() { p.down = false }
 	}},
-	{"replica crashed", func(w *world, n int) func() {
+	{"replica crashed", func(w *simulation, n int) func() {
 		i := w.instances[n]
 		i.down = true
 		return func() { i.down = false }
 	}},
-	{"replica far behind", func(w *world, n int) func() {
+	{"replica far behind", func(w *simulation, n int) func() {
 		i := w.instances[n]
 		i.lagging = true
 		return func() { i.lagging = false }
 	}},
-	{"platform down", func(w *world, _ int) func() {
+	{"platform down", func(w *simulation, _ int) func() {
 		w.platform.down = true
 		return func() { w.platform.down = false }
 	}},
-	{"answers of the claim lost", func(w *world, _ int) func() {
-		w.platform.silent = true
-		return func() { w.platform.silent = false }
+	{"answers of the claim lost", func(w *simulation, _ int) func() {
+		w.platform.loseAnswers = true
+		return func() { w.platform.loseAnswers = false }
 	}},
-	{"hosts promote at once", func(w *world, _ int) func() {
-		w.duel = true
-		return func() { w.duel = false }
+	{"hosts promote at once", func(w *simulation, _ int) func() {
+		w.simultaneous = true
+		return func() { w.simultaneous = false }
 	}},
-	{"messages lost", func(w *world, _ int) func() {
+	{"messages lost", func(w *simulation, _ int) func() {
 		w.loss = 0.1
 		return func() { w.loss = 0 }
 	}},
-	{"answers to commits lost", func(w *world, _ int) func() {
-		w.mute = true
-		return func() { w.mute = false }
+	{"answers to commits lost", func(w *simulation, _ int) func() {
+		w.loseCommitAnswers = true
+		return func() { w.loseCommitAnswers = false }
 	}},
-	{"host killed", func(w *world, n int) func() {
+	{"host killed", func(w *simulation, n int) func() {
 		w.hosts[n].kill()
 		return func() {}
 	}},
-	dying(promoter.StepReadClaim), dying(promoter.StepPutClaim), dying(promoter.StepFence),
-	dying(promoter.StepPromote), dying(promoter.StepConfirm), dying(promoter.StepDone),
-	{"hand-over", func(w *world, n int) func() {
+	promoterCrash(promoter.StepReadClaim), promoterCrash(promoter.StepPutClaim), promoterCrash(promoter.StepFence),
+	promoterCrash(promoter.StepPromote), promoterCrash(promoter.StepConfirm), promoterCrash(promoter.StepDone),
+	{"hand-over", func(w *simulation, n int) func() {
 		h := w.hosts[n]
 		if h.view.Confirmed && h.attempt == nil && !h.dead {
 			h.begin(&promoter.Attempt{Avoid: h.view.Primary, Prefer: w.instances[n].name})
@@ -136,16 +137,17 @@
 	}},
 }
 
-func dying(s promoter.Step) fault {
-	return fault{"promoter dies at " + string(s), func(w *world, _ int) func() {
-		w.dieAt = string(s)
-		return func() { w.dieAt = "" }
+// promoterCrash returns a fault that kills the next host whose promotion reaches step s.
+func promoterCrash(s promoter.Step) fault {
+	return fault{"promoter dies at " + string(s), func(w *simulation, _ int) func() {
+		w.crashStep = string(s)
+		return func() { w.crashStep = "" }
 	}}
 }
 
-// Any two faults come together at any moment while callers write and read. A
-// user must never lose a saved line, see one booked twice, be told "not run" of
-// a line that is there, or read less than was saved before the read.
+// Guards against lost, doubled and misreported writes and stale reads when any two faults overlap
+// while callers write and read. An acknowledged write must not be lost or run twice, a write that
+// was reported as not run must not exist, and a read must see all writes acknowledged before it.
 func TestFaultsInPairs(t *testing.T) {
 	for _, f := range faults {
 		t.Run(f.name, func(t *testing.T) {
@@ -156,7 +158,7 @@
 }
 
 func checkPair(r *rapid.T, f fault) {
-	w := newWorld(rapid.Uint64().Draw(r, "seed"), 3)
+	w := newSimulation(rapid.Uint64().Draw(r, "seed"), 3)
 	o := rapid.IntRange(0, len(faults)-1).Draw(r, "other fault")
 	for _, g := range []fault{f, faults[o]} {
 		n := rapid.IntRange(0, 2).Draw(r, "which")
@@ -164,17 +166,18 @@
 		d := time.Duration(rapid.IntRange(50, 2500).Draw(r, "for ms")) * time.Millisecond
 		w.after(at, func() { w.after(d, g.begin(w, n)) })
 	}
-	w.runUntil(healed)
+	w.runUntil(healAt)
 	w.heal()
-	w.runUntil(ended)
+	w.runUntil(endAt)
 	for _, v := range check(w) {
 		r.Error(v)
 	}
 }
 
-// check compares what callers were told with what the group holds at the end.
-func check(w *world) []string {
-	s := w.faults
+// check compares the outcomes reported to callers with the group's data at the end, and returns all
+// violations.
+func check(w *simulation) []string {
+	s := w.violations
 	p := w.primary()
 	if !w.hosts[0].view.Confirmed {
 		s = append(s, fmt.Sprintf("no confirmed primary at the end: %s, %s", w.hosts[0].view.Obstacle, w.hosts[0].view.Reason))
@@ -194,38 +197,38 @@
 	}
 	for _, x := range w.writes {
 		n := ids[x.id]
-		if x.told == recorder.Ran && n != 1 {
-			s = append(s, fmt.Sprintf("write %d was told ran and is there %d times", x.id, n))
+		if x.reported == recorder.Ran && n != 1 {
+			s = append(s, fmt.Sprintf("write %d was reported as ran and exists %d times", x.id, n))
 		}
-		if x.told == recorder.NotRun && n != 0 {
-			s = append(s, fmt.Sprintf("write %d was told not-run and is there", x.id))
+		if x.reported == recorder.NotRun && n != 0 {
+			s = append(s, fmt.Sprintf("write %d was reported as not-run and exists", x.id))
 		}
 	}
 	return s
 }
 
-// The old primary holds a write that nobody else has and is cut off. The new one
-// lacks the write and dies before it replicated anything; then the old one, whose
-// log is the longest, is promoted again and brings the write back. A user who was
-// told "not run" in between would book the line a second time.
-func TestWriteComesBackAfterTwoFailures(t *testing.T) {
+// Guards against reporting a write as superseded too early. The old primary alone holds the write
+// and is cut off. The new primary lacks the write and crashes before it has replicated anything;
+// the old primary, whose log is the longest, is promoted again and the write reappears. A caller
+// that was told "not run" in between would write a second time.
+func TestWriteReappearsAfterTwoFailures(t *testing.T) {
 	tests := []struct {
 		name string
-		// instances is how many the ledger counts: with one, the term-start
-		// record of the new primary alone is enough, as without that step.
+		// instances is the ledger's number of instances. With one, the term-start record of the new
+		// primary alone confirms the term, as if a majority weren't required.
 		instances int
 		want      acknowledger.Verdict
 	}{
 		{name: "term-start record held by a majority", instances: 3, want: acknowledger.Waiting},
-		{name: "without the term-start step", instances: 1, want: acknowledger.Superseded},
+		{name: "term-start record held by the primary only", instances: 1, want: acknowledger.Superseded},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newWorld(1, 0)
+			w := newSimulation(1, 0)
 			a, b, c := w.instances[0], w.instances[1], w.instances[2]
 			elect(t, 1, a, b, c)
 			w.runUntil(time.Second)
-			w.cuts[a.name] = true
+			w.cutLinks[a.name] = true
 			r, err := a.insert(record{id: 7})
 			if err != nil {
 				t.Fatal(err)
@@ -238,16 +241,16 @@
 				t.Errorf("verdict after the first failure = %s, want %s", got, tt.want)
 			}
 			b.down = true
-			clear(w.cuts)
+			clear(w.cutLinks)
 			if got := elect(t, 3, a, c); got != a {
 				t.Fatalf("promoted %s, want the longest log", got.name)
 			}
 			w.runUntil(2 * time.Second)
-			if n := countRecord(c, 7); n != 1 {
-				t.Fatalf("the write is there %d times at a majority, want it back once", n)
+			if n := countRecords(c, 7); n != 1 {
+				t.Fatalf("the write exists %d times at the replica, want it once", n)
 			}
 			if tt.want == acknowledger.Superseded {
-				return // the caller was told "not run", which is false now
+				return // "not run" was reported, which is now false
 			}
 			l.Observe(a.status())
 			l.Observe(c.status())
@@ -258,16 +261,16 @@
 	}
 }
 
-// Two hosts promote at the same moment without a claim, and many answers are
-// lost. If both could own a term, there would be two primaries whose writes are
-// acknowledged, and a user's saved line would vanish with one of them.
+// Guards against two primaries under one term. Two hosts promote at the same moment without a claim,
+// and many answers are lost. If both got a majority for a term, two primaries would have their
+// writes acknowledged, and those of one of them would be lost.
 func TestTwoHostsPromoteAtOnce(t *testing.T) {
 	completed := 0
 	for seed := range uint64(2000) {
-		w := newWorld(seed, 2)
-		w.duel, w.loss = true, 0.2
+		w := newSimulation(seed, 2)
+		w.simultaneous, w.loss = true, 0.2
 		for _, h := range w.hosts {
-			h.dead = true // no more than the attempt is driven
+			h.dead = true // the test drives the attempt itself
 			h.begin(&promoter.Attempt{})
 		}
 		for ms := range 100 {
@@ -278,18 +281,17 @@
 				}
 			}
 		}
-		for _, f := range w.faults {
+		for _, f := range w.violations {
 			t.Fatalf("seed %d: %s", seed, f)
 		}
-		completed += len(w.owners)
+		completed += len(w.primaryOfTerm)
 	}
 	if completed < 500 {
-		t.Errorf("%d attempts of 4000 promoted, want more to learn from", completed)
+		t.Errorf("%d attempts of 4000 promoted, want at least 500", completed)
 	}
 }
 
-// elect raises term n at the instances, promotes the one that is chosen and
-// points the others at it.
+// elect raises term n at the instances, promotes the chosen one and makes the others follow it.
 func elect(t *testing.T, n marker.Term, s ...*instance) *instance {
 	t.Helper()
 	var accepted []controller.Status
@@ -315,7 +317,7 @@
 	return p
 }
 
-func countRecord(i *instance, id int) int {
+func countRecords(i *instance, id int) int {
 	n := 0
 	for _, r := range i.log {
 		if r.id == id {
@@ -325,32 +327,33 @@
 	return n
 }
 
-// One entry host loses its own links to the primary, or to everything. The
-// others work on; a promotion would interrupt all users' writes for nothing.
-func TestBrokenLinkOfOneHostPromotesNothing(t *testing.T) {
+// Guards against a promotion caused by one host's own network. One entry host loses its links to the
+// primary, or all its links, while the other hosts still reach the primary; a promotion would
+// interrupt all writes needlessly.
+func TestBrokenLinkOfOneHostCausesNoPromotion(t *testing.T) {
 	for _, all := range []bool{false, true} {
-		w := newWorld(1, 3)
+		w := newSimulation(1, 3)
 		w.runUntil(2 * time.Second)
-		n := len(w.owners)
+		n := len(w.primaryOfTerm)
 		k := w.hosts[0].name
 		if !all {
 			k += " " + w.primary().name
 		}
-		w.cuts[k] = true
+		w.cutLinks[k] = true
 		w.runUntil(30 * time.Second)
-		if len(w.owners) != n {
-			t.Errorf("all links %t: %d terms had a primary, want %d", all, len(w.owners), n)
+		if len(w.primaryOfTerm) != n {
+			t.Errorf("all links %t: %d terms had a primary, want %d", all, len(w.primaryOfTerm), n)
 		}
 	}
 }
 
-// For ten minutes one message in twenty is lost and some instance stands still
-// for 200 ms every second. Users would notice a promotion as a gap.
+// Guards against promotions caused by short disturbances. For ten minutes one message in twenty is
+// lost and a random instance is paused for 200 ms every second; a promotion would interrupt writes.
 func TestNoFalsePromotion(t *testing.T) {
 	for seed := range uint64(5) {
-		w := newWorld(seed, 3)
+		w := newSimulation(seed, 3)
 		w.runUntil(2 * time.Second)
-		n := len(w.owners)
+		n := len(w.primaryOfTerm)
 		w.loss = 0.05
 		for s := 2 * time.Second; s < 600*time.Second; s += time.Second {
 			i := w.instances[w.rng.IntN(3)]
@@ -359,20 +362,21 @@
 			i.resume()
 			w.runUntil(s + time.Second)
 			w.writes = nil
-			w.hosts[0].nextWrite, w.hosts[1].nextWrite, w.hosts[2].nextWrite = ended*1000, ended*1000, ended*1000
+			w.hosts[0].nextWrite, w.hosts[1].nextWrite, w.hosts[2].nextWrite = endAt*1000, endAt*1000, endAt*1000
 		}
-		if len(w.owners) != n {
-			t.Errorf("seed %d: %d false promotions", seed, len(w.owners)-n)
+		if len(w.primaryOfTerm) != n {
+			t.Errorf("seed %d: %d false promotions", seed, len(w.primaryOfTerm)-n)
 		}
 	}
 }
 
-// The primary and one replica crash, and the replica that is left is far behind.
-// Promoting it would lose saved lines: writes stop instead, and the view says why.
-func TestReplicaFarBehindIsTheOnlyOneLeft(t *testing.T) {
-	w := newWorld(1, 3)
+// Guards against promoting a single remaining replica. The primary and one replica crash, and the
+// other replica lags far behind. Promoting it would lose acknowledged writes: writes stop instead,
+// and the view holds the reason.
+func TestNoPromotionOfSingleLaggingReplica(t *testing.T) {
+	w := newSimulation(1, 3)
 	w.runUntil(2 * time.Second)
-	n, p := len(w.owners), w.primary()
+	n, p := len(w.primaryOfTerm), w.primary()
 	var left *instance
 	for _, i := range w.instances {
 		if i != p && left == nil {
@@ -386,8 +390,8 @@
 	}
 	w.runUntil(20 * time.Second)
 	v := w.hosts[0].view
-	if len(w.owners) != n || v.Confirmed || v.Obstacle != observer.ObstacleNoMajority {
-		t.Errorf("%d promotions, confirmed %t, obstacle %q, want none with %q", len(w.owners)-n, v.Confirmed, v.Obstacle, observer.ObstacleNoMajority)
+	if len(w.primaryOfTerm) != n || v.Confirmed || v.Obstacle != observer.ObstacleNoMajority {
+		t.Errorf("%d promotions, confirmed %t, obstacle %q, want none with %q", len(w.primaryOfTerm)-n, v.Confirmed, v.Obstacle, observer.ObstacleNoMajority)
 	}
 	w.heal()
 	w.runUntil(25 * time.Second)
@@ -396,14 +400,15 @@
 	}
 }
 
-// The primary is lost for good in one way or another. A majority is there, so
-// writes must go on, at another server where the old one can't be confirmed.
-func TestWritesGoOnWithoutThePrimary(t *testing.T) {
+// Guards against an outage that lasts after the loss of one server or link. With a majority of the
+// instances available, writes must continue soon, at another server if the old primary can't be
+// confirmed.
+func TestWritesContinueAfterFault(t *testing.T) {
 	const within = 2500 * time.Millisecond
 	for _, f := range faults[:8] {
 		t.Run(f.name, func(t *testing.T) {
 			for seed := range uint64(20) {
-				w := newWorld(seed, 3)
+				w := newSimulation(seed, 3)
 				w.runUntil(2 * time.Second)
 				f.begin(w, 0)
 				w.runUntil(2*time.Second + within)
@@ -415,29 +420,29 @@
 	}
 }
 
-// The model must have something to check: writes of each outcome, and a promotion
-// for each fault that takes the primary away, but none for a host's own.
-func TestModelReachesEachOutcome(t *testing.T) {
-	told := map[recorder.Outcome]int{}
+// Guards against a simulation that exercises too little. It must produce writes of each outcome and
+// a promotion for each fault of the primary, but none for a fault of a host's own link.
+func TestSimulationReachesEachOutcome(t *testing.T) {
+	reported := map[recorder.Outcome]int{}
 	for k := range faults {
-		w := newWorld(uint64(k), 3)
+		w := newSimulation(uint64(k), 3)
 		w.after(time.Second, func() { w.after(2*time.Second, faults[k].begin(w, 1)) })
-		w.runUntil(healed)
+		w.runUntil(healAt)
 		w.heal()
-		w.runUntil(ended)
+		w.runUntil(endAt)
 		for _, x := range w.writes {
-			told[x.told]++
+			reported[x.reported]++
 		}
 		lost, own := strings.HasPrefix(faults[k].name, "primary "), strings.HasPrefix(faults[k].name, "host's ")
-		if n := len(w.owners); lost && n < 2 || own && n > 1 {
+		if n := len(w.primaryOfTerm); lost && n < 2 || own && n > 1 {
 			t.Errorf("%s: %d terms had a primary", faults[k].name, n)
 		}
 		for _, f := range check(w) {
 			t.Errorf("%s: %s", faults[k].name, f)
 		}
 	}
-	t.Logf("told %v", told)
-	if told[recorder.Ran] == 0 || told[recorder.NotRun] == 0 || told[recorder.Unknown] == 0 {
-		t.Errorf("told %v, want some of each", told)
+	t.Logf("reported %v", reported)
+	if reported[recorder.Ran] == 0 || reported[recorder.NotRun] == 0 || reported[recorder.Unknown] == 0 {
+		t.Errorf("reported %v, want some of each", reported)
 	}
 }
