--- a/internal/group/driver/attempter.go
+++ b/internal/group/driver/attempter.go
@@ -15,13 +15,15 @@
 	"github.com/cuminwick/cuminwick/internal/group/promoter"
 )
 
-// callsPerServer bounds the calls that one attempt makes to one server, all rounds together.
-const callsPerServer = 8
+// maxCallsPerServer is an upper bound on the calls that one attempt makes to one server, including
+// its retries.
+const maxCallsPerServer = 8
 
-// claimCalls bounds the calls that one attempt makes to the platform.
-const claimCalls = 3
+// maxClaimCalls is an upper bound on the calls that one attempt makes to the platform.
+const maxClaimCalls = 3
 
-// loopPromote promotes when the view calls for it, after the delay of this host's rank.
+// loopPromote promotes whenever the view shows that a promotion is due, after the delay of this
+// host's rank.
 func (d *Driver) loopPromote(ctx context.Context) {
 	defer d.calls.Done()
 	t, x := d.Clock.Ticks(d.Settings.GapInterval)
@@ -31,14 +33,14 @@
 		case <-ctx.Done():
 			return
 		case <-t:
-			d.refresh()
+			d.refreshView()
 			d.promoteIfDue(ctx)
 		}
 	}
 }
 
-// refresh makes a new view, since time alone changes what is fresh.
-func (d *Driver) refresh() {
+// refreshView computes a new view. Time alone changes it, since statuses become stale.
+func (d *Driver) refreshView() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.observe()
@@ -49,14 +51,14 @@
 	if v.At < d.notBefore {
 		return
 	}
-	if d.leavingDue(v) {
+	if d.leavingHandOverDue(v) {
 		if err := d.handOver(ctx, v.Primary, d.Settings.LeavingDrain); err != nil {
 			d.logger().WithError(err).Warn("hand-over of leaving primary failed")
 			d.backOff(v.Term)
 		}
 		return
 	}
-	if !promoter.Due(v, d.Settings.Observer, d.delay(v.HighestTerm)) {
+	if !promoter.Due(v, d.Settings.Observer, d.promotionDelay(v.HighestTerm)) {
 		return
 	}
 	a := promoter.New(v)
@@ -65,24 +67,24 @@
 	}
 }
 
-// backOff keeps this host from another attempt for a while. Hosts that raise
-// terms against each other would otherwise do so again at once.
+// backOff delays this host's next attempt. Hosts that raised competing terms would otherwise do so
+// again immediately.
 func (d *Driver) backOff(t marker.Term) {
-	d.notBefore = d.now() + d.Settings.RankStep + d.delay(t)
+	d.notBefore = d.now() + d.Settings.RankStep + d.promotionDelay(t)
 }
 
-// leavingDue reports whether this host moves the primary off a server that will
-// stop soon. By then all hosts have seen that it is leaving and hold new writes back.
-func (d *Driver) leavingDue(v *observer.View) bool {
-	return v.Confirmed && v.Leaving && heir(v) != "" &&
-		v.At-v.LeavingSince >= 2*d.Settings.StatusInterval+d.delay(v.Term)
+// leavingHandOverDue reports whether this host starts to hand over from a primary whose server is
+// leaving. The delay gives all hosts time to observe that it is leaving and to hold new writes back.
+func (d *Driver) leavingHandOverDue(v *observer.View) bool {
+	return v.Confirmed && v.Leaving && bestReplica(v) != "" &&
+		v.At-v.LeavingSince >= 2*d.Settings.StatusInterval+d.promotionDelay(v.Term)
 }
 
-// delay returns how long this host waits before it promotes. One that the peers
-// don't list only stands in for them, and comes after all that may still do it. Many
-// stand in where no serving host is left: they are spread, as those that promote
-// together raise the same term, of which at most one gets a majority.
-func (d *Driver) delay(t marker.Term) time.Duration {
+// promotionDelay returns how long this host waits before it promotes, for the current term t. A host
+// that Peers doesn't list is only a fallback and waits until after all listed hosts. If no listed
+// host is left, many fallback hosts may promote; their delays are spread, since hosts that promote
+// at the same time raise the same term, for which at most one gets a majority.
+func (d *Driver) promotionDelay(t marker.Term) time.Duration {
 	l := d.hosts()
 	n := promoter.Delay(l, d.Host, d.Group.Name, t, d.Settings.RankStep, d.Settings.RankSpread)
 	if d.Peers != nil && !slices.Contains(l, d.Host) {
@@ -91,9 +93,9 @@
 	return n
 }
 
-// HandOver moves the group's primary from the named server to its best replica.
-// This host holds new writes back meanwhile; other hosts hold theirs only where
-// the server says itself that it is leaving, which makes drivers move it unasked.
+// HandOver moves the group's primary from the named server to its best replica, and returns an error
+// of ErrHandOver if that fails. This host holds new writes back meanwhile. Other hosts do so only if
+// the server itself reports that it is leaving, in which case drivers hand over automatically.
 // Transactions that are still open after Settings.HandOverDrain are rolled back.
 func (d *Driver) HandOver(ctx context.Context, from string) error {
 	d.init()
@@ -102,20 +104,20 @@
 
 func (d *Driver) handOver(ctx context.Context, from string, drain time.Duration) error {
 	v := d.View()
-	h := heir(v)
+	h := bestReplica(v)
 	if !v.Confirmed || v.Primary != from || h == "" {
 		return errors.Annotatef(ErrHandOver, "from %s to %q with primary %q, %s", from, h, v.Primary, v.Obstacle)
 	}
 	c, cancel := context.WithTimeout(ctx, d.Settings.Promoter.PromoteTimeout)
 	defer cancel()
-	if err := d.cover(c, h, from); err != nil {
+	if err := d.awaitCatchUp(c, h, from); err != nil {
 		return err
 	}
-	d.hand(true)
-	defer d.hand(false)
-	d.drain(c, from, drain)
+	d.setHandingOver(true)
+	defer d.setHandingOver(false)
+	d.awaitDrained(c, from, drain)
 	for {
-		a, err := d.move(ctx, c, h, from)
+		a, err := d.attemptHandOver(ctx, c, h, from)
 		if err != nil {
 			return err
 		}
@@ -128,31 +130,29 @@
 	}
 }
 
-// move makes one attempt at a hand-over. It ends with the old primary chosen again
-// where that alone holds a commit that came after the wait for the heir; wait
-// bounds that wait, not the attempt, which must not be left halfway.
-func (d *Driver) move(ctx, wait context.Context, heir, from string) (*promoter.Attempt, error) {
-	if err := d.cover(wait, heir, from); err != nil {
+// attemptHandOver makes one attempt to hand over to the target. The old primary is chosen again if
+// it alone holds a commit that was made after the wait for the target to catch up. The context wait
+// bounds only that wait, not the attempt, which must not be interrupted halfway.
+func (d *Driver) attemptHandOver(ctx, wait context.Context, target, from string) (*promoter.Attempt, error) {
+	if err := d.awaitCatchUp(wait, target, from); err != nil {
 		return nil, err
 	}
-	a := &promoter.Attempt{Prefer: heir, Avoid: from, Planned: true}
+	a := &promoter.Attempt{Prefer: target, Avoid: from, Planned: true}
 	d.tryAttempt(ctx, a, d.View())
 	return a, nil
 }
 
-// cover waits until the heir's log covers what the old primary's was last seen to
-// hold. It is done before writes are held back, as that may take long, and again
-// before each attempt.
-func (d *Driver) cover(ctx context.Context, heir, from string) error {
-	if err := d.WaitCovered(ctx, heir, mark(d.View(), from)); err != nil {
+// awaitCatchUp waits until the target's log covers the last observed entry of the old primary's. It
+// is called before writes are held back, since it may take long, and again before each attempt.
+func (d *Driver) awaitCatchUp(ctx context.Context, target, from string) error {
+	if err := d.WaitCovered(ctx, target, lastMark(d.View(), from)); err != nil {
 		return errors.WithType(errors.Annotatef(err, "hand over from %s", from), ErrHandOver)
 	}
 	return nil
 }
 
-// drain waits until no transaction that has written is open at the server, for
-// at most t.
-func (d *Driver) drain(ctx context.Context, server string, t time.Duration) {
+// awaitDrained waits, for at most t, until the server has no open transaction that has written.
+func (d *Driver) awaitDrained(ctx context.Context, server string, t time.Duration) {
 	c, cancel := context.WithTimeout(ctx, t)
 	defer cancel()
 	if _, err := d.wait(c, &waiter{kind: waitDrained, server: server}); err != nil {
@@ -161,8 +161,9 @@
 	}
 }
 
-// heir returns the replica with the highest last entry that answers and isn't leaving.
-func heir(v *observer.View) string {
+// bestReplica returns the replica with the highest last log entry among those that have a fresh
+// status and aren't leaving, empty if there is none.
+func bestReplica(v *observer.View) string {
 	var s []controller.Status
 	for _, o := range v.Servers {
 		if o.Name != v.Primary && o.Fresh && !o.Status.Leaving {
@@ -172,9 +173,9 @@
 	return promoter.Choose(s, "")
 }
 
-// tryAttempt carries the attempt, decided on from v, through unless this host has
-// another one in progress. A newer view may show that another host has begun:
-// going above its term would take the primary away that it is about to give.
+// tryAttempt runs the attempt unless this host has another one in progress. v is the view that the
+// attempt was decided on: a newer view may show that another host has started to promote, and a term
+// above that host's would fence the primary that it is about to promote.
 func (d *Driver) tryAttempt(ctx context.Context, a *promoter.Attempt, v *observer.View) {
 	select {
 	case d.attempts <- struct{}{}:
@@ -183,10 +184,10 @@
 		return
 	}
 	defer d.endAttempt()
-	d.fill(a, v)
+	d.prepareAttempt(a, v)
 	l := d.logger().WithFields(log.Fields{"suspicion": v.Reason, "avoid": a.Avoid, "old-primary": v.Primary, "above": a.HighestTerm})
 	l.Info("promotion begun")
-	d.carry(ctx, a)
+	d.runAttempt(ctx, a)
 	if a.Step == promoter.StepDone {
 		d.Promotions.Add(1)
 	}
@@ -200,13 +201,15 @@
 	<-d.attempts
 }
 
-func (d *Driver) fill(a *promoter.Attempt, v *observer.View) {
+// prepareAttempt sets the fields of the attempt that don't depend on why it is made, and counts it
+// as in progress.
+func (d *Driver) prepareAttempt(a *promoter.Attempt, v *observer.View) {
 	a.Settings = d.Settings.Promoter
 	a.Host = d.Host
 	a.Group = d.Group.Name
 	a.HighestTerm = v.HighestTerm
 	a.Writer = rand.Text()
-	a.ClaimTracker = &d.memory
+	a.ClaimTracker = &d.claimTracker
 	for _, i := range d.instances {
 		a.Servers = append(a.Servers, i.name)
 	}
@@ -216,9 +219,9 @@
 	d.schedule()
 }
 
-// carry makes the calls that the attempt asks for until it ends.
-func (d *Driver) carry(ctx context.Context, a *promoter.Attempt) {
-	r := make(chan promoter.Result, claimCalls+callsPerServer*len(d.instances))
+// runAttempt makes the calls that the attempt asks for until the attempt or ctx ends.
+func (d *Driver) runAttempt(ctx context.Context, a *promoter.Attempt) {
+	r := make(chan promoter.Result, maxClaimCalls+maxCallsPerServer*len(d.instances))
 	t, s := d.Clock.Ticks(d.Settings.StepInterval)
 	defer s.Cancel()
 	a.Begin(d.now(), d.Platform != nil)
@@ -241,10 +244,11 @@
 	}
 }
 
-// call carries out one action of an attempt or of a repointing.
+// call carries out one action of an attempt or a repointing.
 type call struct {
-	driver  *Driver
-	action  promoter.Action
+	driver *Driver
+	action promoter.Action
+	// results receives the result, unless it is nil.
 	results chan<- promoter.Result
 }
 
@@ -259,26 +263,27 @@
 	case promoter.ActionPutClaim:
 		r.Object, r.Err = c.driver.Platform.Put(x, c.action.Object)
 	default:
-		r.Status, r.Err = c.control(x)
+		r.Status, r.Err = c.callInstance(x)
 	}
 	if c.results != nil {
 		c.results <- r
 	}
 }
 
-func (c *call) control(ctx context.Context) (controller.Status, error) {
+// callInstance carries out an action at an instance and records the status in the answer.
+func (c *call) callInstance(ctx context.Context) (controller.Status, error) {
 	i := c.driver.instance(c.action.Server)
 	n, at := c.driver.beginCall()
-	s, err := c.ask(ctx, i)
+	s, err := c.send(ctx, i)
 	if err != nil {
 		c.driver.logger().WithError(err).WithFields(log.Fields{"backend-server": i.name, "action": c.action.Kind, "term": c.action.Term}).Warn("promotion call failed")
 		return s, errors.Annotatef(err, "%s at backend server %s", c.action.Kind, i.name)
 	}
-	c.driver.fold(i, n, at, s)
+	c.driver.recordAnswer(i, n, at, s)
 	return s, nil
 }
 
-func (c *call) ask(ctx context.Context, i *instance) (controller.Status, error) {
+func (c *call) send(ctx context.Context, i *instance) (controller.Status, error) {
 	if err := c.driver.checkIdentity(i); err != nil {
 		return controller.Status{}, err
 	}
--- a/internal/group/driver/changes.go
+++ b/internal/group/driver/changes.go
@@ -8,7 +8,8 @@
 	"github.com/cuminwick/cuminwick/internal/group/observer"
 )
 
-// AwaitView is for hosts that follow another one; a driver's view is always of use.
+// AwaitView returns immediately, since a driver's view can always be used. At hosts that follow
+// another host it waits for a view.
 func (d *Driver) AwaitView(context.Context) {}
 
 // Thresholds returns Settings.
@@ -19,10 +20,10 @@
 	return d.View().Word(d.Host, d.Settings.Observer)
 }
 
-// Snapshot returns the view with its version. That numbers the changes of which
-// other entry hosts are told at once: of term, role, reachability, leaving or of
-// whom a replica follows. A position alone isn't one. It begins at random, so that
-// the number of another driver of the group isn't taken for one of this.
+// Snapshot returns the view and its version. The version increases with each change that other entry
+// hosts are notified of immediately: of a term, a role, reachability, leaving, or the server that a
+// replica follows, but not of positions alone. It starts at a random number, so that versions of
+// different drivers of the group aren't mistaken for each other.
 func (d *Driver) Snapshot() (*observer.View, uint64) {
 	d.init()
 	d.mu.Lock()
@@ -30,7 +31,7 @@
 	return d.view.Load(), d.version.Load()
 }
 
-// AwaitChange returns when the version is another than v or ctx has ended.
+// AwaitChange returns when the version differs from v or ctx has ended.
 func (d *Driver) AwaitChange(ctx context.Context, v uint64) {
 	d.init()
 	d.mu.Lock()
@@ -45,50 +46,51 @@
 	}
 }
 
-// change tells of a new version. The mutex is held.
-func (d *Driver) change() {
+// notifyChange increments the version and wakes the calls of AwaitChange. The mutex is held.
+func (d *Driver) notifyChange() {
 	d.version.Add(1)
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// HandingOver reports whether the primary is about to be moved, by this host or
-// because its server is leaving; new writes had better wait.
+// HandingOver reports whether new writes should wait because the primary is being handed over, by
+// this host or because the primary's server is leaving.
 func (d *Driver) HandingOver() bool {
-	return d.handing.Load() || WritesHeldForLeaving(d.View(), d.now(), d.Settings.LeavingHold)
+	return d.handingOver.Load() || WritesHeldForLeaving(d.View(), d.now(), d.Settings.LeavingHold)
 }
 
-// WritesHeldForLeaving reports whether new writes wait at the given time since the primary's
-// server is leaving and another one can take over.
+// WritesHeldForLeaving reports whether new writes are held back at the given time because the
+// primary's server is leaving and a replica can take over. Writes are held back for at most hold.
 func WritesHeldForLeaving(v *observer.View, now, hold time.Duration) bool {
-	return v.Leaving && heir(v) != "" && now-v.LeavingSince < hold
+	return v.Leaving && bestReplica(v) != "" && now-v.LeavingSince < hold
 }
 
-// HandingOverLocally reports whether this host is moving the primary itself.
+// HandingOverLocally reports whether this host itself is handing the primary over.
 func (d *Driver) HandingOverLocally() bool {
-	return d.handing.Load()
+	return d.handingOver.Load()
 }
 
-// hand notes whether this host hands the primary over.
-func (d *Driver) hand(begins bool) {
-	d.handing.Store(begins)
+// setHandingOver records whether this host is handing the primary over.
+func (d *Driver) setHandingOver(active bool) {
+	d.handingOver.Store(active)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.change()
+	d.notifyChange()
 }
 
-// differs reports whether v is a change from p that others are told at once.
-func differs(p, v *observer.View) bool {
+// differsForPeers reports whether v differs from p in a way that other hosts are notified of
+// immediately.
+func differsForPeers(p, v *observer.View) bool {
 	return p.Primary != v.Primary || p.Term != v.Term || p.HighestTerm != v.HighestTerm ||
 		p.Obstacle != v.Obstacle || p.Reason != v.Reason || p.Leaving != v.Leaving ||
-		!slices.EqualFunc(p.Servers, v.Servers, alike)
+		!slices.EqualFunc(p.Servers, v.Servers, sameState)
 }
 
-// alike reports whether two observations of a server differ in positions and times
-// only. Further failures than two in a row change nothing.
-func alike(a, b observer.Server) bool {
-	const enough = 2
+// sameState reports whether two observations of a server differ only in positions and times.
+// Failures are counted up to two in a row.
+func sameState(a, b observer.Server) bool {
+	const maxCounted = 2
 	return a.Fresh == b.Fresh && a.Answered == b.Answered && a.Status.Role == b.Status.Role &&
 		a.Status.Term == b.Status.Term && a.Status.Last.Term == b.Status.Last.Term && a.Status.TermStart == b.Status.TermStart && a.Status.Following == b.Status.Following &&
-		a.Status.Leaving == b.Status.Leaving && min(a.Failures, enough) == min(b.Failures, enough)
+		a.Status.Leaving == b.Status.Leaving && min(a.Failures, maxCounted) == min(b.Failures, maxCounted)
 }
--- a/internal/group/driver/delay_test.go
+++ b/internal/group/driver/delay_test.go
@@ -9,27 +9,27 @@
 	"github.com/cuminwick/cuminwick/internal/group/observer"
 )
 
-// serving lists the serving hosts.
+// serving is a fake of Peers with the names of the hosts that serve the group.
 type serving []string
 
 func (s serving) PrimaryReports(string) []observer.Word { return nil }
 func (s serving) Hosts(string) []string                 { return s }
 
-// All serving hosts of a group are lost with its primary, and a hundred others stand
-// in for them. Did all of these promote at the same moment, they would raise the same
-// term against each other, and writes would stand still for longer.
-func TestHostsThatStandInAreSpread(t *testing.T) {
+// Guards against competing promotions by fallback hosts. All serving hosts of a group are lost with
+// its primary, and a hundred other hosts may promote instead. If they all promoted at the same
+// moment, they would raise the same term and prolong the outage of writes.
+func TestFallbackHostsAreSpread(t *testing.T) {
 	l := serving{"a", "b", "c"}
 	seen := make(map[time.Duration]int)
 	for i := range 100 {
 		d := &Driver{Group: declarer.DatabaseGroup{Name: "g"}, Host: fmt.Sprint("h", i), Peers: l, Settings: Defaults()}
-		n := d.delay(7)
+		n := d.promotionDelay(7)
 		if n < time.Duration(len(l))*d.Settings.RankStep {
-			t.Errorf("%s promotes after %v, with the serving hosts", d.Host, n)
+			t.Errorf("%s promotes after %v, before the last serving host", d.Host, n)
 		}
 		seen[n]++
 	}
 	if len(seen) < 8 {
-		t.Errorf("a hundred hosts promote at %d moments", len(seen))
+		t.Errorf("a hundred hosts have only %d different delays", len(seen))
 	}
 }
--- a/internal/group/driver/driver.go
+++ b/internal/group/driver/driver.go
@@ -1,4 +1,4 @@
-// Package driver runs the decisions on one database group at one entry host: it polls the instances, answers the request path and promotes.
+// Package driver manages one database group at one entry host: it polls the instances, answers waiting requests and promotes.
 package driver
 
 import (
@@ -22,33 +22,34 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// Errors of the waits on a group.
+// Errors returned by waits on a group and by hand-overs.
 const (
-	// ErrSuperseded: a later term is confirmed without the commit, or without any
-	// of its term. It did not run and never will.
+	// ErrSuperseded says that a later term is confirmed without the commit, or without any entry
+	// of the commit's term. The commit did not run and never will.
 	ErrSuperseded = errors.ConstError("commit superseded")
-	// ErrUndetermined: the commit may have run or not; its idempotency key tells.
+	// ErrUndetermined says that the commit may have run or not. Its idempotency key may tell.
 	ErrUndetermined = errors.ConstError("commit undetermined")
-	// ErrNoMajority: fewer than a majority of the instances answer this host, so
-	// that a write would not be acknowledged. Nothing was sent.
+	// ErrNoMajority says that fewer than a majority of the instances answer this host, so that a
+	// write would not be acknowledged. Nothing was sent.
 	ErrNoMajority = errors.ConstError("majority of instances not reachable")
-	// ErrNoPrimary: no primary was confirmed in time. Nothing was sent.
+	// ErrNoPrimary says that no primary was confirmed in time. Nothing was sent.
 	ErrNoPrimary = errors.ConstError("no confirmed primary")
-	// ErrUncovered: the instance did not reach the mark in time.
+	// ErrUncovered says that the instance's log did not reach the mark in time.
 	ErrUncovered = errors.ConstError("instance behind mark")
-	// ErrStopped: nothing polls for the request any more, since the group is served
-	// by another driver or the host ends. Another driver may have the answer.
+	// ErrStopped says that the driver has stopped polling, since another driver serves the group
+	// or the host shuts down. Another driver may have the answer.
 	ErrStopped = errors.ConstError("driver of database group stopped")
-	// ErrHandOver: a planned hand-over did not take place.
+	// ErrHandOver says that a planned hand-over did not take place.
 	ErrHandOver = errors.ConstError("no hand-over")
 )
 
-// Peers gives other entry hosts' knowledge, from memory and without waiting.
+// Peers provides information from other entry hosts. The methods return stored data without
+// waiting.
 type Peers interface {
-	// PrimaryReports returns the recent words of other entry hosts on the group's primary.
+	// PrimaryReports returns the recent reports of other entry hosts on the group's primary.
 	PrimaryReports(group string) []observer.Word
-	// Hosts returns the names of the live entry hosts that promote the group's
-	// servers unasked.
+	// Hosts returns the names of the live entry hosts that promote the group's servers
+	// automatically.
 	Hosts(group string) []string
 }
 
@@ -56,45 +57,51 @@
 type Settings struct {
 	Observer observer.Settings
 	Promoter promoter.Settings
-	// StatusInterval is the time between two polls of an instance at rest.
+	// StatusInterval is the time between two polls of an instance that no request waits for.
 	StatusInterval time.Duration
-	// StatusTimeout ends a poll without an answer.
+	// StatusTimeout bounds one poll.
 	StatusTimeout time.Duration
-	// MinPollInterval is the least time between two polls for the same commit or read.
+	// MinPollInterval is the minimum time between two polls of an instance for the same waiting
+	// request, and the time between two polls during a promotion.
 	MinPollInterval time.Duration
-	// BusyGapInterval is the time between two polls while no primary is confirmed and
-	// requests come, and the time after the first failure of an instance.
+	// BusyGapInterval replaces GapInterval while requests wait. It is also the time after the first
+	// failed poll of an instance.
 	BusyGapInterval time.Duration
-	// GapInterval is the time between two polls while no primary is confirmed.
+	// GapInterval is the time between two polls while no primary is confirmed, or the primary may be
+	// lost, and no requests wait. It is also the longest time between two polls for one waiting
+	// request, and the interval at which the view is recomputed.
 	GapInterval time.Duration
-	// FailureInterval is the time before an instance is polled again after further failures.
+	// FailureInterval is the time after the second and each further failed poll in a row of an
+	// instance.
 	FailureInterval time.Duration
-	// StepInterval is how often a promotion in progress looks at the clock.
+	// StepInterval is how often a promotion in progress checks its timeouts and the view.
 	StepInterval time.Duration
-	// RankStep is how much later each further host promotes.
+	// RankStep is the difference between the promotion delays of hosts of successive ranks.
 	RankStep time.Duration
-	// RankSpread is the largest delay if the live hosts aren't known.
+	// RankSpread is the upper bound of the promotion delay if the live hosts aren't known.
 	RankSpread time.Duration
-	// RepointDelay is how long an instance may be astray before it is pointed
-	// at the primary by the first host.
+	// RepointDelay is how long an instance may not follow the primary before the host of the first
+	// rank makes it do so.
 	RepointDelay time.Duration
-	// HostsInterval is the time between two looks at the host list.
+	// HostsInterval is the time between two reads of the platform's host list.
 	HostsInterval time.Duration
-	// NoMajorityTimeout is how long a majority may be out of reach before waiting writes
-	// are refused instead of kept waiting.
+	// NoMajorityTimeout is how long a majority of the instances may be unreachable before waiting
+	// writes are refused.
 	NoMajorityTimeout time.Duration
 	// HandOverDrain is how long a hand-over by command waits for open transactions.
 	HandOverDrain time.Duration
-	// LeavingDrain is the same where the primary's server is leaving; then all
-	// hosts hold new writes back.
+	// LeavingDrain is how long a hand-over from a leaving server waits for open transactions. It
+	// may be longer, since all hosts hold new writes back then.
 	LeavingDrain time.Duration
-	// LeavingHold is how long new writes are held back for a leaving primary.
+	// LeavingHold is how long new writes are held back while the primary's server is leaving.
 	LeavingHold time.Duration
-	// CallTimeout bounds one call to an instance during a promotion.
+	// CallTimeout bounds one call to an instance or the platform for a promotion, a repointing or
+	// the host list.
 	CallTimeout time.Duration
 }
 
-// Defaults returns the settings that suit the two deployments.
+// Defaults returns the settings that suit both deployments that definer.Deployments of
+// internal/bench describes.
 func Defaults() Settings {
 	return Settings{
 		Observer: observer.Settings{
@@ -104,7 +111,8 @@
 			NoPrimary: 200 * time.Millisecond,
 			Freshness: 500 * time.Millisecond,
 			Ahead:     time.Second,
-			// Looks are 20 ms apart, answers at rest 100 ms and a round trip.
+			// LookLimit applies to the view, which is recomputed every 20 ms (GapInterval);
+			// AnswerLimit to answers at rest, which are 100 ms (StatusInterval) and a round trip apart.
 			LookLimit:   50 * time.Millisecond,
 			AnswerLimit: 200 * time.Millisecond,
 			EvidenceAge: 400 * time.Millisecond,
@@ -144,78 +152,80 @@
 	Group declarer.DatabaseGroup
 	// Host is this entry host's name.
 	Host string
-	// Controls holds the control side of each backend server of Group by name.
-	// After a call that failed the next one must use a fresh connection.
+	// Controls holds the control interface of each backend server of Group by name. After a failed
+	// call the next one must use a fresh connection.
 	Controls map[string]controller.Control
-	// Platform may be nil.
+	// Platform may be nil. Then promotions make no claims.
 	Platform accessor.Platform
 	// Peers may be nil. Then the live hosts are those of the platform's host list.
 	Peers    Peers
 	Settings Settings
-	// Clock tells when something is due, timers of its own if nil.
+	// Clock provides timers and tickers. If nil, the runtime's own are used.
 	Clock *scheduler.Scheduler
-	// Stopwatch is read for all times of the view. Without it the driver has its own.
+	// Stopwatch is the monotonic clock of all times in the view. If nil, the driver creates one.
 	Stopwatch *scheduler.Stopwatch
 	Log       log.Interface
 
 	// Promotions counts the promotions that this host completed.
 	Promotions atomic.Uint64
-	// Polls counts the polls that this host began, by cause.
+	// Polls counts the polls that this host started, by cause.
 	Polls [pacer.Causes]atomic.Uint64
 
-	once      sync.Once
-	instances []*instance
-	view      atomic.Pointer[observer.View]
-	attempts  chan struct{}
-	handing   atomic.Bool
-	version   atomic.Uint64
-	listed    atomic.Pointer[[]string]
-	// notBefore belongs to loopPromote.
-	notBefore time.Duration
-	memory    promoter.ClaimTracker
-	calls     sync.WaitGroup
+	once        sync.Once
+	instances   []*instance
+	view        atomic.Pointer[observer.View]
+	attempts    chan struct{}
+	handingOver atomic.Bool
+	version     atomic.Uint64
+	listedHosts atomic.Pointer[[]string]
+	// notBefore is the earliest time of the next attempt. Only loopPromote uses it.
+	notBefore    time.Duration
+	claimTracker promoter.ClaimTracker
+	calls        sync.WaitGroup
 
 	mu     sync.Mutex
 	ledger acknowledger.Ledger
-	// identities tells strangers at the instances' addresses.
+	// identities detects servers of other groups at the instances' addresses.
 	identities identities
 	waiters    map[*waiter]struct{}
 	// stopped says that Run's context has ended.
-	stopped  atomic.Bool
+	stopped atomic.Bool
+	// sequence is the number of the last call that began at any instance.
 	sequence uint64
-	// promoting counts the attempts in progress, which is one at most.
+	// promoting counts the attempts in progress, at most one.
 	promoting int
-	// demanded is when a request last waited.
-	demanded time.Duration
-	astray   map[string]time.Duration
+	// lastDemand is when a request was last waiting.
+	lastDemand time.Duration
+	// repointSince is since when each server that doesn't follow the primary hasn't, by server name.
+	repointSince map[string]time.Duration
 	// changed is closed at the next change of version.
 	changed chan struct{}
-	// table and polled are kept for their slices.
-	table  pacer.Table
-	polled []marker.Mark
+	// table and polledMarks are kept to reuse the memory of their slices.
+	table       pacer.Table
+	polledMarks []marker.Mark
 }
 
-// instance is the driver's account of one backend server. Its fields are
-// guarded by the driver's mutex but for the constant ones at the top.
+// instance is the driver's state of one backend server. The fields above observation are constant,
+// the others are guarded by the driver's mutex.
 type instance struct {
 	name    string
 	address string
 	control controller.Control
-	kick    chan struct{}
+	wakeup  chan struct{}
 
 	observation observer.Observation
-	// polled is the sequence number of the last poll that was answered, taken
-	// when the poll began.
-	polled uint64
-	// polling says that a poll is under way; begun and began are the number and
-	// time of the last one that began, ended is when the last one ended.
-	polling      bool
-	begun        uint64
-	began, ended time.Duration
-	// hurried says that a caller has seen a server fail and the next poll is due.
-	hurried bool
-	delays  pacer.Delays
-	turn    pacer.Turn
+	// answered is the sequence number of the latest call that was answered. Numbers are assigned
+	// when a call begins.
+	answered uint64
+	// polling says that a poll is in progress. lastBegun and beganAt are the number and start time
+	// of the last poll that began, endedAt is the end of the last poll that ended.
+	polling          bool
+	lastBegun        uint64
+	beganAt, endedAt time.Duration
+	// pollRequested says that PollNow was called since the last poll began.
+	pollRequested bool
+	delays        pacer.Delays
+	turn          pacer.Turn
 }
 
 func (d *Driver) init() {
@@ -226,12 +236,12 @@
 	if d.Stopwatch == nil {
 		d.Stopwatch = new(scheduler.Stopwatch)
 	}
-	// The first reading, before others may read at the same time.
+	// Starts the stopwatch before other goroutines can read it.
 	d.Stopwatch.Elapsed()
 	d.version.Store(rand.Uint64())
 	d.changed = make(chan struct{})
 	d.waiters = make(map[*waiter]struct{})
-	d.astray = make(map[string]time.Duration)
+	d.repointSince = make(map[string]time.Duration)
 	d.attempts = make(chan struct{}, 1)
 	d.ledger.Instances = len(d.Group.BackendServers)
 	d.identities.servers = len(d.Group.BackendServers)
@@ -240,7 +250,7 @@
 			name:    b.Name,
 			address: b.Address,
 			control: d.Controls[b.Name],
-			kick:    make(chan struct{}, 1),
+			wakeup:  make(chan struct{}, 1),
 		})
 	}
 	d.mu.Lock()
@@ -248,7 +258,8 @@
 	d.observe()
 }
 
-// Run polls and promotes until ctx ends.
+// Run polls and promotes until ctx ends, and returns its error. It returns an error at once if a
+// backend server has no entry in Controls.
 func (d *Driver) Run(ctx context.Context) error {
 	d.init()
 	for _, i := range d.instances {
@@ -264,30 +275,31 @@
 	go d.loopRepoint(ctx)
 	go d.loopHosts(ctx)
 	<-ctx.Done()
-	d.endWaits()
+	d.stopWaiters()
 	d.calls.Wait()
 	return errors.Annotatef(ctx.Err(), "drive database group %s", d.Group.Name)
 }
 
-// View returns the present view of the group. It must not be changed.
+// View returns the current view of the group. It must not be changed.
 func (d *Driver) View() *observer.View {
 	d.init()
 	return d.view.Load()
 }
 
-// Now returns the time on the monotonic clock that the view's times are read from.
+// Now returns the time on the monotonic clock of the view's times.
 func (d *Driver) Now() time.Duration {
 	d.init()
 	return d.now()
 }
 
-// PollNow polls all instances at once, for a caller that has seen one fail.
+// PollNow makes polls of all instances due immediately. It is called when a request has failed at an
+// instance.
 func (d *Driver) PollNow() {
 	d.init()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, i := range d.instances {
-		i.hurried = true
+		i.pollRequested = true
 	}
 	d.schedule()
 }
@@ -296,8 +308,8 @@
 	return d.Stopwatch.Elapsed()
 }
 
-// observe makes a new view of what is known, serves the waiters and sets when the
-// instances are polled next. The mutex is held.
+// observe computes a new view from the observations, answers the waiters that it can answer and
+// schedules the next polls. The mutex is held.
 func (d *Driver) observe() {
 	s := make([]observer.Server, len(d.instances))
 	for n, i := range d.instances {
@@ -307,17 +319,17 @@
 	if o := d.view.Load(); o != nil {
 		p = *o
 	}
-	v := observer.Observe(d.now(), d.Settings.Observer, s, d.words(), p)
+	v := observer.Observe(d.now(), d.Settings.Observer, s, d.primaryReports(), p)
 	d.logChange(&p, &v)
 	d.view.Store(&v)
-	if differs(&p, &v) {
-		d.change()
+	if differsForPeers(&p, &v) {
+		d.notifyChange()
 	}
 	d.serveWaiters(&v)
 	d.schedule()
 }
 
-func (d *Driver) words() []observer.Word {
+func (d *Driver) primaryReports() []observer.Word {
 	if d.Peers == nil {
 		return nil
 	}
@@ -346,8 +358,8 @@
 	return l.WithField("database-group", d.Group.Name)
 }
 
-// mark returns the highest last entry known of the named server.
-func mark(v *observer.View, server string) marker.Mark {
+// lastMark returns the last observed log entry of the named server, zero if there is none.
+func lastMark(v *observer.View, server string) marker.Mark {
 	s, _ := v.Server(server)
 	return s.Status.Last
 }
--- a/internal/group/driver/driver_test.go
+++ b/internal/group/driver/driver_test.go
@@ -25,13 +25,13 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// limit only ends a run that would hang.
-const limit = 30 * time.Second
+// hangTimeout bounds waits that would hang if a test fails.
+const hangTimeout = 30 * time.Second
 
-// near is a deployment without latency.
-var near = definer.Deployment{Places: []disturber.Place{{AvailabilityZone: "a"}, {AvailabilityZone: "b"}, {AvailabilityZone: "c"}}}
+// noLatency is a deployment without latency.
+var noLatency = definer.Deployment{Places: []disturber.Place{{AvailabilityZone: "a"}, {AvailabilityZone: "b"}, {AvailabilityZone: "c"}}}
 
-// rig is a group of three stand-ins with the drivers of some entry hosts.
+// rig is a test setup of a group of three stand-in servers and the drivers of several entry hosts.
 type rig struct {
 	tb      testing.TB
 	ctx     context.Context
@@ -39,8 +39,9 @@
 	store   *storekeeper.Store
 	drivers []*Driver
 	lines   int
-	kept    map[string]*pgconn.PgConn
-	// caller is the host that callers use.
+	// conns holds the open connections by host and server.
+	conns map[string]*pgconn.PgConn
+	// caller is the index of the host that sends requests.
 	caller  int
 	network disturber.Network
 	places  []disturber.Place
@@ -49,7 +50,7 @@
 // newRig starts a group over a network with the latencies of a deployment.
 func newRig(tb testing.TB, hosts int, p definer.Deployment) *rig {
 	ctx, stop := context.WithCancel(context.Background())
-	r := &rig{tb: tb, ctx: ctx, group: &grouper.Group{}, store: &storekeeper.Store{}, places: p.Places, kept: map[string]*pgconn.PgConn{}}
+	r := &rig{tb: tb, ctx: ctx, group: &grouper.Group{}, store: &storekeeper.Store{}, places: p.Places, conns: map[string]*pgconn.PgConn{}}
 	r.network.Latency = p.Latency
 	r.network.Open(ctx)
 	r.store.SetLatency(2 * p.ZoneLatency)
@@ -61,7 +62,7 @@
 		d := r.network.Dialer(q)
 		s := &responder.Server{Name: fmt.Sprintf("db-%d", i+1), Address: "127.0.0.1:0", ConnectTime: p.ConnectTime}
 		s.Dial = func(ctx context.Context, name, a string) (net.Conn, error) {
-			// A replica dials as soon as it starts, before the group is ready.
+			// A replica dials when it starts, before the group is ready.
 			r.network.Locate(a, at[name])
 			return d(ctx, "tcp", a)
 		}
@@ -114,9 +115,9 @@
 	return m
 }
 
-// await returns when the first n hosts see a confirmed primary.
+// await returns when the first n hosts have a view with a confirmed primary.
 func (r *rig) await(n int) {
-	ctx, stop := context.WithTimeout(r.ctx, limit)
+	ctx, stop := context.WithTimeout(r.ctx, hangTimeout)
 	defer stop()
 	for _, d := range r.drivers[:n] {
 		if _, err := d.WaitPrimary(ctx); err != nil {
@@ -147,24 +148,24 @@
 	return pgconn.ConnectConfig(ctx, f)
 }
 
-// keep returns the connection that the caller's host keeps to the server.
-func (r *rig) keep(ctx context.Context, s *responder.Server) (*pgconn.PgConn, error) {
+// conn returns the connection of the caller's host to the server, and opens it if necessary.
+func (r *rig) conn(ctx context.Context, s *responder.Server) (*pgconn.PgConn, error) {
 	k := fmt.Sprint(r.caller, s.Name)
-	if c := r.kept[k]; c != nil && !c.IsClosed() {
+	if c := r.conns[k]; c != nil && !c.IsClosed() {
 		return c, nil
 	}
 	c, err := r.connect(ctx, s)
 	if err != nil {
 		return nil, err
 	}
-	r.kept[k] = c
+	r.conns[k] = c
 	return c, nil
 }
 
 // write runs one statement at the server and returns its mark, without waiting
 // for its acknowledgement.
 func (r *rig) write(ctx context.Context, s *responder.Server, sql string) (marker.Mark, error) {
-	c, err := r.keep(ctx, s)
+	c, err := r.conn(ctx, s)
 	if err != nil {
 		return marker.Mark{}, err
 	}
@@ -174,10 +175,10 @@
 	return s.Store().Last(), nil
 }
 
-// exec runs a statement until it is acknowledged, as a caller of a host would
-// with its request repeated, and returns when it was.
+// exec runs a statement, and repeats it like a retrying caller until it is acknowledged. It returns
+// the time of the acknowledgement.
 func (r *rig) exec(sql string) time.Time {
-	ctx, stop := context.WithTimeout(r.ctx, limit)
+	ctx, stop := context.WithTimeout(r.ctx, hangTimeout)
 	defer stop()
 	d := r.drivers[r.caller]
 	for ctx.Err() == nil {
@@ -201,13 +202,13 @@
 	return time.Time{}
 }
 
-// insert gives each line an id of its own.
+// insert returns a statement that inserts a line with a new id.
 func (r *rig) insert() string {
 	r.lines++
 	return fmt.Sprintf("INSERT INTO line VALUES (%d) ON CONFLICT DO NOTHING", r.lines)
 }
 
-// count returns how many lines the primary holds at the read index.
+// count returns how many lines the server holds.
 func (r *rig) count(s *responder.Server) string {
 	c, err := r.connect(r.ctx, s)
 	if err != nil {
@@ -221,29 +222,29 @@
 	return string(o.Rows[0][0])
 }
 
-// breakage is one way to lose a primary and to get the server back.
-type breakage struct {
-	name      string
-	lose, end func(*responder.Server)
+// failure is one kind of loss of a primary: begin makes the server fail, end recovers it.
+type failure struct {
+	name       string
+	begin, end func(*responder.Server)
 }
 
-var breakages = []breakage{
+var failures = []failure{
 	{"crashed", (*responder.Server).Crash, (*responder.Server).Restart},
 	{"isolated", func(s *responder.Server) { s.Isolate(true) }, func(s *responder.Server) { s.Isolate(false) }},
 	{"paused", func(s *responder.Server) { s.Pause(true) }, func(s *responder.Server) { s.Pause(false) }},
 }
 
-// The primary crashes, is cut off from its replicas while it still accepts
-// connections, or stands still; later it is back. Writes go on at another
-// server after a short gap, and every line that was acknowledged is read at
-// every server, also at the old primary once it follows.
+// Guards against an outage of writes or lost acknowledged writes after a loss of the primary. It
+// crashes, is isolated from its replicas while it still accepts connections, or is paused, and later
+// recovers. Writes must continue at another server after a short gap, and every acknowledged line
+// must be readable at every server, also at the old primary once it follows the new one.
 func TestPrimaryLost(t *testing.T) {
-	for _, b := range breakages {
+	for _, b := range failures {
 		t.Run(b.name, func(t *testing.T) {
-			r := newRig(t, 3, near)
+			r := newRig(t, 3, noLatency)
 			r.exec(r.insert())
 			old := r.primary()
-			b.lose(old)
+			b.begin(old)
 			var m marker.Mark
 			if b.name == "isolated" {
 				m, _ = r.write(r.ctx, old, "INSERT INTO line VALUES (-1)")
@@ -263,13 +264,13 @@
 }
 
 func (r *rig) wait(m marker.Mark) error {
-	ctx, stop := context.WithTimeout(r.ctx, limit)
+	ctx, stop := context.WithTimeout(r.ctx, hangTimeout)
 	defer stop()
 	return r.drivers[0].WaitCommit(ctx, m)
 }
 
-// checkLost expects that the commit is known to be lost, or after two promotions
-// in a row at least not known to be there.
+// checkLost expects that the commit is reported as superseded, or after two promotions in a row as
+// superseded or undetermined.
 func (r *rig) checkLost(m marker.Mark) {
 	err := r.wait(m)
 	if errors.Is(err, ErrSuperseded) {
@@ -283,7 +284,7 @@
 
 // checkReads reads at every server once it covers a read index.
 func (r *rig) checkReads(want int) {
-	ctx, stop := context.WithTimeout(r.ctx, limit)
+	ctx, stop := context.WithTimeout(r.ctx, hangTimeout)
 	defer stop()
 	d := r.drivers[1]
 	m, err := d.ReadIndex(ctx)
@@ -300,11 +301,11 @@
 	}
 }
 
-// Both replicas are gone. The primary still commits, but a line saved there
-// would be lost with it: callers aren't told that it is saved, and writes are
-// refused with the reason. They go on when a replica is back.
+// Guards against acknowledging writes without a majority. Both replicas are down. The primary still
+// commits, but the line would be lost with it: it must not be acknowledged, and new writes must be
+// refused. Both must succeed once the replicas are back.
 func TestMajorityLost(t *testing.T) {
-	r := newRig(t, 1, near)
+	r := newRig(t, 1, noLatency)
 	d, p := r.drivers[0], r.primary()
 	for _, s := range r.group.Servers {
 		if s != p {
@@ -323,7 +324,7 @@
 	}
 	r.awaitStale(d, crashed)
 	if _, err := d.WaitPrimary(r.ctx); err == nil {
-		t.Error("a primary without a majority")
+		t.Error("primary confirmed without a majority")
 	}
 	for _, s := range r.group.Servers {
 		if s != p {
@@ -335,10 +336,10 @@
 	}
 }
 
-// awaitStale returns once no answer from before the given time counts any more. Until
-// then one may still be taken in when this process has been stopped for a while.
+// awaitStale returns once all answers from before the given time are stale. Until then such an answer
+// may still be recorded if this process was paused for a while.
 func (r *rig) awaitStale(d *Driver, before time.Duration) {
-	ctx, stop := context.WithTimeout(r.ctx, limit)
+	ctx, stop := context.WithTimeout(r.ctx, hangTimeout)
 	defer stop()
 	for v := d.View(); v.HasMajority() || v.At <= before+d.Settings.Observer.Freshness; v = d.View() {
 		if ctx.Err() != nil {
@@ -348,11 +349,12 @@
 	}
 }
 
-// An operator moves the primary, or its server says that it is leaving while a
-// transaction is open there. The transaction is finished first, and writes go on
-// at another server.
+// Guards against a planned hand-over that rolls back an open transaction or interrupts writes for
+// good. An operator hands the primary over; then the new primary's server reports that it is leaving
+// while a transaction is open there. The transaction must be able to commit first, and writes must
+// continue at another server.
 func TestHandOver(t *testing.T) {
-	r := newRig(t, 2, near)
+	r := newRig(t, 2, noLatency)
 	r.exec(r.insert())
 	old := r.primary()
 	if err := r.drivers[0].HandOver(r.ctx, old.Name); err != nil {
@@ -376,7 +378,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	if err := c.Exec(r.ctx, "COMMIT").Close(); err != nil {
-		t.Errorf("transaction cut off by the planned move: %v", err)
+		t.Errorf("transaction ended by the planned hand-over: %v", err)
 	}
 	for r.primary() == now {
 		time.Sleep(time.Millisecond)
--- a/internal/group/driver/gap_test.go
+++ b/internal/group/driver/gap_test.go
@@ -10,15 +10,14 @@
 	"github.com/cuminwick/cuminwick/internal/standin/responder"
 )
 
-// hosts is the number of entry hosts in the measurement.
+// hosts is the number of entry hosts in the benchmarks.
 const hosts = 6
 
-// BenchmarkGap measures the time from the last acknowledged write before a loss
-// of the primary to the first one after it, with one loss an operation, in
-// both deployments. Run it with -benchtime=20x.
+// BenchmarkGap measures the time from the last acknowledged write before a loss of the primary to the
+// first one after it, in all deployments. Each operation is one loss. Run it with -benchtime=20x.
 func BenchmarkGap(b *testing.B) {
 	for _, p := range definer.Deployments() {
-		for _, k := range append(breakages, breakage{name: "planned"}) {
+		for _, k := range append(failures, failure{name: "planned"}) {
 			for _, outage := range []bool{false, true} {
 				b.Run(fmt.Sprintf("%s/%s/outage=%t", p.Name, k.name, outage), func(b *testing.B) {
 					measure(b, p, k, outage)
@@ -28,7 +27,7 @@
 	}
 }
 
-func measure(b *testing.B, p definer.Deployment, k breakage, outage bool) {
+func measure(b *testing.B, p definer.Deployment, k failure, outage bool) {
 	r := newRig(b, hosts, p)
 	r.store.SetOutage(outage)
 	var s []time.Duration
@@ -42,8 +41,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkAcknowledge measures what the wait for a majority adds to a commit,
-// for callers of each host in turn.
+// BenchmarkAcknowledge measures how long a commit waits for a majority, for callers of each host in
+// turn.
 func BenchmarkAcknowledge(b *testing.B) {
 	for _, p := range definer.Deployments() {
 		b.Run(p.Name, func(b *testing.B) {
@@ -69,30 +68,31 @@
 	}
 }
 
-// gap loses the primary once, and waits until the server is back as a replica.
-func (r *rig) gap(k breakage) time.Duration {
+// gap makes the primary fail once or hands it over, waits until its server is back as a replica, and
+// returns the gap in writes.
+func (r *rig) gap(k failure) time.Duration {
 	for _, s := range r.group.Servers {
-		if _, err := r.keep(r.ctx, s); err != nil {
+		if _, err := r.conn(r.ctx, s); err != nil {
 			r.tb.Fatal(err)
 		}
 	}
 	t := r.exec(r.insert())
 	old := r.primary()
-	if k.lose == nil {
-		d := r.planned(old.Name, t)
+	if k.begin == nil {
+		d := r.plannedGap(old.Name, t)
 		r.settle(old)
 		return d
 	}
-	k.lose(old)
+	k.begin(old)
 	d := r.exec(r.insert()).Sub(t)
 	k.end(old)
 	r.settle(old)
 	return d
 }
 
-// planned hands over while a caller writes without a pause, and returns the
-// longest time between two acknowledged writes.
-func (r *rig) planned(old string, t time.Time) time.Duration {
+// plannedGap hands over while a caller writes continuously, and returns the longest time between two
+// acknowledged writes. t is the time of the previous one.
+func (r *rig) plannedGap(old string, t time.Time) time.Duration {
 	done := make(chan error, 1)
 	go func() { done <- r.drivers[r.caller].HandOver(r.ctx, old) }()
 	var d time.Duration
@@ -114,8 +114,7 @@
 	}
 }
 
-// settle waits until all hosts see one primary that all others follow, and
-// the server as one of them.
+// settle waits until all hosts have a view with another confirmed primary that the old one follows.
 func (r *rig) settle(old *responder.Server) {
 	for _, d := range r.drivers {
 		for {
@@ -129,9 +128,8 @@
 	}
 }
 
-// BenchmarkPauses makes some instance stand still for 200 ms in every second, one
-// second an operation, and reports the promotions that this brought about, which
-// should be none.
+// BenchmarkPauses pauses one instance for 200 ms in every second, one second an operation, and
+// reports the number of resulting promotions, which should be zero.
 func BenchmarkPauses(b *testing.B) {
 	r := newRig(b, hosts, definer.Deployments()[0])
 	for n := range b.N {
--- a/internal/group/driver/hosts.go
+++ b/internal/group/driver/hosts.go
@@ -6,8 +6,8 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// loopHosts keeps the names of the live entry hosts where no peers give them.
-// The list lags, which does no harm: it only spreads the hosts' delays.
+// loopHosts keeps the list of live entry hosts up to date from the platform if there are no Peers.
+// The list may be outdated, which is harmless: it only spreads the hosts' promotion delays.
 func (d *Driver) loopHosts(ctx context.Context) {
 	defer d.calls.Done()
 	if d.Peers != nil || d.Platform == nil {
@@ -30,7 +30,7 @@
 	defer cancel()
 	l, err := d.Platform.Hosts(c)
 	if err != nil {
-		return // the last list still serves
+		return // the previous list remains in use
 	}
 	var s []string
 	for _, h := range l {
@@ -38,15 +38,15 @@
 			s = append(s, h.Name)
 		}
 	}
-	d.listed.Store(&s)
+	d.listedHosts.Store(&s)
 }
 
-// hosts returns the live entry hosts, nil if they aren't known.
+// hosts returns the names of the live entry hosts, nil if they aren't known.
 func (d *Driver) hosts() []string {
 	if d.Peers != nil {
 		return d.Peers.Hosts(d.Group.Name)
 	}
-	if s := d.listed.Load(); s != nil {
+	if s := d.listedHosts.Load(); s != nil {
 		return *s
 	}
 	return nil
--- a/internal/group/driver/identities.go
+++ b/internal/group/driver/identities.go
@@ -7,36 +7,36 @@
 	"github.com/cuminwick/cuminwick/internal/group/observer"
 )
 
-// identities tells the servers of a group from others by the system identifier, which all
-// servers of a group share. Where a server of another group has an address from the start,
-// only the identifiers of the other servers show it.
+// identities distinguishes the servers of a group from others by the system identifier, which all
+// servers of a group share. If a server of another group has had an instance's address from the
+// start, only a comparison with the other servers' identifiers shows it.
 type identities struct {
-	// servers is how many the group has.
+	// servers is the number of servers of the group.
 	servers int
-	// told is what each server told last, by name.
-	told map[string]uint64
-	// agreed is what more than half of them told, zero until then.
+	// reported is the last identifier that each server reported, by server name.
+	reported map[string]uint64
+	// agreed is the first identifier that a majority of the servers reported, zero until then.
 	agreed uint64
 }
 
-// note notes the identifier that a server tells, zero if it tells none.
-func (t *identities) note(server string, identifier uint64) {
+// record records the identifier that a server reports, zero if it reports none.
+func (t *identities) record(server string, identifier uint64) {
 	if identifier == 0 {
 		return
 	}
-	if t.told == nil {
-		t.told = make(map[string]uint64)
+	if t.reported == nil {
+		t.reported = make(map[string]uint64)
 	}
-	t.told[server] = identifier
-	if t.agreed == 0 && t.alike(identifier) >= observer.Majority(t.servers) {
+	t.reported[server] = identifier
+	if t.agreed == 0 && t.countReporting(identifier) >= observer.Majority(t.servers) {
 		t.agreed = identifier
 	}
 }
 
-// alike counts the servers that told the identifier.
-func (t *identities) alike(identifier uint64) int {
+// countReporting returns how many servers last reported the identifier.
+func (t *identities) countReporting(identifier uint64) int {
 	n := 0
-	for _, x := range t.told {
+	for _, x := range t.reported {
 		if x == identifier {
 			n++
 		}
@@ -44,43 +44,46 @@
 	return n
 }
 
-// stranger reports whether the server may be of another group. As long as no identifier is
-// that of more than half, any two that differ make all that told one strangers.
-func (t *identities) stranger(server string) bool {
-	x, ok := t.told[server]
+// mismatched reports whether the server may belong to another group. Until a majority has agreed on
+// an identifier, two different identifiers make all servers that reported one mismatched.
+func (t *identities) mismatched(server string) bool {
+	x, ok := t.reported[server]
 	switch {
 	case !ok:
 		return false
 	case t.agreed != 0:
 		return x != t.agreed
 	}
-	return t.alike(x) < len(t.told)
+	return t.countReporting(x) < len(t.reported)
 }
 
-// identify notes what the instance tells, and forgets what strangers have reported. It
-// returns an error of controller.ErrStranger where the instance is one. The mutex is held.
-func (d *Driver) identify(i *instance, identifier uint64) error {
-	d.identities.note(i.name, identifier)
+// recordIdentity records the identifier that the instance reports and drops the observations of all
+// mismatched servers. It returns an error of controller.ErrStranger if the instance is mismatched.
+// The mutex is held.
+func (d *Driver) recordIdentity(i *instance, identifier uint64) error {
+	d.identities.record(i.name, identifier)
 	for _, o := range d.instances {
-		if o.observation.Answered && d.identities.stranger(o.name) {
+		if o.observation.Answered && d.identities.mismatched(o.name) {
 			o.observation = observer.Observation{}
 			d.ledger.Forget(o.name)
 		}
 	}
-	return d.strange(i)
+	return d.identityError(i)
 }
 
-// strange returns an error of controller.ErrStranger where the instance is one. The mutex is held.
-func (d *Driver) strange(i *instance) error {
-	if !d.identities.stranger(i.name) {
+// identityError returns an error of controller.ErrStranger if the instance is mismatched. The mutex
+// is held.
+func (d *Driver) identityError(i *instance) error {
+	if !d.identities.mismatched(i.name) {
 		return nil
 	}
-	return errors.Annotatef(controller.ErrStranger, "backend server %s at %s: system identifier %d, others of the group differ", i.name, i.address, d.identities.told[i.name])
+	return errors.Annotatef(controller.ErrStranger, "backend server %s at %s: system identifier %d, others of the group differ", i.name, i.address, d.identities.reported[i.name])
 }
 
-// checkIdentity is strange for a command that is about to be given.
+// checkIdentity returns an error of controller.ErrStranger if the instance is mismatched. It is
+// called before a command is sent.
 func (d *Driver) checkIdentity(i *instance) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.strange(i)
+	return d.identityError(i)
 }
--- a/internal/group/driver/lease_test.go
+++ b/internal/group/driver/lease_test.go
@@ -12,8 +12,9 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// leaser is the baseline: the primary's lease in the platform's store is renewed
-// while the primary answers, and another one is promoted after it has run out.
+// leaser is the baseline that BenchmarkLease measures: it renews the primary's lease in the
+// platform's store while the primary answers, and promotes another server after the lease has
+// expired.
 type leaser struct {
 	platform accessor.Platform
 	controls map[string]controller.Control
@@ -24,19 +25,19 @@
 }
 
 const (
-	leaseTime = 10 * time.Second
-	leaseStep = leaseTime / 3
+	leaseTTL           = 10 * time.Second
+	leaseRenewInterval = leaseTTL / 3
 )
 
 func (l *leaser) loop(ctx context.Context) {
 	next := time.Now()
 	for ctx.Err() == nil {
-		if time.Since(l.renewed) >= leaseTime {
+		if time.Since(l.renewed) >= leaseTTL {
 			l.promote(ctx)
 		}
 		if !time.Now().Before(next) {
 			l.renew(ctx)
-			next = time.Now().Add(leaseStep)
+			next = time.Now().Add(leaseRenewInterval)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -79,7 +80,7 @@
 	l.renewed = time.Now()
 }
 
-// BenchmarkLease measures the gap of the baseline for a crashed primary.
+// BenchmarkLease measures the gap in writes after a crash of the primary with the baseline.
 func BenchmarkLease(b *testing.B) {
 	for _, p := range definer.Deployments() {
 		b.Run(p.Name, func(b *testing.B) {
@@ -96,7 +97,7 @@
 			go l.loop(r.ctx)
 			var s []time.Duration
 			for range b.N {
-				s = append(s, r.gap(breakages[0]))
+				s = append(s, r.gap(failures[0]))
 			}
 			slices.Sort(s)
 			b.ReportMetric(float64(s[len(s)/2].Milliseconds()), "ms-median")
--- a/internal/group/driver/poller.go
+++ b/internal/group/driver/poller.go
@@ -11,16 +11,16 @@
 	"github.com/cuminwick/cuminwick/internal/group/pacer"
 )
 
-// wake makes the instance's poll loop look at its turn again.
+// wake makes the instance's poll loop read its turn again.
 func (i *instance) wake() {
 	select {
-	case i.kick <- struct{}{}:
+	case i.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// loopStatus polls one instance whenever its turn comes. One poll serves all who
-// wait when it begins; whoever comes later needs the next one.
+// loopStatus polls one instance at the times set by its turn. One poll serves all waiters that exist
+// when it begins; later waiters need the next poll.
 func (d *Driver) loopStatus(ctx context.Context, i *instance) {
 	defer d.calls.Done()
 	for {
@@ -32,11 +32,11 @@
 	}
 }
 
-// awaitTurn returns why the instance is to be polled once it is to be; ok is
-// false when ctx has ended.
+// awaitTurn waits until the instance is due to be polled and returns the cause. ok is false if ctx
+// has ended.
 func (d *Driver) awaitTurn(ctx context.Context, i *instance) (c pacer.Cause, ok bool) {
 	for ctx.Err() == nil {
-		t := d.turn(i)
+		t := d.nextTurn(i)
 		w := t.At - d.now()
 		if w <= 0 {
 			return t.Cause, true
@@ -45,14 +45,14 @@
 		select {
 		case <-ctx.Done():
 		case <-r:
-		case <-i.kick:
+		case <-i.wakeup:
 		}
 		x.Cancel()
 	}
 	return 0, false
 }
 
-func (d *Driver) turn(i *instance) pacer.Turn {
+func (d *Driver) nextTurn(i *instance) pacer.Turn {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return i.turn
@@ -70,8 +70,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	i.polling = false
-	i.ended = d.now()
-	d.take(i, n, at, s, err)
+	i.endedAt = d.now()
+	d.recordOutcome(i, n, at, s, err)
 }
 
 func (d *Driver) beginPoll(i *instance) (uint64, time.Duration) {
@@ -79,13 +79,13 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	i.polling = true
-	i.hurried = false
-	i.begun, i.began = n, at
+	i.pollRequested = false
+	i.lastBegun, i.beganAt = n, at
 	i.turn = pacer.Turn{At: pacer.Never}
 	return n, at
 }
 
-// beginCall numbers a call that is about to begin.
+// beginCall returns the sequence number and the start time of a call that is about to begin.
 func (d *Driver) beginCall() (uint64, time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -93,45 +93,46 @@
 	return d.sequence, d.now()
 }
 
-// fold takes in the answer to the call that began as number n.
-func (d *Driver) fold(i *instance, n uint64, at time.Duration, s controller.Status) {
+// recordAnswer records the status from the call with sequence number n that began at the time at.
+func (d *Driver) recordAnswer(i *instance, n uint64, at time.Duration, s controller.Status) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.take(i, n, at, s, nil)
+	d.recordOutcome(i, n, at, s, nil)
 }
 
-// take takes in the outcome of the call that began as number n. The mutex is held.
-func (d *Driver) take(i *instance, n uint64, at time.Duration, s controller.Status, err error) {
+// recordOutcome records the status or error of the call with sequence number n that began at the
+// time at. The mutex is held.
+func (d *Driver) recordOutcome(i *instance, n uint64, at time.Duration, s controller.Status, err error) {
 	if err == nil {
-		err = d.identify(i, s.SystemIdentifier)
+		err = d.recordIdentity(i, s.SystemIdentifier)
 	}
 	if err != nil {
 		i.observation.Failures++
 		i.observation.Refused = errors.Is(err, controller.ErrRefused)
-		d.logStranger(i, err)
+		d.logMismatch(i, err)
 		d.observe()
 		return
 	}
 	s.BackendServer = i.name
 	d.ledger.Observe(s)
-	if n > i.polled {
-		i.polled = n
+	if n > i.answered {
+		i.answered = n
 		r := smooth(i.observation.RoundTrip, d.now()-at)
 		i.observation = observer.Observation{Status: s, Answered: true, At: at, RoundTrip: r}
 	}
-	d.learn(i, at)
+	d.updateWaiters(i, at)
 	d.observe()
 }
 
-// logStranger names a server that answers in place of the instance, once for each time
-// that the instance is lost: operators see an address that was given out twice.
-func (d *Driver) logStranger(i *instance, err error) {
+// logMismatch logs that a server of another group answers at the instance's address, once for each
+// loss of the instance. Operators thus find an address that was assigned twice.
+func (d *Driver) logMismatch(i *instance, err error) {
 	if i.observation.Failures == 1 && errors.Is(err, controller.ErrStranger) {
 		d.logger().WithError(err).WithField("backend-server", i.name).Error("backend server's address taken over")
 	}
 }
 
-// smooth returns the mean with one more sample in it.
+// smooth returns the moving average with one more sample.
 func smooth(mean, sample time.Duration) time.Duration {
 	const weight = 8
 	if mean == 0 {
--- a/internal/group/driver/polls_test.go
+++ b/internal/group/driver/polls_test.go
@@ -20,44 +20,46 @@
 	"github.com/cuminwick/cuminwick/internal/group/pacer"
 )
 
-// remote is a backend server at some distance whose log grows by a position each
-// microsecond, so that a position tells when it was written.
+// remote is a fake of a backend server with a round-trip time. Its log grows by one position each
+// microsecond, so that a position shows when it was written.
 type remote struct {
 	controller.Control
-	name    string
-	primary bool
-	trip    time.Duration
+	name      string
+	primary   bool
+	roundTrip time.Duration
+	// lag is the replication delay, zero for the primary.
 	lag     time.Duration
 	started time.Time
-	asked   atomic.Int64
+	// polls counts the calls of Status.
+	polls atomic.Int64
 }
 
 func (r *remote) Status(ctx context.Context) (controller.Status, error) {
-	r.asked.Add(1)
-	time.Sleep(r.trip / 2)
+	r.polls.Add(1)
+	time.Sleep(r.roundTrip / 2)
 	s := controller.Status{BackendServer: r.name, Role: controller.RoleReplica, Following: "db-1", Term: 1, TermStart: 1}
 	if r.primary {
 		s.Role, s.Following = controller.RolePrimary, ""
 	}
 	s.Last = r.written(r.lag)
-	time.Sleep(r.trip / 2)
+	time.Sleep(r.roundTrip / 2)
 	return s, ctx.Err()
 }
 
-// written is the position that the primary had a lag ago.
+// written returns the mark that the primary's log had reached lag ago.
 func (r *remote) written(lag time.Duration) marker.Mark {
 	p := max(1, time.Since(r.started)-lag)
 	return marker.Mark{Term: 1, Position: marker.Position(p.Microseconds())}
 }
 
-// watched runs a driver in virtual time before a primary beside the host, a
-// replica in the next zone and one in another region, and calls f.
-func watched(t *testing.T, f func(ctx context.Context, d *Driver, l []*remote)) {
+// runWithRemotes calls f in virtual time while a driver runs on a primary next to the host, a replica
+// in another availability zone and one in another region.
+func runWithRemotes(t *testing.T, f func(ctx context.Context, d *Driver, l []*remote)) {
 	synctest.Test(t, func(t *testing.T) {
 		l := []*remote{
-			{name: "db-1", primary: true, trip: 400 * time.Microsecond},
-			{name: "db-2", trip: 3 * time.Millisecond, lag: 5 * time.Millisecond},
-			{name: "db-3", trip: 16 * time.Millisecond, lag: 12 * time.Millisecond},
+			{name: "db-1", primary: true, roundTrip: 400 * time.Microsecond},
+			{name: "db-2", roundTrip: 3 * time.Millisecond, lag: 5 * time.Millisecond},
+			{name: "db-3", roundTrip: 16 * time.Millisecond, lag: 12 * time.Millisecond},
 		}
 		g := declarer.DatabaseGroup{Name: "kalkul"}
 		c := make(map[string]controller.Control)
@@ -79,14 +81,14 @@
 	})
 }
 
-// Commits come now and then. The host learns when the replica has them and asks
-// then, so that an answer comes no later than a replication delay and a round
-// trip after the commit as a rule, one more round trip and step at worst, for
-// little more than one question to each of the two nearest servers.
+// Guards against late acknowledgements and needless polls when commits arrive now and then. The host
+// learns the replica's replication delay and polls after it. An acknowledgement thus usually takes
+// no longer than a replication delay and a round trip, at most one more round trip and poll interval,
+// with little more than one poll of each of the two nearest servers.
 func TestPollsOfCommits(t *testing.T) {
 	const commits, learning = 400, 100
 	const usual, worst = 8 * time.Millisecond, 13 * time.Millisecond
-	watched(t, func(ctx context.Context, d *Driver, l []*remote) {
+	runWithRemotes(t, func(ctx context.Context, d *Driver, l []*remote) {
 		var waits []time.Duration
 		var before uint64
 		r := rand.New(rand.NewPCG(1, 1))
@@ -117,7 +119,7 @@
 	})
 }
 
-// readers take read indexes at random moments.
+// readers simulates callers that take read indexes at random moments.
 type readers struct {
 	t      *testing.T
 	ctx    context.Context
@@ -134,7 +136,7 @@
 		at := time.Now()
 		m, err := r.driver.ReadIndex(r.ctx)
 		if err != nil || !m.Covers(arrived) {
-			r.t.Errorf("read index %v, %v, want what was there at arrival, %v", m, err, arrived)
+			r.t.Errorf("read index %v, %v, want at least %v, the server's mark at arrival", m, err, arrived)
 		}
 		if w := time.Since(at); w > 7*time.Millisecond {
 			r.t.Errorf("read index took %v", w)
@@ -142,15 +144,15 @@
 	}
 }
 
-// Many reads arrive at random moments, most of them while a server is being
-// asked. None may get an index from a question that began before it came, and
-// they share the questions: 1600 reads by themselves would ask two servers each,
-// and these ask about a third of that. The distant server isn't asked for any.
+// Guards against stale read indexes and needless polls. Many reads arrive at random moments, most of
+// them during a poll. No read may get an index from a poll that began before the read arrived. Reads
+// share polls: 1600 separate reads would poll two servers each, and these need about a third of that.
+// No read causes a poll of the distant server.
 func TestPollsOfReads(t *testing.T) {
-	watched(t, func(ctx context.Context, d *Driver, l []*remote) {
+	runWithRemotes(t, func(ctx context.Context, d *Driver, l []*remote) {
 		r := &readers{t: t, ctx: ctx, driver: d, server: l[0]}
 		r.done.Add(16)
-		began, before := time.Now(), l[2].asked.Load()
+		began, before := time.Now(), l[2].polls.Load()
 		for n := range 16 {
 			go r.run(rand.New(rand.NewPCG(2, uint64(n))))
 		}
@@ -159,7 +161,7 @@
 			t.Errorf("%d polls for 1600 reads", n)
 		}
 		rests := time.Since(began)/d.Settings.StatusInterval + 1
-		if n := l[2].asked.Load() - before; n > int64(rests) {
+		if n := l[2].polls.Load() - before; n > int64(rests) {
 			t.Errorf("%d polls of the distant server, want %d at most", n, rests)
 		}
 	})
--- a/internal/group/driver/repointer.go
+++ b/internal/group/driver/repointer.go
@@ -7,8 +7,8 @@
 	"github.com/cuminwick/cuminwick/internal/group/promoter"
 )
 
-// loopRepoint brings back instances that don't follow the primary, after the
-// delay of this host's rank, so that usually one host does it.
+// loopRepoint makes instances follow the primary that don't, after the delay of this host's rank, so
+// that usually only one host does it.
 func (d *Driver) loopRepoint(ctx context.Context) {
 	defer d.calls.Done()
 	t, x := d.Clock.Ticks(d.Settings.StatusInterval)
@@ -32,21 +32,21 @@
 	}
 }
 
-// repointsDue returns the repointings of servers that have been astray long enough.
+// repointsDue returns the actions for servers that haven't followed the primary for long enough.
 func (d *Driver) repointsDue() []promoter.Action {
 	v := d.View()
-	w := d.Settings.RepointDelay + d.delay(v.Term)
+	w := d.Settings.RepointDelay + d.promotionDelay(v.Term)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	old := d.astray
-	d.astray = make(map[string]time.Duration)
+	old := d.repointSince
+	d.repointSince = make(map[string]time.Duration)
 	var s []promoter.Action
 	for _, x := range promoter.Repoint(v) {
 		since, ok := old[x.Server]
 		if !ok {
 			since = v.At
 		}
-		d.astray[x.Server] = since
+		d.repointSince[x.Server] = since
 		if v.At-since >= w {
 			s = append(s, x)
 		}
--- a/internal/group/driver/scheduler.go
+++ b/internal/group/driver/scheduler.go
@@ -9,7 +9,7 @@
 	"github.com/cuminwick/cuminwick/internal/group/pacer"
 )
 
-// schedule decides anew when each instance is polled. The mutex is held.
+// schedule recomputes when each instance is polled next. The mutex is held.
 func (d *Driver) schedule() {
 	t := d.fillTable()
 	t.Demands = t.Demands[:0]
@@ -17,26 +17,26 @@
 		t.Demands = pacer.Join(t.Demands, w.demand)
 	}
 	if len(t.Demands) > 0 {
-		d.demanded = d.now()
+		d.lastDemand = d.now()
 	}
 	for n, i := range d.instances {
-		i.take(pacer.Next(t, n))
+		i.setTurn(pacer.Next(t, n))
 	}
 }
 
-// scheduleFor has the instances polled for one more waiter; what the others need
-// stays. The mutex is held.
+// scheduleFor moves polls forward where one more waiter needs it. Polls for other waiters keep their
+// times. The mutex is held.
 func (d *Driver) scheduleFor(w *waiter) {
-	d.demanded = d.now()
+	d.lastDemand = d.now()
 	t := d.fillTable()
 	t.Demands = append(t.Demands[:0], w.demand)
 	for n, i := range d.instances {
-		i.take(pacer.Sooner(i.turn, pacer.Next(t, n)))
+		i.setTurn(pacer.Sooner(i.turn, pacer.Next(t, n)))
 	}
 }
 
-// take sets the instance's turn and wakes its loop where it is earlier than before.
-func (i *instance) take(t pacer.Turn) {
+// setTurn sets the instance's turn and wakes its poll loop if the turn is earlier than before.
+func (i *instance) setTurn(t pacer.Turn) {
 	before := i.turn.At
 	i.turn = t
 	if t.At < before {
@@ -44,6 +44,7 @@
 	}
 }
 
+// fillTable returns the table of the pacer's decision, without demands. The mutex is held.
 func (d *Driver) fillTable() *pacer.Table {
 	v := d.view.Load()
 	t := &d.table
@@ -54,36 +55,35 @@
 		Held:    d.Settings.BusyGapInterval,
 		Busy:    d.Settings.MinPollInterval,
 	}
-	t.Busy = d.demanded > 0 && d.now()-d.demanded <= d.Settings.StatusInterval
+	t.Busy = d.lastDemand > 0 && d.now()-d.lastDemand <= d.Settings.StatusInterval
 	t.Promoting = d.promoting > 0
-	t.Gap = !v.Confirmed && v.HasMajority() || alarming(v, d.Settings.Observer.Suspicion/2)
+	t.Gap = !v.Confirmed && v.HasMajority() || primaryMayBeLost(v, d.Settings.Observer.Suspicion/2)
 	t.Servers = t.Servers[:0]
 	for _, i := range d.instances {
-		t.Servers = append(t.Servers, i.paced(v))
+		t.Servers = append(t.Servers, i.pacerServer(v))
 	}
 	return t
 }
 
-func (i *instance) paced(v *observer.View) pacer.Server {
+func (i *instance) pacerServer(v *observer.View) pacer.Server {
 	return pacer.Server{
 		Primary:   i.name == v.Primary,
 		Known:     i.observation.Answered,
 		Failures:  i.observation.Failures,
-		Hurried:   i.hurried,
+		Hurried:   i.pollRequested,
 		Polling:   i.polling,
-		Begun:     i.begun,
-		Began:     i.began,
-		Ended:     i.ended,
-		Answered:  i.polled,
+		Begun:     i.lastBegun,
+		Began:     i.beganAt,
+		Ended:     i.endedAt,
+		Answered:  i.answered,
 		RoundTrip: i.observation.RoundTrip,
 		Delays:    i.delays,
 	}
 }
 
-// alarming reports whether the primary may turn out to be lost: a majority of its
-// replicas hasn't heard it for d. The polls at rest would notice that the time for
-// a suspicion has passed up to an interval late.
-func alarming(v *observer.View, d time.Duration) bool {
+// primaryMayBeLost reports whether a majority of the primary's replicas has received nothing from it
+// for d. With polls at the interval at rest only, a suspicion could begin up to one interval late.
+func primaryMayBeLost(v *observer.View, d time.Duration) bool {
 	n := 0
 	for _, s := range v.Servers {
 		if s.Name != v.Primary && s.Status.Role == controller.RoleReplica && s.Status.Following == v.Primary && s.Status.SinceHeard >= d {
@@ -93,34 +93,36 @@
 	return v.Primary != "" && n >= observer.Majority(len(v.Servers)-1)
 }
 
-// learn notes for each waiter what an answer of the instance shows, whose call
-// began at the given time. The mutex is held.
-func (d *Driver) learn(i *instance, at time.Duration) {
-	n := d.number(i.name)
+// updateWaiters updates all waiters with an answer of the instance whose call began at the given
+// time. The mutex is held.
+func (d *Driver) updateWaiters(i *instance, at time.Duration) {
+	n := d.instanceNumber(i.name)
 	for w := range d.waiters {
-		if w.concerns(n) {
-			d.learnFor(w, i, n, at)
+		if w.needsAnswer(n) {
+			d.updateWaiter(w, i, n, at)
 		}
 	}
 }
 
-func (d *Driver) learnFor(w *waiter, i *instance, n int, at time.Duration) {
+// updateWaiter records whether the instance has reached what the waiter waits for, and from that the
+// instance's usual delay.
+func (d *Driver) updateWaiter(w *waiter, i *instance, n int, at time.Duration) {
 	k := w.demand.Kind
-	shows := d.shows(w, i)
-	if shows && k == pacer.KindAcknowledgement {
+	reached := d.reached(w, i)
+	if reached && k == pacer.KindAcknowledgement {
 		w.demand.Holders = w.demand.Holders.With(n)
 	}
 	switch {
 	case at < w.demand.Since:
-	case shows:
-		i.delays[k] = pacer.Learn(i.delays[k], at-w.demand.Since, w.missed.Has(n), d.Settings.GapInterval)
+	case reached:
+		i.delays[k] = pacer.Learn(i.delays[k], at-w.demand.Since, w.behind.Has(n), d.Settings.GapInterval)
 	default:
-		w.missed = w.missed.With(n)
+		w.behind = w.behind.With(n)
 	}
 }
 
-// concerns reports whether the waiter may learn something new from instance n.
-func (w *waiter) concerns(n int) bool {
+// needsAnswer reports whether an answer of instance n may change what is known for the waiter.
+func (w *waiter) needsAnswer(n int) bool {
 	switch w.demand.Kind {
 	case pacer.KindAcknowledgement:
 		return !w.demand.Holders.Has(n)
@@ -131,15 +133,15 @@
 	}
 }
 
-// shows reports whether the instance is known to hold what the waiter waits for.
-func (d *Driver) shows(w *waiter, i *instance) bool {
+// reached reports whether the instance is known to hold the mark that the waiter waits for.
+func (d *Driver) reached(w *waiter, i *instance) bool {
 	if w.demand.Kind == pacer.KindAcknowledgement {
 		return d.ledger.Held(i.name, w.mark)
 	}
 	return i.observation.Status.Last.Covers(w.mark)
 }
 
-func (d *Driver) number(name string) int {
+func (d *Driver) instanceNumber(name string) int {
 	for n, i := range d.instances {
 		if i.name == name {
 			return n
@@ -148,15 +150,15 @@
 	return 0
 }
 
-// demanding sets what the waiter demands of the polls.
-func (d *Driver) demanding(w *waiter) {
-	w.demand = pacer.Demand{Kind: demands[w.kind], Since: d.now(), Arrived: d.sequence, Server: d.number(w.server)}
+// setDemand sets the waiter's demand for polls. The mutex is held.
+func (d *Driver) setDemand(w *waiter) {
+	w.demand = pacer.Demand{Kind: demandKinds[w.kind], Since: d.now(), Arrived: d.sequence, Server: d.instanceNumber(w.server)}
 	if w.demand.Kind == pacer.KindAcknowledgement {
 		w.demand.Holders = d.holders(w.mark)
 	}
 }
 
-// holders are the instances that are known to hold the record at m.
+// holders returns the instances that are known to hold the record at m.
 func (d *Driver) holders(m marker.Mark) pacer.Set {
 	var s pacer.Set
 	for n, i := range d.instances {
--- a/internal/group/driver/stranger_test.go
+++ b/internal/group/driver/stranger_test.go
@@ -9,17 +9,18 @@
 	"github.com/cuminwick/cuminwick/internal/standin/responder"
 )
 
-// Both replicas are gone, and servers of another group, with the same names and the
-// same term, have taken over their addresses. They hold none of this group's
-// records: a line that was acknowledged because of them would be lost with the primary.
-func TestStrangersAreNoMajority(t *testing.T) {
-	r := newRig(t, 1, near)
+// Guards against counting servers of another group towards a majority. Both replicas are down, and
+// servers of another group, with the same names and the same term, have taken over their addresses.
+// They hold none of this group's records: a write that was acknowledged because of them would be
+// lost with the primary.
+func TestOtherGroupsServersAreNoMajority(t *testing.T) {
+	r := newRig(t, 1, noLatency)
 	d, p := r.drivers[0], r.primary()
-	var strangers []*responder.Server
+	var others []*responder.Server
 	for _, s := range r.group.Servers {
 		if s != p {
 			s.Crash()
-			strangers = append(strangers, r.startStranger(s))
+			others = append(others, r.startOtherGroupsServer(s))
 		}
 	}
 	m, err := r.write(r.ctx, p, r.insert())
@@ -28,22 +29,22 @@
 	}
 	r.awaitStale(d, d.Now())
 	if _, err := d.WaitPrimary(r.ctx); err == nil {
-		t.Error("a primary confirmed by strangers")
+		t.Error("a primary confirmed by servers of another group")
 	}
 	ctx, stop := context.WithTimeout(r.ctx, 50*time.Millisecond)
 	defer stop()
 	if err := d.WaitAcknowledged(ctx, m); err == nil {
-		t.Error("acknowledged by strangers")
+		t.Error("acknowledged by servers of another group")
 	}
-	for _, s := range strangers {
+	for _, s := range others {
 		if g := s.Store().Status(time.Now()); g.Term != 1 {
-			t.Errorf("stranger at %s was moved to term %d", s.Addr(), g.Term)
+			t.Errorf("the other group's server at %s was moved to term %d", s.Addr(), g.Term)
 		}
 	}
 }
 
-// startStranger starts another group's primary at the address of a crashed server.
-func (r *rig) startStranger(s *responder.Server) *responder.Server {
+// startOtherGroupsServer starts another group's primary at the address of a crashed server.
+func (r *rig) startOtherGroupsServer(s *responder.Server) *responder.Server {
 	x := &responder.Server{Name: s.Name, Address: s.Addr(), SystemIdentifier: s.SystemIdentifier + 1, Primary: true}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -58,49 +59,51 @@
 	return x
 }
 
-// An entry host starts while a server of another group has a replica's address. Its first
-// answer is all that the host ever had from there, but its identifier isn't the others'.
-func TestStrangerBeforeFirstAnswer(t *testing.T) {
-	r := newRig(t, 1, near)
+// Guards against trusting the first answer from an address. An entry host starts while a server of
+// another group has a replica's address, so that no earlier answer from there shows the change; only
+// the system identifiers of the other servers do.
+func TestOtherGroupsServerBeforeFirstAnswer(t *testing.T) {
+	r := newRig(t, 1, noLatency)
 	p := r.primary()
 	l := slices.DeleteFunc(slices.Clone(r.group.Servers), func(s *responder.Server) bool { return s == p })
 	l[0].Crash()
-	stranger := r.startStranger(l[0])
+	other := r.startOtherGroupsServer(l[0])
 	d := r.startDriver()
-	r.awaitStranger(d, l[0].Name)
+	r.awaitRefusedAnswer(d, l[0].Name)
 	r.awaitConfirmed(d)
 	l[1].Crash()
 	r.awaitStale(d, d.Now())
 	if _, err := d.WaitPrimary(r.ctx); err == nil {
-		t.Error("a primary confirmed by a stranger")
+		t.Error("a primary confirmed by a server of another group")
 	}
-	if g := stranger.Store().Status(time.Now()); g.Term != 1 {
-		t.Errorf("stranger was moved to term %d", g.Term)
+	if g := other.Store().Status(time.Now()); g.Term != 1 {
+		t.Errorf("the other group's server was moved to term %d", g.Term)
 	}
 }
 
-// The same where no other replica answers: one identifier stands against one, and neither
-// server may be taken for the group's.
-func TestStrangerAgainstPrimary(t *testing.T) {
-	r := newRig(t, 1, near)
+// Guards against trusting either of two servers with different system identifiers. An entry host
+// starts while a server of another group has a replica's address and the other replica is down: with
+// one identifier against one, neither server may count as the group's.
+func TestOtherGroupsServerAgainstPrimary(t *testing.T) {
+	r := newRig(t, 1, noLatency)
 	p := r.primary()
-	var stranger *responder.Server
+	var other *responder.Server
 	for _, s := range r.group.Servers {
 		if s == p {
 			continue
 		}
 		s.Crash()
-		if stranger == nil {
-			stranger = r.startStranger(s)
+		if other == nil {
+			other = r.startOtherGroupsServer(s)
 		}
 	}
 	d := r.startDriver()
-	r.awaitStranger(d, stranger.Name)
+	r.awaitRefusedAnswer(d, other.Name)
 	if _, err := d.WaitPrimary(r.ctx); err == nil {
-		t.Error("a primary confirmed by a stranger")
+		t.Error("a primary confirmed by a server of another group")
 	}
-	if g := stranger.Store().Status(time.Now()); g.Term != 1 {
-		t.Errorf("stranger was moved to term %d", g.Term)
+	if g := other.Store().Status(time.Now()); g.Term != 1 {
+		t.Errorf("the other group's server was moved to term %d", g.Term)
 	}
 }
 
@@ -120,7 +123,7 @@
 
 // awaitConfirmed returns once the driver has confirmed a primary.
 func (r *rig) awaitConfirmed(d *Driver) {
-	ctx, stop := context.WithTimeout(r.ctx, limit)
+	ctx, stop := context.WithTimeout(r.ctx, hangTimeout)
 	defer stop()
 	for {
 		_, err := d.WaitPrimary(ctx)
@@ -128,14 +131,14 @@
 			return
 		}
 		if ctx.Err() != nil {
-			r.tb.Fatalf("the two others are a majority: %v", err)
+			r.tb.Fatalf("no confirmed primary though the group's two servers are a majority: %v", err)
 		}
 	}
 }
 
-// awaitStranger returns once the driver has refused an answer of the named server.
-func (r *rig) awaitStranger(d *Driver, name string) {
-	ctx, stop := context.WithTimeout(r.ctx, limit)
+// awaitRefusedAnswer returns once the driver has refused an answer of the named server.
+func (r *rig) awaitRefusedAnswer(d *Driver, name string) {
+	ctx, stop := context.WithTimeout(r.ctx, hangTimeout)
 	defer stop()
 	for {
 		if s, ok := d.View().Server(name); ok && s.Failures > 0 && !s.Answered {
--- a/internal/group/driver/waiter.go
+++ b/internal/group/driver/waiter.go
@@ -24,8 +24,8 @@
 	waitDrained
 )
 
-// demands are what the kinds of waiter need of the polls.
-var demands = [...]pacer.Kind{
+// demandKinds maps each kind of waiter to the kind of its demand for polls.
+var demandKinds = [...]pacer.Kind{
 	waitAcknowledged: pacer.KindAcknowledgement,
 	waitCommit:       pacer.KindAcknowledgement,
 	waitIndex:        pacer.KindIndex,
@@ -34,39 +34,41 @@
 	waitDrained:      pacer.KindDrain,
 }
 
-// waiter is one request that waits for news of the group. It holds no slot and
-// no connection; the goroutine that folds in a status serves all waiters.
+// waiter is one request that waits for a change in the group's observed state. It holds no slot and
+// no connection; the goroutine that records a status answers all waiters that it can.
 type waiter struct {
 	kind   waitKind
 	mark   marker.Mark
 	server string
 	done   chan answer
-	// demand is what the polls are paced by. Its Arrived tells which polls count.
+	// demand determines when instances are polled for the waiter. Only polls that began after
+	// number demand.Arrived count for it.
 	demand pacer.Demand
-	// missed are the instances that a poll after the waiter came has found without
-	// what it waits for.
-	missed pacer.Set
+	// behind are the instances that answered a poll after the waiter's arrival without having
+	// reached what it waits for.
+	behind pacer.Set
 }
 
+// answer is the result of a wait.
 type answer struct {
 	mark marker.Mark
 	view *observer.View
 	err  error
-	// stopped says that there is no answer any more.
+	// stopped says that the driver has stopped, so that there will be no result.
 	stopped bool
 }
 
-// WaitAcknowledged returns nil once a majority of the group's instances is known
-// to hold all commits up to m, a position of the primary read after them.
-// ErrSuperseded says that nothing of m's term lasts; ErrUndetermined, also when
-// ctx ends, that any of the commits may last.
+// WaitAcknowledged returns nil once a majority of the group's instances is known to hold all commits
+// up to m, a log position of the primary that was read after them. It returns an error of
+// ErrSuperseded if none of the entries of m's term remains in the log, and of ErrUndetermined, also
+// when ctx ends, if any of the commits may remain.
 func (d *Driver) WaitAcknowledged(ctx context.Context, m marker.Mark) error {
 	return d.waitMark(ctx, waitAcknowledged, m)
 }
 
-// WaitCommit is WaitAcknowledged for the one commit that is itself at m, not at a
-// position read later on. It tells more often that the commit was superseded:
-// then it did not run and never will.
+// WaitCommit is like WaitAcknowledged for a single commit whose own position is m, rather than a
+// position read after it. It can return ErrSuperseded in more cases: the commit did not run and
+// never will.
 func (d *Driver) WaitCommit(ctx context.Context, m marker.Mark) error {
 	return d.waitMark(ctx, waitCommit, m)
 }
@@ -84,36 +86,37 @@
 	return d.BeginReadIndex(ctx).Await(ctx)
 }
 
-// IndexRequest is a read index that is being taken.
+// IndexRequest is the PendingIndex of a Driver.
 type IndexRequest struct {
 	driver *Driver
 	waiter *waiter
-	// stop ends the watch for the end of the context that it was begun under.
+	// stop unregisters the call of cancel at the end of the request's context.
 	stop func() bool
 }
 
-// PendingIndex is a read index that is being taken.
+// PendingIndex is a request for a read index that may still be in progress.
 type PendingIndex interface {
-	// Await returns it.
+	// Await waits for the read index and returns it.
 	Await(ctx context.Context) (marker.Mark, error)
 }
 
-// BeginReadIndex begins to take a read index, which covers every write
-// acknowledged before the call. It is given up when ctx ends.
+// BeginReadIndex starts a request for a read index, a mark that covers every write acknowledged
+// before the call. The request is cancelled when ctx ends.
 func (d *Driver) BeginReadIndex(ctx context.Context) PendingIndex {
 	r := &IndexRequest{driver: d, waiter: &waiter{kind: waitIndex}}
-	d.begin(r.waiter)
-	r.stop = context.AfterFunc(ctx, r.run)
+	d.startWait(r.waiter)
+	r.stop = context.AfterFunc(ctx, r.cancel)
 	return r
 }
 
-// run gives the request up. Without it a request whose caller left before the
-// answer would keep the polls going for as long as no majority answers.
-func (r *IndexRequest) run() {
-	r.driver.dismiss(r.waiter)
+// cancel removes the request's waiter. Without it a request whose caller doesn't wait for the answer
+// would keep polls going for as long as no majority answers.
+func (r *IndexRequest) cancel() {
+	r.driver.removeWaiter(r.waiter)
 }
 
-// Await returns the read index.
+// Await waits for the read index and returns it. It returns an error of ErrNoMajority if ctx ends or
+// the driver stops first; after a stop the error is of ErrStopped as well.
 func (r *IndexRequest) Await(ctx context.Context) (marker.Mark, error) {
 	d := r.driver
 	defer r.stop()
@@ -124,8 +127,8 @@
 	return a.mark, nil
 }
 
-// WaitCovered returns nil once the server's log covers m. ctx must have a
-// deadline, see indexer.Index.
+// WaitCovered returns nil once the server's log covers m, and an error of ErrUncovered if ctx ends
+// before. ctx must have a deadline, see indexer.Index.
 func (d *Driver) WaitCovered(ctx context.Context, server string, m marker.Mark) error {
 	_, err := d.wait(ctx, &waiter{kind: waitCovered, server: server, mark: m})
 	if err != nil {
@@ -134,9 +137,9 @@
 	return nil
 }
 
-// WaitPrimary returns a view with a confirmed primary. It gives up early with
-// ErrNoMajority where the majority of the instances has been out of reach for
-// Settings.Patience, and with ErrNoPrimary when ctx ends.
+// WaitPrimary waits for a view with a confirmed primary and returns it. It returns an error of
+// ErrNoMajority once a majority of the instances has been unreachable for
+// Settings.NoMajorityTimeout, and of ErrNoPrimary when ctx ends.
 func (d *Driver) WaitPrimary(ctx context.Context) (*observer.View, error) {
 	a, err := d.wait(ctx, &waiter{kind: waitPrimary})
 	if err != nil {
@@ -146,14 +149,14 @@
 }
 
 func (d *Driver) wait(ctx context.Context, w *waiter) (answer, error) {
-	d.begin(w)
+	d.startWait(w)
 	return d.await(ctx, w)
 }
 
-func (d *Driver) begin(w *waiter) {
+func (d *Driver) startWait(w *waiter) {
 	d.init()
 	w.done = make(chan answer, 1)
-	d.enlist(w)
+	d.addWaiter(w)
 }
 
 func (d *Driver) await(ctx context.Context, w *waiter) (answer, error) {
@@ -164,15 +167,15 @@
 		}
 		return a, nil
 	case <-ctx.Done():
-		d.dismiss(w)
+		d.removeWaiter(w)
 		return answer{}, ctx.Err()
 	}
 }
 
-func (d *Driver) enlist(w *waiter) {
+func (d *Driver) addWaiter(w *waiter) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.demanding(w)
+	d.setDemand(w)
 	if d.serve(w, d.view.Load()) {
 		return
 	}
@@ -184,17 +187,16 @@
 	d.scheduleFor(w)
 }
 
-func (d *Driver) dismiss(w *waiter) {
+func (d *Driver) removeWaiter(w *waiter) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.waiters, w)
 	d.schedule()
 }
 
-// endWaits tells all who wait that no answer comes. Without it a commit that was
-// made just before a change of the group's servers would wait out its deadline,
-// though a majority holds it.
-func (d *Driver) endWaits() {
+// stopWaiters ends all waits without an answer. Otherwise a commit that was made just before a
+// change of the group's servers would wait until its deadline although a majority holds it.
+func (d *Driver) stopWaiters() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.stopped.Store(true)
@@ -204,7 +206,7 @@
 	clear(d.waiters)
 }
 
-// Stopped reports whether the driver's Run has been ended.
+// Stopped reports whether the context of Run has ended.
 func (d *Driver) Stopped() bool {
 	return d.stopped.Load()
 }
@@ -217,7 +219,7 @@
 	}
 }
 
-// serve answers the waiter if its answer is known. The mutex is held.
+// serve answers the waiter if its answer is known, and reports whether it was. The mutex is held.
 func (d *Driver) serve(w *waiter, v *observer.View) bool {
 	a, ok := d.answer(w, v)
 	if ok {
@@ -236,10 +238,10 @@
 		m, ok := indexer.Index(len(d.instances), d.polledAfter(w.demand.Arrived))
 		return answer{mark: m}, ok
 	case waitCovered:
-		return answer{}, mark(v, w.server).Covers(w.mark)
+		return answer{}, lastMark(v, w.server).Covers(w.mark)
 	case waitDrained:
 		i := d.instance(w.server)
-		return answer{}, i.polled > w.demand.Arrived && i.observation.Status.Writing == 0
+		return answer{}, i.answered > w.demand.Arrived && i.observation.Status.Writing == 0
 	default:
 		return d.answerPrimary(v)
 	}
@@ -258,9 +260,9 @@
 	}
 }
 
-// answerPrimary knows nothing once the driver has stopped: its last view stays as
-// it is, so a write that the primary's closed pool refused would find the same
-// primary again until its deadline, though another driver serves the group.
+// answerPrimary returns the answer to a wait for a primary if it is known. A stopped driver has none,
+// since its last view stays as it is: a write that the primary's closed pool has refused would get
+// the same primary again until its deadline although another driver serves the group.
 func (d *Driver) answerPrimary(v *observer.View) (answer, bool) {
 	if d.stopped.Load() {
 		return answer{}, false
@@ -274,16 +276,16 @@
 	return answer{}, false
 }
 
-// polledAfter returns the last entries of the instances that answered a poll
-// which began after the call numbered n. They are valid until the next call; with
-// the mutex held, the goroutine of a poll asks this for each read that waits.
+// polledAfter returns the last log entries of the instances that answered a call with a sequence
+// number above n. The slice is reused and valid only until the next call of polledAfter, since the
+// goroutine of a poll calls it for each waiting read. The mutex is held.
 func (d *Driver) polledAfter(n uint64) []marker.Mark {
-	s := d.polled[:0]
+	s := d.polledMarks[:0]
 	for _, i := range d.instances {
-		if i.polled > n {
+		if i.answered > n {
 			s = append(s, i.observation.Status.Last)
 		}
 	}
-	d.polled = s
+	d.polledMarks = s
 	return s
 }
