--- a/internal/group/driver/scheduler.go
+++ b/internal/group/driver/scheduler.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// updateWaiter records whether the instance has reached what the waiter waits for, and from that the
-// instance's usual delay.
+// updateWaiter records whether the instance has reached what the waiter waits for. If the call began
+// after the waiter's arrival, it also updates the instance's usual delay.
 func (d *Driver) updateWaiter(w *waiter, i *instance, n int, at time.Duration) {
 	k := w.demand.Kind
 	reached := d.reached(w, i)
