--- a/internal/proxy/assembler/assembler.go
+++ b/internal/proxy/assembler/assembler.go
@@ -66,7 +66,7 @@
 func (a *Assembler) serve(ctx context.Context, drain <-chan struct{}, e *encoder.Encoder) error {
 	h := a.host(e)
 	m := reporter.NewMetrics(reporter.Gauges{
-		Sessions: h.Sessions, Dropped: e.Dropped,
+		Sessions: h.Sessions, DroppedLogLines: e.Dropped,
 		Configuration: func() uint64 {
 			if c := h.Board.Configuration(); c != nil {
 				return c.Version
@@ -74,7 +74,7 @@
 			return 0
 		},
 		Age:         h.Board.Age,
-		PositionAge: h.Board.PositionAge, Leaderless: h.Board.Leaderless,
+		PositionAge: h.Board.PositionAge, GroupsWithoutPrimary: h.Board.GroupsWithoutPrimary,
 	})
 	x := &reporter.Transfers{Log: h.Log, Metrics: m}
 	a.store.Called, a.store.Received = m.PlatformCall, x.Received
@@ -158,7 +158,7 @@
 		ParseStatus:      platform.ParseStatus,
 		Link:             platform.DialLink,
 		Borrower:         func(c net.Conn) lender.Borrower { return platform.NewBorrower(c) },
-		Relayer:          &relayer.Relayer{Ask: platform.ReadVia, Dial: platform.DialRaw, Refuse: platform.RefuseVia, Feed: f.serve, Log: l},
+		Relayer:          &relayer.Relayer{ReadRequest: platform.ReadVia, Dial: platform.DialRaw, Reply: platform.RefuseVia, Feed: f.serve, Log: l},
 		Self:             declarer.Host{Name: s.HostName, Address: s.HostAddress(), AvailabilityZone: s.AvailabilityZone, Bandwidth: s.Bandwidth},
 		Orderer:          &platform.Orderer{Store: store, Commander: platform.NewCommander(s.CommandAddress)},
 		Accept:           func(c net.Conn) executor.Caller { return platform.NewCaller(c) },
--- a/internal/proxy/assembler/feeder.go
+++ b/internal/proxy/assembler/feeder.go
@@ -33,7 +33,7 @@
 
 // reader returns the reader of a kind.
 func (f *feeder) reader(kind string, p runner.Pace) cachesyncer.Reader {
-	m := &cachesyncer.Mirror{Store: &platform.Reader{Store: f.store, Kind: kind}, Now: f.now, Trust: p.Trust, FirstRest: p.FirstRest, LongestRest: p.LongestRest}
+	m := &cachesyncer.Mirror{Store: &platform.Reader{Store: f.store, Kind: kind}, Now: f.now, TTL: p.Trust, MinimumPause: p.FirstRest, MaximumPause: p.LongestRest}
 	f.servers[kind] = &platform.FeedServer{Kind: kind, Mirror: m, Sent: f.sent}
 	return &cachesyncer.Selector{Kind: kind, Mirror: m, Remote: f.remote, Host: f.host.ReaderHost, Failed: f.host.ReaderFailed}
 }
--- a/internal/proxy/blackboard/blackboard.go
+++ b/internal/proxy/blackboard/blackboard.go
@@ -67,8 +67,8 @@
 	return true
 }
 
-// TakeServers replaces the servers of all groups.
-func (b *Board) TakeServers(l []declarer.Server) {
+// SetServers replaces the servers of all groups.
+func (b *Board) SetServers(l []declarer.Server) {
 	now := b.Time()
 	by := make(map[string][]declarer.Server)
 	for _, s := range l {
@@ -133,8 +133,8 @@
 	return now - b.confirmed[s]
 }
 
-// Leaderless returns how many groups have no known primary.
-func (b *Board) Leaderless() int {
+// GroupsWithoutPrimary returns how many groups have no known primary.
+func (b *Board) GroupsWithoutPrimary() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := 0
@@ -161,8 +161,8 @@
 	return d
 }
 
-// Led notes a proof that the server leads its group.
-func (b *Board) Led(group, server string, asked time.Duration, m marker.Mark) {
+// ConfirmLeadership notes a proof that the server leads its group.
+func (b *Board) ConfirmLeadership(group, server string, asked time.Duration, m marker.Mark) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	g := b.group(group)
@@ -191,8 +191,8 @@
 	}
 }
 
-// Unreachable notes that a connection to the server, begun at since, failed by err.
-func (b *Board) Unreachable(group, server string, since time.Duration, err error) {
+// RecordConnectionFailure notes that a connection to the server, begun at since, failed by err.
+func (b *Board) RecordConnectionFailure(group, server string, since time.Duration, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if errors.Is(err, syscall.ECONNREFUSED) {
--- a/internal/proxy/blackboard/blackboard_test.go
+++ b/internal/proxy/blackboard/blackboard_test.go
@@ -27,18 +27,18 @@
 func TestAgesOfBeliefs(t *testing.T) {
 	now := time.Hour
 	b := &Board{Now: func() time.Duration { return now }}
-	b.TakeServers([]declarer.Server{{ID: "a", Group: "g", Primary: true}, {ID: "b", Group: "h"}})
-	if n, d := b.Leaderless(), b.PositionAge(); n != 1 || d != 0 {
+	b.SetServers([]declarer.Server{{ID: "a", Group: "g", Primary: true}, {ID: "b", Group: "h"}})
+	if n, d := b.GroupsWithoutPrimary(), b.PositionAge(); n != 1 || d != 0 {
 		t.Errorf("%d groups without a primary, age %v", n, d)
 	}
 	b.Confirm(SectionServers)
-	b.Led("g", "a", now, marker.Mark{Term: 1, Position: 1})
+	b.ConfirmLeadership("g", "a", now, marker.Mark{Term: 1, Position: 1})
 	now += 3 * time.Second
-	b.Led("h", "b", now, marker.Mark{Term: 1, Position: 1})
+	b.ConfirmLeadership("h", "b", now, marker.Mark{Term: 1, Position: 1})
 	if d := b.Age(SectionServers); d != 3*time.Second {
 		t.Errorf("servers confirmed %v ago", d)
 	}
-	if n, d := b.Leaderless(), b.PositionAge(); n != 0 || d != 3*time.Second {
+	if n, d := b.GroupsWithoutPrimary(), b.PositionAge(); n != 0 || d != 3*time.Second {
 		t.Errorf("%d groups without a primary, age %v", n, d)
 	}
 }
--- a/internal/proxy/cachesyncer/cachesyncer.go
+++ b/internal/proxy/cachesyncer/cachesyncer.go
@@ -51,10 +51,10 @@
 
 // Errors of reading.
 const (
-	// ErrForgotten is a revision from which there are no changes any more.
-	ErrForgotten = errors.ConstError("changes aren't kept so long")
-	// ErrAway is a host that can't vouch for what it has read from the store.
-	ErrAway = errors.ConstError("host has lost the store")
+	// ErrCompacted is a revision from which there are no changes any more.
+	ErrCompacted = errors.ConstError("changes aren't kept so long")
+	// ErrStale is a host that can't vouch for what it has read from the store.
+	ErrStale = errors.ConstError("host has lost the store")
 )
 
 // Mirror keeps what was read of one kind of object for other hosts, and reads it from the
@@ -64,14 +64,14 @@
 	// Now reads a clock that counts time in which the host stood still: what was read
 	// before a pause of the process must not pass for fresh after it.
 	Now func() time.Duration
-	// Trust is how long after an answer of the store what was read counts as current: as
+	// TTL is how long after an answer of the store what was read counts as current: as
 	// long as the next waiting call may last.
-	Trust func() time.Duration
-	// FirstRest is the pause after a change before more are asked for, so that the first
-	// change of a row is known at once. It doubles up to LongestRest while changes go on:
+	TTL func() time.Duration
+	// MinimumPause is the pause after a change before more are asked for, so that the first
+	// change of a row is known at once. It doubles up to MaximumPause while changes go on:
 	// where many hosts or servers start at once, there would be a call for each.
-	FirstRest   time.Duration
-	LongestRest time.Duration
+	MinimumPause time.Duration
+	MaximumPause time.Duration
 
 	mu sync.Mutex
 	history
@@ -102,20 +102,20 @@
 		return p, err
 	}
 	m.replace(p)
-	m.gain(m.Trust(), true)
+	m.gain(m.TTL(), true)
 	return p, nil
 }
 
-// TakeList takes a list that was read from another host, which vouches for it.
-func (m *Mirror) TakeList(p Page) {
+// ApplyRemoteList takes a list that was read from another host, which vouches for it.
+func (m *Mirror) ApplyRemoteList(p Page) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.replace(p)
 	m.gain(remoteTrust, false)
 }
 
-// TakeChanges takes changes that were read from another host.
-func (m *Mirror) TakeChanges(p Page) {
+// ApplyRemoteChanges takes changes that were read from another host.
+func (m *Mirror) ApplyRemoteChanges(p Page) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.add(p)
@@ -139,7 +139,7 @@
 	if err == nil && len(p.Entries) > 0 {
 		m.restNow()
 	}
-	if errors.Is(err, ErrForgotten) {
+	if errors.Is(err, ErrCompacted) {
 		// The whole list is read next. Until then what is here is as old as it may be on any
 		// waiting call; sent away, every host of the zone would read the list itself.
 		return p, err
@@ -150,7 +150,7 @@
 		return p, err
 	}
 	m.add(p)
-	m.gain(m.Trust(), true)
+	m.gain(m.TTL(), true)
 	return p, nil
 }
 
@@ -170,7 +170,7 @@
 	if m.arriving == 0 {
 		m.arriving = now
 	}
-	if m.current && now-m.arriving <= m.Trust() {
+	if m.current && now-m.arriving <= m.TTL() {
 		m.answered = now
 	}
 }
@@ -185,10 +185,10 @@
 // restNow begins a pause. The mutex is held.
 func (m *Mirror) restNow() {
 	now := m.Now()
-	if now-m.restUntil > m.LongestRest {
+	if now-m.restUntil > m.MaximumPause {
 		m.rest = 0 // the row of changes had ended
 	}
-	m.rest = min(max(m.FirstRest, 2*m.rest), m.LongestRest)
+	m.rest = min(max(m.MinimumPause, 2*m.rest), m.MaximumPause)
 	m.restUntil = now + m.rest
 }
 
@@ -228,7 +228,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.fresh() {
-		return Page{}, ErrAway
+		return Page{}, ErrStale
 	}
 	return Page{Revision: m.revision, Entries: m.all()}, nil
 }
@@ -284,9 +284,9 @@
 	defer m.mu.Unlock()
 	switch {
 	case !m.fresh():
-		return Page{}, nil, ErrAway
+		return Page{}, nil, ErrStale
 	case after < m.floor:
-		return Page{}, nil, ErrForgotten
+		return Page{}, nil, ErrCompacted
 	}
 	return Page{Revision: m.revision, Entries: m.later(after)}, m.next(), nil
 }
--- a/internal/proxy/cachesyncer/cachesyncer_test.go
+++ b/internal/proxy/cachesyncer/cachesyncer_test.go
@@ -58,7 +58,7 @@
 
 func newMirror(s *store) *Mirror {
 	began := time.Now()
-	return &Mirror{Store: s, Trust: func() time.Duration { return 2 * time.Second }, Now: func() time.Duration { return time.Since(began) }}
+	return &Mirror{Store: s, TTL: func() time.Duration { return 2 * time.Second }, Now: func() time.Duration { return time.Since(began) }}
 }
 
 func names(p Page) []string {
@@ -84,7 +84,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{revision: 5, names: []string{"b", "a"}}
 		m := newMirror(s)
-		if _, err := m.ServeList(t.Context()); !errors.Is(err, ErrAway) {
+		if _, err := m.ServeList(t.Context()); !errors.Is(err, ErrStale) {
 			t.Errorf("before the first list: %v", err)
 		}
 		_, _ = m.List(t.Context())
@@ -100,7 +100,7 @@
 		}
 		p, err = m.ServeList(t.Context())
 		expect(t, "list after the changes", p, err, "b", "c")
-		if _, err := m.ServeWatch(t.Context(), 4, time.Second); !errors.Is(err, ErrForgotten) {
+		if _, err := m.ServeWatch(t.Context(), 4, time.Second); !errors.Is(err, ErrCompacted) {
 			t.Errorf("changes from before the list: %v", err)
 		}
 	})
@@ -137,20 +137,20 @@
 		_, _ = m.List(t.Context())
 		s.err = errLost
 		time.AfterFunc(100*time.Millisecond, func() { _, _ = m.Watch(t.Context(), 5, time.Second) })
-		if _, err := m.ServeWatch(t.Context(), 5, time.Second); !errors.Is(err, ErrAway) {
+		if _, err := m.ServeWatch(t.Context(), 5, time.Second); !errors.Is(err, ErrStale) {
 			t.Errorf("after the store was lost: %v", err)
 		}
 		s.err = nil
 		_, _ = m.List(t.Context())
-		time.Sleep(m.Trust() + 1)
-		if _, err := m.ServeList(t.Context()); !errors.Is(err, ErrAway) {
+		time.Sleep(m.TTL() + 1)
+		if _, err := m.ServeList(t.Context()); !errors.Is(err, ErrStale) {
 			t.Errorf("after a pause: %v", err)
 		}
-		m.TakeList(Page{Revision: 9, Entries: []Entry{{Name: "b"}}})
+		m.ApplyRemoteList(Page{Revision: 9, Entries: []Entry{{Name: "b"}}})
 		p, err := m.ServeList(t.Context())
 		expect(t, "once the host reads elsewhere", p, err, "b")
 		time.Sleep(remoteTrust + 1)
-		if _, err := m.ServeList(t.Context()); !errors.Is(err, ErrAway) {
+		if _, err := m.ServeList(t.Context()); !errors.Is(err, ErrStale) {
 			t.Errorf("once the other host is silent: %v", err)
 		}
 	})
@@ -164,13 +164,13 @@
 		m := newMirror(s)
 		_, _ = m.List(t.Context())
 		time.AfterFunc(300*time.Millisecond, func() {
-			s.err = ErrForgotten
+			s.err = ErrCompacted
 			_, _ = m.Watch(t.Context(), 5, time.Second)
 			time.Sleep(10 * time.Millisecond) // until the store has answered
 			s.err, s.revision, s.names = nil, 9, []string{"a", "b"}
 			_, _ = m.List(t.Context())
 		})
-		if _, err := m.ServeWatch(t.Context(), 5, time.Second); !errors.Is(err, ErrForgotten) {
+		if _, err := m.ServeWatch(t.Context(), 5, time.Second); !errors.Is(err, ErrCompacted) {
 			t.Errorf("while the history is dropped: %v", err)
 		}
 		p, err := m.ServeList(t.Context())
@@ -188,7 +188,7 @@
 			s.put(Entry{Name: strconv.Itoa(i), Removed: true})
 			_, _ = m.Watch(t.Context(), m.revision, time.Second)
 		}
-		if _, err := m.ServeWatch(t.Context(), 6, time.Second); !errors.Is(err, ErrForgotten) {
+		if _, err := m.ServeWatch(t.Context(), 6, time.Second); !errors.Is(err, ErrCompacted) {
 			t.Errorf("from a change that isn't kept: %v", err)
 		}
 		p, err := m.ServeWatch(t.Context(), 7, time.Second)
@@ -345,7 +345,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{revision: 5}
 		m := newMirror(s)
-		m.FirstRest, m.LongestRest = 50*time.Millisecond, 400*time.Millisecond
+		m.MinimumPause, m.MaximumPause = 50*time.Millisecond, 400*time.Millisecond
 		_, _ = m.List(t.Context())
 		start := time.Now()
 		at := uint64(5)
@@ -382,7 +382,7 @@
 		m = newMirror(&store{err: errLost})
 		time.AfterFunc(firstWait/2, func() { _, _ = m.List(t.Context()) })
 		start := time.Now()
-		if _, err := m.ServeList(t.Context()); !errors.Is(err, ErrAway) || time.Since(start) != firstWait/2 {
+		if _, err := m.ServeList(t.Context()); !errors.Is(err, ErrStale) || time.Since(start) != firstWait/2 {
 			t.Errorf("a host that doesn't reach the store: %v after %v", err, time.Since(start))
 		}
 	})
@@ -410,7 +410,7 @@
 		want   error
 	}{
 		"for as long as the store is trusted": {pieces: 8},
-		"not without end":                     {pieces: 20, want: ErrAway},
+		"not without end":                     {pieces: 20, want: ErrStale},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/proxy/cachesyncer/selector.go
+++ b/internal/proxy/cachesyncer/selector.go
@@ -58,7 +58,7 @@
 func (s *Selector) List(ctx context.Context) (Page, error) {
 	p, err := s.fromHosts(func(h declarer.Host, _ bool) (Page, error) { return s.listRemote(ctx, h) })
 	if err == nil {
-		s.Mirror.TakeList(p)
+		s.Mirror.ApplyRemoteList(p)
 		return s.reach(p, nil)
 	}
 	return s.reach(s.Mirror.List(ctx))
@@ -75,9 +75,9 @@
 	})
 	switch {
 	case err == nil:
-		s.Mirror.TakeChanges(p)
+		s.Mirror.ApplyRemoteChanges(p)
 		return s.reach(p, nil)
-	case errors.Is(err, ErrForgotten):
+	case errors.Is(err, ErrCompacted):
 		return p, err
 	case errors.Is(err, errNoAnswer):
 		wait = storeCheck
@@ -103,7 +103,7 @@
 			return Page{}, errNoHost
 		}
 		p, err := ask(h, i > 0)
-		if err == nil || errors.Is(err, ErrForgotten) || errors.Is(err, errOld) {
+		if err == nil || errors.Is(err, ErrCompacted) || errors.Is(err, errOld) {
 			return p, err
 		}
 		s.Failed(h, s.Kind, err)
--- a/internal/proxy/declarer/declarer.go
+++ b/internal/proxy/declarer/declarer.go
@@ -16,8 +16,8 @@
 	KindPrimary RouteKind = iota
 	// KindBounded reads may miss commits of the last MaximumStaleness.
 	KindBounded
-	// KindOwnWrites is KindBounded, and a session sees all its own commits.
-	KindOwnWrites
+	// KindReadYourWrites is KindBounded, and a session sees all its own commits.
+	KindReadYourWrites
 )
 
 // Route leads the sessions of one database to a group.
@@ -38,8 +38,8 @@
 	Name string
 	// MaximumConnections bounds the connections to each server, of all callers.
 	MaximumConnections int
-	// Synchronous is how many replicas have a commit before it is acknowledged.
-	Synchronous int
+	// SynchronousReplicas is how many replicas have a commit before it is acknowledged.
+	SynchronousReplicas int
 }
 
 // Configuration is one version of what the operator declared, in full.
@@ -49,8 +49,8 @@
 	Routes map[string]Route
 	// Groups are by name.
 	Groups map[string]Group
-	// IdleTransaction is how long a transaction may wait for its caller.
-	IdleTransaction time.Duration
+	// IdleTransactionTimeout is how long a transaction may wait for its caller.
+	IdleTransactionTimeout time.Duration
 }
 
 // Server is what a backend server last said of itself.
@@ -65,8 +65,8 @@
 	WarmUp           time.Duration
 	// Sequence counts the server's own reports since Born, its start in
 	// milliseconds of Unix time.
-	Sequence uint64
-	Born     int64
+	Sequence  uint64
+	StartedAt int64
 	// Revision is the platform's revision of the report.
 	Revision uint64
 }
@@ -118,18 +118,18 @@
 	CodeLagging
 	CodeReadOnly
 	CodeMisrouted
-	CodeTooMany
-	CodeNoStatement
-	// CodeNoServer is the word of the host that owns the server's connections: it doesn't
+	CodeTooManyConnections
+	CodeNoSuchStatement
+	// CodeServerUnreachable is the word of the host that owns the server's connections: it doesn't
 	// reach the server.
-	CodeNoServer
+	CodeServerUnreachable
 	// CodeNoLease is the word of that host as well: it had no connection for the statement
 	// in time.
 	CodeNoLease
 	CodeAborted
 	CodeFailed
 	CodeTimeout
-	CodeUnknown
+	CodeOutcomeUnknown
 	CodeNoDatabase
 	CodeMalformed
 	CodeTooBig
@@ -143,9 +143,9 @@
 	return c >= CodeBusy && c <= CodeNoLease
 }
 
-// OfOwner reports whether the code is the word of the host that owns the server's
+// FromOwner reports whether the code is the word of the host that owns the server's
 // connections: nothing was sent to the server.
-func (c Code) OfOwner() bool { return c == CodeNoServer || c == CodeNoLease }
+func (c Code) FromOwner() bool { return c == CodeServerUnreachable || c == CodeNoLease }
 
 // State is where a session or connection stands.
 type State uint8
@@ -169,8 +169,8 @@
 	Writes         bool
 	// Term goes with VerbDemote.
 	Term marker.Term
-	// After, if it isn't zero, is the position that the server's log must have.
-	After marker.Mark
+	// RequiredPosition, if it isn't zero, is the position that the server's log must have.
+	RequiredPosition marker.Mark
 }
 
 // Answer is a backend server's whole answer to one request.
@@ -195,9 +195,9 @@
 	// Term is the newest term that the server knows.
 	Term     marker.Term
 	Received marker.Mark
-	// Held is the term of a pause, zero if there is none.
-	Held marker.Term
-	Lag  time.Duration
+	// PauseTerm is the term of a pause, zero if there is none.
+	PauseTerm marker.Term
+	Lag       time.Duration
 	// Busy and Connections are counts of the whole server.
 	Busy, Connections int
 }
--- a/internal/proxy/executor/attempt.go
+++ b/internal/proxy/executor/attempt.go
@@ -206,7 +206,7 @@
 	if err != nil {
 		return a.broken(l, err)
 	}
-	if !a.answer.Code.OfOwner() {
+	if !a.answer.Code.FromOwner() {
 		a.learn(asked, took)
 	}
 	if a.answer.Code.NotRun() {
@@ -238,7 +238,7 @@
 	}
 	e.setUp(a.session, a.request)
 	if a.begin != declarer.VerbUnknown {
-		e.add(declarer.Request{Verb: a.begin, After: a.beginAfter()})
+		e.add(declarer.Request{Verb: a.begin, RequiredPosition: a.beginAfter()})
 		if err := e.run(&a.answer); err != nil || a.answer.Code != declarer.CodeNone {
 			return err
 		}
@@ -246,7 +246,7 @@
 	}
 	q := a.request.Request
 	if a.begin != declarer.VerbUnknown {
-		q.After = marker.Mark{}
+		q.RequiredPosition = marker.Mark{}
 		if err := e.wait(a.ask()); err != nil {
 			return err
 		}
@@ -264,7 +264,7 @@
 	if a.begin == declarer.VerbBegin {
 		return marker.Mark{}
 	}
-	return a.request.After
+	return a.request.RequiredPosition
 }
 
 // prove sends along with the read an empty transaction, which only a leading server
@@ -287,7 +287,7 @@
 	a.session.Reporter.Statement(&Report{
 		Group: a.route.Group, Database: a.route.Database, Statement: a.request.ID, Verb: a.request.verb,
 		Server: a.server, Primary: a.primary, Code: c, Reason: a.why, Attempts: a.retries.Tries(),
-		RequiredPosition: a.request.After, Version: a.session.version(),
+		RequiredPosition: a.request.RequiredPosition, Version: a.session.version(),
 		Wait: a.waited, Elapsed: time.Since(a.began),
 	})
 }
--- a/internal/proxy/executor/checker_test.go
+++ b/internal/proxy/executor/checker_test.go
@@ -43,7 +43,7 @@
 			want:    "told that it did not run",
 		},
 		"unknown that ran": {
-			history: func(h *history) { h.tell("s1.1", "x", 4, declarer.CodeUnknown) },
+			history: func(h *history) { h.tell("s1.1", "x", 4, declarer.CodeOutcomeUnknown) },
 			log:     []record{saved},
 		},
 		"stale read": {
--- a/internal/proxy/executor/choosing.go
+++ b/internal/proxy/executor/choosing.go
@@ -39,7 +39,7 @@
 		a.why = "no recent position of the primary is known"
 		return "", false
 	}
-	a.request.After = need
+	a.request.RequiredPosition = need
 	a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) {
 		s, d := g.ChooseReadServer(need, a.retries.Excluded(), rand.Uint64(), a.session.Board.Time())
 		a.why = d.Reason.String()
@@ -80,7 +80,7 @@
 func (a *attempt) known() (need marker.Mark, ok, old bool) {
 	a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) {
 		need, ok = g.RequiredPosition(a.arrived, a.route.MaximumStaleness)
-		if ok && a.route.Kind == declarer.KindOwnWrites {
+		if ok && a.route.Kind == declarer.KindReadYourWrites {
 			need = marker.Max(need, g.ToNewestTerm(a.session.own(a.route.Group)))
 		}
 		l, known := g.LatestConfirmation()
--- a/internal/proxy/executor/exchange.go
+++ b/internal/proxy/executor/exchange.go
@@ -96,7 +96,7 @@
 		if err := e.receive(&a); err != nil {
 			return err
 		}
-		if a.Code.OfOwner() {
+		if a.Code.FromOwner() {
 			continue // the statement itself is answered so as well; nothing was sent
 		}
 		if a.Code != declarer.CodeNone {
--- a/internal/proxy/executor/history_test.go
+++ b/internal/proxy/executor/history_test.go
@@ -141,7 +141,7 @@
 // promises reports whether a code says that nothing of the request is kept.
 func promises(c declarer.Code) bool {
 	switch c {
-	case declarer.CodeBusy, declarer.CodeAborted, declarer.CodeLagging, declarer.CodeReadOnly, declarer.CodeMisrouted, declarer.CodeTooMany:
+	case declarer.CodeBusy, declarer.CodeAborted, declarer.CodeLagging, declarer.CodeReadOnly, declarer.CodeMisrouted, declarer.CodeTooManyConnections:
 		return true
 	}
 	return false
--- a/internal/proxy/executor/judging.go
+++ b/internal/proxy/executor/judging.go
@@ -25,9 +25,9 @@
 	case !ran || a.unproved || !a.leads:
 	case a.request.Writes && a.begin == declarer.VerbUnknown:
 		a.session.committed(a.route.Group, m)
-		a.session.Board.Led(a.route.Group, a.server, asked, m)
+		a.session.Board.ConfirmLeadership(a.route.Group, a.server, asked, m)
 	default:
-		a.session.Board.Led(a.route.Group, a.server, asked, a.opened)
+		a.session.Board.ConfirmLeadership(a.route.Group, a.server, asked, a.opened)
 	}
 }
 
@@ -45,7 +45,7 @@
 		return a.refused(a.server, retrier.CauseBehind, 0)
 	case declarer.CodeNoLease:
 		return a.refused(a.server, retrier.CauseQueueTooLong, x.RetryAfter)
-	case declarer.CodeNoServer:
+	case declarer.CodeServerUnreachable:
 		return a.refused(a.server, retrier.CauseUnreachable, 0)
 	}
 	return a.refused(a.server, retrier.CauseBusy, 0)
@@ -54,7 +54,7 @@
 // lagging notes for others that the server is behind, unless it only lacks the session's
 // own commit of a moment ago: each replica does for a few milliseconds.
 func (a *attempt) lagging() {
-	if a.request.After == a.session.own(a.route.Group) {
+	if a.request.RequiredPosition == a.session.own(a.route.Group) {
 		return
 	}
 	a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) { g.RecordLag(a.server, a.session.Board.Time()) })
@@ -70,7 +70,7 @@
 	a.why = err.Error()
 	switch {
 	case a.request.Writes && a.begin == declarer.VerbUnknown:
-		return verdict{code: declarer.CodeUnknown, text: "the server's answer didn't come; whether the write ran isn't known"}
+		return verdict{code: declarer.CodeOutcomeUnknown, text: "the server's answer didn't come; whether the write ran isn't known"}
 	case a.begin != declarer.VerbUnknown && timeout:
 		return verdict{code: declarer.CodeAborted, text: "no answer in time; the transaction is rolled back"}
 	case timeout:
--- a/internal/proxy/executor/model_test.go
+++ b/internal/proxy/executor/model_test.go
@@ -40,12 +40,12 @@
 	d := &deployment{world: w, pools: make(map[string]*connpooler.Pool)}
 	d.board = &blackboard.Board{Zone: zone, Region: "r", Regions: map[string]string{"z-0": "r", "z-1": "r", "z-2": "r"}, Now: func() time.Duration { return time.Since(began) + time.Hour }}
 	d.observer = executor.Observer{Board: d.board, Pools: d}
-	c := &declarer.Configuration{Version: 1, Routes: make(map[string]declarer.Route), IdleTransaction: time.Second}
-	for name, k := range map[string]declarer.RouteKind{"primary": declarer.KindPrimary, "bounded": declarer.KindBounded, "own": declarer.KindOwnWrites} {
+	c := &declarer.Configuration{Version: 1, Routes: make(map[string]declarer.Route), IdleTransactionTimeout: time.Second}
+	for name, k := range map[string]declarer.RouteKind{"primary": declarer.KindPrimary, "bounded": declarer.KindBounded, "own": declarer.KindReadYourWrites} {
 		c.Routes[name] = declarer.Route{Database: name, Group: "db", Kind: k, Timeout: 400 * time.Millisecond, MaximumStaleness: staleness}
 	}
 	d.board.Configure(c)
-	d.board.TakeServers(w.list())
+	d.board.SetServers(w.list())
 	return d
 }
 
@@ -69,7 +69,7 @@
 }
 
 func (d *deployment) Unreachable(s declarer.Server, err error) {
-	d.board.Unreachable(s.Group, s.ID, d.board.Time(), err)
+	d.board.RecordConnectionFailure(s.Group, s.ID, d.board.Time(), err)
 }
 
 func (d *deployment) Statement(*executor.Report) {}
@@ -370,7 +370,7 @@
 			// Some hosts hear of it only later.
 			for _, h := range f.hosts {
 				if f.random.IntN(2) == 0 {
-					h.board.TakeServers(f.world.list())
+					h.board.SetServers(f.world.list())
 				}
 			}
 		case 1:
@@ -379,7 +379,7 @@
 			f.cut(s)
 		default:
 			for _, h := range f.hosts {
-				h.board.TakeServers(f.world.list())
+				h.board.SetServers(f.world.list())
 			}
 		}
 	}
--- a/internal/proxy/executor/session.go
+++ b/internal/proxy/executor/session.go
@@ -171,8 +171,8 @@
 }
 
 func (s *Session) idleLimit() time.Duration {
-	if c := s.Board.Configuration(); c != nil && c.IdleTransaction > 0 {
-		return c.IdleTransaction
+	if c := s.Board.Configuration(); c != nil && c.IdleTransactionTimeout > 0 {
+		return c.IdleTransactionTimeout
 	}
 	return defaultIdleTransaction
 }
@@ -289,7 +289,7 @@
 func (s *Session) deallocate(x declarer.Statement) error {
 	o, ok := s.prepared[x.Name]
 	if !ok {
-		return s.fail(declarer.CodeNoStatement, x.Name)
+		return s.fail(declarer.CodeNoSuchStatement, x.Name)
 	}
 	s.kept -= len(x.Name) + len(o.shape)
 	delete(s.prepared, x.Name)
@@ -321,7 +321,7 @@
 func (s *Session) run(x declarer.Statement) error {
 	q, err := s.request(x)
 	if err != nil {
-		return s.fail(declarer.CodeNoStatement, x.Name)
+		return s.fail(declarer.CodeNoSuchStatement, x.Name)
 	}
 	if s.open != nil {
 		return s.inside(q)
--- a/internal/proxy/executor/transaction.go
+++ b/internal/proxy/executor/transaction.go
@@ -140,7 +140,7 @@
 			a.why = err.Error()
 			return err
 		}
-		if a.answer.Code.OfOwner() {
+		if a.answer.Code.FromOwner() {
 			a.why = a.answer.Detail
 			return errors.Annotatef(connpooler.ErrRefused, "server %s: %s", t.server, a.answer.Detail)
 		}
@@ -179,7 +179,7 @@
 	}
 	if t.wrote && a.answer.Code == declarer.CodeNone {
 		s.committed(t.route.Group, a.answer.Position)
-		s.Board.Led(t.route.Group, t.server, asked, a.answer.Position)
+		s.Board.ConfirmLeadership(t.route.Group, t.server, asked, a.answer.Position)
 	}
 	a.report(a.answer.Code)
 	return s.Caller.Forward(&a.answer, declarer.StateIdle)
@@ -210,7 +210,7 @@
 // uncommitted answers a commit that the server didn't answer.
 func (s *Session) uncommitted(t *transaction, a *attempt, err error) error {
 	s.drop(t, err)
-	code, text := declarer.CodeUnknown, "the server's answer to the commit didn't come; whether it took effect isn't known"
+	code, text := declarer.CodeOutcomeUnknown, "the server's answer to the commit didn't come; whether it took effect isn't known"
 	switch {
 	case errors.Is(err, connpooler.ErrRefused):
 		code, text = declarer.CodeAborted, rolledBack(err)
--- a/internal/proxy/executor/world_test.go
+++ b/internal/proxy/executor/world_test.go
@@ -298,7 +298,7 @@
 		if verb == declarer.VerbBegin && w.leader != s {
 			return refuse(declarer.CodeReadOnly)
 		}
-		if !r.After.IsZero() && !s.holds(r.After) {
+		if !r.RequiredPosition.IsZero() && !s.holds(r.RequiredPosition) {
 			return refuse(declarer.CodeLagging)
 		}
 		c.open, c.plain, c.term = true, verb == declarer.VerbBegin, s.term
@@ -317,7 +317,7 @@
 		if deposed {
 			return refuse(declarer.CodeReadOnly)
 		}
-		if !r.After.IsZero() && !s.holds(r.After) {
+		if !r.RequiredPosition.IsZero() && !s.holds(r.RequiredPosition) {
 			return refuse(declarer.CodeLagging)
 		}
 		return declarer.Answer{Row: fmt.Sprint(s.latest(item, c.written))}
--- a/internal/proxy/promoter/claims.go
+++ b/internal/proxy/promoter/claims.go
@@ -69,7 +69,7 @@
 	if time.Since(p.rivalAt) >= max(deference, p.Lease()+leaseSlack) {
 		return false
 	}
-	return p.Dialer.Answers(ctx, c.Holder, declarer.Server{ID: server})
+	return p.Dialer.HostResponds(ctx, c.Holder, declarer.Server{ID: server})
 }
 
 // fromHeld goes on with the claim that this host made last, where the store can't be
--- a/internal/proxy/promoter/promoter.go
+++ b/internal/proxy/promoter/promoter.go
@@ -233,7 +233,7 @@
 // acknowledged.
 func (p *Promoter) synchronous() int {
 	if c := p.Board.Configuration(); c != nil {
-		return c.Groups[p.Group].Synchronous
+		return c.Groups[p.Group].SynchronousReplicas
 	}
 	return 0
 }
--- a/internal/proxy/promoter/promoter_test.go
+++ b/internal/proxy/promoter/promoter_test.go
@@ -125,16 +125,16 @@
 	return &line{cluster: c, id: s.ID}, marker.Mark{}, nil
 }
 
-func (c *cluster) Via(ctx context.Context, _ string, s declarer.Server) (connpooler.Connection, marker.Mark, error) {
+func (c *cluster) DialVia(ctx context.Context, _ string, s declarer.Server) (connpooler.Connection, marker.Mark, error) {
 	return c.Dial(ctx, s)
 }
 
-// Heard is what another host says of the server.
-func (c *cluster) Heard(_ context.Context, _ string, s declarer.Server, q relaydialer.Question) error {
+// CheckServer is what another host says of the server.
+func (c *cluster) CheckServer(_ context.Context, _ string, s declarer.Server, q relaydialer.Check) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	x := c.servers[s.ID]
-	if (x.gone || x.full != nil) && (!c.heard || c.hung && q == relaydialer.QuestionAnswer) {
+	if (x.gone || x.full != nil) && (!c.heard || c.hung && q == relaydialer.CheckResponding) {
 		return connpooler.ErrNoRouteAnywhere
 	}
 	return connpooler.ErrServerAlive
@@ -212,7 +212,7 @@
 func promoterOf(c *cluster, h string) *Promoter {
 	began := time.Now()
 	b := &blackboard.Board{Now: func() time.Duration { return time.Since(began) + time.Hour }}
-	b.TakeServers([]declarer.Server{{ID: "a", Group: "db", Primary: true}, {ID: "b", Group: "db"}, {ID: "c", Group: "db"}})
+	b.SetServers([]declarer.Server{{ID: "a", Group: "db", Primary: true}, {ID: "b", Group: "db"}, {ID: "c", Group: "db"}})
 	return &Promoter{
 		Host: h, Group: "db", Board: b, Roles: among{}, Platform: c, Counter: c, Log: quiet,
 		Dialer: &relaydialer.Dialer{Transport: c, Hosts: c.hosts}, Prober: &Prober{Dialer: c, Parse: c.parse},
@@ -247,7 +247,7 @@
 		c := newCluster()
 		c.servers["a"].gone = true
 		p := promoterOf(c, "h1")
-		p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
+		p.Board.RecordConnectionFailure("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
 		began := time.Now()
 		steps(p, 5*time.Second)
 		if len(c.steps) != 1 || !c.servers["b"].primary {
@@ -274,7 +274,7 @@
 		var g sync.WaitGroup
 		for _, h := range []string{"h1", "h2", "h3"} {
 			p := promoterOf(c, h)
-			p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
+			p.Board.RecordConnectionFailure("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
 			g.Go(func() { steps(p, 4*time.Second) })
 		}
 		g.Wait()
@@ -291,7 +291,7 @@
 		c := newCluster()
 		c.servers["a"].gone, c.heard = true, true
 		p := promoterOf(c, "h1")
-		p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
+		p.Board.RecordConnectionFailure("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
 		steps(p, 12*time.Second)
 		if len(c.steps) > 0 {
 			t.Errorf("steps %q", c.steps)
@@ -306,7 +306,7 @@
 		c := newCluster()
 		c.servers["a"].gone, c.heard, c.hung = true, true, true
 		p := promoterOf(c, "h1")
-		p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
+		p.Board.RecordConnectionFailure("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
 		steps(p, 8*time.Second)
 		if len(c.steps) != 1 || !c.servers["b"].primary {
 			t.Errorf("steps %q", c.steps)
@@ -322,7 +322,7 @@
 			c := newCluster()
 			c.servers["a"].full = cause
 			p := promoterOf(c, "h1")
-			p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
+			p.Board.RecordConnectionFailure("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
 			steps(p, 12*time.Second)
 			if len(c.steps) > 0 {
 				t.Errorf("%v: steps %q", cause, c.steps)
@@ -388,7 +388,7 @@
 
 // drainPrimary has the platform say that the primary is to leave.
 func drainPrimary(p *Promoter) {
-	p.Board.TakeServers([]declarer.Server{{ID: "a", Group: "db", Primary: true, Draining: true}, {ID: "b", Group: "db"}, {ID: "c", Group: "db"}})
+	p.Board.SetServers([]declarer.Server{{ID: "a", Group: "db", Primary: true, Draining: true}, {ID: "b", Group: "db"}, {ID: "c", Group: "db"}})
 }
 
 // The primary leaves as planned. Lines saved while the move is under way must not be
@@ -414,7 +414,7 @@
 		c := newCluster()
 		c.servers["b"].deaf, c.servers["c"].deaf = true, true
 		p := promoterOf(c, "h1")
-		p.Board.Configure(&declarer.Configuration{Version: 1, Groups: map[string]declarer.Group{"db": {Name: "db", Synchronous: 1}}})
+		p.Board.Configure(&declarer.Configuration{Version: 1, Groups: map[string]declarer.Group{"db": {Name: "db", SynchronousReplicas: 1}}})
 		drainPrimary(p)
 		steps(p, 2500*time.Millisecond)
 		want := []string{"demote a below 2", "promote a by h1 with 9 at length 10"}
@@ -467,7 +467,7 @@
 		c := newCluster()
 		c.servers["a"].gone = true
 		p := promoterOf(c, "h1")
-		p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
+		p.Board.RecordConnectionFailure("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
 		steps(p, 5*time.Second)
 		first := *c.claim
 		if !c.servers["b"].primary || first.Server != "" {
@@ -475,7 +475,7 @@
 		}
 		c.away = true
 		c.servers["a"].gone, c.servers["b"].gone = false, true
-		p.Board.Unreachable("db", "b", p.Board.Time(), connpooler.ErrNoRoute)
+		p.Board.RecordConnectionFailure("db", "b", p.Board.Time(), connpooler.ErrNoRoute)
 		steps(p, 5*time.Second)
 		if len(c.steps) != 2 || c.servers["b"].primary || c.servers["a"].primary == c.servers["c"].primary {
 			t.Errorf("steps %q", c.steps)
@@ -513,7 +513,7 @@
 		c.servers["a"].gone = true
 		c.claim = &Claim{Holder: "h9", Token: 40}
 		p := promoterOf(c, "h1")
-		p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
+		p.Board.RecordConnectionFailure("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
 		steps(p, deference)
 		if len(c.steps) > 0 {
 			t.Errorf("steps %q while the holder may act", c.steps)
--- a/internal/proxy/promoter/questions.go
+++ b/internal/proxy/promoter/questions.go
@@ -101,12 +101,12 @@
 		b.Do(q.server.Group, func(g *grouptracker.Group) { g.RecordAnswer(q.server.ID, b.Time(), 0, marker.Mark{}) })
 		return
 	case err != nil:
-		b.Unreachable(q.server.Group, q.server.ID, asked, err)
+		b.RecordConnectionFailure(q.server.Group, q.server.ID, asked, err)
 		return
 	}
 	b.Do(q.server.Group, func(g *grouptracker.Group) { g.RecordAnswer(q.server.ID, b.Time(), 0, s.Received) })
 	if s.Primary {
-		b.Led(q.server.Group, q.server.ID, asked, s.Received)
+		b.ConfirmLeadership(q.server.Group, q.server.ID, asked, s.Received)
 	}
 }
 
@@ -114,24 +114,24 @@
 type inquiry struct {
 	dialer   *relaydialer.Dialer
 	server   declarer.Server
-	question relaydialer.Question
-	done     chan relaydialer.Word
+	question relaydialer.Check
+	done     chan relaydialer.Verdict
 }
 
 func (x *inquiry) run(ctx context.Context) {
-	x.done <- x.dialer.Ask(ctx, x.server, x.question)
+	x.done <- x.dialer.CheckRemotely(ctx, x.server, x.question)
 }
 
 // inquire begins to ask other hosts what the reason to replace the primary needs.
 func (p *Promoter) inquire(ctx context.Context, s successor.View, r successor.Reason) *inquiry {
-	x := &inquiry{dialer: p.Dialer, done: make(chan relaydialer.Word, 1)}
+	x := &inquiry{dialer: p.Dialer, done: make(chan relaydialer.Verdict, 1)}
 	switch r {
 	case successor.ReasonUnresponsive:
-		x.server, x.question = s.Primary.Server, relaydialer.QuestionReach
+		x.server, x.question = s.Primary.Server, relaydialer.CheckReachable
 	case successor.ReasonDown:
-		x.server, x.question = s.Primary.Server, relaydialer.QuestionAnswer
+		x.server, x.question = s.Primary.Server, relaydialer.CheckResponding
 	default:
-		x.done <- relaydialer.WordLost
+		x.done <- relaydialer.VerdictDown
 		return x
 	}
 	go x.run(ctx)
@@ -141,11 +141,11 @@
 // confirms reports whether what other hosts say lets the primary be replaced. Silence
 // needs their word that they don't hear from it either; after long they may all be out of
 // reach, but none may have had an answer.
-func confirms(r successor.Reason, w relaydialer.Word) bool {
+func confirms(r successor.Reason, w relaydialer.Verdict) bool {
 	if r == successor.ReasonDown {
-		return w != relaydialer.WordAlive
+		return w != relaydialer.VerdictAlive
 	}
-	return w == relaydialer.WordLost
+	return w == relaydialer.VerdictDown
 }
 
 // reachable returns the servers but for a primary that doesn't answer: to ask it once
--- a/internal/proxy/relaydialer/relaydialer.go
+++ b/internal/proxy/relaydialer/relaydialer.go
@@ -36,35 +36,35 @@
 // Transport opens a connection to a server, directly or through the host's address.
 type Transport interface {
 	connpooler.Dialer
-	Via(ctx context.Context, host string, s declarer.Server) (connpooler.Connection, marker.Mark, error)
-	// Heard asks a host about the server. The answer is connpooler.ErrServerAlive or connpooler.ErrNoRouteAnywhere;
+	DialVia(ctx context.Context, host string, s declarer.Server) (connpooler.Connection, marker.Mark, error)
+	// CheckServer asks a host about the server. The answer is connpooler.ErrServerAlive or connpooler.ErrNoRouteAnywhere;
 	// any other error is no answer.
-	Heard(ctx context.Context, host string, s declarer.Server, q Question) error
+	CheckServer(ctx context.Context, host string, s declarer.Server, q Check) error
 }
 
-// Question is what another host is asked about a server.
-type Question uint8
+// Check is what another host is asked about a server.
+type Check uint8
 
 // Questions.
 const (
-	// QuestionReach: does it reach the server, or has heard from it a moment ago?
-	QuestionReach Question = iota
-	// QuestionAnswer: has the server itself answered there within the last seconds? That a
+	// CheckReachable: does it reach the server, or has heard from it a moment ago?
+	CheckReachable Check = iota
+	// CheckResponding: has the server itself answered there within the last seconds? That a
 	// connection can be made says nothing of a process that hangs.
-	QuestionAnswer
+	CheckResponding
 )
 
-// Word is what other hosts say of a server.
-type Word uint8
+// Verdict is what other hosts say of a server.
+type Verdict uint8
 
 // Words.
 const (
-	// WordNone: no host could be asked.
-	WordNone Word = iota
-	// WordLost: some don't hear from it, and none does.
-	WordLost
-	// WordAlive: one does.
-	WordAlive
+	// VerdictNone: no host could be asked.
+	VerdictNone Verdict = iota
+	// VerdictDown: some don't hear from it, and none does.
+	VerdictDown
+	// VerdictAlive: one does.
+	VerdictAlive
 )
 
 // Dialer opens connections directly where it can, and else through other hosts. Its
@@ -118,8 +118,8 @@
 	return nil, marker.Mark{}, connpooler.ErrNoRoute
 }
 
-// Ask returns what other hosts say of the server. A host that can't be asked says nothing.
-func (d *Dialer) Ask(ctx context.Context, s declarer.Server, q Question) Word {
+// CheckRemotely returns what other hosts say of the server. A host that can't be asked says nothing.
+func (d *Dialer) CheckRemotely(ctx context.Context, s declarer.Server, q Check) Verdict {
 	c, cancel := context.WithTimeout(ctx, witnessTimeout)
 	defer cancel()
 	l := shuffled(d.Hosts(), witnesses)
@@ -127,26 +127,26 @@
 	for _, h := range l {
 		go (&witness{transport: d.Transport, host: h, server: s, question: q, words: r}).run(c)
 	}
-	word := WordNone
+	word := VerdictNone
 	for range l {
 		switch err := <-r; {
 		case errors.Is(err, connpooler.ErrServerAlive):
-			return WordAlive
+			return VerdictAlive
 		case errors.Is(err, connpooler.ErrNoRouteAnywhere):
-			word = WordLost
+			word = VerdictDown
 		}
 	}
 	return word
 }
 
-// Answers reports whether the named host answers a question about the server, whatever
+// HostResponds reports whether the named host answers a question about the server, whatever
 // its answer is.
-func (d *Dialer) Answers(ctx context.Context, host string, s declarer.Server) bool {
+func (d *Dialer) HostResponds(ctx context.Context, host string, s declarer.Server) bool {
 	c, cancel := context.WithTimeout(ctx, witnessTimeout)
 	defer cancel()
 	for _, h := range d.Hosts() {
 		if h.Name == host {
-			return told(d.Transport.Heard(c, h.Address, s, QuestionReach))
+			return told(d.Transport.CheckServer(c, h.Address, s, CheckReachable))
 		}
 	}
 	return false
@@ -157,12 +157,12 @@
 	transport Transport
 	host      declarer.Host
 	server    declarer.Server
-	question  Question
+	question  Check
 	words     chan<- error
 }
 
 func (w *witness) run(ctx context.Context) {
-	w.words <- w.transport.Heard(ctx, w.host.Address, w.server, w.question)
+	w.words <- w.transport.CheckServer(ctx, w.host.Address, w.server, w.question)
 }
 
 // answered reports whether the error is the server's own word.
@@ -218,7 +218,7 @@
 }
 
 func (x *relayAttempt) run(ctx context.Context) {
-	c, m, err := x.dialer.Transport.Via(ctx, x.host.Address, x.server)
+	c, m, err := x.dialer.Transport.DialVia(ctx, x.host.Address, x.server)
 	if err != nil && ctx.Err() == nil && !told(err) {
 		// Not where the time ran out: the host may only have been asked late.
 		x.dialer.note(&x.dialer.unresponsive, x.host.Name, unresponsiveFor)
--- a/internal/proxy/relaydialer/relaydialer_test.go
+++ b/internal/proxy/relaydialer/relaydialer_test.go
@@ -45,11 +45,11 @@
 	return w.answer("direct", w.direct)
 }
 
-func (w *ways) Via(_ context.Context, host string, _ declarer.Server) (connpooler.Connection, marker.Mark, error) {
+func (w *ways) DialVia(_ context.Context, host string, _ declarer.Server) (connpooler.Connection, marker.Mark, error) {
 	return w.answer(host, w.via[host])
 }
 
-func (w *ways) Heard(_ context.Context, host string, _ declarer.Server, _ Question) error {
+func (w *ways) CheckServer(_ context.Context, host string, _ declarer.Server, _ Check) error {
 	return w.via[host]
 }
 
@@ -135,7 +135,7 @@
 				l = append(l, h)
 			}
 			d := &Dialer{Transport: &ways{via: c.via}, Hosts: hosts(l...)}
-			if got := d.Ask(t.Context(), declarer.Server{ID: "i"}, QuestionReach) == WordLost; got != c.want {
+			if got := d.CheckRemotely(t.Context(), declarer.Server{ID: "i"}, CheckReachable) == VerdictDown; got != c.want {
 				t.Errorf("lost %t, want %t", got, c.want)
 			}
 		})
@@ -146,7 +146,7 @@
 	w := &ways{via: map[string]error{"h1": connpooler.ErrNoRouteAnywhere, "h2": connpooler.ErrServerAlive, "h3": errors.New("timeout")}}
 	d := &Dialer{Transport: w, Hosts: hosts("h1", "h2", "h3")}
 	for h, want := range map[string]bool{"h1": true, "h2": true, "h3": false, "h4": false} {
-		if got := d.Answers(t.Context(), h, declarer.Server{ID: "i"}); got != want {
+		if got := d.HostResponds(t.Context(), h, declarer.Server{ID: "i"}); got != want {
 			t.Errorf("%s answers: %t, want %t", h, got, want)
 		}
 	}
@@ -155,7 +155,7 @@
 // slow is a way on which nothing is answered before the time is up.
 type slow struct{ ways }
 
-func (s *slow) Via(ctx context.Context, _ string, _ declarer.Server) (connpooler.Connection, marker.Mark, error) {
+func (s *slow) DialVia(ctx context.Context, _ string, _ declarer.Server) (connpooler.Connection, marker.Mark, error) {
 	<-ctx.Done()
 	return nil, marker.Mark{}, ctx.Err()
 }
@@ -175,7 +175,7 @@
 		if len(d.pick(1)) != 1 {
 			t.Error("the host isn't asked any more")
 		}
-		if d.Ask(t.Context(), declarer.Server{ID: "i"}, QuestionReach) != WordLost {
+		if d.CheckRemotely(t.Context(), declarer.Server{ID: "i"}, CheckReachable) != VerdictDown {
 			t.Error("the host's word isn't heard")
 		}
 	})
--- a/internal/proxy/relayer/relayer.go
+++ b/internal/proxy/relayer/relayer.go
@@ -21,30 +21,30 @@
 	maximumCarried = 1024
 )
 
-// Wish is what another host wants with a server.
-type Wish uint8
+// RequestKind is what another host wants with a server.
+type RequestKind uint8
 
 // Wishes.
 const (
-	WishNone Wish = iota
-	// WishRelay is a connection that is carried on.
-	WishRelay
-	// WishReachable is whether the server is heard here.
-	WishReachable
-	// WishAnswered is whether the server itself has answered here within the last seconds.
-	WishAnswered
-	// WishLink is to borrow connections of this host's.
-	WishLink
-	// WishFeed is to read what the platform lists through this host.
-	WishFeed
+	RequestNone RequestKind = iota
+	// RequestRelay is a connection that is carried on.
+	RequestRelay
+	// RequestReachable is whether the server is heard here.
+	RequestReachable
+	// RequestResponding is whether the server itself has answered here within the last seconds.
+	RequestResponding
+	// RequestLink is to borrow connections of this host's.
+	RequestLink
+	// RequestFeed is to read what the platform lists through this host.
+	RequestFeed
 )
 
 // Relayer takes connections from other hosts. Its fields are set before Run.
 type Relayer struct {
 	Listener net.Listener
-	// Ask reads the id of the server, or the kind of object, that a new connection is for,
+	// ReadRequest reads the id of the server, or the kind of object, that a new connection is for,
 	// and what is wanted.
-	Ask func(c net.Conn, deadline time.Time) (id string, w Wish, err error)
+	ReadRequest func(c net.Conn, deadline time.Time) (id string, w RequestKind, err error)
 	// Lend serves a host that borrows connections, until it ends.
 	Lend func(c net.Conn, server string)
 	// Feed serves a host that reads one kind of object, until it ends.
@@ -55,11 +55,11 @@
 	Dial func(address string, t time.Duration) (net.Conn, error)
 	// Alive reports whether the server has answered this host a moment ago.
 	Alive func(s declarer.Server) bool
-	// Answered reports whether the server itself has answered within the last seconds.
-	Answered func(s declarer.Server) bool
-	// Refuse answers that there is no route to the server.
-	Refuse func(c net.Conn, id string, alive bool)
-	Log    log.Interface
+	// Responding reports whether the server itself has answered within the last seconds.
+	Responding func(s declarer.Server) bool
+	// Reply answers that there is no route to the server.
+	Reply func(c net.Conn, id string, alive bool)
+	Log   log.Interface
 
 	slots chan struct{}
 }
@@ -100,11 +100,11 @@
 	r := x.relayer
 	defer func() { <-r.slots }()
 	defer x.from.Close()
-	id, wish, err := r.Ask(x.from, time.Now().Add(askTimeout))
+	id, wish, err := r.ReadRequest(x.from, time.Now().Add(askTimeout))
 	if err != nil {
 		return
 	}
-	if wish == WishFeed {
+	if wish == RequestFeed {
 		r.Feed(x.from, id)
 		return
 	}
@@ -112,27 +112,27 @@
 	if !ok {
 		return
 	}
-	if wish == WishLink {
+	if wish == RequestLink {
 		r.Lend(x.from, id)
 		return
 	}
-	if wish == WishAnswered {
-		r.Refuse(x.from, id, r.Answered(s))
+	if wish == RequestResponding {
+		r.Reply(x.from, id, r.Responding(s))
 		return
 	}
-	question := wish == WishReachable
+	question := wish == RequestReachable
 	if question && r.Alive(s) {
-		r.Refuse(x.from, id, true)
+		r.Reply(x.from, id, true)
 		return
 	}
 	to, err := r.Dial(s.Address, dialTimeout)
 	if err != nil {
-		r.Refuse(x.from, id, r.Alive(s))
+		r.Reply(x.from, id, r.Alive(s))
 		return
 	}
 	defer to.Close()
 	if question {
-		r.Refuse(x.from, id, true)
+		r.Reply(x.from, id, true)
 		return
 	}
 	back := &stream{from: to, to: x.from, done: make(chan struct{})}
--- a/internal/proxy/relayer/relayer_test.go
+++ b/internal/proxy/relayer/relayer_test.go
@@ -24,17 +24,17 @@
 	t.Cleanup(func() { l.Close() })
 	r := &Relayer{
 		Listener: l,
-		Ask: func(c net.Conn, _ time.Time) (string, Wish, error) {
+		ReadRequest: func(c net.Conn, _ time.Time) (string, RequestKind, error) {
 			b := make([]byte, 4)
 			_, err := c.Read(b)
-			return string(b[:3]), map[byte]Wish{'?': WishReachable, '+': WishLink}[b[3]], err
+			return string(b[:3]), map[byte]RequestKind{'?': RequestReachable, '+': RequestLink}[b[3]], err
 		},
-		Lend:   func(c net.Conn, id string) { _, _ = fmt.Fprintf(c, "lends of %s\n", id) },
-		Find:   func(id string) (declarer.Server, bool) { return declarer.Server{ID: id, Address: "there"}, id == "i-1" },
-		Dial:   dial,
-		Alive:  func(declarer.Server) bool { return false },
-		Refuse: func(c net.Conn, id string, alive bool) { _, _ = fmt.Fprintf(c, "no way to %s, alive %t\n", id, alive) },
-		Log:    &log.Logger{Handler: discard.New()},
+		Lend:  func(c net.Conn, id string) { _, _ = fmt.Fprintf(c, "lends of %s\n", id) },
+		Find:  func(id string) (declarer.Server, bool) { return declarer.Server{ID: id, Address: "there"}, id == "i-1" },
+		Dial:  dial,
+		Alive: func(declarer.Server) bool { return false },
+		Reply: func(c net.Conn, id string, alive bool) { _, _ = fmt.Fprintf(c, "no way to %s, alive %t\n", id, alive) },
+		Log:   &log.Logger{Handler: discard.New()},
 	}
 	go r.Run()
 	c, err := net.Dial("tcp4", l.Addr().String())
--- a/internal/proxy/reporter/metrics.go
+++ b/internal/proxy/reporter/metrics.go
@@ -40,15 +40,15 @@
 	Sessions func() int
 	// Configuration is the version in force.
 	Configuration func() uint64
-	// Dropped are the log lines that found their queue full.
-	Dropped func() uint64
+	// DroppedLogLines are the log lines that found their queue full.
+	DroppedLogLines func() uint64
 	// Age is how long ago what the platform lists was last confirmed, directly or through
 	// another host.
 	Age func(blackboard.Section) time.Duration
 	// PositionAge is how long ago the primary whose position is oldest proved it.
 	PositionAge func() time.Duration
-	// Leaderless are the groups without a known primary.
-	Leaderless func() int
+	// GroupsWithoutPrimary are the groups without a known primary.
+	GroupsWithoutPrimary func() int
 }
 
 // NewMetrics returns metrics in a registry of their own.
@@ -74,8 +74,8 @@
 	m.gauge("servers_age_seconds", "Time since the list of servers was last confirmed.", func() float64 { return g.Age(blackboard.SectionServers).Seconds() })
 	m.gauge("hosts_age_seconds", "Time since the list of entry hosts was last confirmed.", func() float64 { return g.Age(blackboard.SectionHosts).Seconds() })
 	m.gauge("primary_position_age_seconds", "Time since the primary whose position is oldest proved it.", func() float64 { return g.PositionAge().Seconds() })
-	m.gauge("groups_without_primary", "Database groups without a known primary.", func() float64 { return float64(g.Leaderless()) })
-	m.gauge("log_lines_dropped", "Log lines that found their queue full.", func() float64 { return float64(g.Dropped()) })
+	m.gauge("groups_without_primary", "Database groups without a known primary.", func() float64 { return float64(g.GroupsWithoutPrimary()) })
+	m.gauge("log_lines_dropped", "Log lines that found their queue full.", func() float64 { return float64(g.DroppedLogLines()) })
 	return m
 }
 
--- a/internal/proxy/reporter/reporter.go
+++ b/internal/proxy/reporter/reporter.go
@@ -30,21 +30,21 @@
 
 // outcomes are what log and metrics call the result of a statement.
 var outcomes = map[declarer.Code]outcome{
-	declarer.CodeNone:        {name: "ran"},
-	declarer.CodeBusy:        {"not-run", "busy"},
-	declarer.CodeLagging:     {"not-run", "lagging"},
-	declarer.CodeReadOnly:    {"not-run", "read-only"},
-	declarer.CodeMisrouted:   {"not-run", "misrouted"},
-	declarer.CodeTooMany:     {"not-run", "too-many-connections"},
-	declarer.CodeNoStatement: {"not-run", "no-such-statement"},
-	declarer.CodeAborted:     {"not-run", "aborted"},
-	declarer.CodeNoDatabase:  {"not-run", "no-database"},
-	declarer.CodeMalformed:   {"not-run", "malformed"},
-	declarer.CodeTooBig:      {"not-run", "too-big"},
-	declarer.CodeFailed:      {"failed", "failed"},
-	declarer.CodeOther:       {"failed", "other"},
-	declarer.CodeTimeout:     {"unknown", "timeout"},
-	declarer.CodeUnknown:     {"unknown", "answer-lost"},
+	declarer.CodeNone:               {name: "ran"},
+	declarer.CodeBusy:               {"not-run", "busy"},
+	declarer.CodeLagging:            {"not-run", "lagging"},
+	declarer.CodeReadOnly:           {"not-run", "read-only"},
+	declarer.CodeMisrouted:          {"not-run", "misrouted"},
+	declarer.CodeTooManyConnections: {"not-run", "too-many-connections"},
+	declarer.CodeNoSuchStatement:    {"not-run", "no-such-statement"},
+	declarer.CodeAborted:            {"not-run", "aborted"},
+	declarer.CodeNoDatabase:         {"not-run", "no-database"},
+	declarer.CodeMalformed:          {"not-run", "malformed"},
+	declarer.CodeTooBig:             {"not-run", "too-big"},
+	declarer.CodeFailed:             {"failed", "failed"},
+	declarer.CodeOther:              {"failed", "other"},
+	declarer.CodeTimeout:            {"unknown", "timeout"},
+	declarer.CodeOutcomeUnknown:     {"unknown", "answer-lost"},
 }
 
 // operations are what log and metrics call a statement.
--- a/internal/proxy/reporter/reporter_test.go
+++ b/internal/proxy/reporter/reporter_test.go
@@ -25,8 +25,8 @@
 func metrics() *Metrics {
 	age := func() time.Duration { return 1500 * time.Millisecond }
 	return NewMetrics(Gauges{
-		Sessions: func() int { return 3 }, Configuration: func() uint64 { return 7 }, Dropped: func() uint64 { return 0 },
-		Age: func(blackboard.Section) time.Duration { return age() }, PositionAge: age, Leaderless: func() int { return 2 },
+		Sessions: func() int { return 3 }, Configuration: func() uint64 { return 7 }, DroppedLogLines: func() uint64 { return 0 },
+		Age: func(blackboard.Section) time.Duration { return age() }, PositionAge: age, GroupsWithoutPrimary: func() int { return 2 },
 	})
 }
 
@@ -62,7 +62,7 @@
 	done := make(chan error)
 	go func() { done <- e.Run(ctx) }()
 	o.Statement(&executor.Report{Statement: "ran-1", Verb: declarer.VerbRead, Server: "i-1", Elapsed: time.Millisecond})
-	o.Statement(&executor.Report{Statement: "lost-1", Verb: declarer.VerbWrite, Server: "i-1", Primary: true, Code: declarer.CodeUnknown})
+	o.Statement(&executor.Report{Statement: "lost-1", Verb: declarer.VerbWrite, Server: "i-1", Primary: true, Code: declarer.CodeOutcomeUnknown})
 	cancel()
 	<-done
 	if s := b.String(); strings.Contains(s, "ran-1") || !strings.Contains(s, `"request":"lost-1"`) || !strings.Contains(s, `"outcome":"unknown"`) {
--- a/internal/proxy/runner/deployment_test.go
+++ b/internal/proxy/runner/deployment_test.go
@@ -220,7 +220,7 @@
 	switch {
 	case verb == "WRITE" && !s.declared.Primary:
 		x.answer.Code = declarer.CodeReadOnly
-	case !s.position().Covers(r.After):
+	case !s.position().Covers(r.RequiredPosition):
 		x.answer.Code = declarer.CodeLagging
 	default:
 		end, ok := s.work(time.Duration(us) * time.Microsecond)
@@ -299,7 +299,7 @@
 		Routes: map[string]declarer.Route{
 			"confirm":    route("confirm", declarer.KindPrimary, 0, 300*time.Millisecond, 800*time.Millisecond),
 			"browse":     route("browse", declarer.KindBounded, 1500*time.Millisecond, 500*time.Millisecond, 1200*time.Millisecond),
-			"reschedule": route("reschedule", declarer.KindOwnWrites, 2500*time.Millisecond, 500*time.Millisecond, 800*time.Millisecond),
+			"reschedule": route("reschedule", declarer.KindReadYourWrites, 2500*time.Millisecond, 500*time.Millisecond, 800*time.Millisecond),
 		},
 		Groups: map[string]declarer.Group{"db": {Name: "db", MaximumConnections: d.limit}},
 	})
@@ -318,7 +318,7 @@
 		s = append(s, y.declared)
 	}
 	h.pools.take(s)
-	b.TakeServers(s)
+	b.SetServers(s)
 	return x
 }
 
@@ -451,7 +451,7 @@
 func (b *borrower) Refuse(r lender.Refusal) {
 	x := declarer.Answer{Code: declarer.CodeNoLease, Detail: r.Message, RetryAfter: r.RetryAfter}
 	if r.Unreachable {
-		x.Code = declarer.CodeNoServer
+		x.Code = declarer.CodeServerUnreachable
 	}
 	b.out = append(b.out, x)
 }
--- a/internal/proxy/runner/follower.go
+++ b/internal/proxy/runner/follower.go
@@ -26,7 +26,7 @@
 	// List returns all there are, and the revision from where to watch.
 	List(ctx context.Context) ([]T, uint64, error)
 	// Watch waits for changes after the revision and returns them with the new one.
-	// It returns cachesyncer.ErrForgotten if they aren't kept so long.
+	// It returns cachesyncer.ErrCompacted if they aren't kept so long.
 	Watch(ctx context.Context, after uint64, wait time.Duration) ([]Change[T], uint64, error)
 }
 
@@ -84,7 +84,7 @@
 			fresh = true
 			f.gate.answered()
 			f.confirmed()
-		case errors.Is(err, cachesyncer.ErrForgotten):
+		case errors.Is(err, cachesyncer.ErrCompacted):
 			fresh = false
 		default:
 			f.gate.failed()
@@ -135,7 +135,7 @@
 
 // note writes down when the platform is lost and regained.
 func (f *follower[T]) note(err error) {
-	failing := err != nil && !errors.Is(err, cachesyncer.ErrForgotten)
+	failing := err != nil && !errors.Is(err, cachesyncer.ErrCompacted)
 	if failing == f.failing {
 		return
 	}
--- a/internal/proxy/runner/follower_test.go
+++ b/internal/proxy/runner/follower_test.go
@@ -59,7 +59,7 @@
 			{list: []string{"a"}, at: 5},
 			{list: []string{"b"}, at: 7},
 			{err: errors.New("away")},
-			{err: cachesyncer.ErrForgotten},
+			{err: cachesyncer.ErrCompacted},
 			{list: []string{"a", "c"}, at: 20},
 		}}
 		var seen []string
--- a/internal/proxy/runner/host.go
+++ b/internal/proxy/runner/host.go
@@ -175,7 +175,7 @@
 	h.follow(ctx)
 	h.Relayer.Find = h.pools.find
 	h.Relayer.Alive = h.alive
-	h.Relayer.Answered = h.answered
+	h.Relayer.Responding = h.answered
 	h.Relayer.Lend = h.lend
 	go h.Relayer.Run()
 	go (&acceptor{host: h, listener: callers}).run()
@@ -264,7 +264,7 @@
 // publish takes the servers as they are listed now.
 func (h *Host) publish(l []declarer.Server) {
 	h.pools.take(l)
-	h.Board.TakeServers(l)
+	h.Board.SetServers(l)
 	h.promote()
 }
 
@@ -292,5 +292,5 @@
 
 // Unreachable is the counterpart of Connected.
 func (h *Host) Unreachable(s declarer.Server, err error) {
-	h.Board.Unreachable(s.Group, s.ID, h.Board.Time(), err)
+	h.Board.RecordConnectionFailure(s.Group, s.ID, h.Board.Time(), err)
 }
--- a/internal/proxy/runner/load_test.go
+++ b/internal/proxy/runner/load_test.go
@@ -76,7 +76,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case r.Code == declarer.CodeUnknown || r.Code == declarer.CodeTimeout:
+	case r.Code == declarer.CodeOutcomeUnknown || r.Code == declarer.CodeTimeout:
 		l.unknown++
 	case r.Code != declarer.CodeNone:
 		l.refused = append(l.refused, r.Elapsed)
--- a/internal/proxy/runner/readers.go
+++ b/internal/proxy/runner/readers.go
@@ -121,7 +121,7 @@
 // ReaderFailed notes a host that didn't answer, or can't vouch for what it has of a kind.
 func (h *Host) ReaderFailed(x declarer.Host, kind string, err error) {
 	over := kind
-	if !errors.Is(err, cachesyncer.ErrAway) {
+	if !errors.Is(err, cachesyncer.ErrStale) {
 		over = ""
 	}
 	if h.roster.passOver(x.Name, over) {
