--- a/internal/proxy/blackboard/blackboard.go
+++ b/internal/proxy/blackboard/blackboard.go
@@ -67,8 +67,8 @@
 	return true
 }
 
-// SetServers replaces the servers of all groups.
-func (b *Board) SetServers(l []declarer.Server) {
+// ReplaceServers replaces the servers of all groups.
+func (b *Board) ReplaceServers(l []declarer.Server) {
 	now := b.Time()
 	by := make(map[string][]declarer.Server)
 	for _, s := range l {
@@ -161,8 +161,8 @@
 	return d
 }
 
-// ConfirmLeadership notes a proof that the server leads its group.
-func (b *Board) ConfirmLeadership(group, server string, asked time.Duration, m marker.Mark) {
+// RecordLeadership notes a proof that the server leads its group.
+func (b *Board) RecordLeadership(group, server string, asked time.Duration, m marker.Mark) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	g := b.group(group)
--- a/internal/proxy/blackboard/blackboard_test.go
+++ b/internal/proxy/blackboard/blackboard_test.go
@@ -27,14 +27,14 @@
 func TestAgesOfBeliefs(t *testing.T) {
 	now := time.Hour
 	b := &Board{Now: func() time.Duration { return now }}
-	b.SetServers([]declarer.Server{{ID: "a", Group: "g", Primary: true}, {ID: "b", Group: "h"}})
+	b.ReplaceServers([]declarer.Server{{ID: "a", Group: "g", Primary: true}, {ID: "b", Group: "h"}})
 	if n, d := b.GroupsWithoutPrimary(), b.PositionAge(); n != 1 || d != 0 {
 		t.Errorf("%d groups without a primary, age %v", n, d)
 	}
 	b.Confirm(SectionServers)
-	b.ConfirmLeadership("g", "a", now, marker.Mark{Term: 1, Position: 1})
+	b.RecordLeadership("g", "a", now, marker.Mark{Term: 1, Position: 1})
 	now += 3 * time.Second
-	b.ConfirmLeadership("h", "b", now, marker.Mark{Term: 1, Position: 1})
+	b.RecordLeadership("h", "b", now, marker.Mark{Term: 1, Position: 1})
 	if d := b.Age(SectionServers); d != 3*time.Second {
 		t.Errorf("servers confirmed %v ago", d)
 	}
--- a/internal/proxy/declarer/declarer.go
+++ b/internal/proxy/declarer/declarer.go
@@ -65,8 +65,8 @@
 	WarmUp           time.Duration
 	// Sequence counts the server's own reports since Born, its start in
 	// milliseconds of Unix time.
-	Sequence  uint64
-	StartedAt int64
+	Sequence uint64
+	Boot     int64
 	// Revision is the platform's revision of the report.
 	Revision uint64
 }
--- a/internal/proxy/executor/attempt_test.go
+++ b/internal/proxy/executor/attempt_test.go
@@ -57,7 +57,7 @@
 		d := newDeployment(w, "z-0")
 		c := start(d, "primary")
 		w.promote(w.servers[1])
-		time.AfterFunc(50*time.Millisecond, func() { d.board.SetServers(w.list()) })
+		time.AfterFunc(50*time.Millisecond, func() { d.board.ReplaceServers(w.list()) })
 		if _, r := c.ask("WRITE x 1"); r.code != declarer.CodeNone {
 			t.Errorf("code %d", r.code)
 		}
--- a/internal/proxy/executor/judging.go
+++ b/internal/proxy/executor/judging.go
@@ -25,9 +25,9 @@
 	case !ran || a.unproved || !a.leads:
 	case a.request.Writes && a.begin == declarer.VerbUnknown:
 		a.session.committed(a.route.Group, m)
-		a.session.Board.ConfirmLeadership(a.route.Group, a.server, asked, m)
+		a.session.Board.RecordLeadership(a.route.Group, a.server, asked, m)
 	default:
-		a.session.Board.ConfirmLeadership(a.route.Group, a.server, asked, a.opened)
+		a.session.Board.RecordLeadership(a.route.Group, a.server, asked, a.opened)
 	}
 }
 
--- a/internal/proxy/executor/model_test.go
+++ b/internal/proxy/executor/model_test.go
@@ -45,7 +45,7 @@
 		c.Routes[name] = declarer.Route{Database: name, Group: "db", Kind: k, Timeout: 400 * time.Millisecond, MaximumStaleness: staleness}
 	}
 	d.board.Configure(c)
-	d.board.SetServers(w.list())
+	d.board.ReplaceServers(w.list())
 	return d
 }
 
@@ -370,7 +370,7 @@
 			// Some hosts hear of it only later.
 			for _, h := range f.hosts {
 				if f.random.IntN(2) == 0 {
-					h.board.SetServers(f.world.list())
+					h.board.ReplaceServers(f.world.list())
 				}
 			}
 		case 1:
@@ -379,7 +379,7 @@
 			f.cut(s)
 		default:
 			for _, h := range f.hosts {
-				h.board.SetServers(f.world.list())
+				h.board.ReplaceServers(f.world.list())
 			}
 		}
 	}
--- a/internal/proxy/executor/observer.go
+++ b/internal/proxy/executor/observer.go
@@ -116,6 +116,6 @@
 	case begun.Code == declarer.CodeReadOnly:
 		f.observer.Board.Do(f.group, func(g *grouptracker.Group) { g.RecordNotLeading(id) })
 	case begun.Code == declarer.CodeNone:
-		f.observer.Board.ConfirmLeadership(f.group, id, asked, begun.Position)
+		f.observer.Board.RecordLeadership(f.group, id, asked, begun.Position)
 	}
 }
--- a/internal/proxy/executor/transaction.go
+++ b/internal/proxy/executor/transaction.go
@@ -179,7 +179,7 @@
 	}
 	if t.wrote && a.answer.Code == declarer.CodeNone {
 		s.committed(t.route.Group, a.answer.Position)
-		s.Board.ConfirmLeadership(t.route.Group, t.server, asked, a.answer.Position)
+		s.Board.RecordLeadership(t.route.Group, t.server, asked, a.answer.Position)
 	}
 	a.report(a.answer.Code)
 	return s.Caller.Forward(&a.answer, declarer.StateIdle)
--- a/internal/proxy/grouptracker/grouptracker.go
+++ b/internal/proxy/grouptracker/grouptracker.go
@@ -96,7 +96,7 @@
 
 func (g *Group) merge(d declarer.Server, now time.Duration) *Server {
 	o := g.Find(d.ID)
-	if o == nil || o.StartedAt != d.StartedAt || o.Address != d.Address {
+	if o == nil || o.Boot != d.Boot || o.Address != d.Address {
 		// A server that started again holds nothing of before.
 		o = &Server{ServiceTime: serviceTime}
 	}
--- a/internal/proxy/grouptracker/grouptracker_test.go
+++ b/internal/proxy/grouptracker/grouptracker_test.go
@@ -111,17 +111,12 @@
 		happens func(g *Group)
 		want    string
 	}{
-		"nearest replica":         {func(*Group) {}, "b"},
-		"lagging is left out":     {func(g *Group) { g.RecordLag("b", time.Second) }, "c"},
-		"unreachable is left out": {func(g *Group) { g.RecordFailure("b", time.Second, time.Second) }, "c"},
-		"all replicas lag":        {func(g *Group) { g.RecordLag("b", time.Second); g.RecordLag("c", time.Second) }, "a"},
-		"leaving is left out":     {func(g *Group) { l := listed("a", 1); l[1].Draining = true; g.SetServers(l, 0) }, "c"},
-		"started again, nothing of before": {func(g *Group) {
-			g.RecordLag("b", time.Second)
-			l := listed("a", 1)
-			l[1].StartedAt = 7
-			g.SetServers(l, 0)
-		}, "b"},
+		"nearest replica":                   {func(*Group) {}, "b"},
+		"lagging is left out":               {func(g *Group) { g.RecordLag("b", time.Second) }, "c"},
+		"unreachable is left out":           {func(g *Group) { g.RecordFailure("b", time.Second, time.Second) }, "c"},
+		"all replicas lag":                  {func(g *Group) { g.RecordLag("b", time.Second); g.RecordLag("c", time.Second) }, "a"},
+		"leaving is left out":               {func(g *Group) { l := listed("a", 1); l[1].Draining = true; g.SetServers(l, 0) }, "c"},
+		"started again, nothing of before":  {func(g *Group) { g.RecordLag("b", time.Second); l := listed("a", 1); l[1].Boot = 7; g.SetServers(l, 0) }, "b"},
 		"without a primary, any with a log": {func(g *Group) { g.RecordNotLeading("a") }, "a"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/proxy/promoter/promoter_test.go
+++ b/internal/proxy/promoter/promoter_test.go
@@ -212,7 +212,7 @@
 func promoterOf(c *cluster, h string) *Promoter {
 	began := time.Now()
 	b := &blackboard.Board{Now: func() time.Duration { return time.Since(began) + time.Hour }}
-	b.SetServers([]declarer.Server{{ID: "a", Group: "db", Primary: true}, {ID: "b", Group: "db"}, {ID: "c", Group: "db"}})
+	b.ReplaceServers([]declarer.Server{{ID: "a", Group: "db", Primary: true}, {ID: "b", Group: "db"}, {ID: "c", Group: "db"}})
 	return &Promoter{
 		Host: h, Group: "db", Board: b, Roles: among{}, Platform: c, Counter: c, Log: quiet,
 		Dialer: &relaydialer.Dialer{Transport: c, Hosts: c.hosts}, Prober: &Prober{Dialer: c, Parse: c.parse},
@@ -388,7 +388,7 @@
 
 // drainPrimary has the platform say that the primary is to leave.
 func drainPrimary(p *Promoter) {
-	p.Board.SetServers([]declarer.Server{{ID: "a", Group: "db", Primary: true, Draining: true}, {ID: "b", Group: "db"}, {ID: "c", Group: "db"}})
+	p.Board.ReplaceServers([]declarer.Server{{ID: "a", Group: "db", Primary: true, Draining: true}, {ID: "b", Group: "db"}, {ID: "c", Group: "db"}})
 }
 
 // The primary leaves as planned. Lines saved while the move is under way must not be
--- a/internal/proxy/promoter/questions.go
+++ b/internal/proxy/promoter/questions.go
@@ -106,7 +106,7 @@
 	}
 	b.Do(q.server.Group, func(g *grouptracker.Group) { g.RecordAnswer(q.server.ID, b.Time(), 0, s.Received) })
 	if s.Primary {
-		b.ConfirmLeadership(q.server.Group, q.server.ID, asked, s.Received)
+		b.RecordLeadership(q.server.Group, q.server.ID, asked, s.Received)
 	}
 }
 
--- a/internal/proxy/runner/deployment_test.go
+++ b/internal/proxy/runner/deployment_test.go
@@ -318,7 +318,7 @@
 		s = append(s, y.declared)
 	}
 	h.pools.take(s)
-	b.SetServers(s)
+	b.ReplaceServers(s)
 	return x
 }
 
--- a/internal/proxy/runner/host.go
+++ b/internal/proxy/runner/host.go
@@ -264,7 +264,7 @@
 // publish takes the servers as they are listed now.
 func (h *Host) publish(l []declarer.Server) {
 	h.pools.take(l)
-	h.Board.SetServers(l)
+	h.Board.ReplaceServers(l)
 	h.promote()
 }
 
--- a/internal/proxy/runner/pools.go
+++ b/internal/proxy/runner/pools.go
@@ -66,7 +66,7 @@
 	}
 	for w, o := range p.pools {
 		s, ok := p.servers[w.server]
-		if !ok || s.Address != o.Server.Address || s.StartedAt != o.Server.StartedAt {
+		if !ok || s.Address != o.Server.Address || s.Boot != o.Server.Boot {
 			delete(p.pools, w)
 			o.Close()
 		}
