--- a/internal/proxy/executor/attempt.go
+++ b/internal/proxy/executor/attempt.go
@@ -213,7 +213,7 @@
 	if err != nil {
 		return a.handleBrokenExchange(l, err)
 	}
-	if !a.answer.Code.OfOwner() {
+	if !a.answer.Code.FromOwner() {
 		a.recordAnswer(asked, took)
 	}
 	if a.answer.Code.NotRun() {
@@ -245,7 +245,7 @@
 	}
 	e.addSetup(a.session, a.request)
 	if a.begin != declarer.VerbUnknown {
-		e.add(declarer.Request{Verb: a.begin, After: a.beginAfter()})
+		e.add(declarer.Request{Verb: a.begin, RequiredPosition: a.beginAfter()})
 		if err := e.run(&a.answer); err != nil || a.answer.Code != declarer.CodeNone {
 			return err
 		}
@@ -253,7 +253,7 @@
 	}
 	q := a.request.Request
 	if a.begin != declarer.VerbUnknown {
-		q.After = marker.Mark{}
+		q.RequiredPosition = marker.Mark{}
 		if err := e.acquirePermit(a.leaseOptions()); err != nil {
 			return err
 		}
@@ -272,7 +272,7 @@
 	if a.begin == declarer.VerbBegin {
 		return marker.Mark{}
 	}
-	return a.request.After
+	return a.request.RequiredPosition
 }
 
 // confirmLeadership sends an empty transaction right after the read, which only the primary
@@ -295,7 +295,7 @@
 	a.session.Reporter.Statement(&Report{
 		Group: a.route.Group, Database: a.route.Database, Statement: a.request.ID, Verb: a.request.verb,
 		Server: a.server, Primary: a.primary, Code: c, Reason: a.reason, Attempts: a.retries.Tries(),
-		RequiredPosition: a.request.After, Version: a.session.version(),
+		RequiredPosition: a.request.RequiredPosition, Version: a.session.version(),
 		Wait: a.waited, Elapsed: time.Since(a.began),
 	})
 }
--- a/internal/proxy/executor/attempt_test.go
+++ b/internal/proxy/executor/attempt_test.go
@@ -57,7 +57,7 @@
 		d := newEntryHost(w, "z-0")
 		c := startSession(d, "primary")
 		w.promote(w.servers[1])
-		time.AfterFunc(50*time.Millisecond, func() { d.board.TakeServers(w.listServers()) })
+		time.AfterFunc(50*time.Millisecond, func() { d.board.ReplaceServers(w.listServers()) })
 		if _, r := c.ask("WRITE x 1"); r.code != declarer.CodeNone {
 			t.Errorf("code %d", r.code)
 		}
--- a/internal/proxy/executor/checker_test.go
+++ b/internal/proxy/executor/checker_test.go
@@ -43,7 +43,7 @@
 			want:    "told that it did not run",
 		},
 		"unknown outcome that ran": {
-			history: func(h *history) { h.recordReply("s1.1", "x", 4, declarer.CodeUnknown) },
+			history: func(h *history) { h.recordReply("s1.1", "x", 4, declarer.CodeOutcomeUnknown) },
 			log:     []record{committed},
 		},
 		"stale read": {
--- a/internal/proxy/executor/choosing.go
+++ b/internal/proxy/executor/choosing.go
@@ -39,7 +39,7 @@
 		a.reason = "no recent position of the primary is known"
 		return "", false
 	}
-	a.request.After = required
+	a.request.RequiredPosition = required
 	a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) {
 		s, d := g.ChooseReadServer(required, a.retries.Excluded(), rand.Uint64(), a.session.Board.Time())
 		a.reason = d.Reason.String()
@@ -81,7 +81,7 @@
 func (a *attempt) knownPosition() (required marker.Mark, ok, outdated bool) {
 	a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) {
 		required, ok = g.RequiredPosition(a.arrived, a.route.MaximumStaleness)
-		if ok && a.route.Kind == declarer.KindOwnWrites {
+		if ok && a.route.Kind == declarer.KindReadYourWrites {
 			required = marker.Max(required, g.ToNewestTerm(a.session.lastCommitIn(a.route.Group)))
 		}
 		l, known := g.LatestConfirmation()
--- a/internal/proxy/executor/exchange.go
+++ b/internal/proxy/executor/exchange.go
@@ -96,7 +96,7 @@
 		if err := e.receive(&a); err != nil {
 			return err
 		}
-		if a.Code.OfOwner() {
+		if a.Code.FromOwner() {
 			continue // nothing was sent, and the statement itself gets the same answer
 		}
 		if a.Code != declarer.CodeNone {
--- a/internal/proxy/executor/history_test.go
+++ b/internal/proxy/executor/history_test.go
@@ -142,7 +142,7 @@
 // meansNotRun reports whether the code says that the statement had no effect.
 func meansNotRun(c declarer.Code) bool {
 	switch c {
-	case declarer.CodeBusy, declarer.CodeAborted, declarer.CodeLagging, declarer.CodeReadOnly, declarer.CodeMisrouted, declarer.CodeTooMany:
+	case declarer.CodeBusy, declarer.CodeAborted, declarer.CodeLagging, declarer.CodeReadOnly, declarer.CodeMisrouted, declarer.CodeTooManyConnections:
 		return true
 	}
 	return false
--- a/internal/proxy/executor/judging.go
+++ b/internal/proxy/executor/judging.go
@@ -26,9 +26,9 @@
 	case !ran || a.unconfirmed || !a.primaryOnly:
 	case a.request.Writes && a.begin == declarer.VerbUnknown:
 		a.session.recordCommit(a.route.Group, m)
-		a.session.Board.Led(a.route.Group, a.server, asked, m)
+		a.session.Board.RecordLeadership(a.route.Group, a.server, asked, m)
 	default:
-		a.session.Board.Led(a.route.Group, a.server, asked, a.beginPosition)
+		a.session.Board.RecordLeadership(a.route.Group, a.server, asked, a.beginPosition)
 	}
 }
 
@@ -46,7 +46,7 @@
 		return a.afterRefusal(a.server, retrier.CauseBehind, 0)
 	case declarer.CodeNoLease:
 		return a.afterRefusal(a.server, retrier.CauseQueueTooLong, x.RetryAfter)
-	case declarer.CodeNoServer:
+	case declarer.CodeServerUnreachable:
 		return a.afterRefusal(a.server, retrier.CauseUnreachable, 0)
 	}
 	return a.afterRefusal(a.server, retrier.CauseBusy, 0)
@@ -55,7 +55,7 @@
 // recordLag records that the server lags, unless it only lacks the session's own last commit:
 // every replica lacks a new commit for a few milliseconds.
 func (a *attempt) recordLag() {
-	if a.request.After == a.session.lastCommitIn(a.route.Group) {
+	if a.request.RequiredPosition == a.session.lastCommitIn(a.route.Group) {
 		return
 	}
 	a.session.Board.Do(a.route.Group, func(g *grouptracker.Group) { g.RecordLag(a.server, a.session.Board.Time()) })
@@ -71,7 +71,7 @@
 	a.reason = err.Error()
 	switch {
 	case a.request.Writes && a.begin == declarer.VerbUnknown:
-		return tryResult{code: declarer.CodeUnknown, text: "the server's answer didn't come; whether the write ran isn't known"}
+		return tryResult{code: declarer.CodeOutcomeUnknown, text: "the server's answer didn't come; whether the write ran isn't known"}
 	case a.begin != declarer.VerbUnknown && timeout:
 		return tryResult{code: declarer.CodeAborted, text: "no answer in time; the transaction is rolled back"}
 	case timeout:
--- a/internal/proxy/executor/session.go
+++ b/internal/proxy/executor/session.go
@@ -176,8 +176,8 @@
 }
 
 func (s *Session) idleTransactionTimeout() time.Duration {
-	if c := s.Board.Configuration(); c != nil && c.IdleTransaction > 0 {
-		return c.IdleTransaction
+	if c := s.Board.Configuration(); c != nil && c.IdleTransactionTimeout > 0 {
+		return c.IdleTransactionTimeout
 	}
 	return defaultIdleTransactionTimeout
 }
@@ -295,7 +295,7 @@
 func (s *Session) deallocate(x declarer.Statement) error {
 	o, ok := s.prepared[x.Name]
 	if !ok {
-		return s.fail(declarer.CodeNoStatement, x.Name)
+		return s.fail(declarer.CodeNoSuchStatement, x.Name)
 	}
 	s.stateBytes -= len(x.Name) + len(o.shape)
 	delete(s.prepared, x.Name)
@@ -327,7 +327,7 @@
 func (s *Session) run(x declarer.Statement) error {
 	q, err := s.buildRequest(x)
 	if err != nil {
-		return s.fail(declarer.CodeNoStatement, x.Name)
+		return s.fail(declarer.CodeNoSuchStatement, x.Name)
 	}
 	if s.openTransaction != nil {
 		return s.runInTransaction(q)
--- a/internal/proxy/executor/transaction.go
+++ b/internal/proxy/executor/transaction.go
@@ -142,7 +142,7 @@
 			a.reason = err.Error()
 			return err
 		}
-		if a.answer.Code.OfOwner() {
+		if a.answer.Code.FromOwner() {
 			a.reason = a.answer.Detail
 			return errors.Annotatef(connpooler.ErrRefused, "server %s: %s", t.server, a.answer.Detail)
 		}
@@ -181,7 +181,7 @@
 	}
 	if t.wrote && a.answer.Code == declarer.CodeNone {
 		s.recordCommit(t.route.Group, a.answer.Position)
-		s.Board.Led(t.route.Group, t.server, asked, a.answer.Position)
+		s.Board.RecordLeadership(t.route.Group, t.server, asked, a.answer.Position)
 	}
 	a.report(a.answer.Code)
 	return s.Caller.Forward(&a.answer, declarer.StateIdle)
@@ -212,7 +212,7 @@
 // failCommit answers a commit that the server didn't answer.
 func (s *Session) failCommit(t *transaction, a *attempt, err error) error {
 	s.abortUnanswered(t, err)
-	code, text := declarer.CodeUnknown, "the server's answer to the commit didn't come; whether it took effect isn't known"
+	code, text := declarer.CodeOutcomeUnknown, "the server's answer to the commit didn't come; whether it took effect isn't known"
 	switch {
 	case errors.Is(err, connpooler.ErrRefused):
 		code, text = declarer.CodeAborted, rolledBackText(err)
--- a/internal/proxy/grouptracker/grouptracker.go
+++ b/internal/proxy/grouptracker/grouptracker.go
@@ -100,7 +100,7 @@
 
 func (g *Group) mergeServer(d declarer.Server, now time.Duration) *Server {
 	o := g.Find(d.ID)
-	if o == nil || o.Born != d.Born || o.Address != d.Address {
+	if o == nil || o.Boot != d.Boot || o.Address != d.Address {
 		// After a restart nothing observed before applies.
 		o = &Server{ServiceTime: initialServiceTime}
 	}
--- a/internal/proxy/grouptracker/grouptracker_test.go
+++ b/internal/proxy/grouptracker/grouptracker_test.go
@@ -119,7 +119,7 @@
 		"unreachable replica is skipped":  {func(g *Group) { g.RecordFailure("b", time.Second, time.Second) }, "c"},
 		"all replicas lag":                {func(g *Group) { g.RecordLag("b", time.Second); g.RecordLag("c", time.Second) }, "a"},
 		"draining replica is skipped":     {func(g *Group) { l := list("a", 1); l[1].Draining = true; g.SetServers(l, 0) }, "c"},
-		"restarted replica is used again": {func(g *Group) { g.RecordLag("b", time.Second); l := list("a", 1); l[1].Born = 7; g.SetServers(l, 0) }, "b"},
+		"restarted replica is used again": {func(g *Group) { g.RecordLag("b", time.Second); l := list("a", 1); l[1].Boot = 7; g.SetServers(l, 0) }, "b"},
 		"no primary, any server":          {func(g *Group) { g.RecordNotLeading("a") }, "a"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/proxy/promoter/claims.go
+++ b/internal/proxy/promoter/claims.go
@@ -78,7 +78,7 @@
 	if time.Since(p.otherClaimAt) >= max(holderGracePeriod, p.Lease()+leaseSlack) {
 		return false
 	}
-	return p.Dialer.Answers(ctx, c.Holder, declarer.Server{ID: server})
+	return p.Dialer.HostResponds(ctx, c.Holder, declarer.Server{ID: server})
 }
 
 // reuseHeldClaim returns the last claim that this host made, for use while the store is
--- a/internal/proxy/promoter/promoter_test.go
+++ b/internal/proxy/promoter/promoter_test.go
@@ -128,16 +128,16 @@
 	return &connection{cluster: c, id: s.ID}, marker.Mark{}, nil
 }
 
-func (c *cluster) Via(ctx context.Context, _ string, s declarer.Server) (connpooler.Connection, marker.Mark, error) {
+func (c *cluster) DialVia(ctx context.Context, _ string, s declarer.Server) (connpooler.Connection, marker.Mark, error) {
 	return c.Dial(ctx, s)
 }
 
-// Heard returns what another host reports about the server.
-func (c *cluster) Heard(_ context.Context, _ string, s declarer.Server, q relaydialer.Question) error {
+// CheckServer returns what another host reports about the server.
+func (c *cluster) CheckServer(_ context.Context, _ string, s declarer.Server, q relaydialer.Check) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	x := c.servers[s.ID]
-	if (x.gone || x.full != nil) && (!c.othersReach || c.hangs && q == relaydialer.QuestionAnswer) {
+	if (x.gone || x.full != nil) && (!c.othersReach || c.hangs && q == relaydialer.CheckResponding) {
 		return connpooler.ErrNoRouteAnywhere
 	}
 	return connpooler.ErrServerAlive
@@ -215,7 +215,7 @@
 func promoterOf(c *cluster, h string) *Promoter {
 	began := time.Now()
 	b := &blackboard.Board{Now: func() time.Duration { return time.Since(began) + time.Hour }}
-	b.TakeServers([]declarer.Server{{ID: "a", Group: "db", Primary: true}, {ID: "b", Group: "db"}, {ID: "c", Group: "db"}})
+	b.ReplaceServers([]declarer.Server{{ID: "a", Group: "db", Primary: true}, {ID: "b", Group: "db"}, {ID: "c", Group: "db"}})
 	return &Promoter{
 		Host: h, Group: "db", Board: b, Roles: allRoles{}, Platform: c, Counter: c, Log: quiet,
 		Dialer: &relaydialer.Dialer{Transport: c, Hosts: c.hosts}, Prober: &Prober{Dialer: c, Parse: c.parse},
@@ -251,7 +251,7 @@
 		c := newCluster()
 		c.servers["a"].gone = true
 		p := promoterOf(c, "h1")
-		p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
+		p.Board.RecordConnectionFailure("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
 		began := time.Now()
 		runFor(p, 5*time.Second)
 		if len(c.calls) != 1 || !c.servers["b"].primary {
@@ -278,7 +278,7 @@
 		var g sync.WaitGroup
 		for _, h := range []string{"h1", "h2", "h3"} {
 			p := promoterOf(c, h)
-			p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
+			p.Board.RecordConnectionFailure("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
 			g.Go(func() { runFor(p, 4*time.Second) })
 		}
 		g.Wait()
@@ -295,7 +295,7 @@
 		c := newCluster()
 		c.servers["a"].gone, c.othersReach = true, true
 		p := promoterOf(c, "h1")
-		p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
+		p.Board.RecordConnectionFailure("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
 		runFor(p, 12*time.Second)
 		if len(c.calls) > 0 {
 			t.Errorf("calls %q", c.calls)
@@ -310,7 +310,7 @@
 		c := newCluster()
 		c.servers["a"].gone, c.othersReach, c.hangs = true, true, true
 		p := promoterOf(c, "h1")
-		p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
+		p.Board.RecordConnectionFailure("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
 		runFor(p, 8*time.Second)
 		if len(c.calls) != 1 || !c.servers["b"].primary {
 			t.Errorf("calls %q", c.calls)
@@ -326,7 +326,7 @@
 			c := newCluster()
 			c.servers["a"].full = cause
 			p := promoterOf(c, "h1")
-			p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
+			p.Board.RecordConnectionFailure("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
 			runFor(p, 12*time.Second)
 			if len(c.calls) > 0 {
 				t.Errorf("%v: calls %q", cause, c.calls)
@@ -392,7 +392,7 @@
 
 // drainPrimary has the platform list the primary as draining.
 func drainPrimary(p *Promoter) {
-	p.Board.TakeServers([]declarer.Server{{ID: "a", Group: "db", Primary: true, Draining: true}, {ID: "b", Group: "db"}, {ID: "c", Group: "db"}})
+	p.Board.ReplaceServers([]declarer.Server{{ID: "a", Group: "db", Primary: true, Draining: true}, {ID: "b", Group: "db"}, {ID: "c", Group: "db"}})
 }
 
 // Guards against the loss of rows written during a planned switchover: the draining primary must
@@ -418,7 +418,7 @@
 		c := newCluster()
 		c.servers["b"].stalled, c.servers["c"].stalled = true, true
 		p := promoterOf(c, "h1")
-		p.Board.Configure(&declarer.Configuration{Version: 1, Groups: map[string]declarer.Group{"db": {Name: "db", Synchronous: 1}}})
+		p.Board.Configure(&declarer.Configuration{Version: 1, Groups: map[string]declarer.Group{"db": {Name: "db", SynchronousReplicas: 1}}})
 		drainPrimary(p)
 		runFor(p, 2500*time.Millisecond)
 		want := []string{"demote a below 2", "promote a by h1 with 9 at length 10"}
@@ -472,7 +472,7 @@
 		c := newCluster()
 		c.servers["a"].gone = true
 		p := promoterOf(c, "h1")
-		p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
+		p.Board.RecordConnectionFailure("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
 		runFor(p, 5*time.Second)
 		first := *c.claim
 		if !c.servers["b"].primary || first.Server != "" {
@@ -480,7 +480,7 @@
 		}
 		c.unavailable = true
 		c.servers["a"].gone, c.servers["b"].gone = false, true
-		p.Board.Unreachable("db", "b", p.Board.Time(), connpooler.ErrNoRoute)
+		p.Board.RecordConnectionFailure("db", "b", p.Board.Time(), connpooler.ErrNoRoute)
 		runFor(p, 5*time.Second)
 		if len(c.calls) != 2 || c.servers["b"].primary || c.servers["a"].primary == c.servers["c"].primary {
 			t.Errorf("calls %q", c.calls)
@@ -518,7 +518,7 @@
 		c.servers["a"].gone = true
 		c.claim = &Claim{Holder: "h9", Token: 40}
 		p := promoterOf(c, "h1")
-		p.Board.Unreachable("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
+		p.Board.RecordConnectionFailure("db", "a", p.Board.Time(), connpooler.ErrNoRoute)
 		runFor(p, holderGracePeriod)
 		if len(c.calls) > 0 {
 			t.Errorf("calls %q while the holder may act", c.calls)
--- a/internal/proxy/promoter/questions.go
+++ b/internal/proxy/promoter/questions.go
@@ -103,12 +103,12 @@
 		b.Do(q.server.Group, func(g *grouptracker.Group) { g.RecordAnswer(q.server.ID, b.Time(), 0, marker.Mark{}) })
 		return
 	case err != nil:
-		b.Unreachable(q.server.Group, q.server.ID, asked, err)
+		b.RecordConnectionFailure(q.server.Group, q.server.ID, asked, err)
 		return
 	}
 	b.Do(q.server.Group, func(g *grouptracker.Group) { g.RecordAnswer(q.server.ID, b.Time(), 0, s.Received) })
 	if s.Primary {
-		b.Led(q.server.Group, q.server.ID, asked, s.Received)
+		b.RecordLeadership(q.server.Group, q.server.ID, asked, s.Received)
 	}
 }
 
@@ -116,24 +116,24 @@
 type peerQuery struct {
 	dialer   *relaydialer.Dialer
 	server   declarer.Server
-	question relaydialer.Question
-	done     chan relaydialer.Word
+	question relaydialer.Check
+	done     chan relaydialer.Verdict
 }
 
 func (x *peerQuery) run(ctx context.Context) {
-	x.done <- x.dialer.Ask(ctx, x.server, x.question)
+	x.done <- x.dialer.CheckRemotely(ctx, x.server, x.question)
 }
 
 // startPeerQuery starts asking other hosts for the confirmation that the reason needs, if any.
 func (p *Promoter) startPeerQuery(ctx context.Context, s successor.View, r successor.Reason) *peerQuery {
-	x := &peerQuery{dialer: p.Dialer, done: make(chan relaydialer.Word, 1)}
+	x := &peerQuery{dialer: p.Dialer, done: make(chan relaydialer.Verdict, 1)}
 	switch r {
 	case successor.ReasonUnresponsive:
-		x.server, x.question = s.Primary.Server, relaydialer.QuestionReach
+		x.server, x.question = s.Primary.Server, relaydialer.CheckReachable
 	case successor.ReasonDown:
-		x.server, x.question = s.Primary.Server, relaydialer.QuestionAnswer
+		x.server, x.question = s.Primary.Server, relaydialer.CheckResponding
 	default:
-		x.done <- relaydialer.WordLost
+		x.done <- relaydialer.VerdictDown
 		return x
 	}
 	go x.run(ctx)
@@ -143,11 +143,11 @@
 // confirmsLoss reports whether the answer of the other hosts allows to replace the primary. For
 // an unresponsive primary, other hosts must report that they can't reach it either. For one that
 // is down, it is enough that none reports an answer from it, even if none can be asked.
-func confirmsLoss(r successor.Reason, w relaydialer.Word) bool {
+func confirmsLoss(r successor.Reason, w relaydialer.Verdict) bool {
 	if r == successor.ReasonDown {
-		return w != relaydialer.WordAlive
+		return w != relaydialer.VerdictAlive
 	}
-	return w == relaydialer.WordLost
+	return w == relaydialer.VerdictDown
 }
 
 // worthProbing returns all servers except a primary that doesn't answer: another query to it
