--- a/internal/proxy/analyzer/analyzer.go
+++ b/internal/proxy/analyzer/analyzer.go
@@ -27,22 +27,22 @@
 // maximumWindows is how many rows a table may have: two days in windows of 2 s.
 const maximumWindows = 100_000
 
-// Request says what to look at.
-type Request struct {
+// Options says what to look at.
+type Options struct {
 	// Window is the length of the intervals of time, 2 s if zero.
 	Window time.Duration
 	// Group leaves out all other database groups, none if empty.
 	Group string
 }
 
-// Count is how many statements were lost under a name.
-type Count struct {
+// LossCount is how many statements were lost under a name.
+type LossCount struct {
 	Name string `json:"name"`
 	Lost int    `json:"lost"`
 }
 
-// Series is how many statements a group lost in each window.
-type Series struct {
+// GroupSeries is how many statements a group lost in each window.
+type GroupSeries struct {
 	Group   string `json:"group"`
 	Windows []int  `json:"windows"`
 	Lost    int    `json:"lost"`
@@ -52,11 +52,11 @@
 type Cause struct {
 	Outcome string `json:"outcome"`
 	Code    string `json:"code"`
-	// Why is the reason with the names of servers and numbers left out.
-	Why       string        `json:"why"`
-	Lost      int           `json:"lost"`
-	Median    time.Duration `json:"median"`
-	Ninetieth time.Duration `json:"ninetieth"`
+	// Reason is the reason with the names of servers and numbers left out.
+	Reason       string        `json:"why"`
+	Lost         int           `json:"lost"`
+	Median       time.Duration `json:"median"`
+	Percentile90 time.Duration `json:"ninetieth"`
 }
 
 // Summary is where statements were lost. Statements that ran are logged in part only and
@@ -66,15 +66,15 @@
 	Window time.Duration `json:"window"`
 	Lost   int           `json:"lost"`
 	// Unreadable counts the lines that may have been those of lost statements.
-	Unreadable int           `json:"unreadable"`
-	Median     time.Duration `json:"median"`
-	Ninetieth  time.Duration `json:"ninetieth"`
-	Groups     []Series      `json:"groups"`
-	Causes     []Cause       `json:"causes"`
-	Servers    []Count       `json:"servers"`
-	Operations []Count       `json:"operations"`
-	// Tries is by how often a statement was sent, from none.
-	Tries []int `json:"tries"`
+	Unreadable   int           `json:"unreadable"`
+	Median       time.Duration `json:"median"`
+	Percentile90 time.Duration `json:"ninetieth"`
+	Groups       []GroupSeries `json:"groups"`
+	Causes       []Cause       `json:"causes"`
+	Servers      []LossCount   `json:"servers"`
+	Operations   []LossCount   `json:"operations"`
+	// AttemptCounts is by how often a statement was sent, from none.
+	AttemptCounts []int `json:"tries"`
 }
 
 // kind is what tells a statement's line from others.
@@ -112,7 +112,7 @@
 )
 
 // Analyze reads the files of all hosts.
-func Analyze(q Request, files []io.Reader) (*Summary, error) {
+func Analyze(q Options, files []io.Reader) (*Summary, error) {
 	t := &tally{group: q.Group}
 	for _, f := range files {
 		if err := decoder.Each(f, t.take); err != nil {
@@ -179,7 +179,7 @@
 	summary    *Summary
 	windows    int
 	all        held
-	groups     map[string]*Series
+	groups     map[string]*GroupSeries
 	causes     map[Cause]held
 	servers    map[string]int
 	operations map[string]int
@@ -194,7 +194,7 @@
 	}
 	s := &sums{
 		summary: &Summary{From: from, Window: window}, windows: int(n), all: newHeld(),
-		groups: make(map[string]*Series), causes: make(map[Cause]held),
+		groups: make(map[string]*GroupSeries), causes: make(map[Cause]held),
 		servers: make(map[string]int), operations: make(map[string]int),
 	}
 	for _, x := range l {
@@ -224,23 +224,23 @@
 }
 
 func (s *sums) addTries(n int) {
-	for len(s.summary.Tries) <= n {
-		s.summary.Tries = append(s.summary.Tries, 0)
+	for len(s.summary.AttemptCounts) <= n {
+		s.summary.AttemptCounts = append(s.summary.AttemptCounts, 0)
 	}
-	s.summary.Tries[n]++
+	s.summary.AttemptCounts[n]++
 }
 
-func (s *sums) group(name string) *Series {
+func (s *sums) group(name string) *GroupSeries {
 	g := s.groups[name]
 	if g == nil {
-		g = &Series{Group: name, Windows: make([]int, s.windows)}
+		g = &GroupSeries{Group: name, Windows: make([]int, s.windows)}
 		s.groups[name] = g
 	}
 	return g
 }
 
 func (s *sums) cause(x statement) held {
-	c := Cause{Outcome: x.Outcome, Code: x.Code, Why: general(x.Why)}
+	c := Cause{Outcome: x.Outcome, Code: x.Code, Reason: general(x.Why)}
 	h, ok := s.causes[c]
 	if !ok {
 		h = newHeld()
@@ -252,28 +252,28 @@
 // finish puts what lost most first.
 func (s *sums) finish() *Summary {
 	r := s.summary
-	r.Median, r.Ninetieth = s.all.at(50), s.all.at(90)
+	r.Median, r.Percentile90 = s.all.at(50), s.all.at(90)
 	for _, g := range s.groups {
 		r.Groups = append(r.Groups, *g)
 	}
-	slices.SortFunc(r.Groups, func(a, b Series) int { return cmp.Or(b.Lost-a.Lost, cmp.Compare(a.Group, b.Group)) })
+	slices.SortFunc(r.Groups, func(a, b GroupSeries) int { return cmp.Or(b.Lost-a.Lost, cmp.Compare(a.Group, b.Group)) })
 	for c, h := range s.causes {
-		c.Lost, c.Median, c.Ninetieth = int(h.TotalCount()), h.at(50), h.at(90)
+		c.Lost, c.Median, c.Percentile90 = int(h.TotalCount()), h.at(50), h.at(90)
 		r.Causes = append(r.Causes, c)
 	}
 	slices.SortFunc(r.Causes, func(a, b Cause) int {
-		return cmp.Or(b.Lost-a.Lost, cmp.Compare(a.Outcome, b.Outcome), cmp.Compare(a.Code, b.Code), cmp.Compare(a.Why, b.Why))
+		return cmp.Or(b.Lost-a.Lost, cmp.Compare(a.Outcome, b.Outcome), cmp.Compare(a.Code, b.Code), cmp.Compare(a.Reason, b.Reason))
 	})
 	r.Servers, r.Operations = counts(s.servers), counts(s.operations)
 	return r
 }
 
-func counts(m map[string]int) []Count {
-	var l []Count
+func counts(m map[string]int) []LossCount {
+	var l []LossCount
 	for n, c := range m {
-		l = append(l, Count{Name: n, Lost: c})
+		l = append(l, LossCount{Name: n, Lost: c})
 	}
-	slices.SortFunc(l, func(a, b Count) int { return cmp.Or(b.Lost-a.Lost, cmp.Compare(a.Name, b.Name)) })
+	slices.SortFunc(l, func(a, b LossCount) int { return cmp.Or(b.Lost-a.Lost, cmp.Compare(a.Name, b.Name)) })
 	return l
 }
 
--- a/internal/proxy/analyzer/analyzer_test.go
+++ b/internal/proxy/analyzer/analyzer_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	s, err := Analyze(Request{}, []io.Reader{f})
+	s, err := Analyze(Options{}, []io.Reader{f})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,17 +50,17 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	s, err := Analyze(Request{Group: "cards", Window: time.Second}, []io.Reader{f})
+	s, err := Analyze(Options{Group: "cards", Window: time.Second}, []io.Reader{f})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Lost != 1 || len(s.Groups) != 1 || len(s.Groups[0].Windows) != 1 || s.Causes[0].Why != "read *: no answer in time" {
+	if s.Lost != 1 || len(s.Groups) != 1 || len(s.Groups[0].Windows) != 1 || s.Causes[0].Reason != "read *: no answer in time" {
 		t.Errorf("summary %+v", s)
 	}
 }
 
 func TestNoStatements(t *testing.T) {
-	if _, err := Analyze(Request{}, []io.Reader{strings.NewReader("{}\n")}); !errors.Is(err, ErrNoStatement) {
+	if _, err := Analyze(Options{}, []io.Reader{strings.NewReader("{}\n")}); !errors.Is(err, ErrNoStatement) {
 		t.Errorf("error %v", err)
 	}
 }
@@ -74,7 +74,7 @@
 {"time":"2026-12-03T06:00:00Z","message":"statement","outcome":"not-run","took":"2ms","attempts":-1}
 {"time":"2026-12-03T06:00:00Z","message":"started","took":7}
 {"time":"2026-12-03T06:00:0`
-	s, err := Analyze(Request{}, []io.Reader{strings.NewReader(log)})
+	s, err := Analyze(Options{}, []io.Reader{strings.NewReader(log)})
 	if err != nil || s.Lost != 1 || s.Unreadable != 4 {
 		t.Fatalf("summary %+v, %v, want 1 lost and 4 unreadable", s, err)
 	}
@@ -88,7 +88,7 @@
 func TestTooShortWindowIsRefused(t *testing.T) {
 	log := `{"time":"2026-12-03T06:00:00Z","message":"statement","outcome":"not-run","took":"2ms"}
 {"time":"2026-12-03T06:00:01Z","message":"statement","outcome":"not-run","took":"2ms"}`
-	if _, err := Analyze(Request{Window: time.Nanosecond}, []io.Reader{strings.NewReader(log)}); !errors.Is(err, ErrTooManyWindows) {
+	if _, err := Analyze(Options{Window: time.Nanosecond}, []io.Reader{strings.NewReader(log)}); !errors.Is(err, ErrTooManyWindows) {
 		t.Errorf("error %v", err)
 	}
 }
@@ -96,7 +96,7 @@
 // Guards against statements that are lost to the count since they were held for long.
 func TestLongHeldStatementIsCounted(t *testing.T) {
 	log := `{"time":"2026-12-03T06:00:00Z","message":"statement","outcome":"unknown","took":"25h"}`
-	s, err := Analyze(Request{}, []io.Reader{strings.NewReader(log)})
+	s, err := Analyze(Options{}, []io.Reader{strings.NewReader(log)})
 	if err != nil || len(s.Causes) != 1 || s.Causes[0].Lost != 1 {
 		t.Errorf("summary %+v, %v", s, err)
 	}
--- a/internal/proxy/analyzer/writer.go
+++ b/internal/proxy/analyzer/writer.go
@@ -15,7 +15,7 @@
 // Write prints the summary as tables.
 func (s *Summary) Write(w io.Writer) error {
 	b := &strings.Builder{}
-	fmt.Fprintf(b, "%d statements lost from %s, held %s in the median, %s in the 90th percentile\n\n", s.Lost, s.From.Format(time.RFC3339), short(s.Median), short(s.Ninetieth))
+	fmt.Fprintf(b, "%d statements lost from %s, held %s in the median, %s in the 90th percentile\n\n", s.Lost, s.From.Format(time.RFC3339), short(s.Median), short(s.Percentile90))
 	if s.Unreadable > 0 {
 		fmt.Fprintf(b, "%d lines can't be read and aren't counted\n\n", s.Unreadable)
 	}
@@ -62,7 +62,7 @@
 	b := &strings.Builder{}
 	b.WriteString("lost\tmedian\t90th\toutcome\tcode\twhy\n")
 	for _, c := range s.Causes[:min(len(s.Causes), listed)] {
-		fmt.Fprintf(b, "%d\t%s\t%s\t%s\t%s\t%s\n", c.Lost, short(c.Median), short(c.Ninetieth), c.Outcome, c.Code, c.Why)
+		fmt.Fprintf(b, "%d\t%s\t%s\t%s\t%s\t%s\n", c.Lost, short(c.Median), short(c.Percentile90), c.Outcome, c.Code, c.Reason)
 	}
 	return b.String()
 }
@@ -70,7 +70,7 @@
 func (s *Summary) tries() string {
 	b := &strings.Builder{}
 	b.WriteString("sent")
-	for i, n := range s.Tries {
+	for i, n := range s.AttemptCounts {
 		fmt.Fprintf(b, "  %d times: %d", i, n)
 	}
 	b.WriteByte('\n')
@@ -84,7 +84,7 @@
 	return len(s.Groups[0].Windows)
 }
 
-func counted(name string, l []Count) string {
+func counted(name string, l []LossCount) string {
 	b := &strings.Builder{}
 	b.WriteString(name + ":")
 	for _, c := range l[:min(len(l), listed)] {
--- a/internal/proxy/assembler/assembler.go
+++ b/internal/proxy/assembler/assembler.go
@@ -66,7 +66,7 @@
 func (a *Assembler) serve(ctx context.Context, drain <-chan struct{}, e *encoder.Encoder) error {
 	h := a.host(e)
 	m := reporter.NewMetrics(reporter.Gauges{
-		Sessions: h.Sessions, Dropped: e.Dropped,
+		Sessions: h.SessionCount, Dropped: e.Dropped,
 		Configuration: func() uint64 {
 			if c := h.Board.Configuration(); c != nil {
 				return c.Version
@@ -85,7 +85,7 @@
 	if a.Reload != nil {
 		adopt := func(s platform.Settings) {
 			limitMemory(s)
-			h.Adjust(bounds(s))
+			h.SetBounds(bounds(s))
 		}
 		go (&reloader{current: a.Settings, seen: a.Settings, load: a.Load, asked: a.Reload, adopt: adopt, log: h.Log}).run(ctx)
 	}
@@ -106,7 +106,7 @@
 
 // bounds are the settings that may change while the host runs.
 func bounds(s platform.Settings) runner.Bounds {
-	return runner.Bounds{Grace: s.Grace, Configuration: s.ConfigurationLimit, Drain: s.DrainLimit, Lease: s.Lease}
+	return runner.Bounds{Grace: s.Grace, ConfigurationLimit: s.ConfigurationLimit, DrainLimit: s.DrainLimit, Lease: s.Lease}
 }
 
 func limitMemory(s platform.Settings) { debug.SetMemoryLimit(s.MemoryBytes * memoryShare / 10) }
@@ -146,23 +146,23 @@
 	f := &feeder{store: store, remote: a.feeds, sent: func(t declarer.Transfer) { a.sent(t) }, servers: make(map[string]*platform.FeedServer), now: steady.Now}
 	a.feeds.Known = f.known
 	h := &runner.Host{
-		Name:             s.HostName,
-		CallerAddress:    s.CallerAddress,
-		ReadinessAddress: s.ReadinessAddress,
-		ReadinessPath:    platform.ReadinessPath,
-		Bounds:           bounds(s),
-		FirstStart:       s.FirstStart,
-		Board:            &blackboard.Board{Zone: s.AvailabilityZone, Region: s.Region, Regions: s.Regions},
-		Registrar:        &platform.Registrar{Store: store},
-		Transport:        platform.Dialer{},
-		ParseStatus:      platform.ParseStatus,
-		Link:             platform.DialLink,
-		Borrower:         func(c net.Conn) lender.Borrower { return platform.NewBorrower(c) },
-		Relayer:          &relayer.Relayer{Ask: platform.ReadVia, Dial: platform.DialRaw, Refuse: platform.RefuseVia, Feed: f.serve, Log: l},
-		Self:             declarer.Host{Name: s.HostName, Address: s.HostAddress(), AvailabilityZone: s.AvailabilityZone, Bandwidth: s.Bandwidth},
-		Orderer:          &platform.Orderer{Store: store, Commander: platform.NewCommander(s.CommandAddress)},
-		Accept:           func(c net.Conn) executor.Caller { return platform.NewCaller(c) },
-		Log:              l,
+		Name:              s.HostName,
+		CallerAddress:     s.CallerAddress,
+		ReadinessAddress:  s.ReadinessAddress,
+		ReadinessPath:     platform.ReadinessPath,
+		Bounds:            bounds(s),
+		FirstStart:        s.FirstStart,
+		Board:             &blackboard.Board{Zone: s.AvailabilityZone, Region: s.Region, Regions: s.Regions},
+		Registrar:         &platform.Registrar{Store: store},
+		Transport:         platform.Dialer{},
+		ParseStatus:       platform.ParseStatus,
+		DialLink:          platform.DialLink,
+		NewBorrower:       func(c net.Conn) lender.Borrower { return platform.NewBorrower(c) },
+		Relayer:           &relayer.Relayer{Ask: platform.ReadVia, Dial: platform.DialRaw, Refuse: platform.RefuseVia, Feed: f.serve, Log: l},
+		Self:              declarer.Host{Name: s.HostName, Address: s.HostAddress(), AvailabilityZone: s.AvailabilityZone, Bandwidth: s.Bandwidth},
+		PromotionPlatform: &platform.Orderer{Store: store, Commander: platform.NewCommander(s.CommandAddress)},
+		NewCaller:         func(c net.Conn) executor.Caller { return platform.NewCaller(c) },
+		Log:               l,
 	}
 	f.attach(h, faulty)
 	return h
--- a/internal/proxy/assembler/feeder.go
+++ b/internal/proxy/assembler/feeder.go
@@ -26,16 +26,16 @@
 // attach makes the sources of what the host follows.
 func (f *feeder) attach(h *runner.Host, faulty func(error)) {
 	f.host = h
-	h.Configurations = &platform.Source[*declarer.Configuration]{Reader: f.reader(platform.KindConfiguration, h.ConfigurationPace()), Parse: platform.ParseConfiguration, Faulty: faulty, Keep: true}
-	h.Servers = &platform.Source[declarer.Server]{Reader: f.reader(platform.KindServers, h.ServersPace()), Parse: platform.ParseServer, Faulty: faulty}
-	h.Hosts = &platform.Source[declarer.Host]{Reader: f.reader(platform.KindHosts, h.HostsPace()), Parse: platform.ParseHost, Faulty: faulty}
+	h.Configurations = &platform.Source[*declarer.Configuration]{Reader: f.reader(platform.KindConfiguration, h.ConfigurationCacheTiming()), Parse: platform.ParseConfiguration, Faulty: faulty, Keep: true}
+	h.Servers = &platform.Source[declarer.Server]{Reader: f.reader(platform.KindServers, h.ServersCacheTiming()), Parse: platform.ParseServer, Faulty: faulty}
+	h.Hosts = &platform.Source[declarer.Host]{Reader: f.reader(platform.KindHosts, h.HostsCacheTiming()), Parse: platform.ParseHost, Faulty: faulty}
 }
 
 // reader returns the reader of a kind.
-func (f *feeder) reader(kind string, p runner.Pace) cachesyncer.Reader {
-	m := &cachesyncer.Mirror{Store: &platform.Reader{Store: f.store, Kind: kind}, Now: f.now, Trust: p.Trust, FirstRest: p.FirstRest, LongestRest: p.LongestRest}
+func (f *feeder) reader(kind string, p runner.CacheTiming) cachesyncer.Reader {
+	m := &cachesyncer.Mirror{Store: &platform.Reader{Store: f.store, Kind: kind}, Now: f.now, Trust: p.Freshness, FirstRest: p.MinimumPause, LongestRest: p.MaximumPause}
 	f.servers[kind] = &platform.FeedServer{Kind: kind, Mirror: m, Sent: f.sent}
-	return &cachesyncer.Selector{Kind: kind, Mirror: m, Remote: f.remote, Host: f.host.ReaderHost, Failed: f.host.ReaderFailed}
+	return &cachesyncer.Selector{Kind: kind, Mirror: m, Remote: f.remote, Host: f.host.UpstreamHost, Failed: f.host.UpstreamFailed}
 }
 
 // known returns an object as it was last read.
--- a/internal/proxy/assembler/growth_test.go
+++ b/internal/proxy/assembler/growth_test.go
@@ -109,7 +109,7 @@
 		Name: name, FirstStart: true, Registrar: &platform.Registrar{Store: store},
 		Board:   &blackboard.Board{Zone: zone, Region: region, Regions: regions, Now: now},
 		Self:    declarer.Host{Name: name, Address: name, AvailabilityZone: zone},
-		Bounds:  runner.Bounds{Configuration: 5 * time.Second, Drain: 10 * time.Second},
+		Bounds:  runner.Bounds{ConfigurationLimit: 5 * time.Second, DrainLimit: 10 * time.Second},
 		Counter: reporter.NewMetrics(reporter.Gauges{}),
 		Log:     &log.Logger{Handler: discard.New()},
 	}
@@ -257,7 +257,7 @@
 // first returns the host of the far region that reads the store.
 func (f *fleet) first() *member {
 	for _, m := range f.hosts {
-		if _, ok := m.host.ReaderHost(platform.KindConfiguration); !ok && m.machine.region == "far" {
+		if _, ok := m.host.UpstreamHost(platform.KindConfiguration); !ok && m.machine.region == "far" {
 			return m
 		}
 	}
--- a/internal/proxy/commander/losses.go
+++ b/internal/proxy/commander/losses.go
@@ -35,7 +35,7 @@
 		defer f.Close()
 		r = append(r, f)
 	}
-	s, err := analyzer.Analyze(analyzer.Request{Window: l.Window, Group: l.Group}, r)
+	s, err := analyzer.Analyze(analyzer.Options{Window: l.Window, Group: l.Group}, r)
 	if err != nil {
 		return err
 	}
--- a/internal/proxy/explainer/explainer.go
+++ b/internal/proxy/explainer/explainer.go
@@ -50,19 +50,19 @@
 	Text string    `json:"text"`
 }
 
-// Story is what the logs tell of one request.
-type Story struct {
+// Timeline is what the logs tell of one request.
+type Timeline struct {
 	Request string `json:"request"`
 	Steps   []Step `json:"steps"`
-	// Holes say which lines would belong to the story and aren't there.
-	Holes []string `json:"holes"`
+	// Gaps say which lines would belong to the story and aren't there.
+	Gaps []string `json:"holes"`
 }
 
-// ErrNoRequest is a request that no file has a line of.
-const ErrNoRequest = errors.ConstError("no line of the request")
+// ErrRequestNotFound is a request that no file has a line of.
+const ErrRequestNotFound = errors.ConstError("no line of the request")
 
 // Explain reads the files and tells the story of the request.
-func Explain(request string, files []File) (*Story, error) {
+func Explain(request string, files []File) (*Timeline, error) {
 	var all []entry
 	for _, f := range files {
 		l, err := read(f)
@@ -74,7 +74,7 @@
 	slices.SortStableFunc(all, func(a, b entry) int { return a.Time.Compare(b.Time) })
 	own := slices.DeleteFunc(slices.Clone(all), func(e entry) bool { return e.Request != request })
 	if len(own) == 0 {
-		return nil, errors.Annotatef(ErrNoRequest, "%s in %d files: it never reached these hosts, or it ran and its line was left out by sampling", request, len(files))
+		return nil, errors.Annotatef(ErrRequestNotFound, "%s in %d files: it never reached these hosts, or it ran and its line was left out by sampling", request, len(files))
 	}
 	return tell(request, own, all), nil
 }
@@ -93,8 +93,8 @@
 }
 
 // tell gathers the request's lines and those about what it met.
-func tell(request string, own, all []entry) *Story {
-	s := &Story{Request: request}
+func tell(request string, own, all []entry) *Timeline {
+	s := &Timeline{Request: request}
 	from, to := own[0].Time.Add(-before), own[len(own)-1].Time.Add(after)
 	groups := make(map[string]bool)
 	for _, e := range own {
@@ -108,7 +108,7 @@
 			s.Steps = append(s.Steps, Step{Time: e.Time, Host: e.host, Text: text(e)})
 		}
 	}
-	s.Holes = holes(own, all, from, to)
+	s.Gaps = holes(own, all, from, to)
 	return s
 }
 
@@ -157,12 +157,12 @@
 }
 
 // Write prints the story, one line a step.
-func (s *Story) Write(w io.Writer) error {
+func (s *Timeline) Write(w io.Writer) error {
 	b := &strings.Builder{}
 	for _, x := range s.Steps {
 		fmt.Fprintf(b, "%s  %-20s %s\n", x.Time.Format("15:04:05.000000"), x.Host, x.Text)
 	}
-	for _, h := range s.Holes {
+	for _, h := range s.Gaps {
 		fmt.Fprintf(b, "missing: %s\n", h)
 	}
 	_, err := io.WriteString(w, b.String())
--- a/internal/proxy/explainer/explainer_test.go
+++ b/internal/proxy/explainer/explainer_test.go
@@ -85,7 +85,7 @@
 // nothing having happened.
 func TestMissingRequestIsSaid(t *testing.T) {
 	_, err := Explain("x", lines(`{"time":"2026-12-03T06:00:00Z","message":"statement","request":"y"}`))
-	if !errors.Is(err, ErrNoRequest) {
+	if !errors.Is(err, ErrRequestNotFound) {
 		t.Errorf("error %v", err)
 	}
 }
@@ -97,7 +97,7 @@
 		`not a line of ours`,
 		`{"time":"2026-12-03T06:09:00Z","message":"promotion done","database-group":"g"}`,
 	))
-	if err != nil || len(s.Steps) != 1 || len(s.Holes) != 1 || !strings.Contains(s.Holes[0], "i-1") {
+	if err != nil || len(s.Steps) != 1 || len(s.Gaps) != 1 || !strings.Contains(s.Gaps[0], "i-1") {
 		t.Errorf("story %+v, %v", s, err)
 	}
 }
--- a/internal/proxy/runner/callers.go
+++ b/internal/proxy/runner/callers.go
@@ -34,7 +34,7 @@
 }
 
 func (h *Host) serve(c net.Conn) {
-	s := &executor.Session{Caller: h.Accept(c), Board: h.Board, Pools: &h.pools, Observer: &h.observer, RetryBudgets: &h.budgets, Reporter: h.Reporter, Ready: h.ready}
+	s := &executor.Session{Caller: h.NewCaller(c), Board: h.Board, Pools: &h.pools, Observer: &h.observer, RetryBudgets: &h.budgets, Reporter: h.Reporter, Ready: h.ready}
 	h.mu.Lock()
 	h.sessions[s] = struct{}{}
 	h.mu.Unlock()
@@ -58,8 +58,8 @@
 	delete(h.sessions, s)
 }
 
-// Sessions returns how many sessions are served.
-func (h *Host) Sessions() int {
+// SessionCount returns how many sessions are served.
+func (h *Host) SessionCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.sessions)
--- a/internal/proxy/runner/draining.go
+++ b/internal/proxy/runner/draining.go
@@ -23,12 +23,12 @@
 func (h *Host) drain(ctx context.Context) {
 	began, grace := time.Now(), h.bounds().Grace
 	h.draining.Store(true)
-	h.Log.WithField("sessions", h.Sessions()).Info("draining")
+	h.Log.WithField("sessions", h.SessionCount()).Info("draining")
 	// Others borrow from the next owner then; what they have borrowed here may end.
 	h.leave()
 	_ = scheduler.Pause(ctx, min(rotation, grace/2))
 	h.each((*executor.Session).Stop)
-	for time.Since(began) < grace-exitSpare && h.Sessions()+int(h.lent.Load()) > 0 {
+	for time.Since(began) < grace-exitSpare && h.SessionCount()+int(h.lent.Load()) > 0 {
 		if time.Since(began) > grace*5/8 {
 			h.each((*executor.Session).Terminate)
 		} else {
@@ -38,5 +38,5 @@
 			return
 		}
 	}
-	h.Log.WithField("sessions", h.Sessions()).WithField("lent", h.lent.Load()).Info("drained")
+	h.Log.WithField("sessions", h.SessionCount()).WithField("lent", h.lent.Load()).Info("drained")
 }
--- a/internal/proxy/runner/host.go
+++ b/internal/proxy/runner/host.go
@@ -56,20 +56,20 @@
 	Registrar      Registrar
 	Transport      relaydialer.Transport
 	Relayer        *relayer.Relayer
-	// Link opens a link to the host that owns a server's connections, Borrower takes
+	// DialLink opens a link to the host that owns a server's connections, Borrower takes
 	// over the other end of one.
-	Link     func(ctx context.Context, owner string, s declarer.Server) (connpooler.Connection, error)
-	Borrower func(c net.Conn) lender.Borrower
+	DialLink    func(ctx context.Context, owner string, s declarer.Server) (connpooler.Connection, error)
+	NewBorrower func(c net.Conn) lender.Borrower
 	// Self is how other hosts reach this one.
 	Self declarer.Host
 	// ParseStatus reads the row in which a server tells its status.
-	ParseStatus func(row string) (declarer.Status, error)
-	Orderer     promoter.Platform
-	// Accept makes a caller of a connection.
-	Accept   func(net.Conn) executor.Caller
-	Reporter executor.Reporter
-	Counter  Counter
-	Log      log.Interface
+	ParseStatus       func(row string) (declarer.Status, error)
+	PromotionPlatform promoter.Platform
+	// NewCaller makes a caller of a connection.
+	NewCaller func(net.Conn) executor.Caller
+	Reporter  executor.Reporter
+	Counter   Counter
+	Log       log.Interface
 
 	pools          pools
 	observer       executor.Observer
@@ -138,7 +138,7 @@
 	h.roster.regions = h.Board.Regions
 	h.dialer = relaydialer.Dialer{Transport: h.Transport, Hosts: h.roster.others}
 	h.prober = promoter.Prober{Dialer: &h.dialer, Parse: h.ParseStatus}
-	h.pools = pools{self: h.Name, board: h.Board, dialer: &h.dialer, observer: h, roster: &h.roster, link: h.Link}
+	h.pools = pools{self: h.Name, board: h.Board, dialer: &h.dialer, observer: h, roster: &h.roster, link: h.DialLink}
 	h.hosts = follower[declarer.Host]{
 		name: "entry hosts", source: h.Hosts, wait: lasting(hostsWait), first: make(chan struct{}), gate: &h.gate, confirmed: h.confirms(blackboard.SectionHosts),
 		reset: h.roster.reset, apply: h.roster.apply, log: h.Log, lost: h.Counter.PlatformLost,
@@ -279,7 +279,7 @@
 		h.promoters[g] = true
 		p := &promoter.Promoter{
 			Host: h.Name, Group: g, Board: h.Board, Roles: &h.roster, Dialer: &h.dialer, Prober: &h.prober,
-			Platform: h.Orderer, Counter: h.Counter, Lease: func() time.Duration { return h.bounds().Lease }, Log: h.Log,
+			Platform: h.PromotionPlatform, Counter: h.Counter, Lease: func() time.Duration { return h.bounds().Lease }, Log: h.Log,
 		}
 		go p.Run(h.running)
 	}
--- a/internal/proxy/runner/lending.go
+++ b/internal/proxy/runner/lending.go
@@ -15,7 +15,7 @@
 // lend serves a host that borrows this host's connections to a server.
 func (h *Host) lend(c net.Conn, server string) {
 	l := &lender.Link{
-		Borrower:     h.Borrower(c),
+		Borrower:     h.NewBorrower(c),
 		ActiveLeases: &h.lent,
 		Pool:         func() *connpooler.Pool { return h.pools.own(server) },
 		OnAnswer: func() {
--- a/internal/proxy/runner/pace.go
+++ b/internal/proxy/runner/pace.go
@@ -20,32 +20,36 @@
 	longestHostsRest   = 2 * time.Second
 )
 
-// Pace says how one kind of object is read from the store.
-type Pace struct {
-	// Trust is how long after an answer of the store what was read counts as current: as
+// CacheTiming says how one kind of object is read from the store.
+type CacheTiming struct {
+	// Freshness is how long after an answer of the store what was read counts as current: as
 	// long as the next waiting call may last.
-	Trust func() time.Duration
-	// FirstRest and LongestRest bound the pause after changes.
-	FirstRest, LongestRest time.Duration
+	Freshness func() time.Duration
+	// MinimumPause and MaximumPause bound the pause after changes.
+	MinimumPause, MaximumPause time.Duration
 }
 
-// ConfigurationPace is how the configuration is read.
-func (h *Host) ConfigurationPace() Pace { return Pace{Trust: trust(h.configurationWait)} }
+// ConfigurationCacheTiming is how the configuration is read.
+func (h *Host) ConfigurationCacheTiming() CacheTiming {
+	return CacheTiming{Freshness: trust(h.configurationWait)}
+}
 
-// ServersPace is how the servers are read.
-func (h *Host) ServersPace() Pace {
-	return Pace{Trust: trust(h.serversWait), FirstRest: firstServersRest, LongestRest: longestServersRest}
+// ServersCacheTiming is how the servers are read.
+func (h *Host) ServersCacheTiming() CacheTiming {
+	return CacheTiming{Freshness: trust(h.serversWait), MinimumPause: firstServersRest, MaximumPause: longestServersRest}
 }
 
-// HostsPace is how the entry hosts are read.
-func (h *Host) HostsPace() Pace {
-	return Pace{Trust: trust(lasting(hostsWait)), FirstRest: firstHostsRest, LongestRest: longestHostsRest}
+// HostsCacheTiming is how the entry hosts are read.
+func (h *Host) HostsCacheTiming() CacheTiming {
+	return CacheTiming{Freshness: trust(lasting(hostsWait)), MinimumPause: firstHostsRest, MaximumPause: longestHostsRest}
 }
 
 func trust(wait func() time.Duration) func() time.Duration {
 	return func() time.Duration { return wait() + watchSlack }
 }
 
-func (h *Host) configurationWait() time.Duration { return h.bounds().Configuration * boundShare / 10 }
+func (h *Host) configurationWait() time.Duration {
+	return h.bounds().ConfigurationLimit * boundShare / 10
+}
 
-func (h *Host) serversWait() time.Duration { return h.bounds().Drain * boundShare / 10 }
+func (h *Host) serversWait() time.Duration { return h.bounds().DrainLimit * boundShare / 10 }
--- a/internal/proxy/runner/readers.go
+++ b/internal/proxy/runner/readers.go
@@ -114,12 +114,12 @@
 	return time.Since(before) > readerSilent
 }
 
-// ReaderHost returns the host from which to read a kind of object, false for the platform's
+// UpstreamHost returns the host from which to read a kind of object, false for the platform's
 // store itself.
-func (h *Host) ReaderHost(kind string) (declarer.Host, bool) { return h.roster.reader(kind) }
+func (h *Host) UpstreamHost(kind string) (declarer.Host, bool) { return h.roster.reader(kind) }
 
-// ReaderFailed notes a host that didn't answer, or can't vouch for what it has of a kind.
-func (h *Host) ReaderFailed(x declarer.Host, kind string, err error) {
+// UpstreamFailed notes a host that didn't answer, or can't vouch for what it has of a kind.
+func (h *Host) UpstreamFailed(x declarer.Host, kind string, err error) {
 	over := kind
 	if !errors.Is(err, cachesyncer.ErrAway) {
 		over = ""
