--- a/internal/proxy/assembler/feeder.go
+++ b/internal/proxy/assembler/feeder.go
@@ -26,13 +26,13 @@
 // attach makes the sources of what the host follows.
 func (f *feeder) attach(h *runner.Host, faulty func(error)) {
 	f.host = h
-	h.Configurations = &platform.Source[*declarer.Configuration]{Reader: f.reader(platform.KindConfiguration, h.ConfigurationCacheTiming()), Parse: platform.ParseConfiguration, Faulty: faulty, Keep: true}
-	h.Servers = &platform.Source[declarer.Server]{Reader: f.reader(platform.KindServers, h.ServersCacheTiming()), Parse: platform.ParseServer, Faulty: faulty}
-	h.Hosts = &platform.Source[declarer.Host]{Reader: f.reader(platform.KindHosts, h.HostsCacheTiming()), Parse: platform.ParseHost, Faulty: faulty}
+	h.Configurations = &platform.Source[*declarer.Configuration]{Reader: f.reader(platform.KindConfiguration, h.ConfigurationTiming()), Parse: platform.ParseConfiguration, Faulty: faulty, Keep: true}
+	h.Servers = &platform.Source[declarer.Server]{Reader: f.reader(platform.KindServers, h.ServersTiming()), Parse: platform.ParseServer, Faulty: faulty}
+	h.Hosts = &platform.Source[declarer.Host]{Reader: f.reader(platform.KindHosts, h.HostsTiming()), Parse: platform.ParseHost, Faulty: faulty}
 }
 
 // reader returns the reader of a kind.
-func (f *feeder) reader(kind string, p runner.CacheTiming) cachesyncer.Reader {
+func (f *feeder) reader(kind string, p runner.ReadTiming) cachesyncer.Reader {
 	m := &cachesyncer.Mirror{Store: &platform.Reader{Store: f.store, Kind: kind}, Now: f.now, Trust: p.Freshness, FirstRest: p.MinimumPause, LongestRest: p.MaximumPause}
 	f.servers[kind] = &platform.FeedServer{Kind: kind, Mirror: m, Sent: f.sent}
 	return &cachesyncer.Selector{Kind: kind, Mirror: m, Remote: f.remote, Host: f.host.UpstreamHost, Failed: f.host.UpstreamFailed}
--- a/internal/proxy/runner/host.go
+++ b/internal/proxy/runner/host.go
@@ -152,7 +152,7 @@
 	h.observer = executor.Observer{Board: h.Board, Pools: &h.pools}
 	h.catalogue = catalogue{publish: h.publish}
 	h.configurations = follower[*declarer.Configuration]{
-		name: "configuration", source: h.Configurations, wait: h.configurationWait, after: h.hosts.first, patience: patience,
+		name: "configuration", source: h.Configurations, wait: h.configWait, after: h.hosts.first, patience: patience,
 		gate: &h.gate, confirmed: h.confirms(blackboard.SectionConfiguration),
 		reset: h.configure, apply: h.reconfigure, log: h.Log, lost: h.Counter.PlatformLost,
 	}
--- a/internal/proxy/runner/pace.go
+++ b/internal/proxy/runner/pace.go
@@ -5,10 +5,10 @@
 )
 
 const (
-	// boundShare is the part, in tenths, of the time allowed for a change that one
+	// waitTenths is the part, in tenths, of the time allowed for a change that one
 	// waiting call may last: a watch gone silent is noticed then, and the change is read
 	// anew in what is left.
-	boundShare = 6
+	waitTenths = 6
 	// hostsWait is how long a call that waits for other entry hosts lasts. One that has
 	// gone is found out by asking it.
 	hostsWait = 15 * time.Second
@@ -20,8 +20,8 @@
 	longestHostsRest   = 2 * time.Second
 )
 
-// CacheTiming says how one kind of object is read from the store.
-type CacheTiming struct {
+// ReadTiming says how one kind of object is read from the store.
+type ReadTiming struct {
 	// Freshness is how long after an answer of the store what was read counts as current: as
 	// long as the next waiting call may last.
 	Freshness func() time.Duration
@@ -29,27 +29,23 @@
 	MinimumPause, MaximumPause time.Duration
 }
 
-// ConfigurationCacheTiming is how the configuration is read.
-func (h *Host) ConfigurationCacheTiming() CacheTiming {
-	return CacheTiming{Freshness: trust(h.configurationWait)}
-}
+// ConfigurationTiming is how the configuration is read.
+func (h *Host) ConfigurationTiming() ReadTiming { return ReadTiming{Freshness: freshness(h.configWait)} }
 
-// ServersCacheTiming is how the servers are read.
-func (h *Host) ServersCacheTiming() CacheTiming {
-	return CacheTiming{Freshness: trust(h.serversWait), MinimumPause: firstServersRest, MaximumPause: longestServersRest}
+// ServersTiming is how the servers are read.
+func (h *Host) ServersTiming() ReadTiming {
+	return ReadTiming{Freshness: freshness(h.serversWait), MinimumPause: firstServersRest, MaximumPause: longestServersRest}
 }
 
-// HostsCacheTiming is how the entry hosts are read.
-func (h *Host) HostsCacheTiming() CacheTiming {
-	return CacheTiming{Freshness: trust(lasting(hostsWait)), MinimumPause: firstHostsRest, MaximumPause: longestHostsRest}
+// HostsTiming is how the entry hosts are read.
+func (h *Host) HostsTiming() ReadTiming {
+	return ReadTiming{Freshness: freshness(lasting(hostsWait)), MinimumPause: firstHostsRest, MaximumPause: longestHostsRest}
 }
 
-func trust(wait func() time.Duration) func() time.Duration {
+func freshness(wait func() time.Duration) func() time.Duration {
 	return func() time.Duration { return wait() + watchSlack }
 }
 
-func (h *Host) configurationWait() time.Duration {
-	return h.bounds().ConfigurationLimit * boundShare / 10
-}
+func (h *Host) configWait() time.Duration { return h.bounds().ConfigurationLimit * waitTenths / 10 }
 
-func (h *Host) serversWait() time.Duration { return h.bounds().DrainLimit * boundShare / 10 }
+func (h *Host) serversWait() time.Duration { return h.bounds().DrainLimit * waitTenths / 10 }
