--- a/internal/proxy/assembler/feeder.go
+++ b/internal/proxy/assembler/feeder.go
@@ -33,7 +33,7 @@
 
 // reader returns the reader of a kind.
 func (f *feeder) reader(kind string, p runner.ReadTiming) cachesyncer.Reader {
-	m := &cachesyncer.Mirror{Store: &platform.Reader{Store: f.store, Kind: kind}, Now: f.now, Trust: p.Freshness, FirstRest: p.MinimumPause, LongestRest: p.MaximumPause}
+	m := &cachesyncer.Mirror{Store: &platform.Reader{Store: f.store, Kind: kind}, Now: f.now, Trust: p.Lifetime, FirstRest: p.MinimumPause, LongestRest: p.MaximumPause}
 	f.servers[kind] = &platform.FeedServer{Kind: kind, Mirror: m, Sent: f.sent}
 	return &cachesyncer.Selector{Kind: kind, Mirror: m, Remote: f.remote, Host: f.host.UpstreamHost, Failed: f.host.UpstreamFailed}
 }
--- a/internal/proxy/runner/pace.go
+++ b/internal/proxy/runner/pace.go
@@ -22,27 +22,27 @@
 
 // ReadTiming says how one kind of object is read from the store.
 type ReadTiming struct {
-	// Freshness is how long after an answer of the store what was read counts as current: as
+	// Lifetime is how long after an answer of the store what was read counts as current: as
 	// long as the next waiting call may last.
-	Freshness func() time.Duration
+	Lifetime func() time.Duration
 	// MinimumPause and MaximumPause bound the pause after changes.
 	MinimumPause, MaximumPause time.Duration
 }
 
 // ConfigurationTiming is how the configuration is read.
-func (h *Host) ConfigurationTiming() ReadTiming { return ReadTiming{Freshness: freshness(h.configWait)} }
+func (h *Host) ConfigurationTiming() ReadTiming { return ReadTiming{Lifetime: lifetime(h.configWait)} }
 
 // ServersTiming is how the servers are read.
 func (h *Host) ServersTiming() ReadTiming {
-	return ReadTiming{Freshness: freshness(h.serversWait), MinimumPause: firstServersRest, MaximumPause: longestServersRest}
+	return ReadTiming{Lifetime: lifetime(h.serversWait), MinimumPause: firstServersRest, MaximumPause: longestServersRest}
 }
 
 // HostsTiming is how the entry hosts are read.
 func (h *Host) HostsTiming() ReadTiming {
-	return ReadTiming{Freshness: freshness(lasting(hostsWait)), MinimumPause: firstHostsRest, MaximumPause: longestHostsRest}
+	return ReadTiming{Lifetime: lifetime(lasting(hostsWait)), MinimumPause: firstHostsRest, MaximumPause: longestHostsRest}
 }
 
-func freshness(wait func() time.Duration) func() time.Duration {
+func lifetime(wait func() time.Duration) func() time.Duration {
 	return func() time.Duration { return wait() + watchSlack }
 }
 
