--- a/internal/proxy/runner/pace.go
+++ b/internal/proxy/runner/pace.go
@@ -5,10 +5,10 @@
 )
 
 const (
-	// boundShare is the part, in tenths, of the time allowed for a change that one
+	// waitTenths is the part, in tenths, of the time allowed for a change that one
 	// waiting call may last: a watch gone silent is noticed then, and the change is read
 	// anew in what is left.
-	boundShare = 6
+	waitTenths = 6
 	// hostsWait is how long a call that waits for other entry hosts lasts. One that has
 	// gone is found out by asking it.
 	hostsWait = 15 * time.Second
@@ -20,32 +20,32 @@
 	longestHostsRest   = 2 * time.Second
 )
 
-// Pace says how one kind of object is read from the store.
-type Pace struct {
-	// Trust is how long after an answer of the store what was read counts as current: as
+// ReadTiming says how one kind of object is read from the store.
+type ReadTiming struct {
+	// Lifetime is how long after an answer of the store what was read counts as current: as
 	// long as the next waiting call may last.
-	Trust func() time.Duration
-	// FirstRest and LongestRest bound the pause after changes.
-	FirstRest, LongestRest time.Duration
+	Lifetime func() time.Duration
+	// MinimumPause and MaximumPause bound the pause after changes.
+	MinimumPause, MaximumPause time.Duration
 }
 
-// ConfigurationPace is how the configuration is read.
-func (h *Host) ConfigurationPace() Pace { return Pace{Trust: trust(h.configurationWait)} }
+// ConfigurationTiming is how the configuration is read.
+func (h *Host) ConfigurationTiming() ReadTiming { return ReadTiming{Lifetime: lifetime(h.configWait)} }
 
-// ServersPace is how the servers are read.
-func (h *Host) ServersPace() Pace {
-	return Pace{Trust: trust(h.serversWait), FirstRest: firstServersRest, LongestRest: longestServersRest}
+// ServersTiming is how the servers are read.
+func (h *Host) ServersTiming() ReadTiming {
+	return ReadTiming{Lifetime: lifetime(h.serversWait), MinimumPause: firstServersRest, MaximumPause: longestServersRest}
 }
 
-// HostsPace is how the entry hosts are read.
-func (h *Host) HostsPace() Pace {
-	return Pace{Trust: trust(lasting(hostsWait)), FirstRest: firstHostsRest, LongestRest: longestHostsRest}
+// HostsTiming is how the entry hosts are read.
+func (h *Host) HostsTiming() ReadTiming {
+	return ReadTiming{Lifetime: lifetime(lasting(hostsWait)), MinimumPause: firstHostsRest, MaximumPause: longestHostsRest}
 }
 
-func trust(wait func() time.Duration) func() time.Duration {
+func lifetime(wait func() time.Duration) func() time.Duration {
 	return func() time.Duration { return wait() + watchSlack }
 }
 
-func (h *Host) configurationWait() time.Duration { return h.bounds().Configuration * boundShare / 10 }
+func (h *Host) configWait() time.Duration { return h.bounds().ConfigurationLimit * waitTenths / 10 }
 
-func (h *Host) serversWait() time.Duration { return h.bounds().Drain * boundShare / 10 }
+func (h *Host) serversWait() time.Duration { return h.bounds().DrainLimit * waitTenths / 10 }
