--- a/internal/group/follower/follower.go
+++ b/internal/group/follower/follower.go
@@ -60,12 +60,12 @@
 	// Settings are those of the group's drivers.
 	Settings driver.Settings
 	Clock    *scheduler.Scheduler
-	// Watch is read for all times of the view. Without it the follower has its own.
-	Watch *scheduler.Stopwatch
-	Log   log.Interface
+	// Stopwatch is read for all times of the view. Without it the follower has its own.
+	Stopwatch *scheduler.Stopwatch
+	Log       log.Interface
 
-	// Asked counts the questions put to serving hosts, Failed those without answer.
-	Asked, Failed atomic.Uint64
+	// QuestionsSent counts the questions put to serving hosts, QuestionsFailed those without answer.
+	QuestionsSent, QuestionsFailed atomic.Uint64
 
 	once     sync.Once
 	names    []string
@@ -101,11 +101,11 @@
 }
 
 func (f *Follower) prepare() {
-	if f.Watch == nil {
-		f.Watch = new(scheduler.Stopwatch)
+	if f.Stopwatch == nil {
+		f.Stopwatch = new(scheduler.Stopwatch)
 	}
-	f.Watch.Elapsed()
-	f.digest = informer.Digest(f.Group)
+	f.Stopwatch.Elapsed()
+	f.digest = informer.DigestServers(f.Group)
 	f.ledger.Instances = len(f.Group.BackendServers)
 	f.woken = make(chan struct{}, 1)
 	f.deserted = make(chan struct{}, 1)
@@ -146,8 +146,8 @@
 	return !f.wanted.Load() && f.now()-time.Duration(f.demanded.Load()) > linger
 }
 
-// Want has the view kept up though no request comes, or ends that.
-func (f *Follower) Want(on bool) {
+// KeepActive has the view kept up though no request comes, or ends that.
+func (f *Follower) KeepActive(on bool) {
 	f.init()
 	f.wanted.Store(on)
 	f.wake()
@@ -192,15 +192,15 @@
 // question puts q to the host and takes its view. ok is false if it has none.
 func (f *Follower) question(ctx context.Context, host string, q informer.Question) (a informer.Answer, ok bool) {
 	q.DatabaseGroup = f.Group.Name
-	q.Servers = f.digest
-	q.Seen = f.seen(host)
+	q.ServersDigest = f.digest
+	q.SeenVersion = f.seen(host)
 	if host == "" {
 		f.failed(ctx, host)
 		return a, false
 	}
 	c, cancel := context.WithTimeout(ctx, q.Hold+silence)
 	defer cancel()
-	f.Asked.Add(1)
+	f.QuestionsSent.Add(1)
 	sent := f.now()
 	a, err := f.Ask(c, host, q)
 	if err != nil || !a.Serving {
@@ -235,7 +235,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	f.Failed.Add(1)
+	f.QuestionsFailed.Add(1)
 	f.mu.Lock()
 	now := f.now()
 	f.avoid[host] = now + avoidance
@@ -259,7 +259,7 @@
 }
 
 func (f *Follower) now() time.Duration {
-	return f.Watch.Elapsed()
+	return f.Stopwatch.Elapsed()
 }
 
 // Current reports whether a serving host has answered lately.
@@ -268,15 +268,15 @@
 	return f.now()-time.Duration(f.heard.Load()) <= currency
 }
 
-// Heard returns when a serving host last answered, on the clock of Now.
-func (f *Follower) Heard() time.Duration {
+// LastAnswerAt returns when a serving host last answered, on the clock of Now.
+func (f *Follower) LastAnswerAt() time.Duration {
 	f.init()
 	return time.Duration(f.heard.Load())
 }
 
-// Deserted returns a channel that receives when no serving host answers though
+// HostsUnreachable returns a channel that receives when no serving host answers though
 // requests need one.
-func (f *Follower) Deserted() <-chan struct{} {
+func (f *Follower) HostsUnreachable() <-chan struct{} {
 	f.init()
 	return f.deserted
 }
--- a/internal/group/follower/follower_test.go
+++ b/internal/group/follower/follower_test.go
@@ -112,7 +112,7 @@
 				c[r.name] = sight{remote: r, blind: l.blind[n]}
 			}
 			d := &driver.Driver{Group: g, Host: n, Controls: c, Settings: driver.Defaults(), Log: quiet}
-			l.informers[n] = &informer.Informer{Find: func(string) (*driver.Driver, uint64) { return d, informer.Digest(g) }}
+			l.informers[n] = &informer.Informer{FindDriver: func(string) (*driver.Driver, uint64) { return d, informer.DigestServers(g) }}
 			l.dead[n] = new(atomic.Bool)
 			w.Go(func() { _ = d.Run(ctx) })
 		}
@@ -219,7 +219,7 @@
 			t.Errorf("the last view stood for %v", d)
 		}
 		select {
-		case <-f.Deserted():
+		case <-f.HostsUnreachable():
 		default:
 			t.Error("not deserted")
 		}
--- a/internal/group/follower/lane.go
+++ b/internal/group/follower/lane.go
@@ -26,12 +26,12 @@
 )
 
 var lanes = map[informer.AskKind]int{
-	informer.AskIndex:        laneIndex,
+	informer.AskReadIndex:    laneIndex,
 	informer.AskAcknowledged: laneMark,
 	informer.AskCommit:       laneMark,
 	informer.AskCovered:      laneCovered,
 	informer.AskPrimary:      lanePrimary,
-	informer.AskHurry:        laneHurry,
+	informer.AskPollNow:      laneHurry,
 }
 
 // maximumFlights is how many questions of a lane are under way at once. Whoever
--- a/internal/group/follower/view.go
+++ b/internal/group/follower/view.go
@@ -55,7 +55,7 @@
 	}
 	f.heard.Store(int64(f.now()))
 	f.source, f.version = host, a.Version
-	f.handing.Store(a.Handing)
+	f.handing.Store(a.HandingOver)
 	f.keepLatest(v)
 	f.publish(v)
 }
--- a/internal/group/follower/waits.go
+++ b/internal/group/follower/waits.go
@@ -72,7 +72,7 @@
 	if n > 0 {
 		return
 	}
-	f.enlist(&waiter{ask: informer.Ask{Kind: informer.AskHurry}})
+	f.enlist(&waiter{ask: informer.Ask{Kind: informer.AskPollNow}})
 }
 
 // IndexRequest is a read index that is being taken.
@@ -87,7 +87,7 @@
 // before the call: the question goes out after it, and the serving host begins to
 // take the index after it got the question. It is given up when ctx ends.
 func (f *Follower) BeginReadIndex(ctx context.Context) driver.PendingIndex {
-	r := &IndexRequest{follower: f, waiter: &waiter{ask: informer.Ask{Kind: informer.AskIndex}}}
+	r := &IndexRequest{follower: f, waiter: &waiter{ask: informer.Ask{Kind: informer.AskReadIndex}}}
 	f.enlist(r.waiter)
 	r.stop = context.AfterFunc(ctx, r.run)
 	return r
@@ -155,7 +155,7 @@
 // group is told: another one would move the primary a second time.
 func (f *Follower) HandOver(ctx context.Context, from string) error {
 	f.init()
-	q := informer.HandOver{DatabaseGroup: f.Group.Name, Servers: f.digest, From: from}
+	q := informer.HandOver{DatabaseGroup: f.Group.Name, ServersDigest: f.digest, From: from}
 	for _, h := range f.Hosts() {
 		a, err := f.HandOverAt(ctx, h, q)
 		switch {
--- a/internal/group/informer/informer.go
+++ b/internal/group/informer/informer.go
@@ -27,20 +27,20 @@
 
 // Informer answers questions. The exported fields are set before use.
 type Informer struct {
-	// Find returns the driver that this host runs for the group, nil if none,
+	// FindDriver returns the driver that this host runs for the group, nil if none,
 	// and the digest of the group's servers.
-	Find func(group string) (*driver.Driver, uint64)
+	FindDriver func(group string) (*driver.Driver, uint64)
 	// Clock tells when something is due, timers of its own if nil.
 	Clock *scheduler.Scheduler
 }
 
 // Routes answers other entry hosts.
 func (i *Informer) Routes() []listener.Route {
-	return []listener.Route{listener.Handle(Kind, i.answer), listener.Handle(KindHandOver, i.handOver)}
+	return []listener.Route{listener.Handle(KindQuestion, i.answer), listener.Handle(KindHandOver, i.handOver)}
 }
 
 func (i *Informer) find(group string, servers uint64) *driver.Driver {
-	d, n := i.Find(group)
+	d, n := i.FindDriver(group)
 	if d == nil || n != servers || d.Stopped() {
 		return nil
 	}
@@ -53,7 +53,7 @@
 
 // Answer answers q.
 func (i *Informer) Answer(ctx context.Context, q Question) (Answer, error) {
-	d := i.find(q.DatabaseGroup, q.Servers)
+	d := i.find(q.DatabaseGroup, q.ServersDigest)
 	if d == nil {
 		return Answer{}, nil
 	}
@@ -67,13 +67,13 @@
 	if len(q.Asks) > 0 {
 		a.Results = i.answerAsks(x, stop, d, q.Asks)
 	} else {
-		d.AwaitChange(x, q.Seen)
+		d.AwaitChange(x, q.SeenVersion)
 	}
 	a.Serving = !d.Stopped()
-	a.Handing = d.HandingOverLocally()
+	a.HandingOver = d.HandingOverLocally()
 	v, n := d.Snapshot()
 	a.Version = n
-	if len(q.Asks) > 0 && a.Version == q.Seen {
+	if len(q.Asks) > 0 && a.Version == q.SeenVersion {
 		a.Positions = PackPositions(v, arrival)
 		return a, nil
 	}
@@ -123,7 +123,7 @@
 
 func answerAsk(ctx context.Context, d *driver.Driver, a Ask) Result {
 	switch a.Kind {
-	case AskIndex:
+	case AskReadIndex:
 		m, err := d.ReadIndex(ctx)
 		return Result{State: state(ctx, err), Index: m}
 	case AskAcknowledged:
@@ -135,7 +135,7 @@
 	case AskPrimary:
 		_, err := d.WaitPrimary(ctx)
 		return Result{State: state(ctx, err)}
-	case AskHurry:
+	case AskPollNow:
 		return Result{State: hurry(ctx, d)}
 	default:
 		return Result{}
@@ -182,7 +182,7 @@
 }
 
 func (i *Informer) handOver(ctx context.Context, _ encoder.Sender, q HandOver) (HandedOver, error) {
-	d := i.find(q.DatabaseGroup, q.Servers)
+	d := i.find(q.DatabaseGroup, q.ServersDigest)
 	if d == nil {
 		return HandedOver{}, nil
 	}
--- a/internal/group/informer/message.go
+++ b/internal/group/informer/message.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// Kind asks a serving host about a database group.
-	Kind encoder.Kind = "follow"
+	// KindQuestion asks a serving host about a database group.
+	KindQuestion encoder.Kind = "follow"
 	// KindHandOver has a serving host move a group's primary.
 	KindHandOver encoder.Kind = "hand-over"
 )
@@ -27,8 +27,8 @@
 
 // Kinds of ask.
 const (
-	// AskIndex asks for a read index.
-	AskIndex AskKind = iota + 1
+	// AskReadIndex asks for a read index.
+	AskReadIndex AskKind = iota + 1
 	// AskAcknowledged and AskCommit wait as WaitAcknowledged and WaitCommit do.
 	AskAcknowledged
 	AskCommit
@@ -36,8 +36,8 @@
 	AskCovered
 	// AskPrimary waits for a confirmed primary.
 	AskPrimary
-	// AskHurry has all servers polled anew.
-	AskHurry
+	// AskPollNow has all servers polled anew.
+	AskPollNow
 )
 
 // Ask is one thing to wait for. Asking again changes nothing.
@@ -71,12 +71,12 @@
 // Question asks about a group. Without asks it waits for a change of the view.
 type Question struct {
 	DatabaseGroup string `cbor:"1,keyasint"`
-	// Servers is the Digest of the group at the asker. A host that counts other
+	// ServersDigest is the Digest of the group at the asker. A host that counts other
 	// servers would take another number for a majority.
-	Servers uint64 `cbor:"2,keyasint"`
-	Asks    []Ask  `cbor:"3,keyasint,omitempty"`
-	// Seen is the version of the view that the asker has, zero for none.
-	Seen uint64 `cbor:"4,keyasint,omitempty"`
+	ServersDigest uint64 `cbor:"2,keyasint"`
+	Asks          []Ask  `cbor:"3,keyasint,omitempty"`
+	// SeenVersion is the version of the view that the asker has, zero for none.
+	SeenVersion uint64 `cbor:"4,keyasint,omitempty"`
 	// Hold is how long the answer may be kept back.
 	Hold time.Duration `cbor:"5,keyasint,omitempty"`
 }
@@ -87,10 +87,10 @@
 	Serving bool `cbor:"1,keyasint"`
 	// Version numbers View.
 	Version uint64 `cbor:"2,keyasint,omitempty"`
-	// Handing says that the host is about to move the primary.
-	Handing bool     `cbor:"3,keyasint,omitempty"`
-	View    *View    `cbor:"4,keyasint,omitempty"`
-	Results []Result `cbor:"5,keyasint,omitempty"`
+	// HandingOver says that the host is about to move the primary.
+	HandingOver bool     `cbor:"3,keyasint,omitempty"`
+	View        *View    `cbor:"4,keyasint,omitempty"`
+	Results     []Result `cbor:"5,keyasint,omitempty"`
 	// Positions stand in for View where the asker has this version of it. They
 	// spare most of the bytes of an answer.
 	Positions []Position `cbor:"6,keyasint,omitempty"`
@@ -121,7 +121,7 @@
 type Server struct {
 	Status    controller.Status `cbor:"1,keyasint"`
 	Answered  bool              `cbor:"2,keyasint,omitempty"`
-	At        time.Duration     `cbor:"3,keyasint,omitempty"`
+	PolledAt  time.Duration     `cbor:"3,keyasint,omitempty"`
 	RoundTrip time.Duration     `cbor:"4,keyasint,omitempty"`
 	Failures  int               `cbor:"5,keyasint,omitempty"`
 	Refused   bool              `cbor:"6,keyasint,omitempty"`
@@ -131,7 +131,7 @@
 // HandOver asks to move the primary off a server.
 type HandOver struct {
 	DatabaseGroup string `cbor:"1,keyasint"`
-	Servers       uint64 `cbor:"2,keyasint"`
+	ServersDigest uint64 `cbor:"2,keyasint"`
 	From          string `cbor:"3,keyasint"`
 }
 
@@ -142,8 +142,8 @@
 	Failure string `cbor:"2,keyasint,omitempty"`
 }
 
-// Digest stands for the servers of a group.
-func Digest(g declarer.DatabaseGroup) uint64 {
+// DigestServers stands for the servers of a group.
+func DigestServers(g declarer.DatabaseGroup) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	for _, b := range g.BackendServers {
@@ -165,7 +165,7 @@
 		NoMajoritySince: v.NoMajoritySince - arrival,
 	}
 	for _, s := range v.Servers {
-		o := Server{Status: s.Status, Answered: s.Answered, At: s.PolledAt - arrival, RoundTrip: s.RoundTrip, Failures: s.Failures, Refused: s.Refused, Fresh: s.Fresh}
+		o := Server{Status: s.Status, Answered: s.Answered, PolledAt: s.PolledAt - arrival, RoundTrip: s.RoundTrip, Failures: s.Failures, Refused: s.Refused, Fresh: s.Fresh}
 		o.Status.BackendServer = s.Name
 		m.Servers = append(m.Servers, o)
 	}
@@ -234,7 +234,7 @@
 		}
 		o := observer.Observation{Status: s.Status, Answered: s.Answered, RoundTrip: s.RoundTrip, Failures: s.Failures, Refused: s.Refused}
 		if s.Answered {
-			o.PolledAt = s.At + sent
+			o.PolledAt = s.PolledAt + sent
 		}
 		return observer.Server{Name: name, Observation: o, Fresh: s.Fresh}
 	}
--- a/internal/group/switcher/switcher.go
+++ b/internal/group/switcher/switcher.go
@@ -156,7 +156,7 @@
 	}
 	var lost <-chan struct{}
 	if s.follower != nil {
-		lost = s.follower.role.Deserted()
+		lost = s.follower.role.HostsUnreachable()
 	}
 	select {
 	case <-ctx.Done():
@@ -197,7 +197,7 @@
 		x.ready = d.role.View().HasMajority() || s.now()-d.since >= warmth
 	}
 	if f := s.follower; f != nil {
-		x.steady = f.role.Current() && f.role.Heard() > f.since && s.now()-max(s.steadySince, f.since) >= steadiness
+		x.steady = f.role.Current() && f.role.LastAnswerAt() > f.since && s.now()-max(s.steadySince, f.since) >= steadiness
 	}
 	return x
 }
@@ -215,7 +215,7 @@
 		start(ctx, s.follower, s.now())
 	}
 	if s.follower != nil {
-		s.follower.role.Want(p.driving)
+		s.follower.role.KeepActive(p.driving)
 	}
 }
 
@@ -297,8 +297,8 @@
 
 // Counts are what a host has done for a group.
 type Counts struct {
-	Polls         [pacer.CauseCount]uint64
-	Asked, Failed uint64
+	Polls                          [pacer.CauseCount]uint64
+	QuestionsSent, QuestionsFailed uint64
 }
 
 func (c *Counts) addDriver(d *driver.Driver) {
@@ -308,8 +308,8 @@
 }
 
 func (c *Counts) addFollower(f *follower.Follower) {
-	c.Asked += f.Asked.Load()
-	c.Failed += f.Failed.Load()
+	c.QuestionsSent += f.QuestionsSent.Load()
+	c.QuestionsFailed += f.QuestionsFailed.Load()
 }
 
 // Counts returns the counts since the start.
--- a/internal/host/runner/peers.go
+++ b/internal/host/runner/peers.go
@@ -150,7 +150,7 @@
 		Log:              h.Log,
 	}
 	p.listener.Routes = append(p.listener.Routes, h.Routes...)
-	n := &informer.Informer{Find: h.driverOf, Clock: h.Clock}
+	n := &informer.Informer{FindDriver: h.driverOf, Clock: h.Clock}
 	p.listener.Routes = append(p.listener.Routes, n.Routes()...)
 	p.assembleWitness()
 	p.dialer.Serve = p.listener.Serve
--- a/internal/host/runner/polls.go
+++ b/internal/host/runner/polls.go
@@ -32,7 +32,7 @@
 	for i := range p.counters {
 		p.counters[i].Add(float64(n.Polls[i] - p.last.Polls[i]))
 	}
-	p.asked.Add(float64(n.Asked - p.last.Asked))
-	p.failed.Add(float64(n.Failed - p.last.Failed))
+	p.asked.Add(float64(n.QuestionsSent - p.last.QuestionsSent))
+	p.failed.Add(float64(n.QuestionsFailed - p.last.QuestionsFailed))
 	p.last = n
 }
--- a/internal/host/runner/serving.go
+++ b/internal/host/runner/serving.go
@@ -67,7 +67,7 @@
 		HandOverAt: p.askHandOver,
 		Settings:   n.host.Driver,
 		Clock:      n.host.Clock,
-		Watch:      w,
+		Stopwatch:  w,
 		Log:        n.host.Log,
 	}
 }
@@ -154,7 +154,7 @@
 }
 
 func (p *peers) askServing(ctx context.Context, host string, q informer.Question) (informer.Answer, error) {
-	return dialer.Call[informer.Question, informer.Answer](ctx, p.dialer, host, informer.Kind, q)
+	return dialer.Call[informer.Question, informer.Answer](ctx, p.dialer, host, informer.KindQuestion, q)
 }
 
 // Bounds of a hand-over's wait for a serving host that failed to answer a moment ago.
@@ -195,7 +195,7 @@
 	if !ok {
 		return nil, 0
 	}
-	return s.Driver(), informer.Digest(g.Declared)
+	return s.Driver(), informer.DigestServers(g.Declared)
 }
 
 // Part returns what this host does for a group.
--- a/internal/host/runner/witness.go
+++ b/internal/host/runner/witness.go
@@ -12,11 +12,11 @@
 // assembleWitness lets groups hear other hosts' word before they promote.
 func (p *peers) assembleWitness() {
 	p.witness = &witness.Witness{
-		Self:    p.host.Settings.HostName,
-		Serving: p.servingHosts,
-		Groups:  p.host.reconciler.witnessed,
-		Ask:     p.askWord,
-		Clock:   p.host.Clock,
+		Self:         p.host.Settings.HostName,
+		ServingHosts: p.servingHosts,
+		Groups:       p.host.reconciler.witnessed,
+		Ask:          p.askWord,
+		Clock:        p.host.Clock,
 	}
 	p.listener.Routes = append(p.listener.Routes, p.witness.Route())
 }
--- a/internal/peer/witness/witness.go
+++ b/internal/peer/witness/witness.go
@@ -35,8 +35,8 @@
 
 // Answer is a host's word, if it serves the group.
 type Answer struct {
-	Known bool                   `cbor:"1,keyasint"`
-	Word  observer.PrimaryReport `cbor:"2,keyasint"`
+	Serving bool                   `cbor:"1,keyasint"`
+	Report  observer.PrimaryReport `cbor:"2,keyasint"`
 }
 
 // Group is a database group as this host sees it, usually a driver.Driver.
@@ -50,8 +50,8 @@
 type Witness struct {
 	// Self is this entry host's name.
 	Self string
-	// Serving returns the names of the entry hosts that serve a group.
-	Serving func(group string) []string
+	// ServingHosts returns the names of the entry hosts that serve a group.
+	ServingHosts func(group string) []string
 	// Groups returns the groups that this host serves, by name.
 	Groups func() map[string]Group
 	// Ask puts a question to another host.
@@ -101,7 +101,7 @@
 // Hosts implements driver.Peers. While no other host is known, this one promotes
 // as the first.
 func (w *Witness) Hosts(group string) []string {
-	l := w.Serving(group)
+	l := w.ServingHosts(group)
 	if len(l) == 0 {
 		return []string{w.Self}
 	}
@@ -124,7 +124,7 @@
 	if !o.Lost {
 		g.PollNow()
 	}
-	return Answer{Known: true, Word: o}, nil
+	return Answer{Serving: true, Report: o}, nil
 }
 
 func (w *Witness) round(ctx context.Context) {
@@ -142,7 +142,7 @@
 // next returns whom to ask on the group, others with each round. Hosts that don't
 // serve it have no word of their own.
 func (w *Witness) next(group string) []string {
-	l := slices.DeleteFunc(slices.Clone(w.Serving(group)), func(h string) bool { return h == w.Self })
+	l := slices.DeleteFunc(slices.Clone(w.ServingHosts(group)), func(h string) bool { return h == w.Self })
 	if len(l) <= maximumAsked {
 		return l
 	}
@@ -167,10 +167,10 @@
 	defer cancel()
 	t := time.Now()
 	r, err := a.witness.Ask(x, a.host, Question{DatabaseGroup: a.group})
-	if err != nil || !r.Known {
+	if err != nil || !r.Serving {
 		return
 	}
-	a.witness.keep(a.group, kept{word: r.Word, at: t})
+	a.witness.keep(a.group, kept{word: r.Report, at: t})
 }
 
 // keep replaces the host's earlier word.
--- a/internal/peer/witness/witness_test.go
+++ b/internal/peer/witness/witness_test.go
@@ -31,15 +31,15 @@
 		g := &group{}
 		var asked atomic.Int64
 		w := &witness.Witness{
-			Self:    "a",
-			Serving: func(string) []string { return []string{"a", "b", "c"} },
-			Groups:  func() map[string]witness.Group { return map[string]witness.Group{"db": g} },
+			Self:         "a",
+			ServingHosts: func(string) []string { return []string{"a", "b", "c"} },
+			Groups:       func() map[string]witness.Group { return map[string]witness.Group{"db": g} },
 			Ask: func(_ context.Context, h string, _ witness.Question) (witness.Answer, error) {
 				if h == "c" {
 					return witness.Answer{}, errors.New("not reached")
 				}
 				asked.Add(1)
-				return witness.Answer{Known: true, Word: observer.PrimaryReport{Host: h, Primary: "db-a", Term: 1}}, nil
+				return witness.Answer{Serving: true, Report: observer.PrimaryReport{Host: h, Primary: "db-a", Term: 1}}, nil
 			},
 		}
 		ended := make(chan error)
