--- a/internal/backend/relayer/relayer.go
+++ b/internal/backend/relayer/relayer.go
@@ -165,9 +165,9 @@
 	s, err := r.Peers.Control(ctx, host, q)
 	var f *encoder.Refusal
 	if err == nil || errors.As(err, &f) {
-		r.silent.Answered(host)
+		r.silent.RecordAnswer(host)
 	} else {
-		r.silent.Failed(host, time.Now())
+		r.silent.RecordFailure(host, time.Now())
 	}
 	return s, err
 }
--- a/internal/caller/server/attempt.go
+++ b/internal/caller/server/attempt.go
@@ -139,13 +139,13 @@
 	s := a.session
 	t, _ := x.Deadline()
 	return lessor.Demand{
-		Session:  s.ID,
-		Request:  s.request,
-		Team:     c.Team,
-		Deadline: t,
-		Write:    c.Primary,
-		Settings: s.replay.Settings(),
-		Harmless: s.keyed != nil && !s.keyed.reserved || s.begun != nil && !a.commits(),
+		Session:   s.ID,
+		Request:   s.request,
+		Team:      c.Team,
+		Deadline:  t,
+		Write:     c.Primary,
+		Settings:  s.replay.Settings(),
+		Retryable: s.keyed != nil && !s.keyed.reserved || s.begun != nil && !a.commits(),
 	}
 }
 
@@ -163,7 +163,7 @@
 		AskPosition:   a.asksPosition(),
 		AskBefore:     s.out.gate != nil,
 		InTransaction: !a.fresh || s.keyed != nil,
-		GiveBack:      a.leavesNothing(),
+		ReturnIfIdle:  a.leavesNothing(),
 	}
 }
 
--- a/internal/caller/server/request.go
+++ b/internal/caller/server/request.go
@@ -239,7 +239,7 @@
 	if s.lease == nil {
 		return
 	}
-	s.lease.Release(lessor.Return{Clean: clean, Settings: s.replay.Settings(), Hidden: s.hidden})
+	s.lease.Release(lessor.Return{Clean: clean, Settings: s.replay.Settings(), HiddenState: s.hidden})
 	s.lease = nil
 	s.hidden = false
 	s.begun = nil
--- a/internal/host/deployer/pools_bench_test.go
+++ b/internal/host/deployer/pools_bench_test.go
@@ -67,7 +67,7 @@
 func read(b *testing.B, e lessor.Lease, giveBack bool) {
 	var q batcher.Batch
 	q.AddQuery(batcher.Pass, "SELECT 1")
-	r, err := e.Exchange(b.Context(), lessor.Exchange{Batch: &q, Output: drop{}, GiveBack: giveBack})
+	r, err := e.Exchange(b.Context(), lessor.Exchange{Batch: &q, Output: drop{}, ReturnIfIdle: giveBack})
 	if err != nil || r.Status != 'I' {
 		b.Fatal(r, err)
 	}
--- a/internal/host/runner/peers.go
+++ b/internal/host/runner/peers.go
@@ -202,7 +202,7 @@
 	}
 	p.live.Store(&m)
 	p.reconsider()
-	p.avoider.Keep(l)
+	p.avoider.Retain(l)
 	for _, n := range p.forwarder.Hosts() {
 		if !l[n] {
 			p.forwarder.Drop(n)
@@ -246,11 +246,11 @@
 	}
 	t, x := p.host.Clock.Ticks(drainInterval)
 	defer x.Cancel()
-	for p.granter.Open() > 0 {
+	for p.granter.OpenLeases() > 0 {
 		select {
 		case <-t:
 		case <-ctx.Done():
-			return p.granter.Open()
+			return p.granter.OpenLeases()
 		}
 	}
 	return 0
--- a/internal/host/runner/reconciler.go
+++ b/internal/host/runner/reconciler.go
@@ -116,7 +116,7 @@
 // lessor makes what lends connections to a backend server.
 func (r *reconciler) lessor(n *running, group string, b file.BackendServer) lessor.Lessor {
 	k := &keeper.Keeper{Server: b, Database: group, Opener: r.dialer, Clock: r.host.Clock, Log: r.host.Log}
-	l := &lender.Lender{Keeper: k, Gate: r.gate(b), Canceller: r.dialer, Prober: r.prober(group, b), Waits: r.host.collector.QueueSeconds}
+	l := &lender.Lender{Keeper: k, Gate: r.gate(b), Canceller: r.dialer, Prober: r.prober(group, b), SlotWaitSeconds: r.host.collector.QueueSeconds}
 	n.lenders = append(n.lenders, l)
 	return r.share(n, group, b, l)
 }
--- a/internal/host/runner/sharing.go
+++ b/internal/host/runner/sharing.go
@@ -98,7 +98,7 @@
 		return
 	}
 	for _, k := range s.keepers {
-		k.Shrink(1 + k.Open()/yieldShare)
+		k.Shrink(1 + k.OpenConnections()/yieldShare)
 	}
 }
 
@@ -207,7 +207,7 @@
 	}
 	n := 0
 	for _, k := range s.keepers {
-		n += k.Open()
+		n += k.OpenConnections()
 	}
 	return n
 }
--- a/internal/pool/avoider/avoider.go
+++ b/internal/pool/avoider/avoider.go
@@ -57,8 +57,8 @@
 	return ok
 }
 
-// Failed notes that host didn't answer.
-func (a *Avoider) Failed(host string, now time.Time) {
+// RecordFailure notes that host didn't answer.
+func (a *Avoider) RecordFailure(host string, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.hosts == nil {
@@ -75,16 +75,16 @@
 	a.hosts[host] = f
 }
 
-// Answered notes that host answered; nothing is held against it any more.
-func (a *Avoider) Answered(host string) {
+// RecordAnswer notes that host answered; nothing is held against it any more.
+func (a *Avoider) RecordAnswer(host string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.hosts, host)
 }
 
-// Keep forgets all hosts that aren't live, so that one that comes back later
+// Retain forgets all hosts that aren't live, so that one that comes back later
 // is asked at once.
-func (a *Avoider) Keep(live map[string]bool) {
+func (a *Avoider) Retain(live map[string]bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for h := range a.hosts {
--- a/internal/pool/avoider/avoider_test.go
+++ b/internal/pool/avoider/avoider_test.go
@@ -17,7 +17,7 @@
 	}
 	pauses := []time.Duration{1, 2, 4, 8, 16, 16}
 	for i, p := range pauses {
-		a.Failed("h", now)
+		a.RecordFailure("h", now)
 		end := now.Add(p * time.Second)
 		if a.Admit("h", end.Add(-time.Millisecond)) || !a.Avoided("h", end.Add(-time.Millisecond)) {
 			t.Fatalf("admitted in the pause after failure %d", i+1)
@@ -27,7 +27,7 @@
 		}
 		now = end.Add(time.Second)
 	}
-	a.Answered("h")
+	a.RecordAnswer("h")
 	for range 2 {
 		if !a.Admit("h", now) {
 			t.Error("avoided after an answer")
--- a/internal/pool/delegator/delegator.go
+++ b/internal/pool/delegator/delegator.go
@@ -60,7 +60,7 @@
 // in order. A host that reaches none connects by itself, so that a zone that is
 // cut off from the owner still serves what it can.
 func (l *Delegator) Lease(ctx context.Context, d lessor.Demand) (lessor.Lease, error) {
-	if h := l.Owner(); (!d.Write || d.Harmless) && h != "" && h != l.Self {
+	if h := l.Owner(); (!d.Write || d.Retryable) && h != "" && h != l.Self {
 		return &starting{delegator: l, host: h, demand: d}, nil
 	}
 	return l.lease(ctx, d)
--- a/internal/pool/delegator/delegator_test.go
+++ b/internal/pool/delegator/delegator_test.go
@@ -106,7 +106,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			f := &fake{owners: tt.owners, errs: tt.errs}
 			l := &delegator.Delegator{Self: "self", Owners: f, Peers: f, Pool: local{f, "pool"}, Direct: local{f, "direct"}}
-			e, err := l.Lease(t.Context(), lessor.Demand{Write: tt.write, Harmless: tt.harmless})
+			e, err := l.Lease(t.Context(), lessor.Demand{Write: tt.write, Retryable: tt.harmless})
 			if err == nil {
 				var b batcher.Batch
 				if tt.large {
--- a/internal/pool/delegator/starting.go
+++ b/internal/pool/delegator/starting.go
@@ -49,7 +49,7 @@
 // sent, or it has no effect by itself and nobody has answered it. Were the second left
 // to the session, a dead owner would use up the group's budget for retries.
 func (s *starting) again(err error) bool {
-	return errors.Is(err, forwarder.ErrUnavailable) || s.demand.Harmless && errors.Is(err, forwarder.ErrSilent)
+	return errors.Is(err, forwarder.ErrUnavailable) || s.demand.Retryable && errors.Is(err, forwarder.ErrSilent)
 }
 
 // behind makes the first exchange over a lease that was waited for.
--- a/internal/pool/exchanger/cancelling_test.go
+++ b/internal/pool/exchanger/cancelling_test.go
@@ -194,11 +194,11 @@
 func (u *uses) use(n int) {
 	ctx, stop := context.WithTimeout(u.t.Context(), u.dice.pause(80))
 	defer stop()
-	if u.conn.Settle != nil && u.dice.draw(2) == 0 {
-		if err := u.conn.Settle(context.Background()); err != nil {
+	if u.conn.FinishCancel != nil && u.dice.draw(2) == 0 {
+		if err := u.conn.FinishCancel(context.Background()); err != nil {
 			u.replace()
 		}
-		u.conn.Settle = nil
+		u.conn.FinishCancel = nil
 	}
 	w := &ways{t: u.t, backend: u.backend, query: n, dice: u.dice, hits: u.hits}
 	x := &Exchange{Conn: u.conn, Canceller: w, Batch: &batcher.Batch{}, Output: discarded{}}
--- a/internal/pool/exchanger/exchanger.go
+++ b/internal/pool/exchanger/exchanger.go
@@ -115,7 +115,7 @@
 		go x.cancel.run()
 	}
 	if !stop() || x.outErr != nil {
-		x.Conn.Settle = x.cancel.settle
+		x.Conn.FinishCancel = x.cancel.settle
 	}
 	if err != nil {
 		return x.result, err
@@ -125,13 +125,13 @@
 
 // settle waits until a cancel of an earlier batch can't hit this one.
 func (x *Exchange) settle(ctx context.Context) error {
-	if x.Conn.Settle == nil {
+	if x.Conn.FinishCancel == nil {
 		return nil
 	}
-	if err := x.Conn.Settle(ctx); err != nil {
+	if err := x.Conn.FinishCancel(ctx); err != nil {
 		return errors.Annotatef(err, "settle connection to backend server %s", x.Conn.Address)
 	}
-	x.Conn.Settle = nil
+	x.Conn.FinishCancel = nil
 	return nil
 }
 
--- a/internal/pool/forwarder/answer.go
+++ b/internal/pool/forwarder/answer.go
@@ -123,11 +123,11 @@
 		a.lease.pool.Loads.TakeLoad(*r.Load)
 	}
 	f := r.Failure
-	if a.outErr != nil && (f == nil || f.Cause == messenger.CauseCaller) {
-		return r.Exchanged(), a.outErr
+	if a.outErr != nil && (f == nil || f.Cause == messenger.CauseCallerGone) {
+		return r.ExchangeResult(), a.outErr
 	}
 	if f != nil {
-		return r.Exchanged(), f.Err(a.lease.pool.Host)
+		return r.ExchangeResult(), f.Err(a.lease.pool.Host)
 	}
-	return r.Exchanged(), nil
+	return r.ExchangeResult(), nil
 }
--- a/internal/pool/forwarder/forwarder.go
+++ b/internal/pool/forwarder/forwarder.go
@@ -146,9 +146,9 @@
 	f.count(err)
 	switch {
 	case err == nil, errors.As(err, &r):
-		f.Avoider.Answered(host)
+		f.Avoider.RecordAnswer(host)
 	case ctx.Err() == nil && !errors.Is(err, dialer.ErrStreamLimit):
-		f.Avoider.Failed(host, time.Now())
+		f.Avoider.RecordFailure(host, time.Now())
 	}
 }
 
--- a/internal/pool/forwarder/lease.go
+++ b/internal/pool/forwarder/lease.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return &unsent{cause: errors.WithType(errors.Annotatef(err, "wait at entry host %s for connection", e.pool.Host), ErrUnavailable)}
 	}
-	if k == messenger.KindCallUp {
+	if k == messenger.KindRequestBatch {
 		return nil
 	}
 	return e.leased(k, b)
@@ -186,7 +186,7 @@
 }
 
 func release(r lessor.Return) messenger.Release {
-	return messenger.Release{Clean: r.Clean, Settings: messenger.EncodeSettings(r.Settings), Hidden: r.Hidden}
+	return messenger.Release{Clean: r.Clean, Settings: messenger.EncodeSettings(r.Settings), HiddenState: r.HiddenState}
 }
 
 func (e *lease) abort() {
@@ -216,7 +216,7 @@
 			return &unsent{cause: errors.WithType(errors.Annotatef(err, "send to entry host %s", e.pool.Host), exchanger.ErrNotSent)}
 		}
 	}
-	m := messenger.Execute{Sequence: e.sequence, AskPosition: x.AskPosition, AskBefore: x.AskBefore, InTransaction: x.InTransaction, GiveBack: x.GiveBack}
+	m := messenger.Execute{Sequence: e.sequence, AskPosition: x.AskPosition, AskBefore: x.AskBefore, InTransaction: x.InTransaction, ReturnIfIdle: x.ReturnIfIdle}
 	if err := e.conn.SendValue(messenger.KindExecute, m); err != nil && !e.queued {
 		return e.lost(err)
 	}
--- a/internal/pool/granter/callup.go
+++ b/internal/pool/granter/callup.go
@@ -56,7 +56,7 @@
 	defer c.mu.Unlock()
 	if !c.over {
 		// A failure is returned by the next message.
-		_ = c.conn.Send(messenger.KindCallUp)
+		_ = c.conn.Send(messenger.KindRequestBatch)
 	}
 }
 
--- a/internal/pool/granter/callup_test.go
+++ b/internal/pool/granter/callup_test.go
@@ -68,7 +68,7 @@
 				a.cancel(1)
 			}
 			if how != "cancelled before call" {
-				a.expect(messenger.KindCallUp)
+				a.expect(messenger.KindRequestBatch)
 				a.send("echo")
 			}
 			switch how {
@@ -85,7 +85,7 @@
 				}
 				var f messenger.Failure
 				k, b, err := a.conn.Read()
-				for k == messenger.KindCallUp && how != "cancelled" {
+				for k == messenger.KindRequestBatch && how != "cancelled" {
 					k, b, err = a.conn.Read()
 				}
 				a.must(err)
@@ -123,7 +123,7 @@
 			var b batcher.Batch
 			b.AddQuery(batcher.Pass, tt.query)
 			a.must(a.conn.SendValue(messenger.KindItems, messenger.Items{Items: []messenger.Item{{Type: batcher.Query, Raw: b.Raw(0)}}}))
-			a.must(a.conn.SendValue(messenger.KindExecute, messenger.Execute{Sequence: 1, GiveBack: tt.giveBack}))
+			a.must(a.conn.SendValue(messenger.KindExecute, messenger.Execute{Sequence: 1, ReturnIfIdle: tt.giveBack}))
 			a.begun(tt.query)
 			var r messenger.Result
 			a.must(encoder.Unmarshal(a.expect(messenger.KindResult), &r))
--- a/internal/pool/granter/granter.go
+++ b/internal/pool/granter/granter.go
@@ -32,8 +32,8 @@
 // Leave refuses new leases; those that are open go on.
 func (g *Granter) Leave() { g.leaving.Store(true) }
 
-// Open returns how many leases other entry hosts hold or wait for.
-func (g *Granter) Open() int { return int(g.open.Load()) }
+// OpenLeases returns how many leases other entry hosts hold or wait for.
+func (g *Granter) OpenLeases() int { return int(g.open.Load()) }
 
 // HandleForward implements listener.ForwardHandler. The request is taken on
 // before it is queued, so that the other host can tell a long queue from a
--- a/internal/pool/granter/granter_test.go
+++ b/internal/pool/granter/granter_test.go
@@ -72,7 +72,7 @@
 		p.mu.Unlock()
 		return exchanger.Result{Status: 'I', Code: "57014", Tag: q}, nil
 	}
-	r := exchanger.Result{Status: 'I', Tag: q, Returned: x.GiveBack}
+	r := exchanger.Result{Status: 'I', Tag: q, Returned: x.ReturnIfIdle}
 	if q == "open" {
 		r.Status, r.Returned = 'T', false
 	}
--- a/internal/pool/granter/service.go
+++ b/internal/pool/granter/service.go
@@ -74,7 +74,7 @@
 	go s.loopRead(ctx)
 	l, err := s.lease(ctx)
 	if err != nil {
-		return s.conn.SendValue(messenger.KindRefused, messenger.Describe(err, false))
+		return s.conn.SendValue(messenger.KindRefused, messenger.NewFailure(err, false))
 	}
 	r, err := s.serveLease(ctx, l)
 	l.Release(r)
@@ -153,7 +153,7 @@
 	s.returned = r.Returned
 	m := messenger.Result{Sequence: b.Sequence, Status: r.Status, Position: r.Position, Before: r.Before, Code: r.Code, Tag: r.Tag, Returned: s.returned}
 	if err != nil {
-		m.Failure = messenger.Describe(err, true)
+		m.Failure = messenger.NewFailure(err, true)
 	}
 	if g, ok := s.pool.(gauge); ok {
 		v := g.Load()
@@ -174,7 +174,7 @@
 		AskPosition:   b.AskPosition,
 		AskBefore:     b.AskBefore,
 		InTransaction: b.InTransaction,
-		GiveBack:      b.GiveBack,
+		ReturnIfIdle:  b.ReturnIfIdle,
 	})
 }
 
@@ -284,6 +284,6 @@
 	if err := encoder.Unmarshal(p, &m); err != nil {
 		return err
 	}
-	s.releases <- lessor.Return{Clean: m.Clean, Settings: messenger.DecodeSettings(m.Settings), Hidden: m.Hidden}
+	s.releases <- lessor.Return{Clean: m.Clean, Settings: messenger.DecodeSettings(m.Settings), HiddenState: m.HiddenState}
 	return io.EOF
 }
--- a/internal/pool/keeper/grower.go
+++ b/internal/pool/keeper/grower.go
@@ -29,8 +29,8 @@
 // codeTooManyConnections is the SQLSTATE of a connection that the server's limit refuses.
 const codeTooManyConnections = "53300"
 
-// IsLimit reports whether a connection was refused for the server's limit.
-func IsLimit(err error) bool {
+// IsConnectionLimit reports whether a connection was refused for the server's limit.
+func IsConnectionLimit(err error) bool {
 	var p *pgconn.PgError
 	return errors.As(err, &p) && p.Code == codeTooManyConnections
 }
@@ -55,7 +55,7 @@
 
 // passing reports whether the server refuses for its limit, and not yet for long.
 func (f *failure) passing(now time.Time) bool {
-	return IsLimit(f.err) && now.Sub(f.since) < yieldTime
+	return IsConnectionLimit(f.err) && now.Sub(f.since) < yieldTime
 }
 
 // add notes a failure; draw is a random number below one.
@@ -71,9 +71,9 @@
 	f.until = now.Add(f.pause/2 + time.Duration(draw*float64(f.pause/2)))
 }
 
-// Ahead opens connections until n are open, within the limit, before requests
+// EnsureOpen opens connections until n are open, within the limit, before requests
 // have to wait for them.
-func (k *Keeper) Ahead(n int) {
+func (k *Keeper) EnsureOpen(n int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	n = min(n, k.Capacity())
--- a/internal/pool/keeper/keeper.go
+++ b/internal/pool/keeper/keeper.go
@@ -29,10 +29,10 @@
 	*dialer.Conn
 	// Replay knows the settings and prepared statements at the server.
 	Replay replayer.Connection
-	// Settle, if set, must succeed before the connection is used again.
-	Settle func(ctx context.Context) error
-	// Since is when the connection was last used.
-	Since time.Time
+	// FinishCancel, if set, must succeed before the connection is used again.
+	FinishCancel func(ctx context.Context) error
+	// LastUsed is when the connection was last used.
+	LastUsed time.Time
 }
 
 // Opener opens connections, usually a dialer.Dialer.
@@ -75,8 +75,8 @@
 	return k.opened.Load()
 }
 
-// Open returns how many connections are open now.
-func (k *Keeper) Open() int {
+// OpenConnections returns how many connections are open now.
+func (k *Keeper) OpenConnections() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.open
@@ -84,14 +84,14 @@
 
 // Count is how many connections there are by state.
 type Count struct {
-	Idle, Working, Opening int
+	Idle, InUse, Opening int
 }
 
 // Count returns the present count.
 func (k *Keeper) Count() Count {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return Count{Idle: len(k.idle), Working: k.open - k.dialing - len(k.idle), Opening: k.dialing}
+	return Count{Idle: len(k.idle), InUse: k.open - k.dialing - len(k.idle), Opening: k.dialing}
 }
 
 // Capacity returns how many connections requests may use.
@@ -103,8 +103,8 @@
 	return max(1, k.Server.Connections-r)
 }
 
-// Idle returns an idle connection, nil if there is none.
-func (k *Keeper) Idle() *Conn {
+// TryAcquire returns an idle connection, nil if there is none.
+func (k *Keeper) TryAcquire() *Conn {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.take()
@@ -130,21 +130,21 @@
 // A connection is clean only if its last answer was read to a ReadyForQuery
 // outside a transaction.
 func (k *Keeper) Release(c *Conn, clean bool) {
-	c.Since = time.Now()
+	c.LastUsed = time.Now()
 	if !clean {
 		k.discard(c)
 		return
 	}
-	if c.Settle != nil {
+	if c.FinishCancel != nil {
 		go k.runSettle(c)
 		return
 	}
 	k.giveBack(c)
 }
 
-// Retire closes all idle connections, for instance after one has gone silent
+// CloseIdle closes all idle connections, for instance after one has gone silent
 // or the server has restarted, and returns their process ids.
-func (k *Keeper) Retire() []uint32 {
+func (k *Keeper) CloseIdle() []uint32 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var l []uint32
@@ -282,11 +282,11 @@
 
 // runSettle settles a cancelled connection before it is used again.
 func (k *Keeper) runSettle(c *Conn) {
-	if err := c.Settle(context.Background()); err != nil {
+	if err := c.FinishCancel(context.Background()); err != nil {
 		k.Log.WithError(err).WithField("step", "settle").WithField("peer", k.Server.Name).Warn("connection discarded")
 		k.discard(c)
 		return
 	}
-	c.Settle = nil
+	c.FinishCancel = nil
 	k.giveBack(c)
 }
--- a/internal/pool/keeper/keeper_test.go
+++ b/internal/pool/keeper/keeper_test.go
@@ -104,8 +104,8 @@
 		if len(errs) > 0 || len(got) != k.Capacity() {
 			t.Errorf("%d connections, errors %v", len(got), errs)
 		}
-		if o.most != maximumDialing || k.Open() != k.Capacity() {
-			t.Errorf("%d dials at a time, %d connections open", o.most, k.Open())
+		if o.most != maximumDialing || k.OpenConnections() != k.Capacity() {
+			t.Errorf("%d dials at a time, %d connections open", o.most, k.OpenConnections())
 		}
 		k.Close()
 	})
@@ -150,8 +150,8 @@
 			t.Errorf("%d connections, errors %v", len(got), errs)
 		}
 		synctest.Wait()
-		if k.Open() != 0 {
-			t.Errorf("%d connections counted as open", k.Open())
+		if k.OpenConnections() != 0 {
+			t.Errorf("%d connections counted as open", k.OpenConnections())
 		}
 		k.Close()
 	})
@@ -179,8 +179,8 @@
 				t.Fatal(err)
 			}
 		}
-		if k.Open() != 1 {
-			t.Errorf("%d connections open, want 1", k.Open())
+		if k.OpenConnections() != 1 {
+			t.Errorf("%d connections open, want 1", k.OpenConnections())
 		}
 		k.Close()
 	})
@@ -190,11 +190,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		k := pool(&opener{takes: time.Millisecond})
 		for range 100 {
-			k.Ahead(100)
+			k.EnsureOpen(100)
 			time.Sleep(time.Millisecond)
 		}
-		if k.Open() != k.Capacity() {
-			t.Errorf("%d connections open, capacity %d", k.Open(), k.Capacity())
+		if k.OpenConnections() != k.Capacity() {
+			t.Errorf("%d connections open, capacity %d", k.OpenConnections(), k.Capacity())
 		}
 		k.Close()
 	})
--- a/internal/pool/lender/giveback_test.go
+++ b/internal/pool/lender/giveback_test.go
@@ -78,7 +78,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			x := lessor.Exchange{Batch: &batcher.Batch{}, Output: nowhere{}, GiveBack: tt.giveBack}
+			x := lessor.Exchange{Batch: &batcher.Batch{}, Output: nowhere{}, ReturnIfIdle: tt.giveBack}
 			x.Batch.AddQuery(batcher.Pass, "SELECT 1")
 			r, err := e.Exchange(t.Context(), x)
 			if err != nil || r.Returned != tt.returned {
@@ -94,7 +94,7 @@
 			}
 			e.Release(lessor.Return{Clean: tt.status == exchanger.Idle})
 			c := l.Keeper.Count()
-			if want := tt.status == exchanger.Idle; (c.Idle == 1) != want || c.Working != 0 {
+			if want := tt.status == exchanger.Idle; (c.Idle == 1) != want || c.InUse != 0 {
 				t.Errorf("in the end %+v", c)
 			}
 		})
@@ -105,11 +105,11 @@
 // connection; it would have to answer a commit as of unknown outcome otherwise.
 func TestConnectionWithoutPositionIsKept(t *testing.T) {
 	r := exchanger.Result{Status: exchanger.Idle}
-	if returns(&lessor.Exchange{GiveBack: true, AskPosition: true}, &r) {
+	if returns(&lessor.Exchange{ReturnIfIdle: true, AskPosition: true}, &r) {
 		t.Error("goes back without its position")
 	}
 	r.Position.Position = 1
-	if !returns(&lessor.Exchange{GiveBack: true, AskPosition: true}, &r) {
+	if !returns(&lessor.Exchange{ReturnIfIdle: true, AskPosition: true}, &r) {
 		t.Error("is kept with its position")
 	}
 }
--- a/internal/pool/lender/lender.go
+++ b/internal/pool/lender/lender.go
@@ -39,8 +39,8 @@
 	Canceller exchanger.Canceller
 	// Prober, if set, finds connections gone silent.
 	Prober exchanger.Prober
-	// Waits takes the seconds that requests waited for a slot, unless it is nil.
-	Waits prometheus.Observer
+	// SlotWaitSeconds takes the seconds that requests waited for a slot, unless it is nil.
+	SlotWaitSeconds prometheus.Observer
 
 	// transactions counts the leases that are inside a transaction.
 	transactions atomic.Int64
@@ -67,8 +67,8 @@
 	if err != nil {
 		return nil, notRun(refused(err))
 	}
-	c := l.Keeper.Idle()
-	l.Keeper.Ahead(l.wanted())
+	c := l.Keeper.TryAcquire()
+	l.Keeper.EnsureOpen(l.wanted())
 	if c = l.verified(c); c == nil {
 		s, c, err = l.await(ctx, s, q)
 	}
@@ -88,14 +88,14 @@
 // a while may have gone silent; a request sent over it would be lost with its
 // outcome open, and a round trip beforehand costs one only rarely.
 func (l *Lender) verified(c *keeper.Conn) *keeper.Conn {
-	for c != nil && !c.Since.IsZero() && time.Since(c.Since) > quiet {
+	for c != nil && !c.LastUsed.IsZero() && time.Since(c.LastUsed) > quiet {
 		err := exchanger.RoundTrip(c, roundTripTimeout)
 		if err == nil {
 			return c
 		}
 		l.Keeper.Release(c, false)
 		l.retire(c)
-		c = l.Keeper.Idle()
+		c = l.Keeper.TryAcquire()
 	}
 	return c
 }
@@ -120,12 +120,12 @@
 }
 
 func (l *Lender) acquire(ctx context.Context, q gate.Request) (*gate.Slot, error) {
-	if l.Waits == nil {
+	if l.SlotWaitSeconds == nil {
 		return l.Gate.Acquire(ctx, q)
 	}
 	t := time.Now()
 	s, err := l.Gate.Acquire(ctx, q)
-	l.Waits.Observe(time.Since(t).Seconds())
+	l.SlotWaitSeconds.Observe(time.Since(t).Seconds())
 	return s, err
 }
 
@@ -209,7 +209,7 @@
 // returns reports whether the connection may go back with the answer r. Without a
 // position that was asked for, the session asks for it over the same connection.
 func returns(x *lessor.Exchange, r *exchanger.Result) bool {
-	return x.GiveBack && r.Status == exchanger.Idle && (!x.AskPosition || !r.Position.IsZero())
+	return x.ReturnIfIdle && r.Status == exchanger.Idle && (!x.AskPosition || !r.Position.IsZero())
 }
 
 // noteSilence closes the idle connections after one has gone silent: what lost
@@ -222,7 +222,7 @@
 
 // retire closes c's idle siblings and has the server end them all.
 func (l *Lender) retire(c *keeper.Conn) {
-	t := &terminator{lender: l, processIDs: append(l.Keeper.Retire(), c.ProcessID)}
+	t := &terminator{lender: l, processIDs: append(l.Keeper.CloseIdle(), c.ProcessID)}
 	go t.run()
 }
 
@@ -252,7 +252,7 @@
 
 func (e *lease) giveBack(r lessor.Return) {
 	e.returned = true
-	e.conn.Replay.Finish(r.Settings, r.Hidden)
+	e.conn.Replay.Finish(r.Settings, r.HiddenState)
 	e.lender.Keeper.Release(e.conn, r.Clean)
 }
 
@@ -320,7 +320,7 @@
 // limit tells a connection that the backend server refused for its limit from
 // one that couldn't be opened.
 func limit(ctx context.Context, err error) error {
-	if keeper.IsLimit(err) {
+	if keeper.IsConnectionLimit(err) {
 		return errors.WithType(err, lessor.ErrConnectionLimit)
 	}
 	if ctx.Err() != nil {
--- a/internal/pool/lessor/lessor.go
+++ b/internal/pool/lessor/lessor.go
@@ -37,9 +37,9 @@
 	// Settings are the session's; the connection is brought to them before it
 	// is lent.
 	Settings replayer.Settings
-	// Harmless says that the first exchange of the lease has no effect unless a
+	// Retryable says that the first exchange of the lease has no effect unless a
 	// later one commits it, so that it may be made again where it is lost.
-	Harmless bool
+	Retryable bool
 }
 
 // Return says in which state a connection comes back.
@@ -49,9 +49,9 @@
 	Clean bool
 	// Settings are those in force on it now.
 	Settings replayer.Settings
-	// Hidden says that it may hold state that isn't seen, so that it is cleared
+	// HiddenState says that it may hold state that isn't seen, so that it is cleared
 	// before anybody else uses it.
-	Hidden bool
+	HiddenState bool
 }
 
 // Exchange is one batch for a lent connection.
@@ -65,11 +65,11 @@
 	AskBefore bool
 	// InTransaction gives the batch precedence over new transactions.
 	InTransaction bool
-	// GiveBack lets the lessor take the connection back with the answer, if that
+	// ReturnIfIdle lets the lessor take the connection back with the answer, if that
 	// leaves it idle. The sender vouches that the batch changes no settings and
 	// leaves nothing hidden, and makes no further exchange over the lease unless
 	// the answer lacks a position that was asked for.
-	GiveBack bool
+	ReturnIfIdle bool
 }
 
 // Lease is a connection lent to one session until Release.
--- a/internal/pool/messenger/message.go
+++ b/internal/pool/messenger/message.go
@@ -35,8 +35,8 @@
 	AskPosition   bool   `cbor:"2,keyasint,omitempty"`
 	InTransaction bool   `cbor:"3,keyasint,omitempty"`
 	AskBefore     bool   `cbor:"4,keyasint,omitempty"`
-	// GiveBack lets the pool owner end the lease with the answer.
-	GiveBack bool `cbor:"5,keyasint,omitempty"`
+	// ReturnIfIdle lets the pool owner end the lease with the answer.
+	ReturnIfIdle bool `cbor:"5,keyasint,omitempty"`
 }
 
 // Cancel cancels one exchange. A cancel that arrives after its exchange ended
@@ -47,9 +47,9 @@
 
 // Release gives the connection back.
 type Release struct {
-	Clean    bool              `cbor:"1,keyasint"`
-	Settings []encoder.Setting `cbor:"2,keyasint,omitempty"`
-	Hidden   bool              `cbor:"3,keyasint,omitempty"`
+	Clean       bool              `cbor:"1,keyasint"`
+	Settings    []encoder.Setting `cbor:"2,keyasint,omitempty"`
+	HiddenState bool              `cbor:"3,keyasint,omitempty"`
 }
 
 // EncodeSettings prepares a session's settings for a message.
@@ -93,8 +93,8 @@
 	Returned bool `cbor:"9,keyasint,omitempty"`
 }
 
-// Exchanged returns what the exchange came to.
-func (r *Result) Exchanged() exchanger.Result {
+// ExchangeResult returns what the exchange came to.
+func (r *Result) ExchangeResult() exchanger.Result {
 	return exchanger.Result{Status: r.Status, Position: r.Position, Before: r.Before, Code: r.Code, Tag: r.Tag, Returned: r.Returned}
 }
 
@@ -103,33 +103,33 @@
 
 // Causes. After each one except CauseLost and CauseCaller nothing was sent.
 const (
-	CauseRefused     Cause = "refused"
-	CauseNotSent     Cause = "not-sent"
-	CauseUnreachable Cause = "unreachable"
-	CauseLimit       Cause = "connection-limit"
-	CauseCancelled   Cause = "cancelled"
+	CauseRefused         Cause = "refused"
+	CauseNotSent         Cause = "not-sent"
+	CauseUnreachable     Cause = "unreachable"
+	CauseConnectionLimit Cause = "connection-limit"
+	CauseCancelled       Cause = "cancelled"
 	// CauseLost leaves the outcome open.
 	CauseLost Cause = "lost"
-	// CauseCaller is a caller that went away; the exchange was cancelled.
-	CauseCaller Cause = "caller"
+	// CauseCallerGone is a caller that went away; the exchange was cancelled.
+	CauseCallerGone Cause = "caller"
 )
 
 // Failure is an error of the pool owner on its way to the host that forwards.
 type Failure struct {
 	Cause   Cause  `cbor:"1,keyasint"`
 	Message string `cbor:"2,keyasint"`
-	// State is the SQLSTATE that the error brought along, empty if none.
-	State      string        `cbor:"3,keyasint,omitempty"`
+	// SQLState is the SQLSTATE that the error brought along, empty if none.
+	SQLState   string        `cbor:"3,keyasint,omitempty"`
 	RetryAfter time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// Describe makes the Failure of err; sent says whether bytes of a batch may
+// NewFailure makes the Failure of err; sent says whether bytes of a batch may
 // have reached the backend server.
-func Describe(err error, sent bool) *Failure {
+func NewFailure(err error, sent bool) *Failure {
 	f := &Failure{Cause: cause(err, sent), Message: err.Error()}
 	var c interface{ SQLState() string }
 	if f.Cause != CauseLost && errors.As(err, &c) {
-		f.State = c.SQLState()
+		f.SQLState = c.SQLState()
 	}
 	var r interface{ RetryAfterHint() time.Duration }
 	if errors.As(err, &r) {
@@ -145,7 +145,7 @@
 	case errors.Is(err, lessor.ErrUnreachable):
 		return CauseUnreachable
 	case errors.Is(err, lessor.ErrConnectionLimit):
-		return CauseLimit
+		return CauseConnectionLimit
 	case errors.Is(err, lessor.ErrNotRun) && (errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)):
 		return CauseCancelled
 	case errors.Is(err, lessor.ErrNotRun):
@@ -153,7 +153,7 @@
 	case errors.Is(err, exchanger.ErrNotSent):
 		return CauseNotSent
 	case sent:
-		return CauseCaller
+		return CauseCallerGone
 	}
 	return CauseRefused
 }
@@ -162,7 +162,7 @@
 // in it what they would have found at the pool owner.
 func (f *Failure) Err(host string) error {
 	e := &remote{host: host, failure: f}
-	if f.State == "" {
+	if f.SQLState == "" {
 		return e
 	}
 	return &coded{remote: e}
@@ -185,13 +185,13 @@
 // Unwrap returns the sentinels that the error carried.
 func (r *remote) Unwrap() []error {
 	switch r.failure.Cause {
-	case CauseLost, CauseCaller:
+	case CauseLost, CauseCallerGone:
 		return []error{exchanger.ErrLost}
 	case CauseNotSent:
 		return []error{exchanger.ErrNotSent, lessor.ErrNotRun}
 	case CauseUnreachable:
 		return []error{lessor.ErrUnreachable, lessor.ErrNotRun}
-	case CauseLimit:
+	case CauseConnectionLimit:
 		return []error{lessor.ErrConnectionLimit, lessor.ErrNotRun}
 	case CauseCancelled:
 		return []error{context.Canceled, lessor.ErrNotRun}
@@ -205,4 +205,4 @@
 }
 
 // SQLState returns the code for the caller.
-func (c *coded) SQLState() string { return c.failure.State }
+func (c *coded) SQLState() string { return c.failure.SQLState }
--- a/internal/pool/messenger/messenger.go
+++ b/internal/pool/messenger/messenger.go
@@ -34,9 +34,9 @@
 
 // Messages from the pool owner.
 const (
-	// KindCallUp says that the connection will be there shortly, so that the first
+	// KindRequestBatch says that the connection will be there shortly, so that the first
 	// exchange may come. It comes before KindLeased, if at all.
-	KindCallUp Kind = 'S'
+	KindRequestBatch Kind = 'S'
 	// KindLeased carries a Leased: the connection is there.
 	KindLeased Kind = 'L'
 	// KindRefused carries a Failure: there is no connection and the stream ends.
