--- a/internal/pool/messenger/message.go
+++ b/internal/pool/messenger/message.go
@@ -118,8 +118,8 @@
 type Failure struct {
 	Cause   Cause  `cbor:"1,keyasint"`
 	Message string `cbor:"2,keyasint"`
-	// SQLState is the SQLSTATE that the error brought along, empty if none.
-	SQLState   string        `cbor:"3,keyasint,omitempty"`
+	// State is the SQLSTATE that the error brought along, empty if none.
+	State      string        `cbor:"3,keyasint,omitempty"`
 	RetryAfter time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
@@ -129,7 +129,7 @@
 	f := &Failure{Cause: cause(err, sent), Message: err.Error()}
 	var c interface{ SQLState() string }
 	if f.Cause != CauseLost && errors.As(err, &c) {
-		f.SQLState = c.SQLState()
+		f.State = c.SQLState()
 	}
 	var r interface{ RetryAfterHint() time.Duration }
 	if errors.As(err, &r) {
@@ -162,7 +162,7 @@
 // in it what they would have found at the pool owner.
 func (f *Failure) Err(host string) error {
 	e := &remote{host: host, failure: f}
-	if f.SQLState == "" {
+	if f.State == "" {
 		return e
 	}
 	return &coded{remote: e}
@@ -205,4 +205,4 @@
 }
 
 // SQLState returns the code for the caller.
-func (c *coded) SQLState() string { return c.failure.SQLState }
+func (c *coded) SQLState() string { return c.failure.State }
