--- a/internal/host/runner/watch.go
+++ b/internal/host/runner/watch.go
@@ -136,7 +136,7 @@
 	w.queued.Set(float64(w.lender.Gate.Load().Waiting))
 	c := w.lender.Keeper.Count()
 	w.idle.Set(float64(c.Idle))
-	w.working.Set(float64(c.InUse))
+	w.working.Set(float64(c.Working))
 	w.opening.Set(float64(c.Opening))
 	p, _ := v.Server(v.Primary)
 	if a, b := p.Status.Last, s.Status.Last; a.Term == b.Term && a.Position >= b.Position {
--- a/internal/pool/keeper/keeper.go
+++ b/internal/pool/keeper/keeper.go
@@ -84,14 +84,14 @@
 
 // Count is how many connections there are by state.
 type Count struct {
-	Idle, InUse, Opening int
+	Idle, Working, Opening int
 }
 
 // Count returns the present count.
 func (k *Keeper) Count() Count {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return Count{Idle: len(k.idle), InUse: k.open - k.dialing - len(k.idle), Opening: k.dialing}
+	return Count{Idle: len(k.idle), Working: k.open - k.dialing - len(k.idle), Opening: k.dialing}
 }
 
 // Capacity returns how many connections requests may use.
--- a/internal/pool/lender/giveback_test.go
+++ b/internal/pool/lender/giveback_test.go
@@ -94,7 +94,7 @@
 			}
 			e.Release(lessor.Return{Clean: tt.status == exchanger.Idle})
 			c := l.Keeper.Count()
-			if want := tt.status == exchanger.Idle; (c.Idle == 1) != want || c.InUse != 0 {
+			if want := tt.status == exchanger.Idle; (c.Idle == 1) != want || c.Working != 0 {
 				t.Errorf("in the end %+v", c)
 			}
 		})
