--- a/internal/group/promoter/host_test.go
+++ b/internal/group/promoter/host_test.go
@@ -337,7 +337,7 @@
 
 func (h *host) settle(x *write) {
 	e := &x.evidence
-	e.Commit, e.RowHeld = h.ledger.DecideExact(x.mark), h.ledger.Decide(x.rowMark)
+	e.Commit, e.RowCommit = h.ledger.DecideExact(x.mark), h.ledger.Decide(x.rowMark)
 	e.Expired = h.w.now-x.began >= deadline
 	s, o := settler.Next(*e)
 	switch s {
--- a/internal/host/deployer/expire_test.go
+++ b/internal/host/deployer/expire_test.go
@@ -19,7 +19,7 @@
 	count := func() int64 { return query[int64](t, c, "SELECT count(*) FROM cuminwick_outcome") }
 	kept := count()
 	x := d.Hosts[0].Director()
-	if err := x.Expire(t.Context(), "db", time.Now().Add(time.Hour), time.Minute); !errors.Is(err, inquirer.ErrClock) {
+	if err := x.Expire(t.Context(), "db", time.Now().Add(time.Hour), time.Minute); !errors.Is(err, inquirer.ErrClockSkew) {
 		t.Errorf("with a clock one hour ahead: %v", err)
 	}
 	if err := x.Expire(t.Context(), "db", time.Now(), time.Hour); err != nil {
--- a/internal/host/runner/peers.go
+++ b/internal/host/runner/peers.go
@@ -128,7 +128,7 @@
 		PeerStreams:    h.Settings.Limits.PeerStreams,
 	}
 	p.avoider.FirstPause, p.avoider.MaximumPause = firstAvoidance, maximumAvoidance
-	p.forwarder = &forwarder.Forwarder{Peers: p.dialer, Avoider: &p.avoider, Forwards: h.collector.PeerForwards, Patience: h.OwnerPatience}
+	p.forwarder = &forwarder.Forwarder{Peers: p.dialer, Avoider: &p.avoider, Forwards: h.collector.PeerForwards, MinimumTimeout: h.OwnerPatience}
 	p.control = &relayer.Dialer{Dialer: p.dialer}
 	p.cancels = &cancels.Forwarder{
 		Self:    h.Settings.HostName,
@@ -205,7 +205,7 @@
 	p.avoider.Keep(l)
 	for _, n := range p.forwarder.Hosts() {
 		if !l[n] {
-			p.forwarder.Drop(n)
+			p.forwarder.AbortLeases(n)
 		}
 	}
 }
--- a/internal/outcome/inquirer/expirer.go
+++ b/internal/outcome/inquirer/expirer.go
@@ -19,8 +19,8 @@
 	maximumSkew = 5 * time.Minute
 )
 
-// ErrClock says that two clocks differ too much to forget keys by them.
-const ErrClock = errors.ConstError("clocks differ")
+// ErrClockSkew says that two clocks differ too much to forget keys by them.
+const ErrClockSkew = errors.ConstError("clocks differ")
 
 // Expire forgets the keys whose first attempt is older than retention.
 //
@@ -33,21 +33,21 @@
 		return errors.Annotate(err, "ask for the time")
 	}
 	if r.Code != "" || len(r.Rows) != 1 || len(r.Rows[0]) != 1 {
-		return errors.Annotatef(ErrAnswer, "SQLSTATE %q to question for the time", r.Code)
+		return errors.Annotatef(ErrUnexpectedAnswer, "SQLSTATE %q to question for the time", r.Code)
 	}
 	t, err := time.Parse(timeLayout, r.Rows[0][0])
 	if err != nil {
 		return errors.Annotatef(err, "read time %q", r.Rows[0][0])
 	}
 	if d := now.Sub(t).Abs(); d > maximumSkew {
-		return errors.Annotatef(ErrClock, "by %s, keys are kept", d)
+		return errors.Annotatef(ErrClockSkew, "by %s, keys are kept", d)
 	}
 	e, err := i.run(ctx, recorder.Expire(now, retention))
 	if err != nil {
 		return errors.Annotate(err, "forget old keys")
 	}
 	if e.Code != "" && e.Code != recorder.UndefinedTable {
-		return errors.Annotatef(ErrAnswer, "SQLSTATE %s to forgetting old keys", e.Code)
+		return errors.Annotatef(ErrUnexpectedAnswer, "SQLSTATE %s to forgetting old keys", e.Code)
 	}
 	return nil
 }
--- a/internal/outcome/inquirer/inquirer.go
+++ b/internal/outcome/inquirer/inquirer.go
@@ -18,8 +18,8 @@
 	"github.com/cuminwick/cuminwick/internal/wire/follower"
 )
 
-// ErrAnswer is returned when the backend server answers with an unexpected error.
-const ErrAnswer = errors.ConstError("outcome not told")
+// ErrUnexpectedAnswer is returned when the backend server answers with an unexpected error.
+const ErrUnexpectedAnswer = errors.ConstError("outcome not told")
 
 // attemptPause is the time between two attempts to ask.
 const attemptPause = 50 * time.Millisecond
@@ -99,7 +99,7 @@
 	case recorder.UniqueViolation:
 		return i.settled(ctx, a)
 	default:
-		return recorder.Unknown, errors.Annotatef(ErrAnswer, "SQLSTATE %s to tombstone", r.Code)
+		return recorder.Unknown, errors.Annotatef(ErrUnexpectedAnswer, "SQLSTATE %s to tombstone", r.Code)
 	}
 }
 
@@ -109,7 +109,7 @@
 		return recorder.Unknown, err
 	}
 	if !r.Found {
-		return recorder.Unknown, errors.Annotatef(ErrAnswer, "row of key %s came and went", a.Key)
+		return recorder.Unknown, errors.Annotatef(ErrUnexpectedAnswer, "row of key %s came and went", a.Key)
 	}
 	return r.Outcome, i.Group.Acknowledge(ctx, m)
 }
@@ -121,7 +121,7 @@
 		return err
 	}
 	if r.Code != "" {
-		return errors.Annotatef(ErrAnswer, "SQLSTATE %s to creation of outcome table", r.Code)
+		return errors.Annotatef(ErrUnexpectedAnswer, "SQLSTATE %s to creation of outcome table", r.Code)
 	}
 	return errors.Annotate(i.Group.Acknowledge(ctx, r.Position), "confirm outcome table")
 }
@@ -134,7 +134,7 @@
 	case r.Code == recorder.UndefinedTable:
 		return recorder.Row{}, r.Position, nil
 	case r.Code != "":
-		return recorder.Row{}, marker.Mark{}, errors.Annotatef(ErrAnswer, "SQLSTATE %s to look-up", r.Code)
+		return recorder.Row{}, marker.Mark{}, errors.Annotatef(ErrUnexpectedAnswer, "SQLSTATE %s to look-up", r.Code)
 	case len(r.Rows) == 0:
 		return recorder.Row{}, r.Position, nil
 	}
@@ -194,7 +194,7 @@
 		return nil
 	}
 	if !first || !last {
-		return errors.Annotate(ErrAnswer, "row too large")
+		return errors.Annotate(ErrUnexpectedAnswer, "row too large")
 	}
 	var d pgproto3.DataRow
 	if err := d.Decode(p[5:]); err != nil {
--- a/internal/outcome/settler/settler.go
+++ b/internal/outcome/settler/settler.go
@@ -38,9 +38,9 @@
 	// Row is what the key's row says, found or inserted as a tombstone at a
 	// confirmed primary; empty while it isn't known.
 	Row recorder.Outcome
-	// RowHeld is the verdict on the mark that the primary's log had reached when
+	// RowCommit is the verdict on the mark that the primary's log had reached when
 	// Row was read or inserted.
-	RowHeld acknowledger.CommitState
+	RowCommit acknowledger.CommitState
 	// Expired says that the caller's deadline has passed.
 	Expired bool
 }
@@ -93,14 +93,14 @@
 }
 
 func rowSettled(e Evidence) bool {
-	return e.Row != "" && e.RowHeld == acknowledger.Acknowledged
+	return e.Row != "" && e.RowCommit == acknowledger.Acknowledged
 }
 
 func nextByKey(e Evidence) (Step, recorder.Outcome) {
 	switch {
 	case e.Key == "":
 		return Done, recorder.Unknown
-	case e.Row != "" && e.RowHeld == acknowledger.Waiting:
+	case e.Row != "" && e.RowCommit == acknowledger.Waiting:
 		return WaitRow, recorder.Unknown
 	}
 	return InsertTombstone, recorder.Unknown // also after the row's own primary was superseded
--- a/internal/outcome/settler/settler_test.go
+++ b/internal/outcome/settler/settler_test.go
@@ -35,10 +35,10 @@
 		{"commit undetermined with key", Evidence{Sent: true, CommitSent: true, Answer: AnswerCommitted, Commit: open, Key: "k"}, InsertTombstone, recorder.Unknown},
 		{"answer lost without key", Evidence{Sent: true, CommitSent: true, Answer: AnswerLost}, Done, recorder.Unknown},
 		{"answer lost with key", Evidence{Sent: true, CommitSent: true, Answer: AnswerLost, Key: "k"}, InsertTombstone, recorder.Unknown},
-		{"tombstone not held yet", Evidence{Sent: true, CommitSent: true, Answer: AnswerLost, Key: "k", Row: recorder.NotRun, RowHeld: wait}, WaitRow, recorder.Unknown},
-		{"tombstone's primary superseded", Evidence{Sent: true, CommitSent: true, Answer: AnswerLost, Key: "k", Row: recorder.NotRun, RowHeld: gone}, InsertTombstone, recorder.Unknown},
-		{"tombstone held", Evidence{Sent: true, CommitSent: true, Answer: AnswerLost, Key: "k", Row: recorder.NotRun, RowHeld: ack}, Done, recorder.NotRun},
-		{"row says ran and is held", Evidence{Sent: true, CommitSent: true, Answer: AnswerLost, Key: "k", Row: recorder.Ran, RowHeld: ack}, Done, recorder.Ran},
+		{"tombstone not held yet", Evidence{Sent: true, CommitSent: true, Answer: AnswerLost, Key: "k", Row: recorder.NotRun, RowCommit: wait}, WaitRow, recorder.Unknown},
+		{"tombstone's primary superseded", Evidence{Sent: true, CommitSent: true, Answer: AnswerLost, Key: "k", Row: recorder.NotRun, RowCommit: gone}, InsertTombstone, recorder.Unknown},
+		{"tombstone held", Evidence{Sent: true, CommitSent: true, Answer: AnswerLost, Key: "k", Row: recorder.NotRun, RowCommit: ack}, Done, recorder.NotRun},
+		{"row says ran and is held", Evidence{Sent: true, CommitSent: true, Answer: AnswerLost, Key: "k", Row: recorder.Ran, RowCommit: ack}, Done, recorder.Ran},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/pool/delegator/delegator.go
+++ b/internal/pool/delegator/delegator.go
@@ -26,7 +26,7 @@
 // Peers borrows connections from other entry hosts, usually a forwarder.Forwarder.
 type Peers interface {
 	Lease(ctx context.Context, p forwarder.Pool, d lessor.Demand) (lessor.Lease, error)
-	Start(ctx context.Context, p forwarder.Pool, d lessor.Demand) (lessor.Lease, error)
+	LeasePipelined(ctx context.Context, p forwarder.Pool, d lessor.Demand) (lessor.Lease, error)
 }
 
 // Delegator implements lessor.Lessor for one backend server. The exported
@@ -85,7 +85,7 @@
 }
 
 func (l *Delegator) pool(host string) forwarder.Pool {
-	return forwarder.Pool{Host: host, DatabaseGroup: l.Server.DatabaseGroup, BackendServer: l.Server.Name, Loads: l}
+	return forwarder.Pool{Host: host, DatabaseGroup: l.Server.DatabaseGroup, BackendServer: l.Server.Name, LoadRecorder: l}
 }
 
 // loadAge is how long the owner's word on its queue counts.
@@ -106,8 +106,8 @@
 	return l.load
 }
 
-// TakeLoad implements forwarder.Loads.
-func (l *Delegator) TakeLoad(g gate.Load) {
+// RecordLoad implements forwarder.LoadRecorder.
+func (l *Delegator) RecordLoad(g gate.Load) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.load, l.at = g, time.Now()
--- a/internal/pool/delegator/delegator_test.go
+++ b/internal/pool/delegator/delegator_test.go
@@ -41,7 +41,7 @@
 	return f.ask(p.Host)
 }
 
-func (f *fake) Start(_ context.Context, p forwarder.Pool, _ lessor.Demand) (lessor.Lease, error) {
+func (f *fake) LeasePipelined(_ context.Context, p forwarder.Pool, _ lessor.Demand) (lessor.Lease, error) {
 	return f.ask("start " + p.Host)
 }
 
--- a/internal/pool/delegator/starting.go
+++ b/internal/pool/delegator/starting.go
@@ -64,7 +64,7 @@
 }
 
 func (s *starting) first(ctx context.Context, x lessor.Exchange) (exchanger.Result, error) {
-	e, err := s.delegator.Peers.Start(ctx, s.delegator.pool(s.host), s.demand)
+	e, err := s.delegator.Peers.LeasePipelined(ctx, s.delegator.pool(s.host), s.demand)
 	if err != nil {
 		return exchanger.Result{}, err
 	}
--- a/internal/pool/forwarder/answer.go
+++ b/internal/pool/forwarder/answer.go
@@ -119,8 +119,8 @@
 		return exchanger.Result{}, a.lease.lost(errors.Annotatef(encoder.ErrMalformed, "result of exchange %d, want %d", r.Sequence, a.lease.sequence))
 	}
 	a.lease.returned = r.Returned
-	if r.Load != nil && a.lease.pool.Loads != nil {
-		a.lease.pool.Loads.TakeLoad(*r.Load)
+	if r.Load != nil && a.lease.pool.LoadRecorder != nil {
+		a.lease.pool.LoadRecorder.RecordLoad(*r.Load)
 	}
 	f := r.Failure
 	if a.outErr != nil && (f == nil || f.Cause == messenger.CauseCaller) {
--- a/internal/pool/forwarder/forwarder.go
+++ b/internal/pool/forwarder/forwarder.go
@@ -49,9 +49,9 @@
 	Avoider *avoider.Avoider
 	// Forwards counts requests by result, unless it is nil.
 	Forwards *prometheus.CounterVec
-	// Patience is the least time that a host is given to open a stream, and to take a
+	// MinimumTimeout is the least time that a host is given to open a stream, and to take a
 	// request on, beginTimeout and minimumPatience if zero.
-	Patience time.Duration
+	MinimumTimeout time.Duration
 
 	mu   sync.Mutex
 	open map[string]map[*lease]struct{}
@@ -71,13 +71,13 @@
 	Host          string
 	DatabaseGroup string
 	BackendServer string
-	// Loads, if set, is told of the pool's queue with each answer.
-	Loads Loads
+	// LoadRecorder, if set, is told of the pool's queue with each answer.
+	LoadRecorder LoadRecorder
 }
 
-// Loads takes what a pool owner tells of its queue.
-type Loads interface {
-	TakeLoad(l gate.Load)
+// LoadRecorder takes what a pool owner tells of its queue.
+type LoadRecorder interface {
+	RecordLoad(l gate.Load)
 }
 
 // Lease borrows a connection from p. An error wraps lessor.ErrNotRun, and
@@ -104,12 +104,12 @@
 	return e, nil
 }
 
-// Start returns a lease whose first exchange is sent along with the request
+// LeasePipelined returns a lease whose first exchange is sent along with the request
 // for the connection, which spares a round trip. Where the first exchange fails
 // with ErrUnavailable, nothing was sent to a backend server. If the host is lost
 // before it answers, though, the exchange's outcome is open, so this is for
 // exchanges that may be repeated.
-func (f *Forwarder) Start(ctx context.Context, p Pool, d lessor.Demand) (lessor.Lease, error) {
+func (f *Forwarder) LeasePipelined(ctx context.Context, p Pool, d lessor.Demand) (lessor.Lease, error) {
 	e, err := f.begin(ctx, p, d, false)
 	if err != nil {
 		return nil, err
@@ -122,7 +122,7 @@
 	if !f.Avoider.Admit(p.Host, time.Now()) {
 		return nil, refusal(ctx, p, ErrAvoided)
 	}
-	x, cancel := context.WithTimeout(ctx, max(beginTimeout, f.Patience))
+	x, cancel := context.WithTimeout(ctx, max(beginTimeout, f.MinimumTimeout))
 	defer cancel()
 	q := request(p, d)
 	q.AskParameters = f.known(p) == nil
@@ -184,7 +184,7 @@
 	if p == nil {
 		p = newPatience()
 	}
-	return max(p.limit(), f.Patience)
+	return max(p.limit(), f.MinimumTimeout)
 }
 
 // took notes that host answered after d.
@@ -200,9 +200,9 @@
 	f.patience[host].answered(d)
 }
 
-// Drop ends all leases of a host that is known to be gone. Without it their
+// AbortLeases ends all leases of a host that is known to be gone. Without it their
 // callers would wait until the connection to the host times out.
-func (f *Forwarder) Drop(host string) {
+func (f *Forwarder) AbortLeases(host string) {
 	f.mu.Lock()
 	delete(f.patience, host)
 	var l []*lease
