--- a/internal/proxy/cachesyncer/cachesyncer.go
+++ b/internal/proxy/cachesyncer/cachesyncer.go
@@ -1,10 +1,11 @@
-// Package cachesyncer lets one entry host of a region read the platform's store for the
-// others.
+// Package cachesyncer lets the entry hosts of a region read the platform's object store through
+// one of them.
 //
-// The store counts each call, a waiting one as well, and its rates grow more slowly than
-// the number of entry hosts; so does the link between the store's region and another one.
-// Each host keeps what it has read in a Mirror, from which others may read. A Selector
-// reads from another host's mirror, and from the store where there is none to read from.
+// The store counts every call against its rate limits, long polls included, and those limits
+// grow more slowly than the number of entry hosts. The same holds for the bandwidth between the
+// store's region and another one. Each host keeps what it has read in a Mirror, which serves
+// other hosts. A Selector reads from another host's mirror, or from the store if there is no
+// host to read from.
 package cachesyncer
 
 import (
@@ -19,21 +20,21 @@
 	"github.com/cuminwick/cuminwick/internal/clock/watchdog"
 )
 
-// Entry is one object of the store, not decoded.
+// Entry is one object of the store in its encoded form.
 type Entry struct {
 	Name string `json:"name"`
-	// Revision is that of the object's last change.
+	// Revision is the store's revision at the object's last change.
 	Revision uint64 `json:"revision"`
-	// Value is the object as its writer encoded it, nil if it is gone.
+	// Value is the object as its writer encoded it, nil if the object was removed.
 	Value json.RawMessage `json:"value,omitempty"`
-	// Removed says that the object is gone.
+	// Removed reports that the object was removed from the store.
 	Removed bool `json:"removed,omitempty"`
-	// Base is the value that whoever asked probably has of a large object, nil if that isn't
-	// known. The new value can be told as the difference to it.
+	// Base is an earlier value of a large object that the requester probably has, nil if unknown.
+	// The new value can be sent as a difference to it.
 	Base json.RawMessage `json:"-"`
 }
 
-// Page is a list of objects, or of changes, as of a revision of the store.
+// Page is a list of objects or of changes, as of a revision of the store.
 type Page struct {
 	Entries  []Entry `json:"entries"`
 	Revision uint64  `json:"as-of"`
@@ -41,204 +42,207 @@
 
 // Reader reads one kind of object.
 type Reader interface {
-	// List returns all objects, and the revision from where to watch.
+	// List returns all objects and the revision from which to watch.
 	List(ctx context.Context) (Page, error)
-	// Watch waits for changes after the revision, and returns none with the revision
-	// that it has seen if there are none in time. It returns ErrForgotten if the changes
-	// since then aren't kept.
+	// Watch waits up to wait for changes after the given revision. If there are none in that
+	// time, it returns an empty page with the revision that it has reached. It returns
+	// ErrCompacted if the changes since the given revision are not retained.
 	Watch(ctx context.Context, after uint64, wait time.Duration) (Page, error)
 }
 
-// Errors of reading.
+// Errors of readers.
 const (
-	// ErrCompacted is a revision from which there are no changes any more.
+	// ErrCompacted means that changes since the requested revision are not retained.
 	ErrCompacted = errors.ConstError("changes aren't kept so long")
-	// ErrStale is a host that can't vouch for what it has read from the store.
+	// ErrStale means that a host's mirror is not current with the store.
 	ErrStale = errors.ConstError("host has lost the store")
 )
 
-// Mirror keeps what was read of one kind of object for other hosts, and reads it from the
-// store. Its exported fields are set before use.
+// Mirror reads one kind of object from the store and keeps what it has read to serve it to
+// other hosts. Its exported fields are set before use.
 type Mirror struct {
 	Store Reader
-	// Now reads a clock that counts time in which the host stood still: what was read
-	// before a pause of the process must not pass for fresh after it.
+	// Now reads a monotonic clock that also advances while the host is suspended, so that data
+	// read before a suspension does not count as current after it.
 	Now func() time.Duration
-	// TTL is how long after an answer of the store what was read counts as current: as
-	// long as the next waiting call may last.
+	// TTL returns how long data counts as current after an answer of the store, which is as long
+	// as the next long poll may last.
 	TTL func() time.Duration
-	// MinimumPause is the pause after a change before more are asked for, so that the first
-	// change of a row is known at once. It doubles up to MaximumPause while changes go on:
-	// where many hosts or servers start at once, there would be a call for each.
+	// MinimumPause is the pause between a change and the next request for changes, so that the
+	// first change of a series is delivered at once. The pause doubles up to MaximumPause while
+	// changes continue: when many hosts or servers start at the same time, each of their changes
+	// would otherwise cost one call.
 	MinimumPause time.Duration
 	MaximumPause time.Duration
 
 	mu sync.Mutex
 	history
-	// answered is when the store or another host answered last, current that it did so to
-	// the last call, and trust for how long what was read then counts as current.
-	answered, trust time.Duration
+	// lastAnswer is when the store or another host last answered, current whether the last call
+	// was answered, and ttl how long the data of that answer counts as current.
+	lastAnswer, ttl time.Duration
 	current         bool
-	// direct says that the store answered last, not another host.
-	direct bool
-	// arriving is when the answer that is being read began, zero if there is none.
-	arriving time.Duration
-	changed  chan struct{}
-	// asked says that a first call was answered or failed.
-	asked bool
-	// rest is the present pause, and restUntil when it ends.
-	rest      time.Duration
-	restUntil time.Duration
+	// fromStore reports that the last answer came from the store, not from another host.
+	fromStore bool
+	// receivingSince is when the answer now being received began, zero if there is none.
+	receivingSince time.Duration
+	changed        chan struct{}
+	// attempted reports that a first call was answered or has failed.
+	attempted bool
+	// pause is the current pause after a change, and pauseUntil when it ends.
+	pause      time.Duration
+	pauseUntil time.Duration
 }
 
-// List reads the store.
+// List reads all objects from the store.
 func (m *Mirror) List(ctx context.Context) (Page, error) {
-	p, err := m.Store.List(watchdog.Observe(ctx, m.progress))
+	p, err := m.Store.List(watchdog.Observe(ctx, m.recordProgress))
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.arriving = 0
+	m.receivingSince = 0
 	if err != nil {
-		m.lose()
+		m.recordFailure()
 		return p, err
 	}
-	m.replace(p)
-	m.gain(m.TTL(), true)
+	m.replaceAll(p)
+	m.recordAnswer(m.TTL(), true)
 	return p, nil
 }
 
-// ApplyRemoteList takes a list that was read from another host, which vouches for it.
+// ApplyRemoteList replaces the mirror's objects by a list that another host served as current.
 func (m *Mirror) ApplyRemoteList(p Page) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.replace(p)
-	m.gain(remoteTrust, false)
+	m.replaceAll(p)
+	m.recordAnswer(remoteTTL, false)
 }
 
-// ApplyRemoteChanges takes changes that were read from another host.
+// ApplyRemoteChanges applies changes that were read from another host.
 func (m *Mirror) ApplyRemoteChanges(p Page) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.add(p)
-	m.gain(remoteTrust, false)
+	m.addChanges(p)
+	m.recordAnswer(remoteTTL, false)
 }
 
-// Watch reads the store. A rest after changes is part of the wait. The first call after
-// another host was read from doesn't wait: what that host said isn't trusted for as long.
+// Watch reads changes from the store. The pause after a change is part of wait. The first call
+// after another host was read from returns without waiting, because data from another host
+// counts as current for a shorter time.
 func (m *Mirror) Watch(ctx context.Context, after uint64, wait time.Duration) (Page, error) {
-	if !m.isDirect() {
-		wait = min(wait, storeCheck)
+	if !m.isFromStore() {
+		wait = min(wait, storeCheckWait)
 	}
-	rest := min(m.restLeft(), wait)
-	if err := scheduler.Pause(ctx, rest); err != nil {
+	pause := min(m.remainingPause(), wait)
+	if err := scheduler.Pause(ctx, pause); err != nil {
 		return Page{}, err
 	}
-	p, err := m.Store.Watch(watchdog.Observe(ctx, m.progress), after, wait-rest)
+	p, err := m.Store.Watch(watchdog.Observe(ctx, m.recordProgress), after, wait-pause)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.arriving = 0
+	m.receivingSince = 0
 	if err == nil && len(p.Entries) > 0 {
-		m.restNow()
+		m.startPause()
 	}
 	if errors.Is(err, ErrCompacted) {
-		// The whole list is read next. Until then what is here is as old as it may be on any
-		// waiting call; sent away, every host of the zone would read the list itself.
+		// The caller reads the whole list next. Until then the mirror is no older than it may be
+		// during any long poll. If the mirror were marked stale, every host of the zone would
+		// read the list from the store itself.
 		return p, err
 	}
 	if err != nil || after != m.revision {
-		// Without the state that the changes are based on there is nothing to vouch for.
-		m.lose()
+		// Without the state that the changes are based on, the mirror is not current.
+		m.recordFailure()
 		return p, err
 	}
-	m.add(p)
-	m.gain(m.TTL(), true)
+	m.addChanges(p)
+	m.recordAnswer(m.TTL(), true)
 	return p, nil
 }
 
-func (m *Mirror) isDirect() bool {
+func (m *Mirror) isFromStore() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.direct
+	return m.fromStore
 }
 
-// progress notes that more of the store's answer has come: nobody who asked the store now
-// would have it sooner. For how long that holds is bounded, as the way to the store may be
-// slow from this host only.
-func (m *Mirror) progress() {
+// recordProgress records that more of the store's answer has arrived: another host that asked
+// the store now would not have it sooner. This extends the mirror's validity only for a limited
+// time, because the path to the store may be slow from this host alone.
+func (m *Mirror) recordProgress() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.Now()
-	if m.arriving == 0 {
-		m.arriving = now
+	if m.receivingSince == 0 {
+		m.receivingSince = now
 	}
-	if m.current && now-m.arriving <= m.TTL() {
-		m.answered = now
+	if m.current && now-m.receivingSince <= m.TTL() {
+		m.lastAnswer = now
 	}
 }
 
-// restLeft returns what is left of the pause after the last change.
-func (m *Mirror) restLeft() time.Duration {
+// remainingPause returns how much of the pause after the last change is left.
+func (m *Mirror) remainingPause() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return max(0, m.restUntil-m.Now())
+	return max(0, m.pauseUntil-m.Now())
 }
 
-// restNow begins a pause. The mutex is held.
-func (m *Mirror) restNow() {
+// startPause starts a pause after a change. The mutex is held.
+func (m *Mirror) startPause() {
 	now := m.Now()
-	if now-m.restUntil > m.MaximumPause {
-		m.rest = 0 // the row of changes had ended
+	if now-m.pauseUntil > m.MaximumPause {
+		m.pause = 0 // the series of changes had ended
 	}
-	m.rest = min(max(m.MinimumPause, 2*m.rest), m.MaximumPause)
-	m.restUntil = now + m.rest
+	m.pause = min(max(m.MinimumPause, 2*m.pause), m.MaximumPause)
+	m.pauseUntil = now + m.pause
 }
 
-// gain notes an answer, for how long it counts as current, and whether it is the store's.
-// The mutex is held.
-func (m *Mirror) gain(trust time.Duration, direct bool) {
-	m.answered, m.trust, m.direct, m.current, m.asked = m.Now(), trust, direct, true, true
-	m.announce()
+// recordAnswer records an answer, how long it counts as current, and whether it came from the
+// store. The mutex is held.
+func (m *Mirror) recordAnswer(ttl time.Duration, fromStore bool) {
+	m.lastAnswer, m.ttl, m.fromStore, m.current, m.attempted = m.Now(), ttl, fromStore, true, true
+	m.notify()
 }
 
-// lose notes that the store didn't answer. The mutex is held.
-func (m *Mirror) lose() {
-	m.current, m.asked = false, true
-	m.announce()
+// recordFailure records that the store did not answer. The mutex is held.
+func (m *Mirror) recordFailure() {
+	m.current, m.attempted = false, true
+	m.notify()
 }
 
-// announce wakes those who wait for a change. The mutex is held.
-func (m *Mirror) announce() {
+// notify wakes the goroutines that wait for a change. The mutex is held.
+func (m *Mirror) notify() {
 	if m.changed != nil {
 		close(m.changed)
 		m.changed = nil
 	}
 }
 
-// fresh reports whether the host may vouch for what it has read. The mutex is held.
-func (m *Mirror) fresh() bool {
-	return m.current && m.Now()-m.answered <= m.trust
+// isFresh reports whether the mirror's data counts as current. The mutex is held.
+func (m *Mirror) isFresh() bool {
+	return m.current && m.Now()-m.lastAnswer <= m.ttl
 }
 
-// firstWait is how long another host's question waits for this one's first answer of the
-// store: where a zone starts, all of its hosts would else read the store themselves.
-const firstWait = 250 * time.Millisecond
+// firstReadWait is how long a request of another host waits for this host's first answer from
+// the store. When a zone starts, all of its hosts would otherwise read from the store.
+const firstReadWait = 250 * time.Millisecond
 
-// ServeList is List for another host.
+// ServeList returns all objects to another host, or ErrStale.
 func (m *Mirror) ServeList(ctx context.Context) (Page, error) {
-	m.awaitFirst(ctx, firstWait)
+	m.awaitFirstRead(ctx, firstReadWait)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.fresh() {
+	if !m.isFresh() {
 		return Page{}, ErrStale
 	}
-	return Page{Revision: m.revision, Entries: m.all()}, nil
+	return Page{Revision: m.revision, Entries: m.listObjects()}, nil
 }
 
-// awaitFirst waits until this host has read the store, or won't.
-func (m *Mirror) awaitFirst(ctx context.Context, wait time.Duration) {
+// awaitFirstRead waits until the first call to the store was answered or has failed.
+func (m *Mirror) awaitFirstRead(ctx context.Context, wait time.Duration) {
 	m.mu.Lock()
-	asked, changed := m.asked, m.next()
+	attempted, changed := m.attempted, m.nextChange()
 	m.mu.Unlock()
-	if asked {
+	if attempted {
 		return
 	}
 	t := time.NewTimer(wait)
@@ -250,21 +254,22 @@
 	}
 }
 
-// next returns what is closed at the next announcement. The mutex is held.
-func (m *Mirror) next() <-chan struct{} {
+// nextChange returns a channel that is closed by the next notify. The mutex is held.
+func (m *Mirror) nextChange() <-chan struct{} {
 	if m.changed == nil {
 		m.changed = make(chan struct{})
 	}
 	return m.changed
 }
 
-// ServeWatch is Watch for another host.
+// ServeWatch waits for changes on behalf of another host. It returns ErrStale or ErrCompacted
+// if it can't serve them.
 func (m *Mirror) ServeWatch(ctx context.Context, after uint64, wait time.Duration) (Page, error) {
-	m.awaitFirst(ctx, wait)
+	m.awaitFirstRead(ctx, wait)
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	for over := false; ; {
-		p, changed, err := m.since(after)
+		p, changed, err := m.changesSince(after)
 		if err != nil || len(p.Entries) > 0 || over {
 			return p, err
 		}
@@ -278,20 +283,21 @@
 	}
 }
 
-// since returns the changes after the revision, and what is closed at the next one.
-func (m *Mirror) since(after uint64) (Page, <-chan struct{}, error) {
+// changesSince returns the changes after the revision, and a channel that is closed at the next
+// change.
+func (m *Mirror) changesSince(after uint64) (Page, <-chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
-	case !m.fresh():
+	case !m.isFresh():
 		return Page{}, nil, ErrStale
-	case after < m.floor:
+	case after < m.compactedPage:
 		return Page{}, nil, ErrCompacted
 	}
-	return Page{Revision: m.revision, Entries: m.later(after)}, m.next(), nil
+	return Page{Revision: m.revision, Entries: m.changesAfter(after)}, m.nextChange(), nil
 }
 
-// Value returns an object as it was last read, nil if it isn't there.
+// Value returns an object's value as last read, nil if the object does not exist.
 func (m *Mirror) Value(name string) json.RawMessage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/proxy/cachesyncer/cachesyncer_test.go
+++ b/internal/proxy/cachesyncer/cachesyncer_test.go
@@ -16,7 +16,7 @@
 
 const errLost = errors.ConstError("store doesn't answer")
 
-// store is one that answers from a list of names.
+// store answers from a list of names.
 type store struct {
 	revision uint64
 	names    []string
@@ -46,12 +46,12 @@
 	return p, s.err
 }
 
-// put makes a change that the next waiting call returns.
+// put adds a change that the next call to Watch returns.
 func (s *store) put(e Entry) {
 	s.revision++
 	e.Revision = s.revision
 	if e.Removed {
-		e.Revision = 1 // the store may name that of the object's last change
+		e.Revision = 1 // the store may report the revision of the last modification
 	}
 	s.pending = append(s.pending, e)
 }
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestMirrorServesWhatWasRead(t *testing.T) {
+func TestMirrorServesReadObjects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{revision: 5, names: []string{"b", "a"}}
 		m := newMirror(s)
@@ -106,9 +106,9 @@
 	})
 }
 
-// A host asks before anything has changed. It is answered with the change as soon as there
-// is one, and with nothing when its time is over.
-func TestMirrorWakesWhoWaits(t *testing.T) {
+// A request for changes that arrives before there is one must be answered as soon as there is a
+// change, and with an empty page when its time is over.
+func TestServeWatchReturnsOnChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{revision: 5}
 		m := newMirror(s)
@@ -128,9 +128,10 @@
 	})
 }
 
-// The host that reads the store loses it, or is paused and resumes unaware. Others that
-// went on reading from it would serve by a configuration that isn't in force any more.
-func TestMirrorDoesNotVouchForOldState(t *testing.T) {
+// Guards against serving stale data: the host that reads the store loses its connection to it,
+// or is suspended and resumes without detecting it. Hosts that continued to read from it would
+// use a configuration that is out of date.
+func TestMirrorDoesNotServeStaleData(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{revision: 5, names: []string{"a"}}
 		m := newMirror(s)
@@ -138,27 +139,28 @@
 		s.err = errLost
 		time.AfterFunc(100*time.Millisecond, func() { _, _ = m.Watch(t.Context(), 5, time.Second) })
 		if _, err := m.ServeWatch(t.Context(), 5, time.Second); !errors.Is(err, ErrStale) {
-			t.Errorf("after the store was lost: %v", err)
+			t.Errorf("after the store became unreachable: %v", err)
 		}
 		s.err = nil
 		_, _ = m.List(t.Context())
 		time.Sleep(m.TTL() + 1)
 		if _, err := m.ServeList(t.Context()); !errors.Is(err, ErrStale) {
-			t.Errorf("after a pause: %v", err)
+			t.Errorf("after a suspension: %v", err)
 		}
 		m.ApplyRemoteList(Page{Revision: 9, Entries: []Entry{{Name: "b"}}})
 		p, err := m.ServeList(t.Context())
-		expect(t, "once the host reads elsewhere", p, err, "b")
-		time.Sleep(remoteTrust + 1)
+		expect(t, "after reading from another host", p, err, "b")
+		time.Sleep(remoteTTL + 1)
 		if _, err := m.ServeList(t.Context()); !errors.Is(err, ErrStale) {
-			t.Errorf("once the other host is silent: %v", err)
+			t.Errorf("after the other host stopped answering: %v", err)
 		}
 	})
 }
 
-// The store drops its history. The host that reads it lists anew; if it sent the others of
-// its zone away meanwhile, each of them would list at the store as well.
-func TestForgottenHistorySendsNobodyAway(t *testing.T) {
+// Guards against a stampede: the store compacts its history, and the host that reads it has to
+// list again. If it reported itself stale meanwhile, every host of its zone would list at the
+// store as well.
+func TestCompactedHistoryDoesNotMakeMirrorStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{revision: 5, names: []string{"a"}}
 		m := newMirror(s)
@@ -166,20 +168,21 @@
 		time.AfterFunc(300*time.Millisecond, func() {
 			s.err = ErrCompacted
 			_, _ = m.Watch(t.Context(), 5, time.Second)
-			time.Sleep(10 * time.Millisecond) // until the store has answered
+			time.Sleep(10 * time.Millisecond) // the store takes this long to answer
 			s.err, s.revision, s.names = nil, 9, []string{"a", "b"}
 			_, _ = m.List(t.Context())
 		})
 		if _, err := m.ServeWatch(t.Context(), 5, time.Second); !errors.Is(err, ErrCompacted) {
-			t.Errorf("while the history is dropped: %v", err)
+			t.Errorf("while the history is compacted: %v", err)
 		}
 		p, err := m.ServeList(t.Context())
-		expect(t, "list after it", p, err, "a", "b")
+		expect(t, "list after the compaction", p, err, "a", "b")
 	})
 }
 
-// More removals come than are kept. Whoever missed the first ones has to read the whole list.
-func TestMirrorForgets(t *testing.T) {
+// More objects are removed than are retained. A reader that missed the first removals has to
+// read the whole list.
+func TestMirrorBoundsRetainedRemovals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{revision: 5}
 		m := newMirror(s)
@@ -189,19 +192,19 @@
 			_, _ = m.Watch(t.Context(), m.revision, time.Second)
 		}
 		if _, err := m.ServeWatch(t.Context(), 6, time.Second); !errors.Is(err, ErrCompacted) {
-			t.Errorf("from a change that isn't kept: %v", err)
+			t.Errorf("from a change that is not retained: %v", err)
 		}
 		p, err := m.ServeWatch(t.Context(), 7, time.Second)
 		if err != nil || len(p.Entries) != maximumRemoved {
 			t.Errorf("%d changes, %v", len(p.Entries), err)
 		}
 		if len(m.objects) != maximumRemoved {
-			t.Errorf("%d objects are kept", len(m.objects))
+			t.Errorf("%d objects are retained", len(m.objects))
 		}
 	})
 }
 
-// network is what a selector reads from: hosts by name.
+// network is the Remote that a selector reads from: the mirrors of hosts by name.
 type network map[string]*Mirror
 
 func (n network) List(ctx context.Context, h declarer.Host, _ string) (Page, error) {
@@ -242,7 +245,7 @@
 	return x
 }
 
-func TestSelectorReadsByWayOfAnotherHost(t *testing.T) {
+func TestSelectorReadsThroughAnotherHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{revision: 5, names: []string{"a"}}
 		m := newMirror(s)
@@ -255,58 +258,59 @@
 		p, err = x.Watch(t.Context(), p.Revision, 3*time.Second)
 		expect(t, "changes", p, err, "c")
 		if s.calls != 2 {
-			t.Errorf("%d calls to the store, want the other host's 2", s.calls)
+			t.Errorf("%d calls to the store, want the 2 of the other host", s.calls)
 		}
 	})
 }
 
-// The host that is read from ends without a word, or loses the store. The next one is read
-// from, and the store itself where there is none: a change would stay unknown otherwise.
-func TestSelectorGoesOnWithoutTheOtherHost(t *testing.T) {
+// Guards against a change that stays unknown: the host that is read from crashes, or loses its
+// connection to the store. The selector has to continue with the next host, and with the store
+// if there is none.
+func TestSelectorFailsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{revision: 5, names: []string{"a"}}
 		away := newMirror(s)
 		x := newSelection(s, network{"away": away, "too": newMirror(s)}, "gone", "away", "too", "silent", "never")
 		p, err := x.List(t.Context())
 		expect(t, "list", p, err, "a")
-		// Three hosts haven't answered. Once no more are left either, the store is asked for
-		// what has changed only.
+		// Three hosts have failed to answer. When none is left, only the changes are requested
+		// from the store.
 		s.put(Entry{Name: "b"})
 		p, err = x.Watch(t.Context(), 5, time.Second)
-		expect(t, "changes in place of the hosts", p, err, "b")
+		expect(t, "changes from the store after the hosts failed", p, err, "b")
 		if s.lists != 1 {
-			t.Errorf("%d lists of the store, want the first one", s.lists)
+			t.Errorf("%d lists read from the store, want 1", s.lists)
 		}
 		if !slices.Equal(x.failed, []string{"gone", "away", "too", "silent", "never"}) {
-			t.Errorf("passed over %q", x.failed)
+			t.Errorf("failed hosts %q", x.failed)
 		}
 		x.hosts = nil
 		s.put(Entry{Name: "c"})
 		p, err = x.Watch(t.Context(), 6, time.Second)
-		expect(t, "changes of the store", p, err, "c")
-		// From now on others may read from here.
+		expect(t, "changes from the store", p, err, "c")
+		// From now on other hosts may read from this one.
 		p, err = x.Mirror.ServeList(t.Context())
-		expect(t, "list for others", p, err, "a", "b", "c")
+		expect(t, "list served to other hosts", p, err, "a", "b", "c")
 	})
 }
 
-// The host to read from has no power, and doesn't even refuse the connection. A host that
-// starts must not wait for it for long: its callers wait as long.
-func TestSelectorDoesNotWaitForDarkHost(t *testing.T) {
+// Guards against a slow start: the host to read from has no power and does not even refuse the
+// connection. While a starting host waits for it, its own callers wait too.
+func TestSelectorBoundsWaitForUnresponsiveHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{revision: 5, names: []string{"a"}}
 		x := newSelection(s, network{}, "dark")
 		x.Remote = darkness{}
 		start := time.Now()
 		p, err := x.List(t.Context())
-		expect(t, "list of the store", p, err, "a")
+		expect(t, "list from the store", p, err, "a")
 		if d := time.Since(start); d > 100*time.Millisecond {
 			t.Errorf("took %v", d)
 		}
 	})
 }
 
-// darkness is a network on which nobody answers.
+// darkness is a network on which no host answers.
 type darkness struct{}
 
 func (darkness) List(ctx context.Context, _ declarer.Host, _ string) (Page, error) {
@@ -319,9 +323,10 @@
 	return Page{}, ctx.Err()
 }
 
-// A host knows a server's leaving from the store, and turns to another host that hasn't
-// heard of it yet. Taking over the older list would send work to the server again.
-func TestSelectorNeverGoesBack(t *testing.T) {
+// Guards against reverting to older data: a host has read from the store that a server leaves,
+// and turns to another host whose list is older. With that list it would send statements to the
+// server again.
+func TestSelectorRejectsOlderList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{revision: 5, names: []string{"a"}}
 		m := newMirror(s)
@@ -329,19 +334,19 @@
 		s.revision, s.names = 9, []string{"a", "b"}
 		x := newSelection(s, network{"h": m})
 		p, err := x.List(t.Context())
-		expect(t, "list of the store", p, err, "a", "b")
+		expect(t, "list from the store", p, err, "a", "b")
 		x.hosts = []string{"h"}
 		p, err = x.List(t.Context())
-		expect(t, "list where the other host's is older", p, err, "a", "b")
+		expect(t, "list while the other host has an older one", p, err, "a", "b")
 		if len(x.failed) > 0 {
-			t.Errorf("passed over %q, which has done nothing wrong", x.failed)
+			t.Errorf("host %q was marked as failed", x.failed)
 		}
 	})
 }
 
-// A hundred hosts start and enter the store one after the other. A host that made a call
-// for each would make a hundred. The first change of a row is known at once.
-func TestChangesInARowAreGathered(t *testing.T) {
+// Guards against one call per change: a hundred hosts start and register one after the other.
+// The changes must be combined, but the first one of the series must be delivered at once.
+func TestFrequentChangesAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{revision: 5}
 		m := newMirror(s)
@@ -356,23 +361,23 @@
 				t.Fatal(err)
 			}
 			if at == 5 && time.Since(start) > 0 {
-				t.Errorf("the first change is known after %v", time.Since(start))
+				t.Errorf("the first change was delivered after %v", time.Since(start))
 			}
 			at = p.Revision
 		}
-		// One list, three calls while the rest grows, and then one each 400 ms.
+		// One list, three calls while the pause grows, and then one every 400 ms.
 		if s.calls > 1+4+10_000/400 {
 			t.Errorf("%d calls in 10 s", s.calls)
 		}
 	})
 }
 
-// A zone starts at once. Its hosts ask the one that reads the store before that has read
-// it; sent away, each would read the store itself.
-func TestMirrorIsWaitedForAtTheStart(t *testing.T) {
+// Guards against a stampede at the start of a zone: its hosts request data from the one that
+// reads the store before it has done so. If they were refused, each would read from the store.
+func TestMirrorIsAwaitedAtStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMirror(&store{revision: 5, names: []string{"a"}})
-		time.AfterFunc(firstWait-1, func() { _, _ = m.List(t.Context()) })
+		time.AfterFunc(firstReadWait-1, func() { _, _ = m.List(t.Context()) })
 		p, err := m.ServeList(t.Context())
 		expect(t, "list", p, err, "a")
 		m = newMirror(&store{revision: 5, names: []string{"a"}})
@@ -380,15 +385,15 @@
 		p, err = m.ServeWatch(t.Context(), 5, time.Second)
 		expect(t, "changes", p, err)
 		m = newMirror(&store{err: errLost})
-		time.AfterFunc(firstWait/2, func() { _, _ = m.List(t.Context()) })
+		time.AfterFunc(firstReadWait/2, func() { _, _ = m.List(t.Context()) })
 		start := time.Now()
-		if _, err := m.ServeList(t.Context()); !errors.Is(err, ErrStale) || time.Since(start) != firstWait/2 {
-			t.Errorf("a host that doesn't reach the store: %v after %v", err, time.Since(start))
+		if _, err := m.ServeList(t.Context()); !errors.Is(err, ErrStale) || time.Since(start) != firstReadWait/2 {
+			t.Errorf("mirror of a host that does not reach the store: %v after %v", err, time.Since(start))
 		}
 	})
 }
 
-// slowStore answers a watch piece by piece.
+// slowStore answers a watch in pieces.
 type slowStore struct {
 	store
 	pieces int
@@ -402,15 +407,16 @@
 	return s.store.Watch(ctx, after, wait)
 }
 
-// A large answer takes longer to arrive than what was read before counts as current. Sent
-// away, every host of the zone would ask the store for the same answer, over the same link.
-func TestArrivingAnswerKeepsOthersFromTheStore(t *testing.T) {
+// Guards against a stampede during a large answer, which takes longer to arrive than earlier
+// data counts as current. If the mirror were stale meanwhile, every host of the zone would
+// request the same answer from the store over the same link.
+func TestMirrorStaysFreshDuringLargeAnswer(t *testing.T) {
 	for name, x := range map[string]struct {
 		pieces int
 		want   error
 	}{
-		"for as long as the store is trusted": {pieces: 8},
-		"not without end":                     {pieces: 20, want: ErrStale},
+		"answer that arrives within the extended TTL": {pieces: 8},
+		"answer that takes longer":                    {pieces: 20, want: ErrStale},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -431,7 +437,7 @@
 				if !errors.Is(err, x.want) {
 					t.Errorf("while the answer arrives: %v, want %v", err, x.want)
 				}
-				time.Sleep(time.Second) // until it has arrived
+				time.Sleep(time.Second) // until the answer has arrived
 				p, err := m.ServeWatch(t.Context(), 5, time.Second)
 				expect(t, "change", p, err, "b")
 			})
@@ -439,9 +445,9 @@
 	}
 }
 
-// The change of a configuration of a megabyte is kept once for other hosts, however often it
-// changes: a change for each of the last would take all of a host's memory.
-func TestMirrorKeepsTheLastChangeOfAnObject(t *testing.T) {
+// Guards against memory exhaustion: a configuration of a megabyte changes often. Only its last
+// change may be retained for other hosts.
+func TestMirrorRetainsOneChangePerObject(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{revision: 5}
 		m := newMirror(s)
@@ -458,9 +464,9 @@
 	})
 }
 
-// Hosts read from each other in a row. The last one gets each change as soon as the first has
-// it, without a call to the store of its own, and is told when the first has lost the store.
-func TestChangesPassFromHostToHost(t *testing.T) {
+// Hosts read from each other in a chain. The last one must get each change as soon as the first
+// has it, without calling the store, and must get an error when the first loses the store.
+func TestChangesPropagateThroughChain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{revision: 5, names: []string{"a"}}
 		first := newMirror(s)
@@ -479,15 +485,15 @@
 		p, err = third.Watch(t.Context(), 5, time.Second)
 		expect(t, "change", p, err, "c")
 		if d := time.Since(start); d != 300*time.Millisecond {
-			t.Errorf("known after %v", d)
+			t.Errorf("change delivered after %v", d)
 		}
 		s.err = errLost
 		_, _ = first.Watch(t.Context(), 6, time.Second)
 		if _, err := second.Watch(t.Context(), 6, time.Second); !errors.Is(err, errLost) {
-			t.Errorf("where no host and no store is left: %v", err)
+			t.Errorf("with neither host nor store: %v", err)
 		}
 		if _, err := third.Watch(t.Context(), 6, time.Second); !errors.Is(err, errLost) {
-			t.Errorf("behind a host that has lost the store: %v", err)
+			t.Errorf("behind a host that lost the store: %v", err)
 		}
 	})
 }
--- a/internal/proxy/cachesyncer/history.go
+++ b/internal/proxy/cachesyncer/history.go
@@ -7,94 +7,96 @@
 )
 
 const (
-	// maximumRemoved bounds the removed objects that are kept for other hosts. One that asks
-	// for changes before the oldest of them gets the whole list.
+	// maximumRemoved bounds the removed objects that are retained for other hosts. A host that
+	// asks for changes from before the oldest of them has to read the whole list.
 	maximumRemoved = 512
-	// keepBefore is the length in bytes from which a value that was replaced is kept.
-	keepBefore = 16 << 10
+	// minimumPreviousLength is the length in bytes from which a replaced value is retained, so
+	// that the new one can be sent as a difference.
+	minimumPreviousLength = 16 << 10
 )
 
-// history is the state of one kind of object, with the last change of each.
+// history is the state of one kind of object, with the last change of each object.
 type history struct {
-	// objects are the last changes by name, those of removed objects included.
+	// objects holds the last change of each object by name, including removed objects.
 	objects map[string]change
-	// removed are the changes that removed an object, in order.
+	// removed lists the changes that removed an object, oldest first.
 	removed []change
-	// revision is that of objects, zero before the first list.
+	// revision is the store's revision that objects reflects, zero before the first list.
 	revision uint64
-	// changes counts those since the first list, newest is the page of the last one, and
-	// floor the revision from which all are kept.
-	changes, newest, floor uint64
+	// changeCount counts the changes since the first list, newestPage is the revision of the
+	// last page with a change, and compactedPage the revision after which all changes are
+	// retained.
+	changeCount, newestPage, compactedPage uint64
 }
 
-// change is an entry with the revision of the page that brought it, and its place in the
-// order of changes. The entry's revision doesn't order changes: an object that is gone may
-// have the one of its last change.
+// change is an entry with the revision of the page that contained it and its position in the
+// order of changes. The entry's own revision does not order changes: a removed object may
+// carry the revision of its last modification.
 type change struct {
 	Entry
-	page, order uint64
-	// before is the value of a large object that this change replaced, from the page
-	// beforePage on.
-	before     json.RawMessage
-	beforePage uint64
+	pageRevision, order uint64
+	// previous is the value of a large object that this change replaced. It was the current
+	// value from the page with revision previousPage on.
+	previous     json.RawMessage
+	previousPage uint64
 }
 
-// entry returns the change for whoever has everything up to the revision.
+// entry returns the change for a reader that has applied everything up to the revision.
 func (c change) entry(after uint64) Entry {
 	e := c.Entry
-	if c.before != nil && after >= c.beforePage {
-		e.Base = c.before
+	if c.previous != nil && after >= c.previousPage {
+		e.Base = c.previous
 	}
 	return e
 }
 
-// replace takes a list.
-func (h *history) replace(p Page) {
+// replaceAll replaces the state by a list.
+func (h *history) replaceAll(p Page) {
 	h.objects = make(map[string]change, len(p.Entries))
 	h.removed = nil
 	for _, e := range p.Entries {
-		h.objects[e.Name] = change{Entry: e, page: p.Revision}
+		h.objects[e.Name] = change{Entry: e, pageRevision: p.Revision}
 	}
-	h.revision, h.newest, h.floor = p.Revision, p.Revision, p.Revision
+	h.revision, h.newestPage, h.compactedPage = p.Revision, p.Revision, p.Revision
 }
 
-// add takes changes.
-func (h *history) add(p Page) {
+// addChanges applies the changes of a page.
+func (h *history) addChanges(p Page) {
 	h.revision = max(h.revision, p.Revision)
 	for _, e := range p.Entries {
-		h.take(e)
+		h.apply(e)
 	}
 }
 
-// take folds one change in.
-func (h *history) take(e Entry) {
-	h.changes++
-	c := change{Entry: e, page: h.revision, order: h.changes}
-	if old := h.objects[e.Name]; !e.Removed && len(old.Value) >= keepBefore {
-		c.before, c.beforePage = old.Value, old.page
+// apply applies one change.
+func (h *history) apply(e Entry) {
+	h.changeCount++
+	c := change{Entry: e, pageRevision: h.revision, order: h.changeCount}
+	if old := h.objects[e.Name]; !e.Removed && len(old.Value) >= minimumPreviousLength {
+		c.previous, c.previousPage = old.Value, old.pageRevision
 	}
-	h.objects[e.Name], h.newest = c, h.revision
+	h.objects[e.Name], h.newestPage = c, h.revision
 	if !e.Removed {
 		return
 	}
 	h.removed = append(h.removed, c)
 	if len(h.removed) > maximumRemoved {
-		h.forget()
+		h.dropOldestRemoval()
 	}
 }
 
-// forget drops the oldest removal.
-func (h *history) forget() {
+// dropOldestRemoval drops the oldest retained removal.
+func (h *history) dropOldestRemoval() {
 	c := h.removed[0]
 	h.removed = h.removed[1:]
-	h.floor = c.page
+	h.compactedPage = c.pageRevision
 	if h.objects[c.Name].order == c.order {
 		delete(h.objects, c.Name)
 	}
 }
 
-// all returns the objects that are there, by name.
-func (h *history) all() []Entry {
+// listObjects returns all existing objects, sorted by name.
+func (h *history) listObjects() []Entry {
 	l := make([]Entry, 0, len(h.objects))
 	for _, c := range h.objects {
 		if !c.Removed {
@@ -105,14 +107,14 @@
 	return l
 }
 
-// later returns the changes of pages after the revision, in order.
-func (h *history) later(after uint64) []Entry {
-	if after >= h.newest {
+// changesAfter returns the changes of pages after the revision, oldest first.
+func (h *history) changesAfter(after uint64) []Entry {
+	if after >= h.newestPage {
 		return nil
 	}
 	var l []change
 	for _, c := range h.objects {
-		if c.page > after {
+		if c.pageRevision > after {
 			l = append(l, c)
 		}
 	}
--- a/internal/proxy/cachesyncer/selector.go
+++ b/internal/proxy/cachesyncer/selector.go
@@ -11,25 +11,26 @@
 )
 
 const (
-	// remoteWait is how long one waiting call to another host lasts. A host that stands
-	// still, or whose connection has gone silent, is noticed after it.
+	// remoteWait is the duration of one long poll to another host. A host that hangs, or whose
+	// connection is silently lost, is detected after it.
 	remoteWait = time.Second
-	// remoteSlack is what the answer to such a call may begin later, and how long the next
+	// remoteSlack is how much later than remoteWait an answer may begin, and how long the next
 	// part of an answer is waited for.
 	remoteSlack = 300 * time.Millisecond
-	// remoteConnect bounds the wait for a connection to another host where an answer is due at
-	// once. One without power doesn't even refuse: a host that starts would take callers as
-	// much later as it waits, while the store answers in a few milliseconds.
-	remoteConnect = 100 * time.Millisecond
-	// remoteTrust is how long after its answer another host is trusted: as long as the next
-	// waiting call to it may last, and a call to the store after that.
-	remoteTrust = 2 * time.Second
-	// remotes is how many hosts are asked before the store is. It bounds how much later a
-	// change is known where many hosts are cut off at once.
-	remotes = 3
-	// storeCheck is how long a call to the store waits that only finds out what has changed,
-	// in place of a host that didn't answer.
-	storeCheck = time.Millisecond
+	// remoteConnectTimeout bounds the connection attempt to another host for a call that is
+	// answered at once. A host without power does not even refuse the connection, and a starting
+	// host accepts callers later by the time that it waits, while the store answers within a few
+	// milliseconds.
+	remoteConnectTimeout = 100 * time.Millisecond
+	// remoteTTL is how long data counts as current after another host's answer: the duration of
+	// the next long poll to that host, and of a call to the store after it.
+	remoteTTL = 2 * time.Second
+	// maximumRemotes is how many hosts are tried before the store. It bounds the delay of a change
+	// when many hosts are partitioned at the same time.
+	maximumRemotes = 3
+	// storeCheckWait is the wait of a call to the store that only fetches pending changes, in
+	// place of a host that did not answer.
+	storeCheckWait = time.Millisecond
 )
 
 // Remote reads from another host's mirrors.
@@ -38,37 +39,38 @@
 	Watch(ctx context.Context, h declarer.Host, kind string, after uint64, wait time.Duration) (Page, error)
 }
 
-// Selector reads one kind of object from another host where there is one that reads the
-// store, and else from the store itself. Its exported fields are set before use; it
-// belongs to one goroutine.
+// Selector reads one kind of object from another host that reads the store, or from the store
+// itself if there is no such host. Its exported fields are set before use. It is not safe for
+// concurrent use.
 type Selector struct {
 	Kind   string
 	Mirror *Mirror
 	Remote Remote
-	// Host returns the host to read the kind from, false for the store. Failed is told of one
-	// that didn't answer or can't vouch for what it has.
+	// Host returns the host to read the kind from, false for the store. Failed is called with a
+	// host that did not answer or whose mirror is stale.
 	Host   func(kind string) (declarer.Host, bool)
 	Failed func(h declarer.Host, kind string, err error)
 
-	// reached is the newest revision that was returned.
-	reached uint64
+	// newestRevision is the newest revision that was returned.
+	newestRevision uint64
 }
 
 // List returns all objects.
 func (s *Selector) List(ctx context.Context) (Page, error) {
-	p, err := s.fromHosts(func(h declarer.Host, _ bool) (Page, error) { return s.listRemote(ctx, h) })
+	p, err := s.readFromHosts(func(h declarer.Host, _ bool) (Page, error) { return s.listRemote(ctx, h) })
 	if err == nil {
 		s.Mirror.ApplyRemoteList(p)
-		return s.reach(p, nil)
+		return s.recordRevision(p, nil)
 	}
-	return s.reach(s.Mirror.List(ctx))
+	return s.recordRevision(s.Mirror.List(ctx))
 }
 
-// Watch waits for changes. A host that loses the one that it reads from goes on from what it
-// knows: whole lists, asked for by many hosts at once, are what a narrow link can't carry.
+// Watch waits for changes. If the host that it reads from fails, it continues from the given
+// revision instead of reading the whole list: a link with little bandwidth can't carry the
+// lists of many hosts at once.
 func (s *Selector) Watch(ctx context.Context, after uint64, wait time.Duration) (Page, error) {
-	p, err := s.fromHosts(func(h declarer.Host, again bool) (Page, error) {
-		if again {
+	p, err := s.readFromHosts(func(h declarer.Host, retry bool) (Page, error) {
+		if retry {
 			return s.checkRemote(ctx, h, after)
 		}
 		return s.watchRemote(ctx, h, after, min(wait, remoteWait))
@@ -76,34 +78,34 @@
 	switch {
 	case err == nil:
 		s.Mirror.ApplyRemoteChanges(p)
-		return s.reach(p, nil)
+		return s.recordRevision(p, nil)
 	case errors.Is(err, ErrCompacted):
 		return p, err
 	case errors.Is(err, errNoAnswer):
-		wait = storeCheck
+		wait = storeCheckWait
 	}
-	return s.reach(s.Mirror.Watch(ctx, after, wait))
+	return s.recordRevision(s.Mirror.Watch(ctx, after, wait))
 }
 
 const (
-	// errOld is a list that would take back what is known.
-	errOld = errors.ConstError("list is older than what is known")
-	// errNoHost says that there is no host to read from.
+	// errOlderList means that a list is older than what was already returned.
+	errOlderList = errors.ConstError("list is older than what is known")
+	// errNoHost means that there is no other host to read from.
 	errNoHost = errors.ConstError("no other host to read from")
-	// errNoAnswer says that no other host that was asked can answer.
+	// errNoAnswer means that none of the other hosts that were tried has answered.
 	errNoAnswer = errors.ConstError("no other host answered")
 )
 
-// fromHosts returns the first answer of another host. again says that another one was asked
-// before in vain.
-func (s *Selector) fromHosts(ask func(h declarer.Host, again bool) (Page, error)) (Page, error) {
-	for i := range remotes {
+// readFromHosts returns the first answer of another host. It calls ask with retry set if
+// another host failed before.
+func (s *Selector) readFromHosts(ask func(h declarer.Host, retry bool) (Page, error)) (Page, error) {
+	for i := range maximumRemotes {
 		h, ok := s.Host(s.Kind)
 		if !ok {
 			return Page{}, errNoHost
 		}
 		p, err := ask(h, i > 0)
-		if err == nil || errors.Is(err, ErrCompacted) || errors.Is(err, errOld) {
+		if err == nil || errors.Is(err, ErrCompacted) || errors.Is(err, errOlderList) {
 			return p, err
 		}
 		s.Failed(h, s.Kind, err)
@@ -113,34 +115,34 @@
 
 // listRemote returns the list of another host.
 func (s *Selector) listRemote(ctx context.Context, h declarer.Host) (Page, error) {
-	c, cancel := watchdog.With(ctx, remoteConnect, remoteSlack)
+	c, cancel := watchdog.With(ctx, remoteConnectTimeout, remoteSlack)
 	defer cancel()
 	p, err := s.Remote.List(c, h, s.Kind)
-	if err == nil && p.Revision < s.reached {
-		return Page{}, errOld
+	if err == nil && p.Revision < s.newestRevision {
+		return Page{}, errOlderList
 	}
 	return p, err
 }
 
-// watchRemote waits at another host.
+// watchRemote waits for changes at another host.
 func (s *Selector) watchRemote(ctx context.Context, h declarer.Host, after uint64, wait time.Duration) (Page, error) {
 	c, cancel := watchdog.With(ctx, wait+remoteSlack, remoteSlack)
 	defer cancel()
 	return s.Remote.Watch(c, h, s.Kind, after, wait)
 }
 
-// checkRemote returns what has changed at another host, without waiting for more: time has
-// gone by with the one before it.
+// checkRemote returns the changes that another host has, without waiting for more: the attempt
+// with the previous host has already taken time.
 func (s *Selector) checkRemote(ctx context.Context, h declarer.Host, after uint64) (Page, error) {
-	c, cancel := watchdog.With(ctx, remoteConnect, remoteSlack)
+	c, cancel := watchdog.With(ctx, remoteConnectTimeout, remoteSlack)
 	defer cancel()
 	return s.Remote.Watch(c, h, s.Kind, after, 0)
 }
 
-// reach notes the revision of a page.
-func (s *Selector) reach(p Page, err error) (Page, error) {
+// recordRevision records the revision of a returned page.
+func (s *Selector) recordRevision(p Page, err error) (Page, error) {
 	if err == nil {
-		s.reached = max(s.reached, p.Revision)
+		s.newestRevision = max(s.newestRevision, p.Revision)
 	}
 	return p, err
 }
