--- a/internal/proxy/relaydialer/relaydialer.go
+++ b/internal/proxy/relaydialer/relaydialer.go
@@ -1,5 +1,5 @@
-// Package relaydialer reaches backend servers through other entry hosts where the
-// direct route is cut.
+// Package relaydialer connects to backend servers through other entry hosts if there is no
+// direct route.
 package relaydialer
 
 import (
@@ -17,57 +17,56 @@
 )
 
 const (
-	// blockedFor is how long the direct route isn't tried after it failed.
-	blockedFor = 2 * time.Second
-	// unresponsiveFor is how long a host isn't asked after it failed.
-	unresponsiveFor = 2 * time.Second
-	// width is how many hosts are asked for a route at once: one may be cut off as well,
-	// and one may be gone without our having heard.
-	width = 3
-	// witnesses is how many are asked whether they hear a server. A cut may leave only
-	// a part of the hosts with a route: of twelve all miss it in 1 of 170 cases where
-	// two thirds are cut off.
-	witnesses = 12
-	// witnessTimeout bounds their answers: there and back, and a connection that they
-	// try to make.
-	witnessTimeout = 350 * time.Millisecond
+	// directRetryDelay is how long the direct route to a server is not tried after it failed.
+	directRetryDelay = 2 * time.Second
+	// hostRetryDelay is how long a host is not used as a relay after it failed.
+	hostRetryDelay = 2 * time.Second
+	// maximumRelays is how many hosts are tried as relays at the same time: one of them may be
+	// partitioned from the server as well, and another may have failed undetected.
+	maximumRelays = 3
+	// maximumCheckers is how many hosts are asked to check a server. In a partition only some of
+	// the hosts may have a route to it: with twelve hosts, all of them lack one in 1 of 170 cases
+	// if two thirds of the hosts are cut off.
+	maximumCheckers = 12
+	// checkTimeout bounds their answers: a round trip, and a connection attempt to the server.
+	checkTimeout = 350 * time.Millisecond
 )
 
-// Transport opens a connection to a server, directly or through the host's address.
+// Transport opens connections to servers, directly or through another host, given by address.
 type Transport interface {
 	connpooler.Dialer
 	DialVia(ctx context.Context, host string, s declarer.Server) (connpooler.Connection, marker.Mark, error)
-	// CheckServer asks a host about the server. The answer is connpooler.ErrServerAlive or connpooler.ErrNoRouteAnywhere;
-	// any other error is no answer.
+	// CheckServer asks a host to check the server. The result is connpooler.ErrServerAlive or
+	// connpooler.ErrNoRouteAnywhere; any other error means that the host did not answer.
 	CheckServer(ctx context.Context, host string, s declarer.Server, q Check) error
 }
 
-// Check is what another host is asked about a server.
+// Check is what another host is asked to check about a server.
 type Check uint8
 
-// Questions.
+// Checks.
 const (
-	// CheckReachable: does it reach the server, or has heard from it a moment ago?
+	// CheckReachable: can the host connect to the server, or has the server answered it recently?
 	CheckReachable Check = iota
-	// CheckResponding: has the server itself answered there within the last seconds? That a
-	// connection can be made says nothing of a process that hangs.
+	// CheckResponding: has the server itself answered the host within the last seconds? A
+	// connection alone doesn't show that, because a hung process still accepts connections.
 	CheckResponding
 )
 
-// Verdict is what other hosts say of a server.
+// Verdict is what the other hosts report about a server.
 type Verdict uint8
 
-// Words.
+// Verdicts.
 const (
-	// VerdictNone: no host could be asked.
+	// VerdictNone: no host has answered.
 	VerdictNone Verdict = iota
-	// VerdictDown: some don't hear from it, and none does.
+	// VerdictDown: at least one host has answered, and none reports the server alive.
 	VerdictDown
-	// VerdictAlive: one does.
+	// VerdictAlive: at least one host reports the server alive.
 	VerdictAlive
 )
 
-// Dialer opens connections directly where it can, and else through other hosts. Its
+// Dialer opens connections directly if possible, and through other hosts otherwise. Its
 // exported fields are set before use.
 type Dialer struct {
 	Transport Transport
@@ -75,22 +74,23 @@
 	Hosts func() []declarer.Host
 
 	mu sync.Mutex
-	// blocked and unresponsive are until when a server or host isn't tried.
-	blocked      map[string]time.Time
-	unresponsive map[string]time.Time
+	// blockedUntil and unresponsiveUntil are until when a server, by id, or a host, by name, is
+	// not tried.
+	blockedUntil      map[string]time.Time
+	unresponsiveUntil map[string]time.Time
 }
 
-// Dial opens a connection to the server. An answer of the server itself, or of its
-// host that no process listens, ends the search: another route leads to the same.
+// Dial opens a connection to the server. An answer of the server, or a refusal because no
+// process listens on its host, ends the search: another route leads to the same result.
 func (d *Dialer) Dial(ctx context.Context, s declarer.Server) (connpooler.Connection, marker.Mark, error) {
 	var cause error = connpooler.ErrNoRoute
-	if !d.until(d.blocked, s.ID) {
+	if !d.isSuspended(d.blockedUntil, s.ID) {
 		c, m, err := d.Transport.Dial(ctx, s)
 		if err == nil || !errors.Is(err, connpooler.ErrNoRoute) || errors.Is(err, syscall.ECONNREFUSED) {
 			return c, m, err
 		}
 		cause = err
-		d.note(&d.blocked, s.ID, blockedFor)
+		d.suspend(&d.blockedUntil, s.ID, directRetryDelay)
 	}
 	c, m, err := d.dialRelays(ctx, s)
 	if errors.Is(err, connpooler.ErrNoRoute) {
@@ -99,9 +99,10 @@
 	return c, m, err
 }
 
-// dialRelays asks some of the other hosts at once and takes the first that gets through.
+// dialRelays tries several hosts at the same time and returns the first connection or the first
+// answer of the server.
 func (d *Dialer) dialRelays(ctx context.Context, s declarer.Server) (connpooler.Connection, marker.Mark, error) {
-	l := d.pick(width)
+	l := d.selectHosts(maximumRelays)
 	c, cancel := context.WithCancel(ctx)
 	defer cancel()
 	r := make(chan result, len(l))
@@ -110,90 +111,91 @@
 	}
 	for i := range l {
 		x := <-r
-		if x.err == nil || answered(x.err) {
-			go (&rest{results: r, n: len(l) - i - 1}).run()
+		if x.err == nil || isServerAnswer(x.err) {
+			go (&lateResults{results: r, n: len(l) - i - 1}).run()
 			return x.connection, x.mark, x.err
 		}
 	}
 	return nil, marker.Mark{}, connpooler.ErrNoRoute
 }
 
-// CheckRemotely returns what other hosts say of the server. A host that can't be asked says nothing.
+// CheckRemotely returns what other hosts report about the server. A host that does not answer
+// does not count.
 func (d *Dialer) CheckRemotely(ctx context.Context, s declarer.Server, q Check) Verdict {
-	c, cancel := context.WithTimeout(ctx, witnessTimeout)
+	c, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
-	l := shuffled(d.Hosts(), witnesses)
+	l := sample(d.Hosts(), maximumCheckers)
 	r := make(chan error, len(l))
 	for _, h := range l {
-		go (&witness{transport: d.Transport, host: h, server: s, question: q, words: r}).run(c)
+		go (&remoteCheck{transport: d.Transport, host: h, server: s, check: q, results: r}).run(c)
 	}
-	word := VerdictNone
+	verdict := VerdictNone
 	for range l {
 		switch err := <-r; {
 		case errors.Is(err, connpooler.ErrServerAlive):
 			return VerdictAlive
 		case errors.Is(err, connpooler.ErrNoRouteAnywhere):
-			word = VerdictDown
+			verdict = VerdictDown
 		}
 	}
-	return word
+	return verdict
 }
 
-// HostResponds reports whether the named host answers a question about the server, whatever
-// its answer is.
+// HostResponds reports whether the named host answers a check of the server, whatever the
+// result is.
 func (d *Dialer) HostResponds(ctx context.Context, host string, s declarer.Server) bool {
-	c, cancel := context.WithTimeout(ctx, witnessTimeout)
+	c, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
 	for _, h := range d.Hosts() {
 		if h.Name == host {
-			return told(d.Transport.CheckServer(c, h.Address, s, CheckReachable))
+			return isHostAnswer(d.Transport.CheckServer(c, h.Address, s, CheckReachable))
 		}
 	}
 	return false
 }
 
-// witness is one host asked whether it hears from a server.
-type witness struct {
+// remoteCheck is a check of a server by one host.
+type remoteCheck struct {
 	transport Transport
 	host      declarer.Host
 	server    declarer.Server
-	question  Check
-	words     chan<- error
+	check     Check
+	results   chan<- error
 }
 
-func (w *witness) run(ctx context.Context) {
-	w.words <- w.transport.CheckServer(ctx, w.host.Address, w.server, w.question)
+func (w *remoteCheck) run(ctx context.Context) {
+	w.results <- w.transport.CheckServer(ctx, w.host.Address, w.server, w.check)
 }
 
-// answered reports whether the error is the server's own word.
-func answered(err error) bool {
+// isServerAnswer reports whether the error is the server's own answer.
+func isServerAnswer(err error) bool {
 	return errors.Is(err, connpooler.ErrTooManyConnections) || errors.Is(err, connpooler.ErrConnectionRejected)
 }
 
-// pick returns up to n hosts by lot, without those that failed a moment ago.
-func (d *Dialer) pick(n int) []declarer.Host {
+// selectHosts returns up to n random hosts, without those that failed recently.
+func (d *Dialer) selectHosts(n int) []declarer.Host {
 	var l []declarer.Host
 	for _, h := range d.Hosts() {
-		if !d.until(d.unresponsive, h.Name) {
+		if !d.isSuspended(d.unresponsiveUntil, h.Name) {
 			l = append(l, h)
 		}
 	}
-	return shuffled(l, n)
+	return sample(l, n)
 }
 
-// shuffled returns up to n of l by lot.
-func shuffled(l []declarer.Host, n int) []declarer.Host {
+// sample returns up to n random elements of l, which it shuffles.
+func sample(l []declarer.Host, n int) []declarer.Host {
 	rand.Shuffle(len(l), func(i, j int) { l[i], l[j] = l[j], l[i] })
 	return l[:min(len(l), n)]
 }
 
-func (d *Dialer) until(m map[string]time.Time, name string) bool {
+func (d *Dialer) isSuspended(m map[string]time.Time, name string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return time.Now().Before(m[name])
 }
 
-func (d *Dialer) note(m *map[string]time.Time, name string, t time.Duration) {
+func (d *Dialer) suspend(m *map[string]time.Time, name string, t time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if *m == nil {
@@ -202,14 +204,14 @@
 	(*m)[name] = time.Now().Add(t)
 }
 
-// result is what one route led to.
+// result is the outcome of one route.
 type result struct {
 	connection connpooler.Connection
 	mark       marker.Mark
 	err        error
 }
 
-// relayAttempt is the route through one host.
+// relayAttempt is a connection attempt through one host.
 type relayAttempt struct {
 	dialer  *Dialer
 	host    declarer.Host
@@ -219,25 +221,25 @@
 
 func (x *relayAttempt) run(ctx context.Context) {
 	c, m, err := x.dialer.Transport.DialVia(ctx, x.host.Address, x.server)
-	if err != nil && ctx.Err() == nil && !told(err) {
-		// Not where the time ran out: the host may only have been asked late.
-		x.dialer.note(&x.dialer.unresponsive, x.host.Name, unresponsiveFor)
+	if err != nil && ctx.Err() == nil && !isHostAnswer(err) {
+		// After a timeout the host is not suspended: it may have been asked late.
+		x.dialer.suspend(&x.dialer.unresponsiveUntil, x.host.Name, hostRetryDelay)
 	}
 	x.results <- result{connection: c, mark: m, err: err}
 }
 
-// told reports whether the error is the asked host's word.
-func told(err error) bool {
-	return answered(err) || errors.Is(err, connpooler.ErrNoRouteAnywhere) || errors.Is(err, connpooler.ErrServerAlive)
+// isHostAnswer reports whether the error is an answer of the asked host.
+func isHostAnswer(err error) bool {
+	return isServerAnswer(err) || errors.Is(err, connpooler.ErrNoRouteAnywhere) || errors.Is(err, connpooler.ErrServerAlive)
 }
 
-// rest closes connections that came too late.
-type rest struct {
+// lateResults closes connections that are opened after another one was chosen.
+type lateResults struct {
 	results <-chan result
 	n       int
 }
 
-func (x *rest) run() {
+func (x *lateResults) run() {
 	for range x.n {
 		if r := <-x.results; r.err == nil {
 			r.connection.Close()
