--- a/internal/proxy/relayer/relayer.go
+++ b/internal/proxy/relayer/relayer.go
@@ -1,4 +1,4 @@
-// Package relayer carries other entry hosts' connections on to backend servers.
+// Package relayer relays other entry hosts' connections to backend servers.
 package relayer
 
 import (
@@ -13,51 +13,53 @@
 )
 
 const (
-	// askTimeout bounds the wait for the name of the server, and dialTimeout that for
-	// a connection to it.
-	askTimeout  = time.Second
-	dialTimeout = 200 * time.Millisecond
-	// maximumCarried bounds the connections carried at once: two descriptors each.
-	maximumCarried = 1024
+	// requestTimeout bounds the wait for the request on a new connection, and dialTimeout the
+	// connection attempt to the server.
+	requestTimeout = time.Second
+	dialTimeout    = 200 * time.Millisecond
+	// maximumConnections bounds the connections served at a time. Each takes two file descriptors.
+	maximumConnections = 1024
 )
 
-// RequestKind is what another host wants with a server.
+// RequestKind is what another host requests on a connection.
 type RequestKind uint8
 
-// Wishes.
+// Kinds of request.
 const (
 	RequestNone RequestKind = iota
-	// RequestRelay is a connection that is carried on.
+	// RequestRelay is a connection to a server that is relayed.
 	RequestRelay
-	// RequestReachable is whether the server is heard here.
+	// RequestReachable asks whether this host reaches the server.
 	RequestReachable
-	// RequestResponding is whether the server itself has answered here within the last seconds.
+	// RequestResponding asks whether the server itself has answered this host within the last
+	// seconds.
 	RequestResponding
-	// RequestLink is to borrow connections of this host's.
+	// RequestLink borrows this host's connections to a server.
 	RequestLink
-	// RequestFeed is to read what the platform lists through this host.
+	// RequestFeed reads objects of the platform through this host.
 	RequestFeed
 )
 
-// Relayer takes connections from other hosts. Its fields are set before Run.
+// Relayer serves connections from other hosts. Its fields are set before Run.
 type Relayer struct {
 	Listener net.Listener
-	// ReadRequest reads the id of the server, or the kind of object, that a new connection is for,
-	// and what is wanted.
-	ReadRequest func(c net.Conn, deadline time.Time) (id string, w RequestKind, err error)
-	// Lend serves a host that borrows connections, until it ends.
+	// ReadRequest reads the request on a new connection: its kind, and the id of a server or the
+	// kind of object that it is about.
+	ReadRequest func(c net.Conn, deadline time.Time) (id string, k RequestKind, err error)
+	// Lend serves a host that borrows connections to the server, until the host disconnects.
 	Lend func(c net.Conn, server string)
-	// Feed serves a host that reads one kind of object, until it ends.
+	// Feed serves a host that reads one kind of object, until the host disconnects.
 	Feed func(c net.Conn, kind string)
-	// Find returns a server that is listed.
+	// Find returns a server by id, false if the platform does not list it.
 	Find func(id string) (declarer.Server, bool)
-	// Dial connects to an address within the time.
+	// Dial connects to an address within the timeout.
 	Dial func(address string, t time.Duration) (net.Conn, error)
-	// Alive reports whether the server has answered this host a moment ago.
+	// Alive reports whether the server has recently answered this host.
 	Alive func(s declarer.Server) bool
 	// Responding reports whether the server itself has answered within the last seconds.
 	Responding func(s declarer.Server) bool
-	// Reply answers that there is no route to the server.
+	// Reply answers a check, or refuses to relay because this host has no route to the server. It
+	// tells whether the server is alive.
 	Reply func(c net.Conn, id string, alive bool)
 	Log   log.Interface
 
@@ -66,45 +68,45 @@
 
 // Run serves until the listener is closed.
 func (r *Relayer) Run() {
-	r.slots = make(chan struct{}, maximumCarried)
+	r.slots = make(chan struct{}, maximumConnections)
 	for {
 		c, err := r.Listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			r.Log.WithError(err).Warn("connection of another host not accepted")
+			r.Log.WithError(err).Warn("connection from another host not accepted")
 			time.Sleep(dialTimeout)
 			continue
 		}
-		r.take(c)
+		r.serve(c)
 	}
 }
 
-func (r *Relayer) take(c net.Conn) {
+func (r *Relayer) serve(c net.Conn) {
 	select {
 	case r.slots <- struct{}{}:
-		go (&carriage{relayer: r, from: c}).run()
+		go (&peerConnection{relayer: r, from: c}).run()
 	default:
 		c.Close()
 	}
 }
 
-// carriage is one connection that is carried on.
-type carriage struct {
+// peerConnection is a connection from another host.
+type peerConnection struct {
 	relayer *Relayer
 	from    net.Conn
 }
 
-func (x *carriage) run() {
+func (x *peerConnection) run() {
 	r := x.relayer
 	defer func() { <-r.slots }()
 	defer x.from.Close()
-	id, wish, err := r.ReadRequest(x.from, time.Now().Add(askTimeout))
+	id, kind, err := r.ReadRequest(x.from, time.Now().Add(requestTimeout))
 	if err != nil {
 		return
 	}
-	if wish == RequestFeed {
+	if kind == RequestFeed {
 		r.Feed(x.from, id)
 		return
 	}
@@ -112,16 +114,16 @@
 	if !ok {
 		return
 	}
-	if wish == RequestLink {
+	if kind == RequestLink {
 		r.Lend(x.from, id)
 		return
 	}
-	if wish == RequestResponding {
+	if kind == RequestResponding {
 		r.Reply(x.from, id, r.Responding(s))
 		return
 	}
-	question := wish == RequestReachable
-	if question && r.Alive(s) {
+	checkOnly := kind == RequestReachable
+	if checkOnly && r.Alive(s) {
 		r.Reply(x.from, id, true)
 		return
 	}
@@ -131,19 +133,19 @@
 		return
 	}
 	defer to.Close()
-	if question {
+	if checkOnly {
 		r.Reply(x.from, id, true)
 		return
 	}
-	back := &stream{from: to, to: x.from, done: make(chan struct{})}
-	go back.run()
+	response := &stream{from: to, to: x.from, done: make(chan struct{})}
+	go response.run()
 	_, _ = io.Copy(to, x.from)
 	to.Close()
-	<-back.done
+	<-response.done
 }
 
-// stream carries bytes one way. An end of either side ends both: what is sent over a
-// connection that is half gone would be lost without a word.
+// stream copies bytes in one direction. When either side closes, both connections are closed:
+// data sent over a connection that is half closed would be lost without an error.
 type stream struct {
 	from, to net.Conn
 	done     chan struct{}
--- a/internal/proxy/relayer/relayer_test.go
+++ b/internal/proxy/relayer/relayer_test.go
@@ -14,8 +14,8 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/declarer"
 )
 
-// rig is a relayer that knows one server, "i-1", behind an address of the test's own.
-func rig(t *testing.T, dial func(string, time.Duration) (net.Conn, error)) net.Conn {
+// startRelayer starts a relayer that lists one server, "i-1", and connects to it.
+func startRelayer(t *testing.T, dial func(string, time.Duration) (net.Conn, error)) net.Conn {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -33,7 +33,7 @@
 		Find:  func(id string) (declarer.Server, bool) { return declarer.Server{ID: id, Address: "there"}, id == "i-1" },
 		Dial:  dial,
 		Alive: func(declarer.Server) bool { return false },
-		Reply: func(c net.Conn, id string, alive bool) { _, _ = fmt.Fprintf(c, "no way to %s, alive %t\n", id, alive) },
+		Reply: func(c net.Conn, id string, alive bool) { _, _ = fmt.Fprintf(c, "no route %s, alive %t\n", id, alive) },
 		Log:   &log.Logger{Handler: discard.New()},
 	}
 	go r.Run()
@@ -46,9 +46,9 @@
 	return c
 }
 
-func TestCarriesBothWays(t *testing.T) {
+func TestRelaysBothDirections(t *testing.T) {
 	server, far := net.Pipe()
-	c := rig(t, func(string, time.Duration) (net.Conn, error) { return far, nil })
+	c := startRelayer(t, func(string, time.Duration) (net.Conn, error) { return far, nil })
 	_, _ = c.Write([]byte("i-1\n"))
 	_, _ = c.Write([]byte("question\n"))
 	s := bufio.NewReader(server)
@@ -62,24 +62,24 @@
 	}
 	server.Close()
 	if _, err := r.ReadByte(); err == nil {
-		t.Error("the host's end stays open after the server's has gone")
+		t.Error("the host's connection stays open after the server closed its own")
 	}
 }
 
-// The asking host takes this host's word for a server's loss, so it must be told
-// apart from a relay that is gone.
-func TestSaysThatThereIsNoWay(t *testing.T) {
-	c := rig(t, func(string, time.Duration) (net.Conn, error) { return nil, errors.New("timeout") })
+// The requesting host counts this host's answer as evidence that the server is lost. The refusal
+// must therefore differ from the failure of the relay itself.
+func TestRefusesWithoutRoute(t *testing.T) {
+	c := startRelayer(t, func(string, time.Duration) (net.Conn, error) { return nil, errors.New("timeout") })
 	_, _ = c.Write([]byte("i-1\n"))
-	if l, _ := bufio.NewReader(c).ReadString('\n'); l != "no way to i-1, alive false\n" {
+	if l, _ := bufio.NewReader(c).ReadString('\n'); l != "no route i-1, alive false\n" {
 		t.Errorf("host reads %q", l)
 	}
 }
 
-// Only servers that the platform lists are connected to; a relay that goes anywhere
-// would be a way around the network's rules.
+// Guards against an open relay: it must only connect to servers that the platform lists, or it
+// could be used to bypass the network's access rules.
 func TestUnknownServerIsNotDialled(t *testing.T) {
-	c := rig(t, func(a string, _ time.Duration) (net.Conn, error) {
+	c := startRelayer(t, func(a string, _ time.Duration) (net.Conn, error) {
 		t.Errorf("dialled %s", a)
 		return nil, errors.New("refused")
 	})
@@ -89,19 +89,20 @@
 	}
 }
 
-// A host that is cut off from a primary asks whether others hear it. Any sign of life
-// must be told: without it a primary that others write to would be replaced.
-func TestTellsWhetherServerIsHeard(t *testing.T) {
+// Guards against a needless failover: a host that is partitioned from a primary asks others whether
+// they reach it. If a reachable server were reported as lost, a primary that other hosts write to
+// would be replaced.
+func TestReportsWhetherServerIsReachable(t *testing.T) {
 	for name, c := range map[string]struct {
 		err  error
 		want string
 	}{
-		"takes a connection": {nil, "no way to i-1, alive true\n"},
-		"takes none":         {errors.New("timeout"), "no way to i-1, alive false\n"},
+		"accepts a connection": {nil, "no route i-1, alive true\n"},
+		"accepts none":         {errors.New("timeout"), "no route i-1, alive false\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, far := net.Pipe()
-			x := rig(t, func(string, time.Duration) (net.Conn, error) { return far, c.err })
+			x := startRelayer(t, func(string, time.Duration) (net.Conn, error) { return far, c.err })
 			_, _ = x.Write([]byte("i-1?"))
 			if l, _ := bufio.NewReader(x).ReadString('\n'); l != c.want {
 				t.Errorf("host reads %q, want %q", l, c.want)
@@ -111,7 +112,7 @@
 }
 
 func TestLends(t *testing.T) {
-	c := rig(t, nil)
+	c := startRelayer(t, nil)
 	_, _ = c.Write([]byte("i-1+"))
 	if l, _ := bufio.NewReader(c).ReadString('\n'); l != "lends of i-1\n" {
 		t.Errorf("host reads %q", l)
