--- a/internal/proxy/blackboard/blackboard.go
+++ b/internal/proxy/blackboard/blackboard.go
@@ -1,4 +1,4 @@
-// Package blackboard holds what one entry host believes, for its parts to read and write.
+// Package blackboard holds an entry host's view of the deployment, shared by the host's parts.
 package blackboard
 
 import (
@@ -19,7 +19,7 @@
 // Section is a part of the board that is read from the platform.
 type Section uint8
 
-// Sections.
+// Sections of the board.
 const (
 	SectionConfiguration Section = iota
 	SectionServers
@@ -27,13 +27,13 @@
 	sections
 )
 
-// Board is the blackboard. Its exported fields are set before use.
+// Board is an entry host's view of the deployment. Its exported fields are set before use.
 type Board struct {
-	// Zone and Region are this host's, Regions tells where the zones are.
+	// Zone and Region are those of this host. Regions maps each zone to its region.
 	Zone    string
 	Region  string
 	Regions map[string]string
-	// Now reads the clock of all times on the board, steady.Now if unset.
+	// Now reads the clock of all times on the board. It is steady.Now if unset.
 	Now func() time.Duration
 
 	configuration atomic.Pointer[declarer.Configuration]
@@ -41,7 +41,7 @@
 	mu      sync.Mutex
 	groups  map[string]*grouptracker.Group
 	changed chan struct{}
-	// confirmed is when each section was last confirmed, zero for never.
+	// confirmed is when each section was last confirmed, zero if never.
 	confirmed [sections]time.Duration
 }
 
@@ -53,10 +53,11 @@
 	return b.Now()
 }
 
-// Configuration returns the one in force, nil before the first.
+// Configuration returns the configuration in force, nil before the first.
 func (b *Board) Configuration() *declarer.Configuration { return b.configuration.Load() }
 
-// Configure takes c into force unless a newer one is, and reports whether it did.
+// Configure puts c into force unless the current version is the same or newer, and reports
+// whether it did.
 func (b *Board) Configure(c *declarer.Configuration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -70,22 +71,22 @@
 // ReplaceServers replaces the servers of all groups.
 func (b *Board) ReplaceServers(l []declarer.Server) {
 	now := b.Time()
-	by := make(map[string][]declarer.Server)
+	serversByGroup := make(map[string][]declarer.Server)
 	for _, s := range l {
-		by[s.Group] = append(by[s.Group], s)
+		serversByGroup[s.Group] = append(serversByGroup[s.Group], s)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for name := range by {
+	for name := range serversByGroup {
 		b.group(name)
 	}
 	for name, g := range b.groups {
-		g.SetServers(by[name], now)
+		g.SetServers(serversByGroup[name], now)
 	}
-	b.announce()
+	b.notifyChanged()
 }
 
-// group returns the group, which it makes if it isn't there. The mutex is held.
+// group returns the group and creates it if it does not exist. The mutex is held.
 func (b *Board) group(name string) *grouptracker.Group {
 	if b.groups == nil {
 		b.groups = make(map[string]*grouptracker.Group)
@@ -98,7 +99,7 @@
 	return g
 }
 
-// Do runs f on the group alone. f must not wait for anything.
+// Do calls f with the group while the board is locked. f must not block.
 func (b *Board) Do(group string, f func(*grouptracker.Group)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -116,7 +117,7 @@
 	return l
 }
 
-// Confirm notes that the platform has just confirmed a section, directly or through another
+// Confirm records that the platform has just confirmed a section, directly or through another
 // host.
 func (b *Board) Confirm(s Section) {
 	now := b.Time()
@@ -133,7 +134,7 @@
 	return now - b.confirmed[s]
 }
 
-// GroupsWithoutPrimary returns how many groups have no known primary.
+// GroupsWithoutPrimary returns the number of groups without a known primary.
 func (b *Board) GroupsWithoutPrimary() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -146,8 +147,8 @@
 	return n
 }
 
-// PositionAge returns how long ago the primary whose position is oldest proved it, zero if
-// none has. Reads that may be of an age need one that is younger.
+// PositionAge returns the age of the oldest of the primaries' latest confirmed positions, zero if
+// there are none. Reads with bounded staleness need a position that is younger than their bound.
 func (b *Board) PositionAge() time.Duration {
 	now := b.Time()
 	b.mu.Lock()
@@ -161,7 +162,8 @@
 	return d
 }
 
-// RecordLeadership notes a proof that the server leads its group.
+// RecordLeadership records a proof that the server was its group's primary at some time after
+// asked, when its log ended at m.
 func (b *Board) RecordLeadership(group, server string, asked time.Duration, m marker.Mark) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -169,12 +171,12 @@
 	before := g.Primary()
 	g.ConfirmLeadership(server, asked, m)
 	if g.Primary() != before {
-		b.announce()
+		b.notifyChanged()
 	}
 }
 
-// Changed returns a channel that is closed with the next change of a primary or of
-// the list of servers.
+// Changed returns a channel that is closed at the next change of a primary or of the list of
+// servers.
 func (b *Board) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -184,14 +186,16 @@
 	return b.changed
 }
 
-func (b *Board) announce() {
+// notifyChanged closes the channel returned by Changed. The mutex is held.
+func (b *Board) notifyChanged() {
 	if b.changed != nil {
 		close(b.changed)
 		b.changed = nil
 	}
 }
 
-// RecordConnectionFailure notes that a connection to the server, begun at since, failed by err.
+// RecordConnectionFailure records that a connection attempt to the server, begun at since, has
+// failed with err.
 func (b *Board) RecordConnectionFailure(group, server string, since time.Duration, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/proxy/blackboard/blackboard_test.go
+++ b/internal/proxy/blackboard/blackboard_test.go
@@ -8,9 +8,9 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/declarer"
 )
 
-// A host reads the configuration from one place after the other, and one of them is
-// behind. A route that was dropped would be served again.
-func TestConfigurationNeverGoesBack(t *testing.T) {
+// Guards against a configuration that reverts to an older version: a host reads it from one
+// source after the other, and one of them lags. It would serve a route that was removed.
+func TestConfigurationNeverReverts(t *testing.T) {
 	b := &Board{}
 	for _, s := range []struct {
 		version uint64
@@ -23,8 +23,8 @@
 	}
 }
 
-// Operators are to see from outside what a host believes and how old that is.
-func TestAgesOfBeliefs(t *testing.T) {
+// Operators must be able to see a host's view of the deployment from outside, and how old it is.
+func TestAgesOfState(t *testing.T) {
 	now := time.Hour
 	b := &Board{Now: func() time.Duration { return now }}
 	b.ReplaceServers([]declarer.Server{{ID: "a", Group: "g", Primary: true}, {ID: "b", Group: "h"}})
