--- a/internal/proxy/declarer/declarer.go
+++ b/internal/proxy/declarer/declarer.go
@@ -1,4 +1,4 @@
-// Package declarer holds the plain data that the parts of the statement proxy share.
+// Package declarer holds the data types shared by the parts of the statement proxy.
 package declarer
 
 import (
@@ -7,20 +7,20 @@
 	"github.com/cuminwick/cuminwick/internal/group/marker"
 )
 
-// RouteKind says how fresh the reads of a route must be.
+// RouteKind is the consistency that the reads of a route require.
 type RouteKind uint8
 
 // Kinds of route.
 const (
 	// KindPrimary reads see every acknowledged commit.
 	KindPrimary RouteKind = iota
-	// KindBounded reads may miss commits of the last MaximumStaleness.
+	// KindBounded reads may miss the commits of the last MaximumStaleness.
 	KindBounded
-	// KindReadYourWrites is KindBounded, and a session sees all its own commits.
+	// KindReadYourWrites is KindBounded, and a session sees all of its own commits.
 	KindReadYourWrites
 )
 
-// Route leads the sessions of one database to a group.
+// Route assigns the sessions of one database to a database group.
 type Route struct {
 	Name             string
 	Database         string
@@ -28,42 +28,43 @@
 	Kind             RouteKind
 	Timeout          time.Duration
 	MaximumStaleness time.Duration
-	// Objective is within which callers expect the answer to a whole operation, zero for
-	// none.
+	// Objective is the target time for a whole operation of a caller, zero if there is none.
 	Objective time.Duration
 }
 
 // Group is the declaration of one database group.
 type Group struct {
 	Name string
-	// MaximumConnections bounds the connections to each server, of all callers.
+	// MaximumConnections bounds the connections to each server, those of all callers together.
 	MaximumConnections int
-	// SynchronousReplicas is how many replicas have a commit before it is acknowledged.
+	// SynchronousReplicas is how many replicas must hold a commit before it is acknowledged.
 	SynchronousReplicas int
 }
 
-// Configuration is one version of what the operator declared, in full.
+// Configuration is one complete version of what the operator declared.
 type Configuration struct {
 	Version uint64
-	// Routes are by database.
+	// Routes are keyed by database.
 	Routes map[string]Route
-	// Groups are by name.
+	// Groups are keyed by name.
 	Groups map[string]Group
-	// IdleTransactionTimeout is how long a transaction may wait for its caller.
+	// IdleTransactionTimeout is how long an open transaction may wait for its caller.
 	IdleTransactionTimeout time.Duration
 }
 
-// Server is what a backend server last said of itself.
+// Server is the latest report of a backend server about itself.
 type Server struct {
 	ID               string
 	Group            string
 	Address          string
 	AvailabilityZone string
-	Slots            int
-	Draining         bool
-	Primary          bool
-	WarmUp           time.Duration
-	// Sequence counts the server's own reports since Born, its start in
+	// Slots is how many statements the server runs at a time, zero if it doesn't report that.
+	Slots    int
+	Draining bool
+	Primary  bool
+	// WarmUp is how much longer the server remains slow after its start.
+	WarmUp time.Duration
+	// Sequence counts the server's reports since Boot, when the server process started, in
 	// milliseconds of Unix time.
 	Sequence uint64
 	Boot     int64
@@ -71,7 +72,7 @@
 	Revision uint64
 }
 
-// Verb is what a caller's statement does.
+// Verb is the operation of a statement.
 type Verb uint8
 
 // Verbs of statements.
@@ -87,7 +88,7 @@
 	VerbPrepare
 	VerbExecute
 	VerbDeallocate
-	// The others are of our own, to backend servers.
+	// The proxy itself sends the following to backend servers.
 	VerbReset
 	VerbStatus
 	VerbDemote
@@ -95,14 +96,15 @@
 
 // Statement is one request of a caller.
 type Statement struct {
-	// ID is the caller's, it goes along unchanged.
+	// ID is the caller's request id, which is passed on unchanged.
 	ID   string
 	Verb Verb
-	// Name is that of a value or of a prepared statement.
+	// Name is the name of a setting (VerbSet) or of a prepared statement.
 	Name string
-	// Argument is the value, the shape, or what follows the name of an execution.
+	// Argument is the value of a setting, the text of a prepared statement, or the arguments of
+	// an execution.
 	Argument string
-	// Writes says that a prepared statement writes.
+	// Writes reports that a prepared statement writes.
 	Writes bool
 	// Text is the statement as the caller sent it.
 	Text string
@@ -111,7 +113,7 @@
 // Code is the reason of an error answer.
 type Code uint8
 
-// Codes. Those up to CodeNoLease mean that the statement did not run.
+// Codes. CodeBusy to CodeNoLease mean that the statement did not run.
 const (
 	CodeNone Code = iota
 	CodeBusy
@@ -120,11 +122,11 @@
 	CodeMisrouted
 	CodeTooManyConnections
 	CodeNoSuchStatement
-	// CodeServerUnreachable is the word of the host that owns the server's connections: it doesn't
+	// CodeServerUnreachable is set by the host that owns the server's connections if it can't
 	// reach the server.
 	CodeServerUnreachable
-	// CodeNoLease is the word of that host as well: it had no connection for the statement
-	// in time.
+	// CodeNoLease is set by the same host if no connection became available for the statement in
+	// time.
 	CodeNoLease
 	CodeAborted
 	CodeFailed
@@ -133,21 +135,21 @@
 	CodeNoDatabase
 	CodeMalformed
 	CodeTooBig
-	// CodeOther is one that the server named and that isn't known here.
+	// CodeOther is a code that the server sent and that is not known here.
 	CodeOther
 )
 
-// NotRun reports whether the code proves that the statement took no effect and
-// may be tried elsewhere.
+// NotRun reports whether the code proves that the statement had no effect and may be retried on
+// another server.
 func (c Code) NotRun() bool {
 	return c >= CodeBusy && c <= CodeNoLease
 }
 
-// FromOwner reports whether the code is the word of the host that owns the server's
-// connections: nothing was sent to the server.
+// FromOwner reports whether the code was set by the host that owns the server's connections, so
+// that nothing was sent to the server.
 func (c Code) FromOwner() bool { return c == CodeServerUnreachable || c == CodeNoLease }
 
-// State is where a session or connection stands.
+// State is the transaction state of a session or connection.
 type State uint8
 
 // States after an answer.
@@ -159,63 +161,66 @@
 
 // Request is one statement for a backend server.
 type Request struct {
-	// ID is the caller's, empty for a statement of our own.
+	// ID is the caller's request id, empty for a statement of the proxy itself.
 	ID string
-	// Text is a caller's statement as it came. If it is empty, the fields below
-	// say what the statement is.
+	// Text is a caller's statement as received. If it is empty, the following fields define the
+	// statement.
 	Text           string
 	Verb           Verb
 	Name, Argument string
 	Writes         bool
-	// Term goes with VerbDemote.
+	// Term is the argument of VerbDemote.
 	Term marker.Term
-	// RequiredPosition, if it isn't zero, is the position that the server's log must have.
+	// RequiredPosition is the position that the server's log must have reached, zero for none.
 	RequiredPosition marker.Mark
 }
 
-// Answer is a backend server's whole answer to one request.
+// Answer is a backend server's complete answer to one request.
 type Answer struct {
-	// Body holds the messages before the last one as they came, for the caller.
+	// Body holds the messages before the last one as received, for the caller.
 	Body []byte
 	Code Code
 	// Detail is the text of an error.
 	Detail string
-	// RetryAfter goes with CodeNoLease: when there will be room, zero if that isn't known.
+	// RetryAfter goes with CodeNoLease: the time until a connection is expected to be available,
+	// zero if unknown.
 	RetryAfter time.Duration
-	// Row is the first row, for statements of our own.
+	// Row is the first row, for statements of the proxy itself.
 	Row   string
 	State State
-	// Position is the end of the server's log, zero if it isn't told.
+	// Position is the end of the server's log, zero if the answer doesn't contain it.
 	Position marker.Mark
 }
 
-// Status is a backend server's own word on its part in the group.
+// Status is a backend server's own report of its role in the group.
 type Status struct {
 	Primary bool
-	// Term is the newest term that the server knows.
-	Term     marker.Term
+	// Term is the newest term known to the server.
+	Term marker.Term
+	// Received is the end of the log that the server has received.
 	Received marker.Mark
-	// PauseTerm is the term of a pause, zero if there is none.
+	// PauseTerm is the term of the server's pause, zero if it is not paused.
 	PauseTerm marker.Term
 	Lag       time.Duration
-	// Busy and Connections are counts of the whole server.
+	// Busy and Connections are totals of the server over all hosts: statements that run, and open
+	// connections.
 	Busy, Connections int
 }
 
 // Host is another entry host.
 type Host struct {
 	Name string
-	// Address takes connections from other hosts.
+	// Address accepts connections from other hosts.
 	Address          string
 	AvailabilityZone string
-	// Bandwidth is that of the host's link in bits a second, zero where it isn't known.
+	// Bandwidth is that of the host's link in bits per second, zero if unknown.
 	Bandwidth int64
 }
 
 // Source is where an answer comes from.
 type Source uint8
 
-// Sources.
+// Sources of answers.
 const (
 	// SourceStore is the platform's object store.
 	SourceStore Source = iota
@@ -231,17 +236,17 @@
 	return "store"
 }
 
-// Transfer is one answer that was received or sent, as far as it came.
+// Transfer describes one answer that was received or sent, possibly in part.
 type Transfer struct {
 	Source Source
-	// Kind is the kind of object, Peer the other end.
+	// Kind is the kind of object, Peer the remote end.
 	Kind string
 	Peer string
-	// Bytes are those that were transferred.
+	// Bytes is the number of bytes transferred.
 	Bytes int
-	// Waited is the time from the question to the answer's first byte, or what it took to
-	// encode an answer that is sent. Took is the time from the first byte to the last.
+	// Waited is the time from the request to the answer's first byte, or for a sent answer the
+	// time to encode it. Took is the time from the first byte to the last.
 	Waited, Took time.Duration
-	// Err is why the rest of the answer wasn't transferred, nil if all was.
+	// Err is why the answer was not transferred completely, nil if it was.
 	Err error
 }
