--- a/internal/proxy/reporter/metrics.go
+++ b/internal/proxy/reporter/metrics.go
@@ -10,9 +10,9 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/executor"
 )
 
-// Metrics are those of an entry host on the platform.
+// Metrics holds the metrics of an entry host on the platform.
 type Metrics struct {
-	// Registry gathers them.
+	// Registry contains all of them.
 	Registry *prometheus.Registry
 
 	statements *prometheus.CounterVec
@@ -29,25 +29,25 @@
 	transfers  *prometheus.HistogramVec
 }
 
-// buckets are those of latencies, from 0.5 ms to 8 s.
+// buckets are the bounds of latency histograms, from 0.5 ms to 8 s.
 var buckets = prometheus.ExponentialBuckets(500e-6, 2, 15)
 
 const namespace = "cuminwick"
 
-// Gauges are values that others keep, read when they are asked for.
+// Gauges are functions that return values kept elsewhere. They are called at each scrape.
 type Gauges struct {
-	// Sessions are those that are served.
+	// Sessions returns the number of sessions being served.
 	Sessions func() int
-	// Configuration is the version in force.
+	// Configuration returns the version of the configuration in force.
 	Configuration func() uint64
-	// DroppedLogLines are the log lines that found their queue full.
+	// DroppedLogLines returns the number of log lines dropped because the queue was full.
 	DroppedLogLines func() uint64
-	// Age is how long ago what the platform lists was last confirmed, directly or through
-	// another host.
+	// Age returns how long ago a section of the board was last confirmed by the platform, directly
+	// or through another host.
 	Age func(blackboard.Section) time.Duration
-	// PositionAge is how long ago the primary whose position is oldest proved it.
+	// PositionAge returns the age of the oldest of the primaries' latest confirmed positions.
 	PositionAge func() time.Duration
-	// GroupsWithoutPrimary are the groups without a known primary.
+	// GroupsWithoutPrimary returns the number of database groups without a known primary.
 	GroupsWithoutPrimary func() int
 }
 
@@ -94,12 +94,12 @@
 	}
 }
 
-// Promotion counts one that this host ordered.
+// Promotion counts a promotion that this host ordered.
 func (m *Metrics) Promotion(reason, result string) {
 	m.promotions.WithLabelValues(reason, result).Inc()
 }
 
-// PlatformLost counts a loss of the platform.
+// PlatformLost counts a loss of contact with the platform while reading a kind of object.
 func (m *Metrics) PlatformLost(kind string) {
 	m.losses.WithLabelValues(kind).Inc()
 }
@@ -109,24 +109,24 @@
 	m.calls.WithLabelValues(method, kind, result).Inc()
 }
 
-// Phase notes how long a phase of a promotion took.
+// Phase records the duration of a phase of a promotion.
 func (m *Metrics) Phase(phase string, d time.Duration) {
 	m.phases.WithLabelValues(phase).Observe(d.Seconds())
 }
 
-// Received counts an answer from the store or another host.
+// Received records an answer from the store or another host.
 func (m *Metrics) Received(t declarer.Transfer) {
 	m.received.WithLabelValues(t.Source.String(), t.Kind, completeness(t)).Add(float64(t.Bytes))
 	m.transfers.WithLabelValues("received", t.Kind).Observe(t.Took.Seconds())
 }
 
-// Sent counts an answer to another host.
+// Sent records an answer to another host.
 func (m *Metrics) Sent(t declarer.Transfer) {
 	m.sent.WithLabelValues(t.Kind, completeness(t)).Add(float64(t.Bytes))
 	m.transfers.WithLabelValues("sent", t.Kind).Observe(t.Took.Seconds())
 }
 
-// completeness tells whether all of an answer was transferred.
+// completeness returns the value of the result label: whether the whole answer was transferred.
 func completeness(t declarer.Transfer) string {
 	if t.Err != nil {
 		return "cut"
--- a/internal/proxy/reporter/reporter.go
+++ b/internal/proxy/reporter/reporter.go
@@ -1,4 +1,4 @@
-// Package reporter writes down and counts what became of statements.
+// Package reporter logs and counts the outcomes of statements.
 package reporter
 
 import (
@@ -9,26 +9,26 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/executor"
 )
 
-// Reporter writes a line for each statement that was refused, failed, or whose outcome
-// isn't known, and for one in so many of the others, and counts them all. Its fields
-// are set before use.
+// Reporter counts all statements and logs each one that was refused, failed or has an unknown
+// outcome, and a sample of the others. Its fields are set before use.
 type Reporter struct {
 	Lines   *encoder.Encoder
 	Metrics *Metrics
-	// Sample writes the lines of one in so many statements that ran, all if zero.
+	// Sample is the reciprocal of the fraction of succeeded statements that is logged: one in
+	// Sample. Zero logs all.
 	Sample uint64
 }
 
-// seed makes the choice of the sampled statements differ between processes.
+// seed makes the choice of sampled statements differ between processes.
 var seed = maphash.MakeSeed()
 
-// outcome is what a code says of a statement.
+// outcome is the meaning of a code for a statement, as named in logs and metrics.
 type outcome struct {
 	name string
 	code string
 }
 
-// outcomes are what log and metrics call the result of a statement.
+// outcomes maps codes to the outcomes in logs and metrics.
 var outcomes = map[declarer.Code]outcome{
 	declarer.CodeNone:               {name: "ran"},
 	declarer.CodeBusy:               {"not-run", "busy"},
@@ -47,7 +47,7 @@
 	declarer.CodeOutcomeUnknown:     {"unknown", "answer-lost"},
 }
 
-// operations are what log and metrics call a statement.
+// operations maps verbs to the operations in logs and metrics.
 var operations = map[declarer.Verb]string{
 	declarer.VerbRead:    "read",
 	declarer.VerbWrite:   "write",
@@ -55,7 +55,7 @@
 	declarer.VerbCommit:  "commit",
 }
 
-// Statement counts r and writes it down. It never waits for the output.
+// Statement counts r and logs it. It never waits for the output.
 func (o *Reporter) Statement(r *executor.Report) {
 	k := outcomes[r.Code]
 	o.Metrics.statement(r, k)
@@ -83,7 +83,7 @@
 	o.Lines.Statement(&l)
 }
 
-// sampled chooses by the request's id, so that a request has all of its lines or none.
+// sampled decides by the request id, so that all lines of a request are logged or none.
 func (o *Reporter) sampled(id string) bool {
 	return o.Sample <= 1 || maphash.String(seed, id)%o.Sample == 0
 }
--- a/internal/proxy/reporter/reporter_test.go
+++ b/internal/proxy/reporter/reporter_test.go
@@ -14,15 +14,15 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/executor"
 )
 
-// stuck is a standard output that nobody reads.
-type stuck struct{ release chan struct{} }
+// stuckWriter is a standard output that is not read.
+type stuckWriter struct{ release chan struct{} }
 
-func (s stuck) Write(b []byte) (int, error) {
+func (s stuckWriter) Write(b []byte) (int, error) {
 	<-s.release
 	return len(b), nil
 }
 
-func metrics() *Metrics {
+func newTestMetrics() *Metrics {
 	age := func() time.Duration { return 1500 * time.Millisecond }
 	return NewMetrics(Gauges{
 		Sessions: func() int { return 3 }, Configuration: func() uint64 { return 7 }, DroppedLogLines: func() uint64 { return 0 },
@@ -30,15 +30,15 @@
 	})
 }
 
-// The collector of logs has stopped reading. Callers mustn't wait for it, memory must
-// stay bounded, and what wasn't written must be counted, or the gap would pass for calm.
-func TestStuckOutputHoldsNobodyUp(t *testing.T) {
-	s := stuck{release: make(chan struct{})}
+// The log collector stops reading. Callers must not wait for it, memory must stay bounded, and
+// dropped lines must be counted, because a gap in the log could pass for a time without failures.
+func TestStuckOutputDoesNotBlockCallers(t *testing.T) {
+	s := stuckWriter{release: make(chan struct{})}
 	e := &encoder.Encoder{Writer: s, QueueBytes: 8 << 10}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() { done <- e.Run(ctx) }()
-	o := &Reporter{Lines: e, Metrics: metrics()}
+	o := &Reporter{Lines: e, Metrics: newTestMetrics()}
 	const n = 20000
 	for range n {
 		o.Statement(&executor.Report{Statement: "x", Verb: declarer.VerbWrite, Code: declarer.CodeBusy, Group: "g"})
@@ -57,7 +57,7 @@
 func TestSampling(t *testing.T) {
 	var b strings.Builder
 	e := &encoder.Encoder{Writer: &b, QueueBytes: 1 << 20}
-	o := &Reporter{Lines: e, Metrics: metrics(), Sample: 1 << 40}
+	o := &Reporter{Lines: e, Metrics: newTestMetrics(), Sample: 1 << 40}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() { done <- e.Run(ctx) }()
@@ -70,8 +70,8 @@
 	}
 }
 
-func TestMetricsAreNamed(t *testing.T) {
-	m := metrics()
+func TestMetricNames(t *testing.T) {
+	m := newTestMetrics()
 	m.Promotion("primary-absent", "done")
 	m.PlatformLost("servers")
 	m.PlatformCall("GET", "servers", "answered")
--- a/internal/proxy/reporter/transfers.go
+++ b/internal/proxy/reporter/transfers.go
@@ -6,34 +6,35 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/declarer"
 )
 
-// largeAnswer is the length in bytes from which an answer about the platform's objects has
-// a line of its own: small ones come several times a second.
+// largeAnswer is the length in bytes from which an answer about the platform's objects is logged.
+// Smaller ones arrive several times a second.
 const largeAnswer = 16 << 10
 
-// Transfers counts answers about the platform's objects, and writes down those that are
-// large or were given up on the way. Its fields are set before use.
+// Transfers counts answers about the platform's objects, and logs those that are large or were
+// transferred only in part. Its fields are set before use.
 type Transfers struct {
 	Log     log.Interface
 	Metrics *Metrics
 }
 
-// Received notes an answer of the store or of another host.
+// Received records an answer from the store or another host.
 func (r *Transfers) Received(t declarer.Transfer) {
 	r.Metrics.Received(t)
-	r.write(t, "answer received")
+	r.logTransfer(t, "answer received")
 }
 
-// Sent notes an answer to another host. One that couldn't be sent has ended the connection.
+// Sent records an answer to another host. An answer that could not be sent has ended the
+// connection.
 func (r *Transfers) Sent(t declarer.Transfer) {
 	r.Metrics.Sent(t)
 	if t.Err != nil {
 		r.Log.WithError(t.Err).WithFields(log.Fields{"kind": t.Kind, "peer": t.Peer}).Warn("answer not sent")
 		return
 	}
-	r.write(t, "answer sent")
+	r.logTransfer(t, "answer sent")
 }
 
-func (r *Transfers) write(t declarer.Transfer, message string) {
+func (r *Transfers) logTransfer(t declarer.Transfer, message string) {
 	cut := t.Err != nil && t.Bytes > 0
 	if t.Bytes < largeAnswer && !cut {
 		return
--- a/internal/proxy/reporter/transfers_test.go
+++ b/internal/proxy/reporter/transfers_test.go
@@ -12,9 +12,9 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/declarer"
 )
 
-// A call is given up while its answer arrives, or a question isn't understood. The log says
-// how much had come, and why nothing was sent.
-func TestTransfersTellWhatWasGivenUp(t *testing.T) {
+// The log must report how much of an answer arrived if the call was aborted, and why an answer
+// was not sent, such as when a request was not understood.
+func TestTransfersLogAbortedAnswers(t *testing.T) {
 	h := memory.New()
 	r := &Transfers{Log: &log.Logger{Handler: h}, Metrics: NewMetrics(Gauges{})}
 	r.Received(declarer.Transfer{Source: declarer.SourceHost, Kind: "config", Bytes: 30})
