--- a/internal/proxy/assembler/assembler.go
+++ b/internal/proxy/assembler/assembler.go
@@ -1,4 +1,4 @@
-// Package assembler builds an entry host that serves on the platform from its settings.
+// Package assembler builds an entry host for the platform from its settings.
 package assembler
 
 import (
@@ -24,28 +24,28 @@
 )
 
 const (
-	// sample writes the line of one in so many statements that ran: writing takes
-	// processor time from serving.
+	// sample is the reciprocal of the fraction of succeeded statements that is logged. Logging
+	// takes processor time from serving.
 	sample = 100
-	// queueBytes bounds the log lines that wait for the output.
+	// queueBytes bounds the log lines that wait to be written, in bytes.
 	queueBytes = 256 << 10
-	// memoryShare is the part of the process's memory, in tenths, at which the
-	// collector works harder rather than let it grow.
-	memoryShare = 7
+	// memoryLimitTenths is the fraction of the process's memory, in tenths, that is set as the
+	// memory limit of the Go runtime. The collector runs more often near the limit.
+	memoryLimitTenths = 7
 )
 
 // Assembler runs an entry host. Its fields are set before Run.
 type Assembler struct {
 	Settings  platform.Settings
 	LogOutput io.Writer
-	// Reload, if it isn't nil, asks for the settings to be read anew by Load. They are also
-	// read now and then unasked.
+	// Reload, if not nil, requests that the settings be read again with Load. They are also read
+	// at regular intervals.
 	Reload <-chan struct{}
 	Load   func() (platform.Settings, error)
 
 	store *platform.Store
 	feeds *platform.Feeds
-	// sent is told of answers to other hosts.
+	// sent is called with each answer to another host.
 	sent func(declarer.Transfer)
 }
 
@@ -55,16 +55,16 @@
 	e := &encoder.Encoder{Writer: a.LogOutput, QueueBytes: queueBytes}
 	c, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go (&writer{encoder: e, done: done}).run(c)
+	go (&logWriter{encoder: e, done: done}).run(c)
 	err := a.serve(ctx, drain, e)
 	stop()
 	<-done
 	return err
 }
 
-// serve runs the host beside its metrics.
+// serve runs the host and its metrics server.
 func (a *Assembler) serve(ctx context.Context, drain <-chan struct{}, e *encoder.Encoder) error {
-	h := a.host(e)
+	h := a.newHost(e)
 	m := reporter.NewMetrics(reporter.Gauges{
 		Sessions: h.Sessions, DroppedLogLines: e.Dropped,
 		Configuration: func() uint64 {
@@ -87,7 +87,7 @@
 			limitMemory(s)
 			h.Adjust(bounds(s))
 		}
-		go (&reloader{current: a.Settings, seen: a.Settings, load: a.Load, asked: a.Reload, adopt: adopt, log: h.Log}).run(ctx)
+		go (&reloader{current: a.Settings, lastRead: a.Settings, load: a.Load, requests: a.Reload, adopt: adopt, log: h.Log}).run(ctx)
 	}
 	l, err := net.Listen("tcp4", a.Settings.MetricsAddress())
 	if err != nil {
@@ -95,7 +95,7 @@
 	}
 	c, stop := context.WithCancel(ctx)
 	defer stop()
-	go (&exposition{server: &server.Server{Listener: l, Gatherer: m.Registry, Live: func() error { return nil }, Ready: func() error {
+	go (&metricsServer{server: &server.Server{Listener: l, Gatherer: m.Registry, Live: func() error { return nil }, Ready: func() error {
 		if !h.Ready() {
 			return errNotReady
 		}
@@ -104,47 +104,47 @@
 	return h.Run(ctx, drain)
 }
 
-// bounds are the settings that may change while the host runs.
+// bounds returns the settings that may change while the host runs.
 func bounds(s platform.Settings) runner.Bounds {
 	return runner.Bounds{Grace: s.Grace, Configuration: s.ConfigurationLimit, Drain: s.DrainLimit, Lease: s.Lease}
 }
 
-func limitMemory(s platform.Settings) { debug.SetMemoryLimit(s.MemoryBytes * memoryShare / 10) }
+func limitMemory(s platform.Settings) { debug.SetMemoryLimit(s.MemoryBytes * memoryLimitTenths / 10) }
 
 const errNotReady = errors.ConstError("host takes no callers")
 
-// exposition serves the metrics.
-type exposition struct {
+// metricsServer serves the metrics.
+type metricsServer struct {
 	server *server.Server
 	log    log.Interface
 }
 
-func (x *exposition) run(ctx context.Context) {
+func (x *metricsServer) run(ctx context.Context) {
 	if err := x.server.Run(ctx); err != nil {
-		x.log.WithError(err).Error("metrics are not served any more")
+		x.log.WithError(err).Error("metrics server failed")
 	}
 }
 
-// writer writes the log's lines until the process ends.
-type writer struct {
+// logWriter writes the log's lines until the process ends.
+type logWriter struct {
 	encoder *encoder.Encoder
 	done    chan struct{}
 }
 
-func (w *writer) run(ctx context.Context) {
+func (w *logWriter) run(ctx context.Context) {
 	defer close(w.done)
 	_ = w.encoder.Run(ctx)
 }
 
-func (a *Assembler) host(e *encoder.Encoder) *runner.Host {
+func (a *Assembler) newHost(e *encoder.Encoder) *runner.Host {
 	s := a.Settings
 	l := &log.Logger{Handler: e, Level: log.InfoLevel}
 	store := platform.NewStore(s.StoreAddress)
 	a.store = store
-	faulty := func(err error) { l.WithError(err).Warn("object left out") }
+	reportInvalid := func(err error) { l.WithError(err).Warn("invalid object skipped") }
 	a.feeds = &platform.Feeds{}
 	f := &feeder{store: store, remote: a.feeds, sent: func(t declarer.Transfer) { a.sent(t) }, servers: make(map[string]*platform.FeedServer), now: steady.Now}
-	a.feeds.Known = f.known
+	a.feeds.Known = f.lastValue
 	h := &runner.Host{
 		Name:             s.HostName,
 		CallerAddress:    s.CallerAddress,
@@ -164,6 +164,6 @@
 		Accept:           func(c net.Conn) executor.Caller { return platform.NewCaller(c) },
 		Log:              l,
 	}
-	f.attach(h, faulty)
+	f.attach(h, reportInvalid)
 	return h
 }
--- a/internal/proxy/assembler/assembler_test.go
+++ b/internal/proxy/assembler/assembler_test.go
@@ -24,7 +24,7 @@
 	"github.com/cuminwick/cuminwick/platform"
 )
 
-// instance is a backend server that keeps items in memory, over the real protocol.
+// instance is a backend server that keeps items in memory and speaks the real protocol.
 type instance struct {
 	listener net.Listener
 
@@ -104,7 +104,7 @@
 	return fmt.Sprintf("READY %s 1.%d\r\n", s.state, s.instance.position+1)
 }
 
-// store answers lists from what it is given; watches wait and bring nothing.
+// store answers lists with fixed objects. Its watches wait and return no changes.
 func store(t *testing.T, server string) string {
 	t.Helper()
 	config := `{"version":3,"routes":[{"name":"r","host":"books","route_type":"primary","timeout_ms":5000,"backend":"g"}],"backends":[{"name":"g","max_connections":8}],"limits":{"idle_tx_ms":3000}}`
@@ -131,19 +131,19 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// free returns a port that nobody listens on now.
-func free(t *testing.T) int {
+// freePort returns a port on which no process listens.
+func freePort(t *testing.T) int {
 	t.Helper()
 	l := listen(t)
 	defer l.Close()
 	return l.Addr().(*net.TCPAddr).Port
 }
 
-// freePair returns the first of two ports in a row that nobody listens on now.
-func freePair(t *testing.T) int {
+// freePortPair returns the first of two consecutive ports on which no process listens.
+func freePortPair(t *testing.T) int {
 	t.Helper()
 	for range 100 {
-		p := free(t)
+		p := freePort(t)
 		l, err := net.Listen("tcp4", net.JoinHostPort("127.0.0.1", strconv.Itoa(p+1)))
 		if err == nil {
 			l.Close()
@@ -162,9 +162,8 @@
 	log      bytes.Buffer
 }
 
-// startHost starts a host that is ready for callers. A port that was free when it was
-// chosen may be another process's by the time that the host listens on it: then it is
-// started again with others.
+// startHost starts a host and waits until it accepts callers. Another process may take a free port
+// before the host listens on it. In that case the host is started again with other ports.
 func startHost(t *testing.T, server string) *host {
 	t.Helper()
 	for range 20 {
@@ -181,7 +180,7 @@
 	return nil
 }
 
-// ready waits until the host takes callers or has ended.
+// ready waits until the host accepts callers or has ended.
 func (h *host) ready() error {
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		select {
@@ -193,7 +192,7 @@
 			return nil
 		}
 	}
-	return errors.New("host isn't ready after 30 s")
+	return errors.New("host is not ready after 30 s")
 }
 
 func launch(t *testing.T, server string) *host {
@@ -202,7 +201,7 @@
 	a := store(t, server)
 	h := &host{drain: make(chan struct{}), done: make(chan error, 1), settings: platform.Settings{
 		HostName: "h", AvailabilityZone: "z", Region: "r", Regions: map[string]string{"z": "r"},
-		CallerAddress: at(free(t)), ReadinessAddress: at(free(t)), Address: "127.0.0.1", FirstPort: freePair(t), ConfigurationLimit: 3 * time.Second, DrainLimit: 7 * time.Second,
+		CallerAddress: at(freePort(t)), ReadinessAddress: at(freePort(t)), Address: "127.0.0.1", FirstPort: freePortPair(t), ConfigurationLimit: 3 * time.Second, DrainLimit: 7 * time.Second,
 		StoreAddress: a, CommandAddress: a, Grace: 3 * time.Second, MemoryBytes: 1 << 30,
 	}}
 	go func() {
@@ -212,7 +211,7 @@
 	return h
 }
 
-// readiness is what the balancer is told, zero for no answer.
+// readiness returns the status that the load balancer receives, zero without an answer.
 func (h *host) readiness() int {
 	r, err := http.Get("http://" + h.settings.ReadinessAddress + platform.ReadinessPath)
 	if err != nil {
@@ -222,7 +221,7 @@
 	return r.StatusCode
 }
 
-func (h *host) await(t *testing.T, status int) {
+func (h *host) awaitReadiness(t *testing.T, status int) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); h.readiness() != status; {
 		if time.Now().After(end) {
@@ -281,7 +280,7 @@
 	}
 }
 
-// A caller works through an entry host, in transactions and outside of them.
+// A caller runs statements through an entry host, in transactions and outside of them.
 func TestServes(t *testing.T) {
 	i := startInstance(t)
 	h := startHost(t, i.listener.Addr().String())
@@ -300,7 +299,7 @@
 	c.expect(t, "DELETE a", "ERR MALFORMED statement not understood|READY I -")
 	c.expect(t, "READ a", "ROW two|DONE sig|READY I 1.3")
 	if l := h.call(t, "nowhere").line(); l != "ERR NODB nowhere" {
-		t.Errorf("a database that isn't there: %q", l)
+		t.Errorf("unknown database: %q", l)
 	}
 	close(h.drain)
 	if err := <-h.done; err != nil {
@@ -308,9 +307,10 @@
 	}
 }
 
-// A host is stopped as planned while one caller is idle and one is in a transaction. The
-// first is sent elsewhere, the second may end its work, and the host is gone in time.
-func TestDrainCutsOffNothing(t *testing.T) {
+// Guards against a drain that interrupts work: a host is shut down while one caller is idle and one
+// is in a transaction. The idle session must be closed, the transaction may complete, and the host
+// must end in time.
+func TestDrainCompletesTransactions(t *testing.T) {
 	i := startInstance(t)
 	h := startHost(t, i.listener.Addr().String())
 	idle, busy := h.call(t, "books"), h.call(t, "books")
@@ -319,13 +319,13 @@
 	busy.expect(t, "BEGIN", "DONE -|READY T -")
 	busy.expect(t, "WRITE a one", "DONE sig|READY T 1.2")
 	close(h.drain)
-	h.await(t, http.StatusServiceUnavailable)
+	h.awaitReadiness(t, http.StatusServiceUnavailable)
 	if l := idle.line(); l != "end" {
-		t.Errorf("the idle caller is told %q", l)
+		t.Errorf("the idle caller receives %q", l)
 	}
 	busy.expect(t, "COMMIT", "DONE sig|READY I 1.2")
 	if l := busy.line(); l != "end" {
-		t.Errorf("the other caller is told %q", l)
+		t.Errorf("the other caller receives %q", l)
 	}
 	if err := <-h.done; err != nil {
 		t.Error(err)
@@ -335,9 +335,9 @@
 	}
 }
 
-// A host that owns a server's connections is stopped as planned while another host's
-// caller is in a transaction on one of them. The transaction may end; cut off, its commit
-// would be told as unknown.
+// Guards against a drain with an unknown outcome: a host that owns a server's connections is shut
+// down while another host's caller has a transaction on one of them. If the transaction could not
+// complete, its commit would be reported as unknown.
 func TestDrainWaitsForBorrowers(t *testing.T) {
 	i := startInstance(t)
 	h := startHost(t, i.listener.Addr().String())
--- a/internal/proxy/assembler/feeder.go
+++ b/internal/proxy/assembler/feeder.go
@@ -11,42 +11,42 @@
 	"github.com/cuminwick/cuminwick/platform"
 )
 
-// feeder makes the readers of what the platform lists, and serves other hosts from them.
+// feeder creates the readers of the platform's objects, and serves other hosts from their mirrors.
 type feeder struct {
 	store  *platform.Store
 	remote cachesyncer.Remote
 	host   *runner.Host
-	// sent is told of each answer to another host.
+	// sent is called with each answer to another host.
 	sent    func(declarer.Transfer)
 	servers map[string]*platform.FeedServer
-	// now reads a clock that counts time in which the host stood still.
+	// now reads a monotonic clock that also advances while the host is suspended.
 	now func() time.Duration
 }
 
-// attach makes the sources of what the host follows.
-func (f *feeder) attach(h *runner.Host, faulty func(error)) {
+// attach sets the sources that the host follows.
+func (f *feeder) attach(h *runner.Host, reportInvalid func(error)) {
 	f.host = h
-	h.Configurations = &platform.Source[*declarer.Configuration]{Reader: f.reader(platform.KindConfiguration, h.ConfigurationPace()), Parse: platform.ParseConfiguration, Faulty: faulty, Keep: true}
-	h.Servers = &platform.Source[declarer.Server]{Reader: f.reader(platform.KindServers, h.ServersPace()), Parse: platform.ParseServer, Faulty: faulty}
-	h.Hosts = &platform.Source[declarer.Host]{Reader: f.reader(platform.KindHosts, h.HostsPace()), Parse: platform.ParseHost, Faulty: faulty}
+	h.Configurations = &platform.Source[*declarer.Configuration]{Reader: f.reader(platform.KindConfiguration, h.ConfigurationPace()), Parse: platform.ParseConfiguration, Faulty: reportInvalid, Keep: true}
+	h.Servers = &platform.Source[declarer.Server]{Reader: f.reader(platform.KindServers, h.ServersPace()), Parse: platform.ParseServer, Faulty: reportInvalid}
+	h.Hosts = &platform.Source[declarer.Host]{Reader: f.reader(platform.KindHosts, h.HostsPace()), Parse: platform.ParseHost, Faulty: reportInvalid}
 }
 
-// reader returns the reader of a kind.
+// reader returns the reader of a kind of object.
 func (f *feeder) reader(kind string, p runner.Pace) cachesyncer.Reader {
 	m := &cachesyncer.Mirror{Store: &platform.Reader{Store: f.store, Kind: kind}, Now: f.now, TTL: p.Trust, MinimumPause: p.FirstRest, MaximumPause: p.LongestRest}
 	f.servers[kind] = &platform.FeedServer{Kind: kind, Mirror: m, Sent: f.sent}
 	return &cachesyncer.Selector{Kind: kind, Mirror: m, Remote: f.remote, Host: f.host.ReaderHost, Failed: f.host.ReaderFailed}
 }
 
-// known returns an object as it was last read.
-func (f *feeder) known(kind, name string) []byte {
+// lastValue returns an object's value as last read, nil if it is unknown.
+func (f *feeder) lastValue(kind, name string) []byte {
 	if x := f.servers[kind]; x != nil {
 		return x.Mirror.Value(name)
 	}
 	return nil
 }
 
-// serve answers a host that reads a kind through this one.
+// serve serves a host that reads a kind of object through this one.
 func (f *feeder) serve(c net.Conn, kind string) {
 	if x := f.servers[kind]; x != nil {
 		x.Serve(context.Background(), c)
--- a/internal/proxy/assembler/growth_test.go
+++ b/internal/proxy/assembler/growth_test.go
@@ -23,30 +23,30 @@
 
 const (
 	storeAddress = "store:80"
-	// scale is by how much links carry less, and configurations are shorter, than in a
-	// deployment: times are the same, and less is decoded.
+	// scale is the factor by which links are slower and configurations shorter than in a real
+	// deployment. Times stay the same, and less data has to be decoded.
 	scale = 8
-	// hostRate and crossingRate are those of a small host and of a narrow link between two
-	// regions, in bytes a second: 10 and 60 Mbit/s.
+	// hostRate and crossingRate are those of a small host and of a link between two regions, in
+	// bytes per second, before scaling 10 and 60 Mbit/s.
 	hostRate     = 10e6 / 8 / scale
 	crossingRate = 60e6 / 8 / scale
 	storeRate    = 1e9 / 8 / scale
 )
 
-// fleet is a deployment of entry hosts that follow the configuration, in virtual time.
-// The store is in region "near".
+// fleet is a deployment of entry hosts that follow the configuration, in virtual time. The store
+// is in region "near".
 type fleet struct {
 	network *network
 	store   *storekeeper.Store
 	server  *http.Server
 	hosts   []*member
-	draw    *rand.Rand
+	random  *rand.Rand
 	routes  []string
 	version uint64
 	cancel  context.CancelFunc
 }
 
-// member is one of its hosts.
+// member is one host of the fleet.
 type member struct {
 	host    *runner.Host
 	machine *machine
@@ -54,11 +54,11 @@
 	feeder  *feeder
 }
 
-// startFleet starts a zone of five hosts near the store, and so many zones of so many hosts
-// in the other region.
+// startFleet starts a zone of five hosts near the store, and the given number of zones, with the
+// given number of hosts each, in the other region.
 func startFleet(t *testing.T, zones, hosts int, seed uint64) *fleet {
 	t.Helper()
-	f := &fleet{network: newNetwork(crossingRate), store: &storekeeper.Store{}, draw: rand.New(rand.NewPCG(seed, 0))}
+	f := &fleet{network: newNetwork(crossingRate), store: &storekeeper.Store{}, random: rand.New(rand.NewPCG(seed, 0))}
 	m := f.network.add(storeAddress, "near", storeRate)
 	f.server = &http.Server{Handler: storekeeper.View{Store: f.store}}
 	go (&storeServer{server: f.server, listener: m}).run()
@@ -84,10 +84,10 @@
 	f.cancel()
 	f.network.close()
 	f.server.Close()
-	time.Sleep(time.Minute) // until what is on its way has arrived
+	time.Sleep(time.Minute) // until data in flight has arrived
 }
 
-// storeServer answers at the store.
+// storeServer serves the store.
 type storeServer struct {
 	server   *http.Server
 	listener net.Listener
@@ -104,7 +104,7 @@
 	now := func() time.Duration { return time.Since(began) }
 	feeds := &platform.Feeds{Dial: m.machine.Dial}
 	m.feeder = &feeder{store: store, remote: feeds, servers: make(map[string]*platform.FeedServer), now: now}
-	feeds.Known = m.feeder.known
+	feeds.Known = m.feeder.lastValue
 	m.host = &runner.Host{
 		Name: name, FirstStart: true, Registrar: &platform.Registrar{Store: store},
 		Board:   &blackboard.Board{Zone: zone, Region: region, Regions: regions, Now: now},
@@ -116,13 +116,13 @@
 	m.feeder.attach(m.host, func(error) {})
 	f.hosts = append(f.hosts, m)
 	go m.run(ctx)
-	go m.loopFeeds()
+	go m.acceptFeeds()
 }
 
 func (m *member) run(ctx context.Context) { m.host.Follow(ctx) }
 
-// loopFeeds answers hosts that read through this one.
-func (m *member) loopFeeds() {
+// acceptFeeds serves hosts that read through this one.
+func (m *member) acceptFeeds() {
 	for {
 		c, err := m.machine.Accept()
 		if err != nil {
@@ -132,7 +132,7 @@
 	}
 }
 
-// feedService answers one of them.
+// feedService serves one of them.
 type feedService struct {
 	member *member
 	conn   net.Conn
@@ -146,21 +146,21 @@
 	}
 }
 
-// routeLength is a route's length in the configuration.
+// routeLength is the length of a route in the configuration, in bytes.
 const routeLength = 190
 
-// route returns a route that packs to about a tenth, as real ones do.
+// route returns a route that compresses to about a tenth, as real ones do.
 func (f *fleet) route(i int) string {
-	return fmt.Sprintf(`{"name":"route-%d","host":"database-%d","route_type":"primary","timeout_ms":800,"backend":"group","note":"%08x%0*d"}`, i, i, f.draw.Uint32(), routeLength-118, 0)
+	return fmt.Sprintf(`{"name":"route-%d","host":"database-%d","route_type":"primary","timeout_ms":800,"backend":"group","note":"%08x%0*d"}`, i, i, f.random.Uint32(), routeLength-118, 0)
 }
 
-// grow changes the configuration to one with n routes more in a deployment, and returns its
+// grow changes the configuration to one with n more routes, before scaling, and returns its
 // version.
 func (f *fleet) grow(n int) uint64 {
 	for range max(1, n/scale) {
 		f.routes = append(f.routes, f.route(len(f.routes)))
 	}
-	f.version += 1 + f.draw.Uint64N(3)
+	f.version += 1 + f.random.Uint64N(3)
 	spec := []byte(fmt.Sprintf(`{"version":%d,"backends":[],"limits":{"idle_tx_ms":2000},"routes":[`, f.version))
 	for i, r := range f.routes {
 		if i > 0 {
@@ -175,14 +175,14 @@
 	return f.version
 }
 
-// rawJSON is JSON that is encoded as it is.
+// rawJSON is JSON that is encoded unchanged.
 type rawJSON []byte
 
-// MarshalJSON returns it.
+// MarshalJSON returns r.
 func (r rawJSON) MarshalJSON() ([]byte, error) { return r, nil }
 
-// behind returns the hosts that don't have the version in force.
-func (f *fleet) behind(version uint64) []string {
+// outdatedHosts returns the names of hosts that don't have the version or a newer one in force.
+func (f *fleet) outdatedHosts(version uint64) []string {
 	var l []string
 	for _, m := range f.hosts {
 		if c := m.host.Board.Configuration(); c == nil || c.Version < version {
@@ -192,8 +192,9 @@
 	return l
 }
 
-// The configuration grows by many routes, and is changed again before all hosts have it.
-// Hosts behind a narrow link that give up on answers and ask anew fill it, and get none.
+// Guards against a stampede over a slow link: the configuration grows by many routes, and changes
+// again before all hosts have it. If hosts aborted answers and asked again, they would fill the link
+// and never get an answer.
 func TestGrowingConfigurationReachesAllHosts(t *testing.T) {
 	for _, seed := range []uint64{0, 3} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -202,15 +203,15 @@
 				defer f.stop()
 				time.Sleep(10 * time.Second)
 				for range 3 {
-					time.Sleep(time.Duration(f.draw.Int64N(int64(3 * time.Second))))
+					time.Sleep(time.Duration(f.random.Int64N(int64(3 * time.Second))))
 					f.grow(1400)
 					time.Sleep(2 * time.Second)
 					f.grow(1)
-					time.Sleep(time.Duration(f.draw.Int64N(int64(time.Second))))
+					time.Sleep(time.Duration(f.random.Int64N(int64(time.Second))))
 					v := f.grow(1)
 					time.Sleep(5 * time.Second)
-					if l := f.behind(v); len(l) > 0 {
-						t.Fatalf("%d of %d hosts haven't got version %d with %d routes after 5 s: %v", len(l), len(f.hosts), v, scale*len(f.routes), l)
+					if l := f.outdatedHosts(v); len(l) > 0 {
+						t.Fatalf("%d of %d hosts do not have version %d with %d routes after 5 s: %v", len(l), len(f.hosts), v, scale*len(f.routes), l)
 					}
 				}
 			})
@@ -218,9 +219,9 @@
 	}
 }
 
-// settle starts a fleet whose far region has three zones of so many hosts, all with a
-// configuration that has grown by n routes.
-func settle(t *testing.T, hosts, n int) *fleet {
+// startSettled starts a fleet whose far region has three zones of the given number of hosts, and
+// waits until all have a configuration that has grown by n routes.
+func startSettled(t *testing.T, hosts, n int) *fleet {
 	t.Helper()
 	f := startFleet(t, 3, hosts, 1)
 	time.Sleep(10 * time.Second)
@@ -229,20 +230,20 @@
 	return f
 }
 
-// expect grows the configuration by n routes, and fails the test unless all hosts but one
-// have it in time.
-func (f *fleet) expect(t *testing.T, n int, but *member) {
+// expect grows the configuration by n routes, and fails the test unless all hosts except one have it
+// in time.
+func (f *fleet) expect(t *testing.T, n int, except *member) {
 	t.Helper()
 	v := f.grow(n)
 	time.Sleep(5 * time.Second)
-	for _, name := range f.behind(v) {
-		if but == nil || name != but.host.Name {
-			t.Errorf("%s hasn't got the change", name)
+	for _, name := range f.outdatedHosts(v) {
+		if except == nil || name != except.host.Name {
+			t.Errorf("%s does not have the change", name)
 		}
 	}
 }
 
-// size returns the length of the configuration in bytes.
+// size returns the length of the routes of the configuration in bytes.
 func (f *fleet) size() int {
 	n := 0
 	for _, r := range f.routes {
@@ -251,11 +252,11 @@
 	return n
 }
 
-// crossed returns how many bytes have come from the store's region to the other one.
-func (f *fleet) crossed() int { return f.network.crossing("near", "far").bytes() }
+// crossed returns how many bytes were sent from the store's region to the other one.
+func (f *fleet) crossed() int { return f.network.regionLink("near", "far").bytes() }
 
-// first returns the host of the far region that reads the store.
-func (f *fleet) first() *member {
+// storeReader returns the host of the far region that reads from the store.
+func (f *fleet) storeReader() *member {
 	for _, m := range f.hosts {
 		if _, ok := m.host.ReaderHost(platform.KindConfiguration); !ok && m.machine.region == "far" {
 			return m
@@ -264,13 +265,13 @@
 	return nil
 }
 
-// Each host, or each zone, of a region reads a change from the store. What that costs the
-// link between two regions grows with the hosts, until no host gets the change in time.
-func TestChangeCrossesALinkOnce(t *testing.T) {
+// Guards against a load between two regions that grows with the number of hosts or zones: if each
+// of them read a change from the store, no host would get the change in time.
+func TestChangeCrossesRegionLinkOnce(t *testing.T) {
 	for _, hosts := range []int{3, 12} {
 		t.Run(fmt.Sprint(hosts, " hosts a zone"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := settle(t, hosts, 1400)
+				f := startSettled(t, hosts, 1400)
 				defer f.stop()
 				before := f.crossed()
 				f.expect(t, 1400, nil)
@@ -282,15 +283,16 @@
 	}
 }
 
-// The host that a region reads through loses power as a large change is accepted. If the
-// others all turned to the store, the change would cross the link once for each of them.
-func TestLostReaderDoesNotSendItsRegionToTheStore(t *testing.T) {
+// Guards against a stampede at the store: the host that a region reads through loses power when a
+// large change is accepted. If all others read from the store, the change would cross the link once
+// for each of them.
+func TestReaderFailureDoesNotLoadStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := settle(t, 10, 2800)
+		f := startSettled(t, 10, 2800)
 		defer f.stop()
 		before := f.crossed()
-		lost := f.first()
-		lost.machine.fail()
+		lost := f.storeReader()
+		lost.machine.powerOff()
 		f.expect(t, 1400, lost)
 		if n, most := f.crossed()-before, 2*f.size(); n > most {
 			t.Errorf("%d bytes crossed for a configuration of %d", n, f.size())
@@ -298,28 +300,29 @@
 	})
 }
 
-// One route of thousands changes. If the host that others read through sent each of them the
-// whole configuration, its link would be full while they wait for the next change.
-func TestSmallChangeLoadsAReaderLittle(t *testing.T) {
+// Guards against sending whole configurations for small changes: one route of thousands changes. If
+// the host that others read through sent each of them the whole configuration, its link would be full
+// when they wait for the next change.
+func TestSmallChangeIsSentAsDifference(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := settle(t, 12, 2800)
+		f := startSettled(t, 12, 2800)
 		defer f.stop()
-		before := f.first().machine.out.bytes()
+		before := f.storeReader().machine.out.bytes()
 		f.expect(t, 1, nil)
-		if n, most := f.first().machine.out.bytes()-before, f.size()/2; n > most {
+		if n, most := f.storeReader().machine.out.bytes()-before, f.size()/2; n > most {
 			t.Errorf("%d bytes were sent for a change of one route of %d bytes in all", n, f.size())
 		}
 	})
 }
 
-// The host that a region reads through has a bad link of its own: the change arrives there
-// piece by piece, for longer than it may take. The others mustn't wait for it to the end.
-func TestReaderWithABadLinkDoesNotHoldItsRegionUp(t *testing.T) {
+// Guards against one slow host that delays its region: the host that others read through has a slow
+// link of its own, and the change takes longer to arrive than allowed. The others must not wait for it.
+func TestReaderWithSlowLinkDoesNotDelayRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := settle(t, 10, 2800)
+		f := startSettled(t, 10, 2800)
 		defer f.stop()
-		bad := f.first()
-		bad.machine.in.slow(10)
-		f.expect(t, 1400, bad)
+		slow := f.storeReader()
+		slow.machine.in.slowDown(10)
+		f.expect(t, 1400, slow)
 	})
 }
--- a/internal/proxy/assembler/network_test.go
+++ b/internal/proxy/assembler/network_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// wire carries so many bytes a second one way, one piece after the other.
-type wire struct {
+// link transmits one way at a limited rate, one packet after the other.
+type link struct {
 	rate float64
 
 	mu   sync.Mutex
@@ -18,8 +18,8 @@
 	sent int
 }
 
-// carry returns when n bytes that come to the wire at t have left it.
-func (w *wire) carry(t time.Time, n int) time.Time {
+// transmit returns when n bytes that are handed to the link at t have left it.
+func (w *link) transmit(t time.Time, n int) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if t.Before(w.free) {
@@ -30,76 +30,75 @@
 	return w.free
 }
 
-// slow has the wire carry x times less.
-func (w *wire) slow(x float64) {
+// slowDown divides the link's rate by x.
+func (w *link) slowDown(x float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.rate /= x
 }
 
-func (w *wire) bytes() int {
+func (w *link) bytes() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.sent
 }
 
-// machine is one end of connections, with its own wires to and from the network.
+// machine is a network host, with links of its own to and from the network.
 type machine struct {
 	address string
 	region  string
-	in, out *wire
+	in, out *link
 	queue   chan net.Conn
 	network *network
-	// dark says that nothing comes to or from the machine.
-	dark bool
+	// off reports that the machine has no power: nothing arrives at it or comes from it.
+	off bool
 }
 
-// network is one of machines in regions, in virtual time. Regions are joined by one wire
-// each way.
+// network connects machines in regions, in virtual time. Regions are joined by one link each way.
 type network struct {
-	// near and far are the delays within a region and between two.
-	near, far time.Duration
-	// rate is that of the wires between regions, in bytes a second.
+	// intraRegionDelay and interRegionDelay are the one-way delays within a region and regionLinks two.
+	intraRegionDelay, interRegionDelay time.Duration
+	// rate is that of the links regionLinks regions, in bytes per second.
 	rate float64
 
-	mu       sync.Mutex
-	machines map[string]*machine
-	between  map[string]*wire
-	open     []net.Conn
-	ended    chan struct{}
+	mu          sync.Mutex
+	machines    map[string]*machine
+	regionLinks map[string]*link
+	open        []net.Conn
+	ended       chan struct{}
 }
 
 func newNetwork(rate float64) *network {
 	return &network{
-		near: time.Millisecond, far: 8 * time.Millisecond, rate: rate,
-		machines: make(map[string]*machine), between: make(map[string]*wire), ended: make(chan struct{}),
+		intraRegionDelay: time.Millisecond, interRegionDelay: 8 * time.Millisecond, rate: rate,
+		machines: make(map[string]*machine), regionLinks: make(map[string]*link), ended: make(chan struct{}),
 	}
 }
 
-// add returns a new machine whose own wires carry rate bytes a second.
+// add returns a new machine whose own links have the given rate in bytes per second.
 func (n *network) add(address, region string, rate float64) *machine {
-	m := &machine{address: address, region: region, in: &wire{rate: rate}, out: &wire{rate: rate}, queue: make(chan net.Conn), network: n}
+	m := &machine{address: address, region: region, in: &link{rate: rate}, out: &link{rate: rate}, queue: make(chan net.Conn), network: n}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.machines[address] = m
 	return m
 }
 
-// crossing returns the wire from one region to another, nil within one.
-func (n *network) crossing(from, to string) *wire {
+// regionLink returns the link from one region to another, nil within one region.
+func (n *network) regionLink(from, to string) *link {
 	if from == to {
 		return nil
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	k := from + " " + to
-	if n.between[k] == nil {
-		n.between[k] = &wire{rate: n.rate}
+	if n.regionLinks[k] == nil {
+		n.regionLinks[k] = &link{rate: n.rate}
 	}
-	return n.between[k]
+	return n.regionLinks[k]
 }
 
-// Accept, Close and Addr make a machine a listener.
+// Accept, Close and Addr implement net.Listener.
 func (m *machine) Accept() (net.Conn, error) {
 	select {
 	case c := <-m.queue:
@@ -109,23 +108,23 @@
 	}
 }
 
-// Close is part of a listener.
+// Close is part of net.Listener.
 func (m *machine) Close() error { return nil }
 
-// Addr is part of a listener.
+// Addr is part of net.Listener.
 func (m *machine) Addr() net.Addr { return &net.TCPAddr{} }
 
-// fail takes the machine's power.
-func (m *machine) fail() {
+// powerOff takes the machine's power.
+func (m *machine) powerOff() {
 	m.network.mu.Lock()
 	defer m.network.mu.Unlock()
-	m.dark = true
+	m.off = true
 }
 
-func (m *machine) isDark() bool {
+func (m *machine) isOff() bool {
 	m.network.mu.Lock()
 	defer m.network.mu.Unlock()
-	return m.dark
+	return m.off
 }
 
 // Dial opens a connection from the machine.
@@ -136,10 +135,10 @@
 	n.mu.Unlock()
 	x := path{network: n, from: m, to: to}
 	back := path{network: n, from: to, to: m}
-	if err := x.travel(ctx); err != nil {
+	if err := x.sendEmpty(ctx); err != nil {
 		return nil, err
 	}
-	if err := back.travel(ctx); err != nil {
+	if err := back.sendEmpty(ctx); err != nil {
 		return nil, err
 	}
 	here, a := net.Pipe()
@@ -159,7 +158,7 @@
 	return nil, net.ErrClosed
 }
 
-// close ends all connections.
+// close closes all connections.
 func (n *network) close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -175,14 +174,15 @@
 	from, to *machine
 }
 
-// connectTimeout ends the opening of a connection to a dark machine.
+// connectTimeout ends a connection attempt to or from a machine without power.
 const connectTimeout = time.Second
 
-// travel waits as long as an empty packet takes, without end from or to a dark machine.
-func (p path) travel(ctx context.Context) error {
-	dark := p.from.isDark() || p.to.isDark()
+// sendEmpty waits as long as an empty packet takes, or until connectTimeout if either machine has
+// no power.
+func (p path) sendEmpty(ctx context.Context) error {
+	off := p.from.isOff() || p.to.isOff()
 	d := time.Until(p.arrival(0))
-	if dark {
+	if off {
 		d = connectTimeout
 	}
 	t := time.NewTimer(d)
@@ -192,26 +192,26 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	if dark {
+	if off {
 		return os.ErrDeadlineExceeded
 	}
 	return nil
 }
 
-// arrival is when n bytes that are sent now are there.
+// arrival returns when n bytes that are sent now arrive.
 func (p path) arrival(n int) time.Time {
-	t := p.from.out.carry(time.Now(), n)
-	d := p.network.near
-	if w := p.network.crossing(p.from.region, p.to.region); w != nil {
-		t, d = w.carry(t, n), p.network.far
+	t := p.from.out.transmit(time.Now(), n)
+	d := p.network.intraRegionDelay
+	if w := p.network.regionLink(p.from.region, p.to.region); w != nil {
+		t, d = w.transmit(t, n), p.network.interRegionDelay
 	}
-	return p.to.in.carry(t, n).Add(d)
+	return p.to.in.transmit(t, n).Add(d)
 }
 
-// window is how many bytes of a connection are on their way at a time.
+// window is how many bytes of a connection are in flight at a time.
 const window = 32 << 10 / scale
 
-// pump carries one direction of a connection.
+// pump transmits one direction of a connection.
 type pump struct {
 	path     path
 	from, to net.Conn
@@ -227,8 +227,8 @@
 			return
 		}
 		time.Sleep(time.Until(p.path.arrival(n)))
-		if p.path.from.isDark() || p.path.to.isDark() {
-			_, _ = io.Copy(io.Discard, p.from) // nothing of it arrives
+		if p.path.from.isOff() || p.path.to.isOff() {
+			_, _ = io.Copy(io.Discard, p.from) // no data arrives
 			return
 		}
 		if _, err := p.to.Write(b[:n]); err != nil {
--- a/internal/proxy/assembler/reloader.go
+++ b/internal/proxy/assembler/reloader.go
@@ -11,24 +11,24 @@
 	"github.com/cuminwick/cuminwick/platform"
 )
 
-// reloadInterval is how often the settings are read without being asked: their file may
+// reloadInterval is how often the settings are read without a request, because their file may
 // change without a signal.
 const reloadInterval = 5 * time.Second
 
-// reloader reads the settings anew. What may change while a host runs comes into force at
-// once, all of it or nothing; the rest is named in the log and waits for the next start.
+// reloader reads the settings again. Those that may change while a host runs are put in force at
+// once, all or none; the others are logged and take effect at the next start.
 type reloader struct {
-	// current are those in force, seen those that were read last.
-	current platform.Settings
-	seen    platform.Settings
-	load    func() (platform.Settings, error)
-	asked   <-chan struct{}
-	// adopt takes settings into force.
+	// current holds the settings in force, lastRead those that were read last.
+	current  platform.Settings
+	lastRead platform.Settings
+	load     func() (platform.Settings, error)
+	requests <-chan struct{}
+	// adopt puts settings in force.
 	adopt func(platform.Settings)
 	log   log.Interface
 
-	// fault is that of the last reading, empty if there was none.
-	fault string
+	// lastError is the error of the last read, empty if there was none.
+	lastError string
 }
 
 func (r *reloader) run(ctx context.Context) {
@@ -39,46 +39,46 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			r.look(false)
-		case _, ok := <-r.asked:
+			r.reload(false)
+		case _, ok := <-r.requests:
 			if !ok {
 				return
 			}
-			r.look(true)
+			r.reload(true)
 		}
 	}
 }
 
-// look reads the settings. Unless it was asked for, what was said before isn't said again.
-func (r *reloader) look(asked bool) {
+// reload reads the settings. Unless requested, it does not log an error or a difference again.
+func (r *reloader) reload(requested bool) {
 	s, err := r.load()
 	if err != nil {
-		if asked || err.Error() != r.fault {
+		if requested || err.Error() != r.lastError {
 			r.log.WithError(err).Error("settings not valid, those before stay in force")
 		}
-		r.fault = err.Error()
+		r.lastError = err.Error()
 		return
 	}
-	r.fault = ""
-	if !asked && reflect.DeepEqual(s, r.seen) {
+	r.lastError = ""
+	if !requested && reflect.DeepEqual(s, r.lastRead) {
 		return
 	}
-	r.seen = s
-	r.take(s)
+	r.lastRead = s
+	r.apply(s)
 }
 
-func (r *reloader) take(s platform.Settings) {
+func (r *reloader) apply(s platform.Settings) {
 	next := r.current.Adopt(s)
-	changed, waiting := r.current.Differences(next), next.Differences(s)
+	changed, pending := r.current.Differences(next), next.Differences(s)
 	if len(changed) > 0 {
 		r.current = next
 		r.adopt(next)
 		r.log.WithField("changed", strings.Join(changed, ",")).Info("settings in force")
 	}
-	if len(waiting) > 0 {
-		r.log.WithField("changed", strings.Join(waiting, ",")).Warn("settings changed, in force with the next start")
+	if len(pending) > 0 {
+		r.log.WithField("changed", strings.Join(pending, ",")).Warn("settings changed, in force with the next start")
 	}
-	if len(changed)+len(waiting) == 0 {
+	if len(changed)+len(pending) == 0 {
 		r.log.Info("settings unchanged")
 	}
 }
--- a/internal/proxy/assembler/reloader_test.go
+++ b/internal/proxy/assembler/reloader_test.go
@@ -13,18 +13,18 @@
 	"github.com/cuminwick/cuminwick/platform"
 )
 
-// Guards against a change of the settings file that takes effect in part, or ends a host by
-// a typing error: what may change is in force at once, the rest is named, and a file that
-// isn't valid changes nothing.
+// Guards against a change of the settings file that takes effect in part, and against a typing
+// error that ends a host: settings that may change must be in force at once, the others must be
+// logged, and an invalid file must change nothing.
 func TestReload(t *testing.T) {
 	h := memory.New()
 	s := platform.Settings{HostName: "h", Regions: map[string]string{"a": "x"}, Grace: time.Second}
 	start := s
 	var err error
 	var adopted []platform.Settings
-	asked := make(chan struct{})
+	requests := make(chan struct{})
 	r := &reloader{
-		current: s, seen: s, load: func() (platform.Settings, error) { return s, err }, asked: asked, log: &log.Logger{Handler: h},
+		current: s, lastRead: s, load: func() (platform.Settings, error) { return s, err }, requests: requests, log: &log.Logger{Handler: h},
 		adopt: func(s platform.Settings) { adopted = append(adopted, s) },
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -34,21 +34,21 @@
 		defer close(done)
 		r.run(ctx)
 	}()
-	asked <- struct{}{}
-	asked <- struct{}{}
-	close(asked)
+	requests <- struct{}{}
+	requests <- struct{}{}
+	close(requests)
 	<-done
 	s.Regions = map[string]string{"a": "y"}
 	s.MemoryBytes, s.Grace = 5, 2*time.Second
-	r.look(false)
-	r.look(false) // nothing new
+	r.reload(false)
+	r.reload(false) // no difference since the last read
 	err = errors.New("zone is missing")
-	r.look(false)
-	r.look(false) // the same fault
-	r.look(true)
+	r.reload(false)
+	r.reload(false) // the same error again
+	r.reload(true)
 	err = nil
 	s.Grace = 3 * time.Second
-	r.look(false)
+	r.reload(false)
 	var got []string
 	for _, e := range h.Entries {
 		got = append(got, e.Message)
