--- a/internal/proxy/assembler/network_test.go
+++ b/internal/proxy/assembler/network_test.go
@@ -56,9 +56,9 @@
 
 // network connects machines in regions, in virtual time. Regions are joined by one link each way.
 type network struct {
-	// intraRegionDelay and interRegionDelay are the one-way delays within a region and regionLinks two.
+	// intraRegionDelay and interRegionDelay are the one-way delays within a region and between two.
 	intraRegionDelay, interRegionDelay time.Duration
-	// rate is that of the links regionLinks regions, in bytes per second.
+	// rate is that of the links between regions, in bytes per second.
 	rate float64
 
 	mu          sync.Mutex
--- a/internal/proxy/cachesyncer/cachesyncer.go
+++ b/internal/proxy/cachesyncer/cachesyncer.go
@@ -125,8 +125,8 @@
 }
 
 // Watch reads changes from the store. The pause after a change is part of wait. The first call
-// after another host was read from returns without waiting, because data from another host
-// counts as current for a shorter time.
+// after another host was read from waits for storeCheckWait at most, because data from another
+// host counts as current for a shorter time.
 func (m *Mirror) Watch(ctx context.Context, after uint64, wait time.Duration) (Page, error) {
 	if !m.isFromStore() {
 		wait = min(wait, storeCheckWait)
