--- a/internal/group/follower/follower.go
+++ b/internal/group/follower/follower.go
@@ -1,4 +1,4 @@
-// Package follower knows a database group from the entry hosts that serve it, in place of polling its backend servers.
+// Package follower keeps a view of a database group by querying the entry hosts that serve it instead of its backend servers.
 package follower
 
 import (
@@ -18,81 +18,84 @@
 )
 
 const (
-	// watchHold is how long a serving host may keep the view back while nothing
-	// but positions changes.
+	// watchHold is how long a serving host may delay its answer while nothing but log
+	// positions changes.
 	watchHold = time.Second
-	// heldHold is the same while no majority answers it, so that refusals of
-	// waiting writes come in time.
-	heldHold = 100 * time.Millisecond
-	// askHold is how long it may wait for what was asked. Then it is asked again,
-	// by which a host that has died in the meantime is noticed.
+	// noMajorityHold replaces watchHold while no majority of the backend servers answers the
+	// serving host, so that waiting writes are refused in time.
+	noMajorityHold = 100 * time.Millisecond
+	// askHold is how long a serving host may wait for the conditions of a question with asks.
+	// The question is then repeated, which detects a host that has failed in the meantime.
 	askHold = 100 * time.Millisecond
-	// silence is how long an answer may take beyond the time it may be held.
-	silence = 150 * time.Millisecond
-	// avoidance is how long a host that didn't answer isn't asked, if others are.
-	avoidance = time.Second
-	// mistrust is the same for one that reaches no majority while another one does,
-	// glance while none does.
-	mistrust = 5 * time.Second
-	glance   = 300 * time.Millisecond
-	// desertion is how long nobody has answered until the follower is deserted.
-	desertion = 500 * time.Millisecond
-	// currency is how old the last answer may be for the view to be of use.
-	currency = watchHold + silence + desertion
-	// attendance bounds the wait for the first view.
-	attendance = time.Second
-	// linger is how long the view is kept up after the last request.
-	linger = 2 * time.Second
-	// pause is the time before everybody is asked again after all have failed.
-	pause = 20 * time.Millisecond
+	// answerTimeout is how long an answer may take in addition to its hold time.
+	answerTimeout = 150 * time.Millisecond
+	// failureAvoidance is how long a host that did not answer is skipped if there are others.
+	failureAvoidance = time.Second
+	// noMajorityAvoidance is how long a host that reaches no majority of the backend servers is
+	// skipped while another host does reach one, noMajorityRetry while none does.
+	noMajorityAvoidance = 5 * time.Second
+	noMajorityRetry     = 300 * time.Millisecond
+	// unreachableTimeout is how long no host has answered when HostsUnreachable is signaled.
+	unreachableTimeout = 500 * time.Millisecond
+	// maximumAnswerAge is how old the last answer may be for the view to count as current.
+	maximumAnswerAge = watchHold + answerTimeout + unreachableTimeout
+	// firstViewTimeout bounds the wait of AwaitView for a current view.
+	firstViewTimeout = time.Second
+	// idleTimeout is how long the view is kept up to date after the last request.
+	idleTimeout = 2 * time.Second
+	// retryDelay is the pause before the next question after all hosts have failed.
+	retryDelay = 20 * time.Millisecond
 )
 
-// Follower knows a database group from its serving hosts. It asks nobody as long
-// as no request comes. The exported fields are set before Run; all methods may be
-// called from any goroutine.
+// Follower keeps a view of a database group by querying its serving hosts. It sends no
+// questions while there are no requests. The exported fields are set before Run; all methods
+// may be called from any goroutine.
 type Follower struct {
 	Group declarer.DatabaseGroup
-	// Hosts returns the serving hosts, in the order in which they are turned to.
+	// Hosts returns the names of the serving hosts, the preferred one first.
 	Hosts func() []string
-	// Ask puts a question to a host, HandOverAt a hand-over.
+	// Ask sends a question to a serving host, HandOverAt a request for a hand-over.
 	Ask        func(ctx context.Context, host string, q informer.Question) (informer.Answer, error)
 	HandOverAt func(ctx context.Context, host string, q informer.HandOver) (informer.HandedOver, error)
-	// Settings are those of the group's drivers.
+	// Settings are the settings of the group's drivers.
 	Settings driver.Settings
 	Clock    *scheduler.Scheduler
-	// Stopwatch is read for all times of the view. Without it the follower has its own.
+	// Stopwatch is the clock of all times of the view. If nil, the follower creates its own.
 	Stopwatch *scheduler.Stopwatch
 	Log       log.Interface
 
-	// QuestionsSent counts the questions put to serving hosts, QuestionsFailed those without answer.
+	// QuestionsSent counts the questions sent to serving hosts. QuestionsFailed counts those
+	// without an answer, those whose host did not serve the group, and the attempts to send one
+	// when there was no serving host.
 	QuestionsSent, QuestionsFailed atomic.Uint64
 
-	once     sync.Once
-	names    []string
-	digest   uint64
-	view     atomic.Pointer[observer.View]
-	demanded atomic.Int64
-	heard    atomic.Int64
-	handing  atomic.Bool
-	wanted   atomic.Bool
-	stopped  atomic.Bool
-	woken    chan struct{}
-	deserted chan struct{}
-	work     sync.WaitGroup
+	once   sync.Once
+	names  []string
+	digest uint64
+	view   atomic.Pointer[observer.View]
+	// lastRequest and lastAnswer are times of Stopwatch in nanoseconds.
+	lastRequest atomic.Int64
+	lastAnswer  atomic.Int64
+	handingOver atomic.Bool
+	keepActive  atomic.Bool
+	stopped     atomic.Bool
+	wakeup      chan struct{}
+	unreachable chan struct{}
+	work        sync.WaitGroup
 
 	mu sync.Mutex
-	// fresh is closed at the next answer.
-	fresh  chan struct{}
-	ledger acknowledger.ReplicationTracker
-	lanes  [laneCount]lane
-	avoid  map[string]time.Duration
-	// source is the host whose version the view is of.
+	// nextView is closed when the next view is published or Run ends.
+	nextView   chan struct{}
+	tracker    acknowledger.ReplicationTracker
+	queues     [queueCount]waitQueue
+	avoidUntil map[string]time.Duration
+	// source is the host that version belongs to, empty if the view is out of date.
 	source  string
 	version uint64
-	// failing says that nobody has answered since failingSince.
+	// failing says that no host has answered since failingSince.
 	failing      bool
 	failingSince time.Duration
-	// context is Run's.
+	// context is the context of Run, nil before it.
 	context context.Context
 }
 
@@ -106,13 +109,13 @@
 	}
 	f.Stopwatch.Elapsed()
 	f.digest = informer.DigestServers(f.Group)
-	f.ledger.Instances = len(f.Group.BackendServers)
-	f.woken = make(chan struct{}, 1)
-	f.deserted = make(chan struct{}, 1)
-	f.fresh = make(chan struct{})
-	f.avoid = make(map[string]time.Duration)
-	f.heard.Store(int64(-2 * currency))
-	f.demanded.Store(int64(-2 * linger))
+	f.tracker.Instances = len(f.Group.BackendServers)
+	f.wakeup = make(chan struct{}, 1)
+	f.unreachable = make(chan struct{}, 1)
+	f.nextView = make(chan struct{})
+	f.avoidUntil = make(map[string]time.Duration)
+	f.lastAnswer.Store(int64(-2 * maximumAnswerAge))
+	f.lastRequest.Store(int64(-2 * idleTimeout))
 	v := &observer.View{At: f.now(), NoMajoritySince: f.now(), Obstacle: observer.ObstacleNoMajority}
 	for _, b := range f.Group.BackendServers {
 		f.names = append(f.names, b.Name)
@@ -121,66 +124,66 @@
 	f.view.Store(v)
 }
 
-// Run keeps the view up while requests come, until ctx ends.
+// Run keeps the view up to date while there are requests, until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
 	f.init()
-	f.begin(ctx)
+	f.start(ctx)
 	for ctx.Err() == nil {
 		if f.Idle() {
 			select {
 			case <-ctx.Done():
-			case <-f.woken:
+			case <-f.wakeup:
 			}
 			continue
 		}
-		f.look(ctx)
+		f.fetchView(ctx)
 	}
-	f.endWaits()
+	f.stopWaiters()
 	f.work.Wait()
 	return ctx.Err()
 }
 
-// Idle reports whether nobody needs the view.
+// Idle reports whether the view is not kept up to date because no request needs it.
 func (f *Follower) Idle() bool {
 	f.init()
-	return !f.wanted.Load() && f.now()-time.Duration(f.demanded.Load()) > linger
+	return !f.keepActive.Load() && f.now()-time.Duration(f.lastRequest.Load()) > idleTimeout
 }
 
-// KeepActive has the view kept up though no request comes, or ends that.
+// KeepActive sets whether the view is kept up to date without requests.
 func (f *Follower) KeepActive(on bool) {
 	f.init()
-	f.wanted.Store(on)
+	f.keepActive.Store(on)
 	f.wake()
 }
 
-// demand notes that a request needs the view.
-func (f *Follower) demand() {
-	was := f.Idle()
-	f.demanded.Store(int64(f.now()))
-	if was {
+// noteRequest records that a request needs the view and wakes Run if it was idle.
+func (f *Follower) noteRequest() {
+	wasIdle := f.Idle()
+	f.lastRequest.Store(int64(f.now()))
+	if wasIdle {
 		f.wake()
 	}
 }
 
 func (f *Follower) wake() {
 	select {
-	case f.woken <- struct{}{}:
+	case f.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// look asks a serving host for its next view.
-func (f *Follower) look(ctx context.Context) {
-	h := f.pick()
+// fetchView requests the next view from a serving host.
+func (f *Follower) fetchView(ctx context.Context) {
+	h := f.pickHost()
 	q := informer.Question{Hold: watchHold}
 	if !f.View().HasMajority() {
-		q.Hold = heldHold
+		q.Hold = noMajorityHold
 	}
-	f.question(ctx, h, q)
+	f.askHost(ctx, h, q)
 }
 
-// seen returns the version of the view if it is a current one of that host.
-func (f *Follower) seen(host string) uint64 {
+// seenVersion returns the version of the view if it is current and came from host, else zero.
+func (f *Follower) seenVersion(host string) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.source != host || !f.Current() {
@@ -189,94 +192,96 @@
 	return f.version
 }
 
-// question puts q to the host and takes its view. ok is false if it has none.
-func (f *Follower) question(ctx context.Context, host string, q informer.Question) (a informer.Answer, ok bool) {
+// askHost sends q to host and accepts the view in its answer. ok is false if host did not
+// answer or does not serve the group.
+func (f *Follower) askHost(ctx context.Context, host string, q informer.Question) (a informer.Answer, ok bool) {
 	q.DatabaseGroup = f.Group.Name
 	q.ServersDigest = f.digest
-	q.SeenVersion = f.seen(host)
+	q.SeenVersion = f.seenVersion(host)
 	if host == "" {
-		f.failed(ctx, host)
+		f.handleFailure(ctx, host)
 		return a, false
 	}
-	c, cancel := context.WithTimeout(ctx, q.Hold+silence)
+	c, cancel := context.WithTimeout(ctx, q.Hold+answerTimeout)
 	defer cancel()
 	f.QuestionsSent.Add(1)
 	sent := f.now()
 	a, err := f.Ask(c, host, q)
 	if err != nil || !a.Serving {
-		f.failed(ctx, host)
+		f.handleFailure(ctx, host)
 		return a, false
 	}
-	f.take(host, sent, &a)
+	f.acceptAnswer(host, sent, &a)
 	return a, true
 }
 
-// pick returns the nearest host that has answered last time, or else the one whose
-// failure is the longest ago; it is empty if there is none.
-func (f *Follower) pick() string {
+// pickHost returns the first host that isn't to be avoided. If all are, it returns the one
+// to avoid for the shortest time, and an empty name if there is no host.
+func (f *Follower) pickHost() string {
 	l := f.Hosts()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
 	best := ""
 	for _, h := range l {
-		if f.avoid[h] <= now {
+		if f.avoidUntil[h] <= now {
 			return h
 		}
-		if best == "" || f.avoid[h] < f.avoid[best] {
+		if best == "" || f.avoidUntil[h] < f.avoidUntil[best] {
 			best = h
 		}
 	}
 	return best
 }
 
-// failed notes that the host didn't answer. It waits a moment if all have failed.
-func (f *Follower) failed(ctx context.Context, host string) {
+// handleFailure records that host did not answer. If all hosts have failed, it waits for
+// retryDelay.
+func (f *Follower) handleFailure(ctx context.Context, host string) {
 	if ctx.Err() != nil {
 		return
 	}
 	f.QuestionsFailed.Add(1)
 	f.mu.Lock()
 	now := f.now()
-	f.avoid[host] = now + avoidance
+	f.avoidUntil[host] = now + failureAvoidance
 	if !f.failing {
 		f.failing, f.failingSince = true, now
 	}
-	lost := now-f.failingSince >= desertion
+	allFailed := now-f.failingSince >= unreachableTimeout
 	f.mu.Unlock()
-	if lost {
-		f.desert(now)
+	if allFailed {
+		f.invalidate(now)
 	}
-	if p := f.pick(); p == "" || f.avoided(p) {
-		_ = scheduler.Pause(ctx, pause)
+	if p := f.pickHost(); p == "" || f.isAvoided(p) {
+		_ = scheduler.Pause(ctx, retryDelay)
 	}
 }
 
-func (f *Follower) avoided(host string) bool {
+func (f *Follower) isAvoided(host string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.avoid[host] > f.now()
+	return f.avoidUntil[host] > f.now()
 }
 
 func (f *Follower) now() time.Duration {
 	return f.Stopwatch.Elapsed()
 }
 
-// Current reports whether a serving host has answered lately.
+// Current reports whether a serving host has answered within maximumAnswerAge.
 func (f *Follower) Current() bool {
 	f.init()
-	return f.now()-time.Duration(f.heard.Load()) <= currency
+	return f.now()-time.Duration(f.lastAnswer.Load()) <= maximumAnswerAge
 }
 
-// LastAnswerAt returns when a serving host last answered, on the clock of Now.
+// LastAnswerAt returns when the last view of a serving host was accepted, on the clock of Now.
 func (f *Follower) LastAnswerAt() time.Duration {
 	f.init()
-	return time.Duration(f.heard.Load())
+	return time.Duration(f.lastAnswer.Load())
 }
 
-// HostsUnreachable returns a channel that receives when no serving host answers though
-// requests need one.
+// HostsUnreachable returns a channel that receives a value when no serving host has answered
+// for unreachableTimeout although requests need the view.
 func (f *Follower) HostsUnreachable() <-chan struct{} {
 	f.init()
-	return f.deserted
+	return f.unreachable
 }
--- a/internal/group/follower/follower_test.go
+++ b/internal/group/follower/follower_test.go
@@ -21,51 +21,53 @@
 	"github.com/cuminwick/cuminwick/internal/group/marker"
 )
 
-// remote is a backend server whose log grows by a position each microsecond, so
-// that a position tells when it was written.
-type remote struct {
+// server is a simulated backend server whose log grows by one position per microsecond, so
+// that each position gives the time at which it was written.
+type server struct {
 	controller.Control
-	name    string
-	primary bool
-	trip    time.Duration
+	name      string
+	primary   bool
+	roundTrip time.Duration
+	// lag is the replication delay.
 	lag     time.Duration
 	started time.Time
 }
 
-func (r *remote) Status(ctx context.Context) (controller.Status, error) {
-	time.Sleep(r.trip / 2)
+func (r *server) Status(ctx context.Context) (controller.Status, error) {
+	time.Sleep(r.roundTrip / 2)
 	s := controller.Status{BackendServer: r.name, Role: controller.RoleReplica, Following: "db-1", Term: 1, TermStart: 1}
 	if r.primary {
 		s.Role, s.Following = controller.RolePrimary, ""
 	}
 	s.Last = r.written()
-	time.Sleep(r.trip / 2)
+	time.Sleep(r.roundTrip / 2)
 	return s, ctx.Err()
 }
 
-// written is the last position of the server's log now.
-func (r *remote) written() marker.Mark {
+// written returns the present last position of the server's log.
+func (r *server) written() marker.Mark {
 	p := max(1, time.Since(r.started)-r.lag)
 	return marker.Mark{Term: 1, Position: marker.Position(p.Microseconds())}
 }
 
-// way is how long a message between two hosts takes.
-const way = 500 * time.Microsecond
+// messageDelay is the one-way latency between two entry hosts.
+const messageDelay = 500 * time.Microsecond
 
-// fleet is serving hosts that a follower turns to in order.
-type fleet struct {
+// servingHosts are the serving hosts of a follower, which prefers them in the order of names.
+// A dead one doesn't answer questions, a cutOff one can't reach the backend servers.
+type servingHosts struct {
 	names     []string
 	informers map[string]*informer.Informer
 	dead      map[string]*atomic.Bool
-	blind     map[string]*atomic.Bool
+	cutOff    map[string]*atomic.Bool
 	asked     atomic.Int64
 }
 
-func (f *fleet) ask(ctx context.Context, host string, q informer.Question) (informer.Answer, error) {
+func (f *servingHosts) ask(ctx context.Context, host string, q informer.Question) (informer.Answer, error) {
 	f.asked.Add(1)
-	time.Sleep(way)
+	time.Sleep(messageDelay)
 	a, err := f.informers[host].Answer(ctx, q)
-	time.Sleep(way)
+	time.Sleep(messageDelay)
 	if f.dead[host].Load() {
 		<-ctx.Done()
 	}
@@ -75,26 +77,26 @@
 	return a, err
 }
 
-// sight is a server as one host sees it.
-type sight struct {
-	*remote
-	blind *atomic.Bool
+// hostView is the connection of one host to a server.
+type hostView struct {
+	*server
+	cutOff *atomic.Bool
 }
 
-func (s sight) Status(ctx context.Context) (controller.Status, error) {
-	if s.blind.Load() {
-		return controller.Status{}, errors.New("no way to the server")
+func (s hostView) Status(ctx context.Context) (controller.Status, error) {
+	if s.cutOff.Load() {
+		return controller.Status{}, errors.New("server not reachable")
 	}
-	return s.remote.Status(ctx)
+	return s.server.Status(ctx)
 }
 
-// followed runs a follower of two serving hosts in virtual time and calls t.
-func followed(t *testing.T, f func(ctx context.Context, f *Follower, l *fleet, s []*remote)) {
+// runFollower runs a follower of two serving hosts in virtual time and calls f.
+func runFollower(t *testing.T, f func(ctx context.Context, f *Follower, l *servingHosts, s []*server)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := []*remote{
-			{name: "db-1", primary: true, trip: 400 * time.Microsecond},
-			{name: "db-2", trip: 3 * time.Millisecond, lag: 5 * time.Millisecond},
-			{name: "db-3", trip: 16 * time.Millisecond, lag: 12 * time.Millisecond},
+		s := []*server{
+			{name: "db-1", primary: true, roundTrip: 400 * time.Microsecond},
+			{name: "db-2", roundTrip: 3 * time.Millisecond, lag: 5 * time.Millisecond},
+			{name: "db-3", roundTrip: 16 * time.Millisecond, lag: 12 * time.Millisecond},
 		}
 		g := declarer.DatabaseGroup{Name: "kalkul"}
 		for _, r := range s {
@@ -102,14 +104,14 @@
 			g.BackendServers = append(g.BackendServers, declarer.BackendServer{Name: r.name, Address: r.name})
 		}
 		ctx, stop := context.WithCancel(t.Context())
-		l := &fleet{names: []string{"serving-1", "serving-2"}, informers: make(map[string]*informer.Informer), dead: make(map[string]*atomic.Bool), blind: make(map[string]*atomic.Bool)}
+		l := &servingHosts{names: []string{"serving-1", "serving-2"}, informers: make(map[string]*informer.Informer), dead: make(map[string]*atomic.Bool), cutOff: make(map[string]*atomic.Bool)}
 		quiet := &log.Logger{Handler: json.New(io.Discard)}
 		var w sync.WaitGroup
 		for _, n := range l.names {
-			l.blind[n] = new(atomic.Bool)
+			l.cutOff[n] = new(atomic.Bool)
 			c := make(map[string]controller.Control)
 			for _, r := range s {
-				c[r.name] = sight{remote: r, blind: l.blind[n]}
+				c[r.name] = hostView{server: r, cutOff: l.cutOff[n]}
 			}
 			d := &driver.Driver{Group: g, Host: n, Controls: c, Settings: driver.Defaults(), Log: quiet}
 			l.informers[n] = &informer.Informer{FindDriver: func(string) (*driver.Driver, uint64) { return d, informer.DigestServers(g) }}
@@ -126,11 +128,11 @@
 	})
 }
 
-// A caller's read must show each write acknowledged before it, though its host
-// has asked no backend server: an index begun before the read came would miss one.
-// All who wait at once share a question; else each read would cost a message.
+// A read must show each write acknowledged before it. A read index that was begun before the
+// read arrived could miss such a write. Concurrent reads must share questions, otherwise each
+// read would cost a message.
 func TestReadIndexes(t *testing.T) {
-	followed(t, func(ctx context.Context, f *Follower, l *fleet, s []*remote) {
+	runFollower(t, func(ctx context.Context, f *Follower, l *servingHosts, s []*server) {
 		const readers, reads = 16, 50
 		before := l.asked.Load()
 		var w sync.WaitGroup
@@ -139,7 +141,7 @@
 			w.Go(func() {
 				for range reads {
 					time.Sleep(time.Duration(r.IntN(4000)) * time.Microsecond)
-					// A majority holds what the nearest replica has.
+					// A majority holds everything that the nearest replica holds.
 					arrived := s[1].written()
 					if m, err := f.ReadIndex(ctx); err != nil || !m.Covers(arrived) {
 						t.Errorf("read index %v, %v, want %v covered", m, err, arrived)
@@ -154,10 +156,10 @@
 	})
 }
 
-// The clocks of two hosts aren't compared, and messages take time. A status that
-// seemed younger than it is would have a read with an age see too old data.
-func TestStatusesSeemNoYoungerThanTheyAre(t *testing.T) {
-	followed(t, func(ctx context.Context, f *Follower, _ *fleet, s []*remote) {
+// The age of a status is derived without comparing the clocks of two hosts, and messages take
+// time. If the age were underestimated, a read with a maximum age would return older data.
+func TestStatusAgeIsNotUnderestimated(t *testing.T) {
+	runFollower(t, func(ctx context.Context, f *Follower, _ *servingHosts, s []*server) {
 		f.AwaitView(ctx)
 		for range 100 {
 			time.Sleep(37 * time.Millisecond)
@@ -168,19 +170,19 @@
 			}
 			for i, r := range s {
 				written := time.Duration(v.Servers[i].Status.Last.Position) * time.Microsecond
-				if begun := written + r.lag - r.trip/2; v.Servers[i].PolledAt > begun+time.Microsecond {
-					t.Errorf("%s: status seems to be of %v, it is of %v", r.name, v.Servers[i].PolledAt, begun)
+				if begun := written + r.lag - r.roundTrip/2; v.Servers[i].PolledAt > begun+time.Microsecond {
+					t.Errorf("%s: status polled at %v, want at most %v", r.name, v.Servers[i].PolledAt, begun)
 				}
 			}
 		}
 	})
 }
 
-// The serving host dies while commits wait for their acknowledgement. A caller who
-// was told that its write is undetermined, or nothing at all, would have to find
-// out by itself; the next serving host knows.
+// The serving host fails while commits wait for their acknowledgement. If the follower reported
+// them as undetermined or did not answer, callers would have to find out the outcome themselves
+// although the next serving host can tell it.
 func TestServingHostDiesWhileCommitsWait(t *testing.T) {
-	followed(t, func(ctx context.Context, f *Follower, l *fleet, s []*remote) {
+	runFollower(t, func(ctx context.Context, f *Follower, l *servingHosts, s []*server) {
 		f.AwaitView(ctx)
 		var w sync.WaitGroup
 		for n := range 20 {
@@ -190,7 +192,7 @@
 				if err := f.WaitAcknowledged(ctx, s[0].written()); err != nil {
 					t.Error(err)
 				}
-				if d := time.Since(at); d > askHold+silence+50*time.Millisecond {
+				if d := time.Since(at); d > askHold+answerTimeout+50*time.Millisecond {
 					t.Errorf("acknowledged after %v", d)
 				}
 			})
@@ -201,11 +203,11 @@
 	})
 }
 
-// No serving host answers any more. Requests must be told soon that there is no
-// majority, and the host that it has to serve itself; what was heard last must not
-// be taken for what is. Once one answers again the follower goes on.
-func TestNobodyAnswers(t *testing.T) {
-	followed(t, func(ctx context.Context, f *Follower, l *fleet, _ []*remote) {
+// All serving hosts stop answering. Requests must soon fail with ErrNoMajority, and the host
+// must be notified so that it can serve the group itself; a follower that kept the last view
+// would use outdated data. The follower must recover once a serving host answers again.
+func TestNoServingHostAnswers(t *testing.T) {
+	runFollower(t, func(ctx context.Context, f *Follower, l *servingHosts, _ []*server) {
 		f.AwaitView(ctx)
 		for _, d := range l.dead {
 			d.Store(true)
@@ -215,13 +217,13 @@
 			f.PollNow()
 			time.Sleep(10 * time.Millisecond)
 		}
-		if d := time.Since(at); d > currency+watchHold {
-			t.Errorf("the last view stood for %v", d)
+		if d := time.Since(at); d > maximumAnswerAge+watchHold {
+			t.Errorf("the last view was kept for %v", d)
 		}
 		select {
 		case <-f.HostsUnreachable():
 		default:
-			t.Error("not deserted")
+			t.Error("HostsUnreachable not signaled")
 		}
 		if _, err := f.WaitPrimary(ctx); !errors.Is(err, driver.ErrNoMajority) {
 			t.Errorf("wait for primary: %v", err)
@@ -240,15 +242,15 @@
 	})
 }
 
-// A host has most groups without a caller. It must not ask for their views: with
-// thousands of groups that alone would be above what control may take.
+// Most groups of a host have no requests. If the host requested their views all the same, the
+// questions for thousands of groups alone would exceed the limit on control traffic.
 func TestNoQuestionsWithoutRequests(t *testing.T) {
-	followed(t, func(ctx context.Context, f *Follower, l *fleet, _ []*remote) {
+	runFollower(t, func(ctx context.Context, f *Follower, l *servingHosts, _ []*server) {
 		if n := l.asked.Load(); n != 0 {
 			t.Errorf("%d questions before the first request", n)
 		}
 		f.AwaitView(ctx)
-		time.Sleep(2 * linger)
+		time.Sleep(2 * idleTimeout)
 		n := l.asked.Load()
 		time.Sleep(time.Minute)
 		if m := l.asked.Load(); m != n {
@@ -260,13 +262,13 @@
 	})
 }
 
-// The nearest serving host answers, but has lost its own way to the servers. If the
-// others went on with it, all their callers would be refused though another serving
-// host knows better.
+// The nearest serving host answers, but is cut off from the backend servers. If followers kept
+// using its view, all their callers would be refused although another serving host reaches a
+// majority.
 func TestServingHostWithoutMajority(t *testing.T) {
-	followed(t, func(ctx context.Context, f *Follower, l *fleet, s []*remote) {
+	runFollower(t, func(ctx context.Context, f *Follower, l *servingHosts, s []*server) {
 		f.AwaitView(ctx)
-		l.blind["serving-1"].Store(true)
+		l.cutOff["serving-1"].Store(true)
 		time.Sleep(2 * time.Second)
 		for range 100 {
 			if v := f.View(); !v.Confirmed {
@@ -277,13 +279,13 @@
 			}
 			time.Sleep(93 * time.Millisecond)
 		}
-		l.blind["serving-1"].Store(false)
-		time.Sleep(2 * mistrust)
+		l.cutOff["serving-1"].Store(false)
+		time.Sleep(2 * noMajorityAvoidance)
 		f.AwaitView(ctx)
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if f.source != "serving-1" {
-			t.Errorf("follows %s, want the nearest again", f.source)
+			t.Errorf("view is of %s, want serving-1 again, which is nearest", f.source)
 		}
 	})
 }
--- a/internal/group/follower/lane.go
+++ b/internal/group/follower/lane.go
@@ -14,54 +14,58 @@
 	"github.com/cuminwick/cuminwick/internal/group/observer"
 )
 
-// Those who wait for different things don't share questions: a read index takes a
-// round trip to the nearest servers, an acknowledgement a replication as well.
+// Indexes of the queues. Requests for different conditions don't share questions, because they
+// take different times: a read index takes a round trip to the nearest servers, an
+// acknowledgement also takes a replication.
 const (
-	laneIndex = iota
-	laneMark
-	laneCovered
-	lanePrimary
-	laneHurry
-	laneCount
+	queueReadIndex = iota
+	queueCommit
+	queueCovered
+	queuePrimary
+	queuePollNow
+	queueCount
 )
 
-var lanes = map[informer.AskKind]int{
-	informer.AskReadIndex:    laneIndex,
-	informer.AskAcknowledged: laneMark,
-	informer.AskCommit:       laneMark,
-	informer.AskCovered:      laneCovered,
-	informer.AskPrimary:      lanePrimary,
-	informer.AskPollNow:      laneHurry,
+// queueByKind is the index of the queue for each kind of ask.
+var queueByKind = map[informer.AskKind]int{
+	informer.AskReadIndex:    queueReadIndex,
+	informer.AskAcknowledged: queueCommit,
+	informer.AskCommit:       queueCommit,
+	informer.AskCovered:      queueCovered,
+	informer.AskPrimary:      queuePrimary,
+	informer.AskPollNow:      queuePollNow,
 }
 
-// maximumFlights is how many questions of a lane are under way at once. Whoever
-// comes while they are shares the next one.
-const maximumFlights = 2
+// maximumInFlight is how many questions of one queue are sent at a time. Requests that arrive
+// while these are pending share the next question.
+const maximumInFlight = 2
 
-// lane gathers those who wait for the same kind of thing.
-type lane struct {
-	queue   []*waiter
-	flights int
+// waitQueue holds the requests that wait for the same kind of condition.
+type waitQueue struct {
+	waiters []*waiter
+	// inFlight is the number of questions sent and not answered yet.
+	inFlight int
 }
 
-// waiter is one request that waits for a serving host's word.
+// waiter is one request that waits for an answer of a serving host.
 type waiter struct {
 	ask  informer.Ask
 	done chan answer
-	// left says that nobody waits for the answer any more.
-	left bool
+	// abandoned says that the caller has stopped waiting for the answer.
+	abandoned bool
 }
 
+// answer is the outcome of a waiter: a read index, a view or an error, depending on its ask.
 type answer struct {
 	mark marker.Mark
 	view *observer.View
 	err  error
 }
 
-// enlist asks for what w waits for, unless it is known already.
-func (f *Follower) enlist(w *waiter) {
+// enqueue adds w to the queue of its kind, unless it can be answered immediately.
+func (f *Follower) enqueue(w *waiter) {
 	f.init()
-	f.demand()
+	f.noteRequest()
 	w.done = make(chan answer, 1)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -69,34 +73,35 @@
 		w.done <- answer{err: driver.ErrStopped}
 		return
 	}
-	if a, ok := f.known(w, f.view.Load()); ok {
+	if a, ok := f.answerLocally(w, f.view.Load()); ok {
 		w.done <- a
 		return
 	}
-	l := &f.lanes[lanes[w.ask.Kind]]
-	l.queue = append(l.queue, w)
-	f.pump(l)
+	l := &f.queues[queueByKind[w.ask.Kind]]
+	l.waiters = append(l.waiters, w)
+	f.sendNext(l)
 }
 
-// known answers w from what is known here, if that suffices. What a server was
-// seen to hold counts for good, whoever has seen it. The mutex is held.
-func (f *Follower) known(w *waiter, v *observer.View) (answer, bool) {
+// answerLocally returns the answer to w if the tracker and v suffice for it. A record that a
+// server was once observed to hold counts permanently, whichever host observed it. The mutex
+// is held.
+func (f *Follower) answerLocally(w *waiter, v *observer.View) (answer, bool) {
 	switch w.ask.Kind {
 	case informer.AskAcknowledged:
-		return verdict(f.ledger.Decide(w.ask.Mark))
+		return commitAnswer(f.tracker.Decide(w.ask.Mark))
 	case informer.AskCommit:
-		return verdict(f.ledger.DecideExact(w.ask.Mark))
+		return commitAnswer(f.tracker.DecideExact(w.ask.Mark))
 	case informer.AskCovered:
 		s, _ := v.Server(w.ask.Server)
 		return answer{}, s.Status.Last.Covers(w.ask.Mark)
 	case informer.AskPrimary:
-		return f.primary(v)
+		return f.answerPrimary(v)
 	default:
 		return answer{}, false
 	}
 }
 
-func (f *Follower) primary(v *observer.View) (answer, bool) {
+func (f *Follower) answerPrimary(v *observer.View) (answer, bool) {
 	if v.Confirmed && f.Current() {
 		return answer{view: v}, true
 	}
@@ -106,8 +111,9 @@
 	return answer{}, false
 }
 
-// verdict leaves what isn't determined here to the serving host, which sees more.
-func verdict(v acknowledger.CommitState) (answer, bool) {
+// commitAnswer returns the answer for a commit in state v. A commit whose state is undetermined
+// here is left to the serving host, which observes more.
+func commitAnswer(v acknowledger.CommitState) (answer, bool) {
 	switch v {
 	case acknowledger.Acknowledged:
 		return answer{}, true
@@ -118,12 +124,12 @@
 	}
 }
 
-// serveWaiters answers those in the queues whose answer v shows. The mutex is held.
+// serveWaiters answers the queued waiters that v satisfies. The mutex is held.
 func (f *Follower) serveWaiters(v *observer.View) {
-	for i := range f.lanes {
-		l := &f.lanes[i]
-		l.queue = slices.DeleteFunc(l.queue, func(w *waiter) bool {
-			a, ok := f.known(w, v)
+	for i := range f.queues {
+		l := &f.queues[i]
+		l.waiters = slices.DeleteFunc(l.waiters, func(w *waiter) bool {
+			a, ok := f.answerLocally(w, v)
 			if ok {
 				w.done <- a
 			}
@@ -132,79 +138,80 @@
 	}
 }
 
-// pump sends the next question of the lane. The mutex is held.
-func (f *Follower) pump(l *lane) {
-	l.queue = slices.DeleteFunc(l.queue, func(w *waiter) bool { return w.left })
-	if f.context == nil || f.stopped.Load() || len(l.queue) == 0 || l.flights >= maximumFlights {
+// sendNext sends the next question for the waiters of the queue. The mutex is held.
+func (f *Follower) sendNext(l *waitQueue) {
+	l.waiters = slices.DeleteFunc(l.waiters, func(w *waiter) bool { return w.abandoned })
+	if f.context == nil || f.stopped.Load() || len(l.waiters) == 0 || l.inFlight >= maximumInFlight {
 		return
 	}
-	n := min(len(l.queue), informer.MaximumAsks)
-	x := &flight{follower: f, lane: l, waiters: slices.Clone(l.queue[:n])}
-	l.queue = slices.Delete(l.queue, 0, n)
-	l.flights++
+	n := min(len(l.waiters), informer.MaximumAsks)
+	x := &batch{follower: f, queue: l, waiters: slices.Clone(l.waiters[:n])}
+	l.waiters = slices.Delete(l.waiters, 0, n)
+	l.inFlight++
 	f.work.Add(1)
 	go x.run(f.context)
 }
 
-// begin sends what was asked for before Run.
-func (f *Follower) begin(ctx context.Context) {
+// start sends the questions for the requests that were queued before Run.
+func (f *Follower) start(ctx context.Context) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.context = ctx
-	for i := range f.lanes {
-		f.pump(&f.lanes[i])
+	for i := range f.queues {
+		f.sendNext(&f.queues[i])
 	}
 }
 
-// flight is one question with those who wait for its answer.
-type flight struct {
+// batch is one question with the waiters that share it.
+type batch struct {
 	follower *Follower
-	lane     *lane
+	queue    *waitQueue
 	waiters  []*waiter
 }
 
-func (x *flight) run(ctx context.Context) {
+func (x *batch) run(ctx context.Context) {
 	f := x.follower
 	defer f.work.Done()
 	q := informer.Question{Hold: askHold}
-	number := make(map[informer.Ask]int)
+	indexes := make(map[informer.Ask]int)
 	for _, w := range x.waiters {
-		if _, ok := number[w.ask]; !ok {
-			number[w.ask] = len(q.Asks)
+		if _, ok := indexes[w.ask]; !ok {
+			indexes[w.ask] = len(q.Asks)
 			q.Asks = append(q.Asks, w.ask)
 		}
 	}
 	began := f.now()
-	a, _ := f.question(ctx, f.pick(), q)
-	if !met(a.Results) && f.now()-began < pause {
-		_ = scheduler.Pause(ctx, pause)
+	a, _ := f.askHost(ctx, f.pickHost(), q)
+	if !anyResolved(a.Results) && f.now()-began < retryDelay {
+		_ = scheduler.Pause(ctx, retryDelay)
 	}
-	x.land(a.Results, number)
+	x.complete(a.Results, indexes)
 }
 
-func met(l []informer.Result) bool {
+func anyResolved(l []informer.Result) bool {
 	return slices.ContainsFunc(l, func(r informer.Result) bool { return r.State != informer.StatePending })
 }
 
-// land answers the waiters; those without an answer ask again, whom they can. A
-// mark stays the same, and an index that is begun later covers no less.
-func (x *flight) land(l []informer.Result, number map[informer.Ask]int) {
+// complete answers the waiters from the results l; indexes holds the index of each ask in l.
+// Waiters without a result are queued again. Repeating an ask is safe: a mark stays the same,
+// and a read index that is begun later covers no less.
+func (x *batch) complete(l []informer.Result, indexes map[informer.Ask]int) {
 	f := x.follower
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	x.lane.flights--
+	x.queue.inFlight--
 	for _, w := range x.waiters {
 		r := informer.Result{}
-		if n := number[w.ask]; n < len(l) {
+		if n := indexes[w.ask]; n < len(l) {
 			r = l[n]
 		}
-		x.settle(w, r)
+		x.resolve(w, r)
 	}
-	f.pump(x.lane)
+	f.sendNext(x.queue)
 }
 
-// settle answers w or has it ask again. The mutex is held.
-func (x *flight) settle(w *waiter, r informer.Result) {
+// resolve answers w from r or queues it again. The mutex is held.
+func (x *batch) resolve(w *waiter, r informer.Result) {
 	f := x.follower
 	switch r.State {
 	case informer.StateDone:
@@ -217,7 +224,7 @@
 		w.done <- answer{err: driver.ErrUndetermined}
 		return
 	}
-	if a, ok := f.known(w, f.view.Load()); ok {
+	if a, ok := f.answerLocally(w, f.view.Load()); ok {
 		w.done <- a
 		return
 	}
@@ -225,26 +232,26 @@
 		w.done <- answer{err: driver.ErrStopped}
 		return
 	}
-	x.lane.queue = append(x.lane.queue, w)
+	x.queue.waiters = append(x.queue.waiters, w)
 }
 
-// endWaits tells all in the queues that no answer comes; those with a question
-// under way are told when it ends.
-func (f *Follower) endWaits() {
+// stopWaiters fails all queued waiters with driver.ErrStopped. Waiters whose question is in
+// flight are answered when it ends.
+func (f *Follower) stopWaiters() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.stopped.Store(true)
-	for i := range f.lanes {
-		for _, w := range f.lanes[i].queue {
+	for i := range f.queues {
+		for _, w := range f.queues[i].waiters {
 			w.done <- answer{err: driver.ErrStopped}
 		}
-		f.lanes[i].queue = nil
+		f.queues[i].waiters = nil
 	}
-	close(f.fresh)
-	f.fresh = make(chan struct{})
+	close(f.nextView)
+	f.nextView = make(chan struct{})
 }
 
-// await returns the answer to w. The error of ctx is returned as it is.
+// await returns the answer to w. It returns the error of ctx unchanged when ctx ends first.
 func (f *Follower) await(ctx context.Context, w *waiter) (answer, error) {
 	select {
 	case a := <-w.done:
@@ -253,13 +260,13 @@
 		}
 		return a, nil
 	case <-ctx.Done():
-		f.leave(w)
+		f.abandon(w)
 		return answer{}, ctx.Err()
 	}
 }
 
-func (f *Follower) leave(w *waiter) {
+func (f *Follower) abandon(w *waiter) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w.left = true
+	w.abandoned = true
 }
--- a/internal/group/follower/view.go
+++ b/internal/group/follower/view.go
@@ -7,11 +7,12 @@
 	"github.com/cuminwick/cuminwick/internal/group/observer"
 )
 
-// desert tells that nobody answers, and takes back what was last heard. Without
-// that a host that is cut off would go on choosing servers that it knows nothing of.
-func (f *Follower) desert(now time.Duration) {
+// invalidate signals that no serving host answers. If the last answer is no longer current, it
+// publishes a view in which no server is reachable. Otherwise a host that is cut off would go on
+// choosing servers from an outdated view.
+func (f *Follower) invalidate(now time.Duration) {
 	select {
-	case f.deserted <- struct{}{}:
+	case f.unreachable <- struct{}{}:
 	default:
 	}
 	o := f.View()
@@ -34,14 +35,14 @@
 	f.publish(&v)
 }
 
-// take takes in a host's answer to what was asked when it was sent.
-func (f *Follower) take(host string, sent time.Duration, a *informer.Answer) {
+// acceptAnswer updates the view from the answer of host to a question sent at the given time.
+func (f *Follower) acceptAnswer(host string, sent time.Duration, a *informer.Answer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.failing = false
-	delete(f.avoid, host)
+	delete(f.avoidUntil, host)
 	v := f.unpack(host, sent, a)
-	if v != nil && !v.HasMajority() && f.better(host) {
+	if v != nil && !v.HasMajority() && f.rejectWithoutMajority(host) {
 		v = nil
 	}
 	if v == nil {
@@ -50,30 +51,30 @@
 	}
 	for i := range v.Servers {
 		if v.Servers[i].Answered {
-			f.ledger.Observe(v.Servers[i].Status)
+			f.tracker.Observe(v.Servers[i].Status)
 		}
 	}
-	f.heard.Store(int64(f.now()))
+	f.lastAnswer.Store(int64(f.now()))
 	f.source, f.version = host, a.Version
-	f.handing.Store(a.HandingOver)
+	f.handingOver.Store(a.HandingOver)
 	f.keepLatest(v)
 	f.publish(v)
 }
 
-// better notes that the host answers, but reaches no majority of the servers, and
-// reports whether another one that does is known. Without that the callers of all
-// hosts that follow one whose own way is broken would be refused with its callers.
-// The mutex is held.
-func (f *Follower) better(host string) bool {
+// rejectWithoutMajority marks host to be avoided because it answers, but reaches no majority of
+// the servers. It reports whether its view is to be dropped since a current view of another host
+// has a majority. Otherwise a serving host that is cut off from the servers would make all its
+// followers refuse their callers too. The mutex is held.
+func (f *Follower) rejectWithoutMajority(host string) bool {
 	ok := f.source != host && f.Current() && f.view.Load().HasMajority()
-	f.avoid[host] = f.now() + glance
+	f.avoidUntil[host] = f.now() + noMajorityRetry
 	if ok {
-		f.avoid[host] = f.now() + mistrust
+		f.avoidUntil[host] = f.now() + noMajorityAvoidance
 	}
 	return ok
 }
 
-// unpack returns the view of an answer, nil if a newer one has overtaken it.
+// unpack returns the view of an answer, nil if a newer answer was accepted before it.
 func (f *Follower) unpack(host string, sent time.Duration, a *informer.Answer) *observer.View {
 	switch {
 	case a.View != nil && (f.source != host || int64(a.Version-f.version) >= 0):
@@ -85,8 +86,8 @@
 	}
 }
 
-// keepLatest keeps what is already known of a server where an answer is older,
-// as answers may overtake each other and hosts differ in what they know.
+// keepLatest keeps the position of each server that was observed later than the one in v,
+// because answers may arrive out of order and hosts poll at different times.
 func (f *Follower) keepLatest(v *observer.View) {
 	o := f.view.Load()
 	for i := range v.Servers {
@@ -97,10 +98,10 @@
 	}
 }
 
-// publish makes v the view and answers who waits for it. The mutex is held.
+// publish stores v as the view and answers the waiters that it satisfies. The mutex is held.
 func (f *Follower) publish(v *observer.View) {
 	f.view.Store(v)
-	close(f.fresh)
-	f.fresh = make(chan struct{})
+	close(f.nextView)
+	f.nextView = make(chan struct{})
 	f.serveWaiters(v)
 }
--- a/internal/group/follower/waits.go
+++ b/internal/group/follower/waits.go
@@ -12,19 +12,19 @@
 	"github.com/cuminwick/cuminwick/internal/group/observer"
 )
 
-// AwaitView returns once a serving host's view has come. It gives up with ctx, and
-// after a while in which none answers.
+// AwaitView returns once the view is current. It gives up when ctx ends and after
+// firstViewTimeout.
 func (f *Follower) AwaitView(ctx context.Context) {
 	f.init()
-	f.demand()
+	f.noteRequest()
 	if f.Current() {
 		return
 	}
-	c, cancel := context.WithTimeout(ctx, attendance)
+	c, cancel := context.WithTimeout(ctx, firstViewTimeout)
 	defer cancel()
 	for !f.Current() && !f.stopped.Load() {
 		f.mu.Lock()
-		x := f.fresh
+		x := f.nextView
 		f.mu.Unlock()
 		if f.Current() || f.stopped.Load() {
 			return
@@ -37,19 +37,19 @@
 	}
 }
 
-// View returns what the serving hosts told last. It must not be changed.
+// View returns the last view received from a serving host. It must not be changed.
 func (f *Follower) View() *observer.View {
 	f.init()
 	return f.view.Load()
 }
 
-// Now returns the time on the clock that the view's times are read from.
+// Now returns the present time on the clock of the view's times.
 func (f *Follower) Now() time.Duration {
 	f.init()
 	return f.now()
 }
 
-// Stopped reports whether Run has been ended.
+// Stopped reports whether Run has ended.
 func (f *Follower) Stopped() bool {
 	return f.stopped.Load()
 }
@@ -57,49 +57,49 @@
 // Thresholds returns Settings.
 func (f *Follower) Thresholds() driver.Settings { return f.Settings }
 
-// HandingOver reports whether the primary is about to be moved, by the serving
-// host or because its server is leaving; new writes had better wait.
+// HandingOver reports whether the primary is about to be moved, by the serving host or
+// because its server is leaving. New writes should wait then.
 func (f *Follower) HandingOver() bool {
-	return f.handing.Load() || driver.WritesHeldForLeaving(f.View(), f.Now(), f.Settings.LeavingHold)
+	return f.handingOver.Load() || driver.WritesHeldForLeaving(f.View(), f.Now(), f.Settings.LeavingHold)
 }
 
-// PollNow has a serving host poll all servers at once and takes its view.
+// PollNow has a serving host poll all servers immediately and updates the view from its answer.
 func (f *Follower) PollNow() {
 	f.init()
 	f.mu.Lock()
-	n := len(f.lanes[laneHurry].queue)
+	n := len(f.queues[queuePollNow].waiters)
 	f.mu.Unlock()
 	if n > 0 {
 		return
 	}
-	f.enlist(&waiter{ask: informer.Ask{Kind: informer.AskPollNow}})
+	f.enqueue(&waiter{ask: informer.Ask{Kind: informer.AskPollNow}})
 }
 
-// IndexRequest is a read index that is being taken.
+// IndexRequest is a read index that is being determined.
 type IndexRequest struct {
 	follower *Follower
 	waiter   *waiter
-	// stop ends the watch for the end of the context that it was begun under.
+	// stop removes the callback for the end of the context passed to BeginReadIndex.
 	stop func() bool
 }
 
-// BeginReadIndex asks for a read index, which covers every write acknowledged
-// before the call: the question goes out after it, and the serving host begins to
-// take the index after it got the question. It is given up when ctx ends.
+// BeginReadIndex requests a read index, which covers every write acknowledged before the
+// call: the question is sent after the call, and the serving host begins to determine the
+// index after it has received the question. The request is abandoned when ctx ends.
 func (f *Follower) BeginReadIndex(ctx context.Context) driver.PendingIndex {
 	r := &IndexRequest{follower: f, waiter: &waiter{ask: informer.Ask{Kind: informer.AskReadIndex}}}
-	f.enlist(r.waiter)
-	r.stop = context.AfterFunc(ctx, r.run)
+	f.enqueue(r.waiter)
+	r.stop = context.AfterFunc(ctx, r.cancel)
 	return r
 }
 
-// run gives the request up. Without it one whose caller has left would be asked
-// for again as long as no majority answers.
-func (r *IndexRequest) run() {
-	r.follower.leave(r.waiter)
+// cancel abandons the request. Without it the request of a caller that has gone would be
+// repeated as long as no majority answers.
+func (r *IndexRequest) cancel() {
+	r.follower.abandon(r.waiter)
 }
 
-// Await returns the read index.
+// Await returns the read index, or driver.ErrNoMajority if there is none when ctx or Run ends.
 func (r *IndexRequest) Await(ctx context.Context) (marker.Mark, error) {
 	defer r.stop()
 	a, err := r.follower.await(ctx, r.waiter)
@@ -109,12 +109,14 @@
 	return a.mark, nil
 }
 
-// WaitAcknowledged is driver.Driver.WaitAcknowledged at a serving host.
+// WaitAcknowledged calls driver.Driver.WaitAcknowledged at a serving host, unless the answer
+// is already known here.
 func (f *Follower) WaitAcknowledged(ctx context.Context, m marker.Mark) error {
 	return f.waitMark(ctx, informer.Ask{Kind: informer.AskAcknowledged, Mark: m})
 }
 
-// WaitCommit is driver.Driver.WaitCommit at a serving host.
+// WaitCommit calls driver.Driver.WaitCommit at a serving host, unless the answer is already
+// known here.
 func (f *Follower) WaitCommit(ctx context.Context, m marker.Mark) error {
 	return f.waitMark(ctx, informer.Ask{Kind: informer.AskCommit, Mark: m})
 }
@@ -127,7 +129,8 @@
 	return errors.Annotatef(a.err, "commit %s in database group %s", k.Mark, f.Group.Name)
 }
 
-// WaitCovered is driver.Driver.WaitCovered at a serving host.
+// WaitCovered calls driver.Driver.WaitCovered at a serving host, unless the server is already
+// known to cover m.
 func (f *Follower) WaitCovered(ctx context.Context, server string, m marker.Mark) error {
 	_, err := f.wait(ctx, informer.Ask{Kind: informer.AskCovered, Server: server, Mark: m})
 	if err != nil {
@@ -136,7 +139,8 @@
 	return nil
 }
 
-// WaitPrimary is driver.Driver.WaitPrimary at a serving host.
+// WaitPrimary calls driver.Driver.WaitPrimary at a serving host, unless the view already has
+// a confirmed primary.
 func (f *Follower) WaitPrimary(ctx context.Context) (*observer.View, error) {
 	a, err := f.wait(ctx, informer.Ask{Kind: informer.AskPrimary})
 	if err != nil {
@@ -147,12 +151,13 @@
 
 func (f *Follower) wait(ctx context.Context, k informer.Ask) (answer, error) {
 	w := &waiter{ask: k}
-	f.enlist(w)
+	f.enqueue(w)
 	return f.await(ctx, w)
 }
 
-// HandOver has a serving host move the primary. Only the first one that serves the
-// group is told: another one would move the primary a second time.
+// HandOver has a serving host move the primary off the named server. Only the first host that
+// serves the group gets the request: another one would move the primary a second time. Its
+// errors are of type driver.ErrHandOver.
 func (f *Follower) HandOver(ctx context.Context, from string) error {
 	f.init()
 	q := informer.HandOver{DatabaseGroup: f.Group.Name, ServersDigest: f.digest, From: from}
