--- a/internal/group/switcher/plan.go
+++ b/internal/group/switcher/plan.go
@@ -1,31 +1,34 @@
 package switcher
 
-// situation is what a host's part in a group depends on.
-type situation struct {
+// state holds the conditions that decide a host's part in a group.
+type state struct {
 	// appointed says that this host is among the serving hosts.
 	appointed bool
-	// driving says that requests go to the driver.
-	driving bool
-	// ready says that the driver runs and has seen a majority, or has had the time.
-	ready bool
-	// lost says that the serving hosts didn't answer, and haven't been steady since.
-	lost bool
-	// steady says that the follower runs and has been answered for a while.
-	steady bool
+	// useDriver says that requests are passed to the driver.
+	useDriver bool
+	// driverReady says that the driver runs and has observed a majority, or that
+	// driverReadyTimeout has passed since its start.
+	driverReady bool
+	// hostsUnreachable says that the serving hosts failed to answer and that the follower has
+	// not been stable since.
+	hostsUnreachable bool
+	// followerStable says that the follower runs and that the serving hosts have answered it for
+	// followerStableTime.
+	followerStable bool
 }
 
-// plan is what is to run, and which of both requests go to.
+// plan says whether to run a driver and a follower, and which one requests are passed to.
 type plan struct {
-	drive, follow bool
-	// driving sends requests to the driver.
-	driving bool
+	runDriver, runFollower bool
+	// useDriver passes requests to the driver, else to the follower.
+	useDriver bool
 }
 
-// decide returns what a host does for a group. A change is made only once what
-// takes over is of use, so that no request waits for it; and a host whose serving
-// hosts don't answer serves itself until they do.
-func decide(x situation) plan {
-	p := plan{drive: x.appointed || x.lost || x.driving && !x.steady, follow: !x.appointed || !x.driving}
-	p.driving = p.drive && (x.driving || x.ready)
+// decide returns the plan for a state. Requests are switched over only once the driver or
+// follower that takes over is usable, so that no request waits for it. A host that gets no
+// answer from the serving hosts serves the group itself until they answer again.
+func decide(x state) plan {
+	p := plan{runDriver: x.appointed || x.hostsUnreachable || x.useDriver && !x.followerStable, runFollower: !x.appointed || !x.useDriver}
+	p.useDriver = p.runDriver && (x.useDriver || x.driverReady)
 	return p
 }
--- a/internal/group/switcher/plan_test.go
+++ b/internal/group/switcher/plan_test.go
@@ -2,24 +2,24 @@
 
 import "testing"
 
-// A host that changes its part too early leaves requests to a driver that has seen
-// nothing or to a follower that nobody answers; too late or never, it polls in vain
-// for as long as it runs.
+// A host that changes its part too early passes requests to a driver that has not observed the
+// servers yet, or to a follower that no serving host answers. A host that changes it too late or
+// never keeps polling the servers needlessly.
 func TestDecide(t *testing.T) {
 	tests := []struct {
 		name string
-		x    situation
+		x    state
 		want plan
 	}{
-		{name: "serves", x: situation{appointed: true, driving: true, ready: true}, want: plan{drive: true, driving: true}},
-		{name: "follows", x: situation{}, want: plan{follow: true}},
-		{name: "appointed, driver not ready", x: situation{appointed: true}, want: plan{drive: true, follow: true}},
-		{name: "appointed, driver ready", x: situation{appointed: true, ready: true}, want: plan{drive: true, follow: true, driving: true}},
-		{name: "no longer appointed, nobody has answered", x: situation{driving: true, ready: true}, want: plan{drive: true, follow: true, driving: true}},
-		{name: "no longer appointed, others answer", x: situation{driving: true, ready: true, steady: true}, want: plan{follow: true}},
-		{name: "deserted, driver not ready", x: situation{lost: true}, want: plan{drive: true, follow: true}},
-		{name: "deserted, driver ready", x: situation{lost: true, ready: true}, want: plan{drive: true, follow: true, driving: true}},
-		{name: "deserted until now", x: situation{driving: true, ready: true, steady: true}, want: plan{follow: true}},
+		{name: "serves", x: state{appointed: true, useDriver: true, driverReady: true}, want: plan{runDriver: true, useDriver: true}},
+		{name: "follows", x: state{}, want: plan{runFollower: true}},
+		{name: "appointed, driver not ready", x: state{appointed: true}, want: plan{runDriver: true, runFollower: true}},
+		{name: "appointed, driver ready", x: state{appointed: true, driverReady: true}, want: plan{runDriver: true, runFollower: true, useDriver: true}},
+		{name: "no longer appointed, no serving host has answered", x: state{useDriver: true, driverReady: true}, want: plan{runDriver: true, runFollower: true, useDriver: true}},
+		{name: "no longer appointed, serving hosts answer", x: state{useDriver: true, driverReady: true, followerStable: true}, want: plan{runFollower: true}},
+		{name: "serving hosts unreachable, driver not ready", x: state{hostsUnreachable: true}, want: plan{runDriver: true, runFollower: true}},
+		{name: "serving hosts unreachable, driver ready", x: state{hostsUnreachable: true, driverReady: true}, want: plan{runDriver: true, runFollower: true, useDriver: true}},
+		{name: "serving hosts reachable again", x: state{useDriver: true, driverReady: true, followerStable: true}, want: plan{runFollower: true}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/group/switcher/switcher.go
+++ b/internal/group/switcher/switcher.go
@@ -1,4 +1,4 @@
-// Package switcher has a host serve a database group or follow those that do, and passes requests to whichever it does.
+// Package switcher runs a driver or a follower for a database group, switches between them, and passes requests to the one in use.
 package switcher
 
 import (
@@ -18,20 +18,20 @@
 )
 
 const (
-	// warmth is how long a driver that has seen no majority is waited for. Where
-	// there is none, requests are better told so.
-	warmth = 500 * time.Millisecond
-	// steadiness is how long serving hosts must have answered before a driver of
-	// this host's own is ended.
-	steadiness = 2 * time.Second
-	// changePause is the time between two looks while a change is under way, and
-	// standPause while this host stands in for the serving hosts.
-	changePause = 10 * time.Millisecond
-	standPause  = 250 * time.Millisecond
+	// driverReadyTimeout bounds the wait for a new driver to observe a majority. If there is no
+	// majority, requests are to fail with that error rather than wait.
+	driverReadyTimeout = 500 * time.Millisecond
+	// followerStableTime is how long serving hosts must have answered before this host stops
+	// its own driver.
+	followerStableTime = 2 * time.Second
+	// changeInterval is the time between two evaluations of the plan while a driver is starting,
+	// standInInterval while this host stands in for the serving hosts.
+	changeInterval  = 10 * time.Millisecond
+	standInInterval = 250 * time.Millisecond
 )
 
-// role looks after the group, as a driver.Driver or a follower.Follower.
-type role interface {
+// delegate is the driver.Driver or follower.Follower that requests are passed to.
+type delegate interface {
 	AwaitView(ctx context.Context)
 	View() *observer.View
 	Now() time.Duration
@@ -45,81 +45,82 @@
 	HandOver(ctx context.Context, from string) error
 }
 
-// present is the role that requests go to.
-type present struct{ role }
+// activeDelegate wraps the delegate in use, so that it can be replaced atomically.
+type activeDelegate struct{ delegate }
 
-// Switcher looks after one database group. The exported fields are set before
-// Prepare; all methods but Run may be called from any goroutine.
+// Switcher manages one database group. The exported fields are set before Prepare. All methods
+// but Prepare and Run may be called from any goroutine.
 type Switcher struct {
-	// NewDriver and NewFollower make what looks after the group, both with the
-	// given stopwatch: their times are compared.
+	// NewDriver and NewFollower create a driver and a follower of the group. Both use the given
+	// stopwatch because their times are compared.
 	NewDriver   func(w *scheduler.Stopwatch) *driver.Driver
 	NewFollower func(w *scheduler.Stopwatch) *follower.Follower
 	// Appointed reports whether this host is to serve the group.
 	Appointed func() bool
-	// Settings are those of the drivers.
+	// Settings are the settings of the group's drivers.
 	Settings driver.Settings
 	Clock    *scheduler.Scheduler
 	Log      log.Interface
 
 	watch   scheduler.Stopwatch
-	present atomic.Pointer[present]
-	ended   atomic.Bool
-	changed chan struct{}
+	active  atomic.Pointer[activeDelegate]
+	stopped atomic.Bool
+	wakeup  chan struct{}
 
 	mu       sync.Mutex
-	driver   *running[*driver.Driver]
-	follower *running[*follower.Follower]
+	driver   *task[*driver.Driver]
+	follower *task[*follower.Follower]
 	counts   Counts
-	// lost and steadySince belong to Run.
-	lost        bool
-	steadySince time.Duration
+	// hostsUnreachable says that the follower has reported its serving hosts as unreachable, at
+	// lastUnreachable, and has not been stable since. Both are used by Run alone.
+	hostsUnreachable bool
+	lastUnreachable  time.Duration
 }
 
-// running is a driver or follower with its run.
-type running[R interface {
+// task is a driver or follower with the state of its Run.
+type task[R interface {
 	Run(ctx context.Context) error
 }] struct {
-	role  R
-	since time.Duration
-	stop  context.CancelFunc
-	done  chan struct{}
-	log   log.Interface
+	delegate  R
+	startedAt time.Duration
+	stop      context.CancelFunc
+	done      chan struct{}
+	log       log.Interface
 }
 
-func (r *running[R]) run(ctx context.Context) {
+func (r *task[R]) run(ctx context.Context) {
 	defer close(r.done)
-	if err := r.role.Run(ctx); err != nil && ctx.Err() == nil {
-		r.log.WithError(err).WithField("step", "look after group").Error("database group not looked after")
+	if err := r.delegate.Run(ctx); err != nil && ctx.Err() == nil {
+		r.log.WithError(err).WithField("step", "look after group").Error("driver or follower of database group failed")
 	}
 }
 
-// Prepare chooses the first role; it runs with Run.
+// Prepare creates the first driver or follower, which Run starts.
 func (s *Switcher) Prepare() {
 	s.watch.Elapsed()
-	s.changed = make(chan struct{}, 1)
+	s.wakeup = make(chan struct{}, 1)
 	if s.Appointed() {
-		s.driver = &running[*driver.Driver]{log: s.Log, role: s.NewDriver(&s.watch), done: make(chan struct{})}
-		s.present.Store(&present{s.driver.role})
+		s.driver = &task[*driver.Driver]{log: s.Log, delegate: s.NewDriver(&s.watch), done: make(chan struct{})}
+		s.active.Store(&activeDelegate{s.driver.delegate})
 		return
 	}
-	s.follower = &running[*follower.Follower]{log: s.Log, role: s.NewFollower(&s.watch), done: make(chan struct{})}
-	s.present.Store(&present{s.follower.role})
+	s.follower = &task[*follower.Follower]{log: s.Log, delegate: s.NewFollower(&s.watch), done: make(chan struct{})}
+	s.active.Store(&activeDelegate{s.follower.delegate})
 }
 
-// Run looks after the group until ctx ends.
+// Run runs the driver or follower and switches between them as needed, until ctx ends.
 func (s *Switcher) Run(ctx context.Context) error {
-	s.resume(ctx)
+	s.startPrepared(ctx)
 	for ctx.Err() == nil {
 		s.wait(ctx, s.step(ctx))
 	}
-	s.ended.Store(true)
-	s.halt(true, true)
+	s.stopped.Store(true)
+	s.stopTasks(true, true)
 	return ctx.Err()
 }
 
-// resume runs what Prepare made.
-func (s *Switcher) resume(ctx context.Context) {
+// startPrepared starts the driver or follower that Prepare created.
+func (s *Switcher) startPrepared(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.driver != nil {
@@ -132,21 +133,22 @@
 
 func start[R interface {
 	Run(ctx context.Context) error
-}](ctx context.Context, r *running[R], now time.Duration) {
+}](ctx context.Context, r *task[R], now time.Duration) {
 	x, stop := context.WithCancel(ctx)
-	r.stop, r.since = stop, now
+	r.stop, r.startedAt = stop, now
 	go r.run(x)
 }
 
-// Reconsider has Run look whether this host is still to do what it does.
+// Reconsider has Run evaluate again whether this host is to serve or to follow.
 func (s *Switcher) Reconsider() {
 	select {
-	case s.changed <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// wait returns when there may be something to change.
+// wait returns when the plan has to be evaluated again: after d if that isn't zero, after
+// Reconsider, when the serving hosts are unreachable, or when ctx ends.
 func (s *Switcher) wait(ctx context.Context, d time.Duration) {
 	var t <-chan time.Time
 	if d > 0 {
@@ -154,97 +156,98 @@
 		defer x.Cancel()
 		t = c
 	}
-	var lost <-chan struct{}
+	var unreachable <-chan struct{}
 	if s.follower != nil {
-		lost = s.follower.role.HostsUnreachable()
+		unreachable = s.follower.delegate.HostsUnreachable()
 	}
 	select {
 	case <-ctx.Done():
-	case <-s.changed:
+	case <-s.wakeup:
 	case <-t:
-	case <-lost:
-		s.lost = true
-		s.steadySince = s.now()
+	case <-unreachable:
+		s.hostsUnreachable = true
+		s.lastUnreachable = s.now()
 	}
 }
 
-// step makes what is due and returns when to look again, zero for when told.
+// step evaluates and carries out the plan. It returns the time until the next evaluation, zero
+// if that waits for an event.
 func (s *Switcher) step(ctx context.Context) time.Duration {
-	x := s.situation()
-	if x.steady {
-		s.lost, x.lost = false, false
+	x := s.state()
+	if x.followerStable {
+		s.hostsUnreachable, x.hostsUnreachable = false, false
 	}
 	p := decide(x)
-	s.run(ctx, p)
-	if p.driving != x.driving {
-		s.pass(p.driving)
+	s.startNeeded(ctx, p)
+	if p.useDriver != x.useDriver {
+		s.switchDelegate(p.useDriver)
 	}
-	s.halt(!p.drive && !p.driving, !p.follow && p.driving)
+	s.stopTasks(!p.runDriver && !p.useDriver, !p.runFollower && p.useDriver)
 	switch {
-	case p.drive && !p.driving:
-		return changePause
-	case p.driving && !x.appointed:
-		return standPause
+	case p.runDriver && !p.useDriver:
+		return changeInterval
+	case p.useDriver && !x.appointed:
+		return standInInterval
 	default:
 		return 0
 	}
 }
 
-func (s *Switcher) situation() situation {
-	x := situation{appointed: s.Appointed(), lost: s.lost}
+func (s *Switcher) state() state {
+	x := state{appointed: s.Appointed(), hostsUnreachable: s.hostsUnreachable}
 	if d := s.driver; d != nil {
-		x.driving = s.present.Load().role == role(d.role)
-		x.ready = d.role.View().HasMajority() || s.now()-d.since >= warmth
+		x.useDriver = s.active.Load().delegate == delegate(d.delegate)
+		x.driverReady = d.delegate.View().HasMajority() || s.now()-d.startedAt >= driverReadyTimeout
 	}
 	if f := s.follower; f != nil {
-		x.steady = f.role.Current() && f.role.LastAnswerAt() > f.since && s.now()-max(s.steadySince, f.since) >= steadiness
+		x.followerStable = f.delegate.Current() && f.delegate.LastAnswerAt() > f.startedAt && s.now()-max(s.lastUnreachable, f.startedAt) >= followerStableTime
 	}
 	return x
 }
 
-// run starts what the plan calls for.
-func (s *Switcher) run(ctx context.Context, p plan) {
+// startNeeded starts the driver and follower that the plan requires.
+func (s *Switcher) startNeeded(ctx context.Context, p plan) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if p.drive && s.driver == nil {
-		s.driver = &running[*driver.Driver]{log: s.Log, role: s.NewDriver(&s.watch), done: make(chan struct{})}
+	if p.runDriver && s.driver == nil {
+		s.driver = &task[*driver.Driver]{log: s.Log, delegate: s.NewDriver(&s.watch), done: make(chan struct{})}
 		start(ctx, s.driver, s.now())
 	}
-	if p.follow && s.follower == nil {
-		s.follower = &running[*follower.Follower]{log: s.Log, role: s.NewFollower(&s.watch), done: make(chan struct{})}
+	if p.runFollower && s.follower == nil {
+		s.follower = &task[*follower.Follower]{log: s.Log, delegate: s.NewFollower(&s.watch), done: make(chan struct{})}
 		start(ctx, s.follower, s.now())
 	}
 	if s.follower != nil {
-		s.follower.role.KeepActive(p.driving)
+		s.follower.delegate.KeepActive(p.useDriver)
 	}
 }
 
-// pass sends requests to the other role. What waits at the former one is asked
-// anew when that is stopped.
-func (s *Switcher) pass(driving bool) {
-	if driving {
-		s.present.Store(&present{s.driver.role})
+// switchDelegate passes new requests to the driver or the follower. Requests that wait at the
+// other one are repeated when it is stopped.
+func (s *Switcher) switchDelegate(useDriver bool) {
+	if useDriver {
+		s.active.Store(&activeDelegate{s.driver.delegate})
 	} else {
-		s.present.Store(&present{s.follower.role})
+		s.active.Store(&activeDelegate{s.follower.delegate})
 	}
-	s.Log.WithField("serving", driving).WithField("appointed", s.Appointed()).Info("part in database group changed")
+	s.Log.WithField("serving", useDriver).WithField("appointed", s.Appointed()).Info("part in database group changed")
 }
 
-// halt ends what isn't needed any more.
-func (s *Switcher) halt(driving, following bool) {
-	if d := s.driver; driving && d != nil {
+// stopTasks stops the driver, the follower or both, and adds their counts to those of the host.
+func (s *Switcher) stopTasks(stopDriver, stopFollower bool) {
+	if d := s.driver; stopDriver && d != nil {
 		d.stop()
 		<-d.done
 		s.mu.Lock()
-		s.counts.addDriver(d.role)
+		s.counts.addDriver(d.delegate)
 		s.driver = nil
 		s.mu.Unlock()
 	}
-	if f := s.follower; following && f != nil {
+	if f := s.follower; stopFollower && f != nil {
 		f.stop()
 		<-f.done
 		s.mu.Lock()
-		s.counts.addFollower(f.role)
+		s.counts.addFollower(f.delegate)
 		s.follower = nil
 		s.mu.Unlock()
 	}
@@ -254,35 +257,35 @@
 	return s.watch.Elapsed()
 }
 
-// Driver returns the driver that this host runs, nil if it runs none.
+// Driver returns the driver that runs at this host, nil if there is none.
 func (s *Switcher) Driver() *driver.Driver {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.driver == nil || s.driver.stop == nil {
 		return nil
 	}
-	return s.driver.role
+	return s.driver.delegate
 }
 
-// Part is what a host does for a group.
+// Part is the role of a host in a database group.
 type Part string
 
-// Parts.
+// Parts of a host.
 const (
-	// PartServing hosts are appointed and run a driver.
+	// PartServing: the host is appointed and runs a driver.
 	PartServing Part = "serving"
-	// PartStandingIn hosts run one since no serving host answers them, or since they
-	// were appointed until a moment ago.
+	// PartStandingIn: the host isn't appointed, but runs a driver because no serving host
+	// answers it, or because it was appointed until recently.
 	PartStandingIn Part = "standing-in"
-	// PartFollowing hosts ask a serving host.
+	// PartFollowing: the host queries a serving host.
 	PartFollowing Part = "following"
-	// PartIdle hosts would, if a request came.
+	// PartIdle: the host would query a serving host, but has no requests for the group.
 	PartIdle Part = "idle"
 )
 
-// Part returns what this host does now.
+// Part returns the present part of this host.
 func (s *Switcher) Part() Part {
-	f, ok := s.role().(*follower.Follower)
+	f, ok := s.delegate().(*follower.Follower)
 	switch {
 	case ok && f.Idle():
 		return PartIdle
@@ -295,7 +298,8 @@
 	}
 }
 
-// Counts are what a host has done for a group.
+// Counts holds how often a host has polled the group's backend servers, by cause, and how many
+// questions it has sent to serving hosts, see follower.Follower.
 type Counts struct {
 	Polls                          [pacer.CauseCount]uint64
 	QuestionsSent, QuestionsFailed uint64
@@ -312,16 +316,16 @@
 	c.QuestionsFailed += f.QuestionsFailed.Load()
 }
 
-// Counts returns the counts since the start.
+// Counts returns the counts since the start of this host.
 func (s *Switcher) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.counts
 	if s.driver != nil {
-		c.addDriver(s.driver.role)
+		c.addDriver(s.driver.delegate)
 	}
 	if s.follower != nil {
-		c.addFollower(s.follower.role)
+		c.addFollower(s.follower.delegate)
 	}
 	return c
 }
