--- a/internal/group/informer/informer.go
+++ b/internal/group/informer/informer.go
@@ -1,4 +1,4 @@
-// Package informer answers the questions of entry hosts that follow this one for a database group, out of its driver.
+// Package informer answers questions about a database group from entry hosts that follow this one, using this host's driver.
 package informer
 
 import (
@@ -15,31 +15,33 @@
 )
 
 const (
-	// maximumHold bounds how long an answer is kept back.
+	// maximumHold bounds how long an answer is delayed.
 	maximumHold = 2 * time.Second
-	// grace is how long the other asks of a question are waited for after the
-	// first is met. Without it each would cost a message; a longer one would keep
-	// the first one's caller waiting.
-	grace = time.Millisecond
-	// hurryPause is the time between two looks for the polls that were hurried.
-	hurryPause = time.Millisecond
+	// resultGrace is how long the other asks of a question are waited for after the first result.
+	// Without it each result would need a message of its own; a longer one would delay the
+	// caller that waits for the first result.
+	resultGrace = time.Millisecond
+	// pollCheckInterval is the time between two checks whether the polls of AskPollNow are done.
+	pollCheckInterval = time.Millisecond
 )
 
-// Informer answers questions. The exported fields are set before use.
+// Informer answers the questions of followers. The exported fields are set before use.
 type Informer struct {
-	// FindDriver returns the driver that this host runs for the group, nil if none,
-	// and the digest of the group's servers.
+	// FindDriver returns the driver that this host runs for the group, nil if it runs none, and
+	// the digest of the group's servers, see DigestServers.
 	FindDriver func(group string) (*driver.Driver, uint64)
-	// Clock tells when something is due, timers of its own if nil.
+	// Clock schedules the end of a wait. If nil, plain timers are used.
 	Clock *scheduler.Scheduler
 }
 
-// Routes answers other entry hosts.
+// Routes returns the routes for messages of other entry hosts.
 func (i *Informer) Routes() []listener.Route {
 	return []listener.Route{listener.Handle(KindQuestion, i.answer), listener.Handle(KindHandOver, i.handOver)}
 }
 
-func (i *Informer) find(group string, servers uint64) *driver.Driver {
+// findDriver returns the running driver of the group, nil if there is none or if servers isn't
+// the digest of its servers.
+func (i *Informer) findDriver(group string, servers uint64) *driver.Driver {
 	d, n := i.FindDriver(group)
 	if d == nil || n != servers || d.Stopped() {
 		return nil
@@ -51,9 +53,10 @@
 	return i.Answer(ctx, q)
 }
 
-// Answer answers q.
+// Answer answers q, with Serving false if this host runs no driver for these servers. It returns
+// encoder.ErrTooLarge for more than MaximumAsks asks.
 func (i *Informer) Answer(ctx context.Context, q Question) (Answer, error) {
-	d := i.find(q.DatabaseGroup, q.ServersDigest)
+	d := i.findDriver(q.DatabaseGroup, q.ServersDigest)
 	if d == nil {
 		return Answer{}, nil
 	}
@@ -82,43 +85,43 @@
 	return a, nil
 }
 
-// answerAsks returns the results once all asks are met, or soon after one is.
+// answerAsks returns the results once all asks have one, or resultGrace after the first.
 func (i *Informer) answerAsks(ctx context.Context, stop context.CancelFunc, d *driver.Driver, l []Ask) []Result {
 	if len(l) == 1 {
 		return []Result{answerAsk(ctx, d, l[0])}
 	}
-	c := make(chan numbered, len(l))
+	c := make(chan indexedResult, len(l))
 	for n, a := range l {
-		x := &asked{driver: d, ask: a, number: n, results: c}
+		x := &askTask{driver: d, ask: a, index: n, results: c}
 		go x.run(ctx)
 	}
 	r := make([]Result, len(l))
 	for n := range l {
 		o := <-c
-		r[o.number] = o.result
+		r[o.index] = o.result
 		if n == 0 {
-			i.Clock.After(grace, func(time.Time) { stop() })
+			i.Clock.After(resultGrace, func(time.Time) { stop() })
 		}
 	}
 	return r
 }
 
-// asked is one of several asks.
-type asked struct {
+// askTask processes one of several asks.
+type askTask struct {
 	driver  *driver.Driver
 	ask     Ask
-	number  int
-	results chan<- numbered
+	index   int
+	results chan<- indexedResult
 }
 
-// numbered is the result of the ask of that number.
-type numbered struct {
-	number int
+// indexedResult is the result of the ask at index.
+type indexedResult struct {
+	index  int
 	result Result
 }
 
-func (a *asked) run(ctx context.Context) {
-	a.results <- numbered{number: a.number, result: answerAsk(ctx, a.driver, a.ask)}
+func (a *askTask) run(ctx context.Context) {
+	a.results <- indexedResult{index: a.index, result: answerAsk(ctx, a.driver, a.ask)}
 }
 
 func answerAsk(ctx context.Context, d *driver.Driver, a Ask) Result {
@@ -136,14 +139,14 @@
 		_, err := d.WaitPrimary(ctx)
 		return Result{State: state(ctx, err)}
 	case AskPollNow:
-		return Result{State: hurry(ctx, d)}
+		return Result{State: pollNow(ctx, d)}
 	default:
 		return Result{}
 	}
 }
 
-// state tells what err says of the ask. An end of the time to wait says nothing,
-// though the driver calls a commit undetermined then.
+// state returns the state of an ask whose call to the driver returned err. When the wait timed
+// out the ask stays pending, although the driver then reports a commit as undetermined.
 func state(ctx context.Context, err error) State {
 	switch {
 	case err == nil:
@@ -159,13 +162,13 @@
 	}
 }
 
-// hurry waits until each server was polled, or failed to answer, since now.
-func hurry(ctx context.Context, d *driver.Driver) State {
+// pollNow polls all servers and waits until each has answered or failed.
+func pollNow(ctx context.Context, d *driver.Driver) State {
 	since := d.Now()
 	v := d.View()
 	d.PollNow()
 	for !polledSince(v, d.View(), since) {
-		if scheduler.Pause(ctx, hurryPause) != nil {
+		if scheduler.Pause(ctx, pollCheckInterval) != nil {
 			return StatePending
 		}
 	}
@@ -182,7 +185,7 @@
 }
 
 func (i *Informer) handOver(ctx context.Context, _ encoder.Sender, q HandOver) (HandedOver, error) {
-	d := i.find(q.DatabaseGroup, q.ServersDigest)
+	d := i.findDriver(q.DatabaseGroup, q.ServersDigest)
 	if d == nil {
 		return HandedOver{}, nil
 	}
--- a/internal/group/informer/message.go
+++ b/internal/group/informer/message.go
@@ -13,99 +13,106 @@
 )
 
 const (
-	// KindQuestion asks a serving host about a database group.
+	// KindQuestion is the kind of a Question to a serving host.
 	KindQuestion encoder.Kind = "follow"
-	// KindHandOver has a serving host move a group's primary.
+	// KindHandOver is the kind of a HandOver.
 	KindHandOver encoder.Kind = "hand-over"
 )
 
 // MaximumAsks bounds the asks of one question.
 const MaximumAsks = 256
 
-// AskKind says what is asked.
+// AskKind says what an ask waits for.
 type AskKind uint8
 
 // Kinds of ask.
 const (
-	// AskReadIndex asks for a read index.
+	// AskReadIndex requests a read index.
 	AskReadIndex AskKind = iota + 1
-	// AskAcknowledged and AskCommit wait as WaitAcknowledged and WaitCommit do.
+	// AskAcknowledged and AskCommit wait as WaitAcknowledged and WaitCommit of driver.Driver do.
 	AskAcknowledged
 	AskCommit
-	// AskCovered waits until the server covers the mark.
+	// AskCovered waits until the log of Server covers Mark.
 	AskCovered
 	// AskPrimary waits for a confirmed primary.
 	AskPrimary
-	// AskPollNow has all servers polled anew.
+	// AskPollNow has all servers polled and waits until each has answered or failed.
 	AskPollNow
 )
 
-// Ask is one thing to wait for. Asking again changes nothing.
+// Ask is one condition to wait for or value to determine. Repeating an ask has no effect on the
+// group.
 type Ask struct {
 	Kind   AskKind     `cbor:"1,keyasint"`
 	Mark   marker.Mark `cbor:"2,keyasint,omitzero"`
 	Server string      `cbor:"3,keyasint,omitempty"`
 }
 
-// State is what has become of an ask.
+// State is the state of an ask.
 type State uint8
 
 // States of an ask.
 const (
-	// StatePending: nothing yet, ask again.
+	// StatePending: there is no result yet; the ask has to be repeated.
 	StatePending State = iota
-	// StateDone: it is met.
+	// StateDone: the condition holds or the value was determined.
 	StateDone
-	// StateSuperseded and StateUndetermined are the driver's errors.
+	// StateSuperseded and StateUndetermined stand for driver.ErrSuperseded and
+	// driver.ErrUndetermined.
 	StateSuperseded
 	StateUndetermined
 )
 
-// Result answers an ask.
+// Result is the answer to an ask.
 type Result struct {
 	State State `cbor:"1,keyasint"`
-	// Index is the read index.
+	// Index is the read index that AskReadIndex requested.
 	Index marker.Mark `cbor:"2,keyasint,omitzero"`
 }
 
-// Question asks about a group. Without asks it waits for a change of the view.
+// Question requests the view of a group. With asks its answer is delayed until they have results,
+// without asks until the version of the view differs from SeenVersion.
 type Question struct {
 	DatabaseGroup string `cbor:"1,keyasint"`
-	// ServersDigest is the Digest of the group at the asker. A host that counts other
-	// servers would take another number for a majority.
+	// ServersDigest is the result of DigestServers at the host that asks. A host with other
+	// servers configured might require another majority, so it answers with Serving false.
 	ServersDigest uint64 `cbor:"2,keyasint"`
 	Asks          []Ask  `cbor:"3,keyasint,omitempty"`
-	// SeenVersion is the version of the view that the asker has, zero for none.
+	// SeenVersion is the version of the view that the host that asks holds, zero for none.
 	SeenVersion uint64 `cbor:"4,keyasint,omitempty"`
-	// Hold is how long the answer may be kept back.
+	// Hold is how long the answer may be delayed.
 	Hold time.Duration `cbor:"5,keyasint,omitempty"`
 }
 
-// Answer tells what the host sees now.
+// Answer holds the present view of the host and the results of the asks.
 type Answer struct {
-	// Serving is false if the host has no driver for just these servers.
+	// Serving says that the host runs a driver for exactly these servers.
 	Serving bool `cbor:"1,keyasint"`
-	// Version numbers View.
+	// Version is the version of the view, see driver.Driver.Snapshot.
 	Version uint64 `cbor:"2,keyasint,omitempty"`
 	// HandingOver says that the host is about to move the primary.
-	HandingOver bool     `cbor:"3,keyasint,omitempty"`
-	View        *View    `cbor:"4,keyasint,omitempty"`
-	Results     []Result `cbor:"5,keyasint,omitempty"`
-	// Positions stand in for View where the asker has this version of it. They
-	// spare most of the bytes of an answer.
+	HandingOver bool `cbor:"3,keyasint,omitempty"`
+	// View is nil if Positions replace it.
+	View *View `cbor:"4,keyasint,omitempty"`
+	// Results are in the order of the asks.
+	Results []Result `cbor:"5,keyasint,omitempty"`
+	// Positions replace View if the host that asks already holds this version of it. They take
+	// a small part of its bytes.
 	Positions []Position `cbor:"6,keyasint,omitempty"`
 }
 
-// Position is what goes on changing of a Server.
+// Position holds what changes of a Server without a new version of the view.
 type Position struct {
-	_    struct{} `cbor:",toarray"`
+	_ struct{} `cbor:",toarray"`
+	// Term and Last are the last entry of the server's log.
 	Term marker.Term
 	Last marker.Position
-	At   time.Duration
+	// At is PolledAt of the Server.
+	At time.Duration
 }
 
-// View is an observer.View. Its times count from the moment at which the host got
-// the question, so that no clocks are compared: those before it are negative.
+// View is an observer.View as a message. Its times are relative to the moment at which the host
+// received the question, so that clocks of two hosts aren't compared; earlier times are negative.
 type View struct {
 	Primary         string            `cbor:"1,keyasint,omitempty"`
 	Term            marker.Term       `cbor:"2,keyasint"`
@@ -117,7 +124,7 @@
 	Servers         []Server          `cbor:"8,keyasint"`
 }
 
-// Server is one backend server of a View.
+// Server is one backend server of a View. The fields are those of observer.Server.
 type Server struct {
 	Status    controller.Status `cbor:"1,keyasint"`
 	Answered  bool              `cbor:"2,keyasint,omitempty"`
@@ -128,21 +135,23 @@
 	Fresh     bool              `cbor:"7,keyasint,omitempty"`
 }
 
-// HandOver asks to move the primary off a server.
+// HandOver requests that a serving host move the primary off the server From.
 type HandOver struct {
 	DatabaseGroup string `cbor:"1,keyasint"`
+	// ServersDigest is as in Question.
 	ServersDigest uint64 `cbor:"2,keyasint"`
 	From          string `cbor:"3,keyasint"`
 }
 
-// HandedOver answers a HandOver.
+// HandedOver is the answer to a HandOver.
 type HandedOver struct {
+	// Serving is as in Answer.
 	Serving bool `cbor:"1,keyasint"`
 	// Failure says why the primary was not moved, empty if it was.
 	Failure string `cbor:"2,keyasint,omitempty"`
 }
 
-// DigestServers stands for the servers of a group.
+// DigestServers returns a hash of the names and addresses of the group's servers, in their order.
 func DigestServers(g declarer.DatabaseGroup) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -153,7 +162,7 @@
 	return d.Sum64()
 }
 
-// Pack makes the message of v; arrival is when the question came.
+// Pack converts v to a message; arrival is when the question was received.
 func Pack(v *observer.View, arrival time.Duration) View {
 	m := View{
 		Primary:         v.Primary,
@@ -172,7 +181,7 @@
 	return m
 }
 
-// PackPositions makes the message of what goes on changing in v.
+// PackPositions returns the positions of the servers of v; arrival is as for Pack.
 func PackPositions(v *observer.View, arrival time.Duration) []Position {
 	l := make([]Position, len(v.Servers))
 	for i, s := range v.Servers {
@@ -181,15 +190,16 @@
 	return l
 }
 
-// UnpackPositions makes the view out of the one before it of the same version.
+// UnpackPositions returns a copy of the view o, of the same version, with the positions l. The
+// times sent and now are as for View.Unpack.
 func UnpackPositions(l []Position, o *observer.View, sent, now time.Duration) *observer.View {
 	v := *o
 	v.At = now
 	v.Servers = append([]observer.Server(nil), o.Servers...)
 	for i := range v.Servers[:min(len(l), len(v.Servers))] {
 		s := &v.Servers[i]
-		// Answers may overtake each other. A position of one term taken for one of
-		// another would have a write acknowledged that nobody holds.
+		// Answers may arrive out of order. If a position of one term were taken for one of
+		// another, a write could be acknowledged that no server holds.
 		if at := l[i].At + sent; s.Answered && at > s.PolledAt && l[i].Term == s.Status.Last.Term {
 			s.PolledAt, s.Status.Last.Position = at, l[i].Last
 		}
@@ -197,10 +207,10 @@
 	return &v
 }
 
-// Unpack makes the view of the named servers on the asker's clock; sent is when
-// the question went out and now the present time. The question came after it was
-// sent, so a time comes out too early rather than too late: nothing counts as
-// fresher than it is.
+// Unpack converts the message to a view of the named servers on the clock of the host that
+// asked; sent is when the question was sent and now the present time. The question was received
+// after it was sent, so the resulting times may be too early but never too late: no status
+// counts as fresher than it is.
 func (m *View) Unpack(names []string, sent, now time.Duration) *observer.View {
 	v := &observer.View{
 		At:              now,
--- a/internal/group/informer/message_test.go
+++ b/internal/group/informer/message_test.go
@@ -9,9 +9,9 @@
 	"github.com/cuminwick/cuminwick/internal/group/observer"
 )
 
-// Positions arrive without the rest of the view. One of a later term under the term
-// before would count as a commit that the server holds, and its caller would be told
-// that a write lasts which is lost; an answer that was overtaken would hide one.
+// Positions arrive without the rest of the view, and possibly out of order. A position of a later
+// term that was applied to a status of an earlier one would count as a commit that the server
+// holds, and a lost write would be acknowledged. An older position would hide a commit.
 func TestPositionsOfAnotherTermOrOlder(t *testing.T) {
 	o := &observer.View{Servers: []observer.Server{{Name: "a", Observation: observer.Observation{
 		Answered: true, PolledAt: time.Second, Status: controller.Status{Last: marker.Mark{Term: 1, Position: 10}},
@@ -32,7 +32,7 @@
 				t.Errorf("last %v, want %v", got, tt.want)
 			}
 			if o.Servers[0].Status.Last.Position != 10 {
-				t.Error("the view before was changed")
+				t.Error("the original view was changed")
 			}
 		})
 	}
