--- a/internal/peer/witness/witness.go
+++ b/internal/peer/witness/witness.go
@@ -1,4 +1,4 @@
-// Package witness asks other entry hosts for their word on a primary that seems lost.
+// Package witness requests reports from other entry hosts on a primary that seems lost.
 package witness
 
 import (
@@ -13,40 +13,42 @@
 	"github.com/cuminwick/cuminwick/internal/peer/listener"
 )
 
-// Kind asks another entry host for its word on a database group's primary.
+// Kind is the kind of a Question to another entry host.
 const Kind encoder.Kind = "word"
 
 const (
-	// interval is the time between two rounds of questions while a primary
-	// seems lost.
-	interval = 50 * time.Millisecond
-	// lifetime is how long a word counts.
-	lifetime = 400 * time.Millisecond
-	// askTimeout bounds one question.
+	// roundInterval is the time between two rounds of questions while a primary seems lost.
+	roundInterval = 50 * time.Millisecond
+	// maximumReportAge is how long a report is used, counted from the sending of its question.
+	maximumReportAge = 400 * time.Millisecond
+	// askTimeout bounds the wait for the answer to one question.
 	askTimeout = 250 * time.Millisecond
-	// maximumAsked is how many hosts are asked in a round.
-	maximumAsked = 2
+	// maximumHostsAsked is how many hosts are asked about each group in one round.
+	maximumHostsAsked = 2
 )
 
-// Question asks for the word on one database group.
+// Question requests the report on the primary of a database group.
 type Question struct {
 	DatabaseGroup string `cbor:"1,keyasint"`
 }
 
-// Answer is a host's word, if it serves the group.
+// Answer holds a host's report.
 type Answer struct {
+	// Serving says that the host serves the group. Otherwise Report is empty.
 	Serving bool                   `cbor:"1,keyasint"`
 	Report  observer.PrimaryReport `cbor:"2,keyasint"`
 }
 
-// Group is a database group as this host sees it, usually a driver.Driver.
+// Group is a database group that this host serves, usually a driver.Driver.
 type Group interface {
+	// PrimaryReport returns this host's assessment of the primary.
 	PrimaryReport() observer.PrimaryReport
-	// PollNow looks at all instances at once.
+	// PollNow polls all backend servers immediately.
 	PollNow()
 }
 
-// Witness implements driver.Peers. The exported fields are set before Run.
+// Witness exchanges reports on primaries with other entry hosts. It implements driver.Peers. The
+// exported fields are set before Run.
 type Witness struct {
 	// Self is this entry host's name.
 	Self string
@@ -54,52 +56,55 @@
 	ServingHosts func(group string) []string
 	// Groups returns the groups that this host serves, by name.
 	Groups func() map[string]Group
-	// Ask puts a question to another host.
+	// Ask sends a question to another host.
 	Ask func(ctx context.Context, host string, q Question) (Answer, error)
-	// Clock gives the ticks, plain timers if nil.
+	// Clock provides the ticks of the rounds. If nil, plain timers are used.
 	Clock *scheduler.Scheduler
 
-	mu    sync.Mutex
-	words map[string][]kept
-	turn  int
+	mu sync.Mutex
+	// reports holds the last report of each host by the name of the group.
+	reports map[string][]timedReport
+	// rotation counts selections, so that rounds ask different hosts.
+	rotation int
 }
 
-// kept is a word with the time at which it was asked for.
-type kept struct {
-	word observer.PrimaryReport
-	at   time.Time
+// timedReport is a report with the time at which it was requested.
+type timedReport struct {
+	report  observer.PrimaryReport
+	askedAt time.Time
 }
 
-// Run asks for words while a primary seems lost, until ctx ends.
+// Run requests reports while a primary seems lost, until ctx ends.
 func (w *Witness) Run(ctx context.Context) error {
-	c, s := w.Clock.Ticks(interval)
+	c, s := w.Clock.Ticks(roundInterval)
 	defer s.Cancel()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-c:
-			w.round(ctx)
+			w.askRound(ctx)
 		}
 	}
 }
 
-// PrimaryReports implements driver.Peers.
+// PrimaryReports implements driver.Peers. It returns the reports that aren't older than
+// maximumReportAge.
 func (w *Witness) PrimaryReports(group string) []observer.PrimaryReport {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var l []observer.PrimaryReport
 	now := time.Now()
-	for _, k := range w.words[group] {
-		if now.Sub(k.at) < lifetime {
-			l = append(l, k.word)
+	for _, k := range w.reports[group] {
+		if now.Sub(k.askedAt) < maximumReportAge {
+			l = append(l, k.report)
 		}
 	}
 	return l
 }
 
-// Hosts implements driver.Peers. While no other host is known, this one promotes
-// as the first.
+// Hosts implements driver.Peers. If no serving host is known, it returns this host alone, which
+// then ranks first for promotions.
 func (w *Witness) Hosts(group string) []string {
 	l := w.ServingHosts(group)
 	if len(l) == 0 {
@@ -108,13 +113,13 @@
 	return l
 }
 
-// Route answers the questions of other hosts.
+// Route returns the route for questions of other hosts.
 func (w *Witness) Route() listener.Route {
 	return listener.Handle(Kind, w.answer)
 }
 
-// answer also looks at the instances at once, so that a host which hasn't
-// noticed the loss yet doesn't contradict it for long.
+// answer returns this host's report. If this host hasn't detected a loss, it also polls the
+// backend servers immediately, so that its reports don't contradict the loss for long.
 func (w *Witness) answer(_ context.Context, _ encoder.Sender, q Question) (Answer, error) {
 	g := w.Groups()[q.DatabaseGroup]
 	if g == nil {
@@ -127,42 +132,44 @@
 	return Answer{Serving: true, Report: o}, nil
 }
 
-func (w *Witness) round(ctx context.Context) {
+// askRound sends questions about each group whose primary seems lost to this host.
+func (w *Witness) askRound(ctx context.Context) {
 	for n, g := range w.Groups() {
 		if !g.PrimaryReport().Lost {
 			continue
 		}
-		for _, h := range w.next(n) {
-			a := &asking{witness: w, host: h, group: n}
+		for _, h := range w.pickHosts(n) {
+			a := &inquiry{witness: w, host: h, group: n}
 			go a.run(ctx)
 		}
 	}
 }
 
-// next returns whom to ask on the group, others with each round. Hosts that don't
-// serve it have no word of their own.
-func (w *Witness) next(group string) []string {
+// pickHosts returns the hosts to ask about the group, different ones in each round. Only hosts
+// that serve the group poll its servers and can report on them.
+func (w *Witness) pickHosts(group string) []string {
 	l := slices.DeleteFunc(slices.Clone(w.ServingHosts(group)), func(h string) bool { return h == w.Self })
-	if len(l) <= maximumAsked {
+	if len(l) <= maximumHostsAsked {
 		return l
 	}
-	w.turn++
-	n := make([]string, 0, maximumAsked)
-	for i := range maximumAsked {
-		n = append(n, l[(w.turn+i)%len(l)])
+	w.rotation++
+	n := make([]string, 0, maximumHostsAsked)
+	for i := range maximumHostsAsked {
+		n = append(n, l[(w.rotation+i)%len(l)])
 	}
 	return n
 }
 
-// asking is one question.
-type asking struct {
+// inquiry is one question to one host.
+type inquiry struct {
 	witness *Witness
 	host    string
 	group   string
 }
 
-// run keeps the answer; a host that can't be asked has no word.
-func (a *asking) run(ctx context.Context) {
+// run sends the question and stores the report. A host that doesn't answer or doesn't serve the
+// group is ignored.
+func (a *inquiry) run(ctx context.Context) {
 	x, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	t := time.Now()
@@ -170,16 +177,16 @@
 	if err != nil || !r.Serving {
 		return
 	}
-	a.witness.keep(a.group, kept{word: r.Report, at: t})
+	a.witness.store(a.group, timedReport{report: r.Report, askedAt: t})
 }
 
-// keep replaces the host's earlier word.
-func (w *Witness) keep(group string, k kept) {
+// store adds k to the reports of the group and removes the earlier report of its host.
+func (w *Witness) store(group string, k timedReport) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.words == nil {
-		w.words = make(map[string][]kept)
+	if w.reports == nil {
+		w.reports = make(map[string][]timedReport)
 	}
-	l := slices.DeleteFunc(w.words[group], func(o kept) bool { return o.word.Host == k.word.Host })
-	w.words[group] = append(l, k)
+	l := slices.DeleteFunc(w.reports[group], func(o timedReport) bool { return o.report.Host == k.report.Host })
+	w.reports[group] = append(l, k)
 }
--- a/internal/peer/witness/witness_test.go
+++ b/internal/peer/witness/witness_test.go
@@ -13,6 +13,7 @@
 	"github.com/cuminwick/cuminwick/internal/peer/witness"
 )
 
+// group is a group that host a serves; lost says that its primary seems lost to a.
 type group struct {
 	lost atomic.Bool
 }
@@ -23,9 +24,10 @@
 
 func (g *group) PollNow() {}
 
-// One host's way to the primary is broken, the others' aren't. Without their
-// word it would promote another primary, and all callers would notice a gap.
-func TestWords(t *testing.T) {
+// One host can't reach the primary while the other hosts can. Without their reports it would
+// promote another primary, and writes of all callers would be interrupted needlessly. Reports
+// must be requested only while the primary seems lost, and be dropped afterwards.
+func TestPrimaryReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		g := &group{}
@@ -36,7 +38,7 @@
 			Groups:       func() map[string]witness.Group { return map[string]witness.Group{"db": g} },
 			Ask: func(_ context.Context, h string, _ witness.Question) (witness.Answer, error) {
 				if h == "c" {
-					return witness.Answer{}, errors.New("not reached")
+					return witness.Answer{}, errors.New("host not reachable")
 				}
 				asked.Add(1)
 				return witness.Answer{Serving: true, Report: observer.PrimaryReport{Host: h, Primary: "db-a", Term: 1}}, nil
@@ -47,19 +49,19 @@
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if n := asked.Load(); n != 0 {
-			t.Errorf("asked %d times while nothing seems lost", n)
+			t.Errorf("sent %d questions while the primary does not seem lost", n)
 		}
 		g.lost.Store(true)
 		time.Sleep(time.Second)
 		synctest.Wait()
 		l := w.PrimaryReports("db")
 		if len(l) != 1 || l[0].Host != "b" || l[0].Lost {
-			t.Errorf("words %v, want that of b alone, who still reaches the primary", l)
+			t.Errorf("reports %v, want only the one of b, which still reaches the primary", l)
 		}
 		g.lost.Store(false)
 		time.Sleep(time.Second)
 		if l := w.PrimaryReports("db"); len(l) != 0 {
-			t.Errorf("words %v outlive the suspicion", l)
+			t.Errorf("reports %v are kept after the primary was reached again", l)
 		}
 		stop()
 		<-ended
