--- a/internal/group/follower/follower.go
+++ b/internal/group/follower/follower.go
@@ -35,7 +35,7 @@
 	// skipped while another host does reach one, noMajorityRetry while none does.
 	noMajorityAvoidance = 5 * time.Second
 	noMajorityRetry     = 300 * time.Millisecond
-	// unreachableTimeout is how long no host has answered when HostsUnreachable is signaled.
+	// unreachableTimeout is how long no host must have answered for HostsUnreachable to signal it.
 	unreachableTimeout = 500 * time.Millisecond
 	// maximumAnswerAge is how old the last answer may be for the view to count as current.
 	maximumAnswerAge = watchHold + answerTimeout + unreachableTimeout
@@ -89,7 +89,8 @@
 	tracker    acknowledger.ReplicationTracker
 	queues     [queueCount]waitQueue
 	avoidUntil map[string]time.Duration
-	// source is the host that version belongs to, empty if the view is out of date.
+	// source is the host that sent the view and its version. It is empty before the first answer
+	// and after invalidate.
 	source  string
 	version uint64
 	// failing says that no host has answered since failingSince.
--- a/internal/group/follower/view.go
+++ b/internal/group/follower/view.go
@@ -7,8 +7,8 @@
 	"github.com/cuminwick/cuminwick/internal/group/observer"
 )
 
-// invalidate signals that no serving host answers. If the last answer is no longer current, it
-// publishes a view in which no server is reachable. Otherwise a host that is cut off would go on
+// invalidate signals that no serving host answers. If the view isn't current either, it is
+// replaced by one in which no server is reachable. Otherwise a host that is cut off would go on
 // choosing servers from an outdated view.
 func (f *Follower) invalidate(now time.Duration) {
 	select {
--- a/internal/group/follower/waits.go
+++ b/internal/group/follower/waits.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// View returns the last view received from a serving host. It must not be changed.
+// View returns the last view received from a serving host, or a view without reachable servers if
+// none answers. It must not be changed.
 func (f *Follower) View() *observer.View {
 	f.init()
 	return f.view.Load()
--- a/internal/group/switcher/plan_test.go
+++ b/internal/group/switcher/plan_test.go
@@ -3,8 +3,8 @@
 import "testing"
 
 // A host that changes its part too early passes requests to a driver that has not observed the
-// servers yet, or to a follower that no serving host answers. A host that changes it too late or
-// never keeps polling the servers needlessly.
+// servers yet, or to a follower that no serving host answers. A host that changes it too late,
+// or not at all, keeps polling the servers needlessly.
 func TestDecide(t *testing.T) {
 	tests := []struct {
 		name string
