--- a/internal/pool/exchanger/adapter.go
+++ b/internal/pool/exchanger/adapter.go
@@ -5,14 +5,14 @@
 	"github.com/cuminwick/cuminwick/internal/wire/batcher"
 )
 
-// adapt makes a batch of its own for this connection, without the Parse
-// messages of statements that the server knows. The caller's batch stays as it
-// is, so that it can be sent again over another connection.
-func (x *Exchange) adapt() {
+// rewriteBatch replaces the batch by a copy for this connection, without the Parse messages of
+// statements that the server has already prepared. The caller's batch isn't modified, so that it
+// can be sent again over another connection.
+func (x *Exchange) rewriteBatch() {
 	if x.AskBefore {
 		x.Conn.Replay.Queried()
 	}
-	if !x.namesStatements() {
+	if !x.preparesStatements() {
 		return
 	}
 	b := &batcher.Batch{}
@@ -20,7 +20,7 @@
 	for i, t := range x.Batch.Items {
 		switch {
 		case t.Type == batcher.Parse && t.Name != "" && t.Answer != batcher.Inject:
-			x.adaptParse(b, i)
+			x.rewriteParse(b, i)
 		default:
 			b.Add(t.Type, t.Answer, x.Batch.Raw(i))
 			b.Items[len(b.Items)-1].Begins = t.Begins
@@ -29,9 +29,9 @@
 	x.Batch = b
 }
 
-// namesStatements reports whether the batch prepares a named statement; most
-// don't, and are sent as they are.
-func (x *Exchange) namesStatements() bool {
+// preparesStatements reports whether the batch prepares a named statement. Most batches don't and
+// are sent without a copy. It also records the batch's simple queries in Conn.Replay.
+func (x *Exchange) preparesStatements() bool {
 	named := false
 	for _, t := range x.Batch.Items {
 		if t.Type == batcher.Query {
@@ -42,40 +42,45 @@
 	return named
 }
 
-func (x *Exchange) adaptParse(b *batcher.Batch, i int) {
+// rewriteParse appends what replaces the named Parse i to b: a Close of the statement that is
+// evicted, if any, and the Parse itself if the server hasn't prepared the statement.
+func (x *Exchange) rewriteParse(b *batcher.Batch, i int) {
 	t := x.Batch.Items[i]
 	p := x.Conn.Replay.Use(t.Name, replayer.Prepared{ID: replayer.StatementID(t.Name)})
 	if p.Close != "" {
 		b.AddBody(batcher.Close, batcher.Swallow, []byte{'S'}, []byte(p.Close), []byte{0})
 	}
 	if !p.Parse {
-		b.Add(t.Type, known(t.Answer), x.Batch.Raw(i))
+		b.Add(t.Type, answerToKnownParse(t.Answer), x.Batch.Raw(i))
 		return
 	}
 	b.Add(t.Type, t.Answer, x.Batch.Raw(i))
 	b.Items[len(b.Items)-1].Name = t.Name
 }
 
-// known returns what becomes of a Parse whose statement the server knows.
-func known(a batcher.Answer) batcher.Answer {
+// answerToKnownParse returns how to answer a Parse that isn't sent because the server has already
+// prepared its statement.
+func answerToKnownParse(a batcher.Answer) batcher.Answer {
 	if a == batcher.Pass {
 		return batcher.Inject
 	}
 	return batcher.Drop
 }
 
-func (x *Exchange) bytes() []byte {
-	p := make([]byte, 0, x.Batch.Bytes()+2*len(question))
+// encode returns the bytes to send: the batch, with a position query before and after it as asked.
+func (x *Exchange) encode() []byte {
+	p := make([]byte, 0, x.Batch.Bytes()+2*len(positionQuery))
 	if x.AskBefore {
-		p = append(p, question...)
+		p = append(p, positionQuery...)
 	}
 	p = x.Batch.Append(p)
 	if x.AskPosition {
 		x.Conn.Replay.Queried()
-		p = append(p, question...)
+		p = append(p, positionQuery...)
 	}
 	return p
 }
 
-// question asks for the log position. Nearly each request sends it, so it is made once.
-var question = batcher.EncodeQuery(positionSQL)
+// positionQuery is the encoded query for the log position. Nearly every request sends it, so it is
+// encoded once.
+var positionQuery = batcher.EncodeQuery(positionSQL)
--- a/internal/pool/exchanger/cancelling.go
+++ b/internal/pool/exchanger/cancelling.go
@@ -16,32 +16,36 @@
 const (
 	// cancelInterval is the time between cancel requests for one batch.
 	cancelInterval = 50 * time.Millisecond
-	// settleTimeout bounds the round trip after a cancel.
+	// settleTimeout bounds the round trip on the connection after a cancel.
 	settleTimeout = 5 * time.Second
 )
 
-// cancelling asks a backend server to cancel one batch.
+// cancellation sends the cancel requests for one batch.
 //
-// A cancel request that arrives before the statement has started does nothing,
-// so it is repeated until the answer has come. One that arrives after the
-// answer could hit the next use of the connection; settle prevents that, or closes the
-// connection where it can't.
-type cancelling struct {
+// A cancel request that arrives before the statement has started has no effect, so it is repeated
+// until the answer to the batch is complete. One that arrives after the answer could cancel a
+// statement of the next user of the connection; settle prevents that, or closes the connection
+// where it can't.
+type cancellation struct {
 	Conn      *keeper.Conn
 	Canceller Canceller
 
-	once  sync.Once
-	done  chan struct{}
+	once sync.Once
+	// done is closed by the exchange once the answer is complete.
+	done chan struct{}
+	// ended is closed once no further cancel request will be sent.
 	ended chan struct{}
-	// unseen says that a request may still arrive; it is final once ended is closed.
-	unseen bool
+	// unconfirmed reports whether a cancel request may still arrive at the server. It is final
+	// once ended is closed.
+	unconfirmed bool
 }
 
-func (c *cancelling) run() {
+// run sends cancel requests until done is closed. Further calls do nothing.
+func (c *cancellation) run() {
 	c.once.Do(c.loop)
 }
 
-func (c *cancelling) loop() {
+func (c *cancellation) loop() {
 	defer close(c.ended)
 	t := time.NewTicker(cancelInterval)
 	defer t.Stop()
@@ -51,9 +55,9 @@
 			return
 		default:
 		}
-		// A failed attempt is repeated; the answer may come without it.
+		// The error is ignored: the request is repeated, and the answer may come without it.
 		err := c.Canceller.Cancel(context.Background(), c.Conn.Address, c.Conn.ProcessID, c.Conn.SecretKey)
-		c.unseen = c.unseen || errors.Is(err, dialer.ErrUnseen)
+		c.unconfirmed = c.unconfirmed || errors.Is(err, dialer.ErrUnseen)
 		select {
 		case <-c.done:
 			return
@@ -62,25 +66,25 @@
 	}
 }
 
-// settle waits for the last cancel request to have been delivered and makes
-// one round trip on the connection, which takes up any late effect. A request that
-// wasn't seen to arrive may do so at any time, after the round trip as well, and would
-// break off the request of whoever has the connection then; so the connection is closed.
-func (c *cancelling) settle(ctx context.Context) error {
+// settle waits until the last cancel request is delivered and makes one round trip on the
+// connection, which absorbs any late effect. A cancel request whose delivery is unconfirmed may
+// arrive at any time, even after the round trip, and would abort a request of the connection's next
+// user, so in that case the connection is closed and dialer.ErrUnseen returned.
+func (c *cancellation) settle(ctx context.Context) error {
 	select {
 	case <-c.ended:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	if c.unseen {
+	if c.unconfirmed {
 		c.Conn.Close()
 		return errors.Trace(dialer.ErrUnseen)
 	}
 	return RoundTrip(c.Conn, settleTimeout)
 }
 
-// RoundTrip sends a Sync on an idle connection and awaits its answer. An error
-// says that the connection is of no more use.
+// RoundTrip sends a Sync on an idle connection and waits for ReadyForQuery. After an error the
+// connection must be closed.
 func RoundTrip(c *keeper.Conn, timeout time.Duration) error {
 	if err := c.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return errors.Trace(err)
@@ -94,6 +98,7 @@
 	return awaitReady(c)
 }
 
+// awaitReady discards messages up to ReadyForQuery.
 func awaitReady(c *keeper.Conn) error {
 	for {
 		f, err := c.Reader.Next()
--- a/internal/pool/exchanger/cancelling_test.go
+++ b/internal/pool/exchanger/cancelling_test.go
@@ -22,30 +22,31 @@
 	"github.com/cuminwick/cuminwick/internal/wire/framer"
 )
 
-// dice draws for several goroutines at a time.
-type dice struct {
+// randomizer is a random source that several goroutines may use.
+type randomizer struct {
 	mu     sync.Mutex
 	source *rand.Rand
 }
 
-func (d *dice) draw(n int) int {
+func (d *randomizer) intN(n int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.source.IntN(n)
 }
 
-// pause is between one and n milliseconds.
-func (d *dice) pause(n int) time.Duration {
-	return time.Duration(1+d.draw(n)) * time.Millisecond
+// delay returns a duration between 1 and n milliseconds.
+func (d *randomizer) delay(n int) time.Duration {
+	return time.Duration(1+d.intN(n)) * time.Millisecond
 }
 
-// backend is a server process behind one connection. It runs each query for a while
-// and is interrupted by a cancel that arrives meanwhile, whoever it was for.
+// backend simulates the server process of one connection. A query takes a random time. A cancel
+// request interrupts the query that runs when it arrives, whichever query it was sent for.
 type backend struct {
-	conn net.Conn
-	dice *dice
+	conn   net.Conn
+	random *randomizer
 
-	mu        sync.Mutex
+	mu sync.Mutex
+	// running is the number of the query that runs, zero for none.
 	running   int
 	interrupt chan struct{}
 }
@@ -60,7 +61,7 @@
 		var a []byte
 		if f.Type == batcher.Query {
 			n, _ := strconv.Atoi(strings.TrimRight(string(f.Body()), "\x00"))
-			a = b.work(n)
+			a = b.runQuery(n)
 		}
 		if _, err := b.conn.Write(append(a, follower.ReadyForQuery, 0, 0, 0, 5, Idle)); err != nil {
 			return
@@ -68,7 +69,7 @@
 	}
 }
 
-func (b *backend) work(n int) []byte {
+func (b *backend) runQuery(n int) []byte {
 	b.mu.Lock()
 	b.running, b.interrupt = n, make(chan struct{})
 	i := b.interrupt
@@ -77,7 +78,7 @@
 	select {
 	case <-i:
 		return []byte("E\x00\x00\x00\x0cC57014\x00\x00")
-	case <-time.After(b.dice.pause(60)):
+	case <-time.After(b.random.delay(60)):
 		return []byte("C\x00\x00\x00\x06X\x00")
 	}
 }
@@ -88,8 +89,8 @@
 	b.running = 0
 }
 
-// arrive lets a cancel take effect, and returns the query that it hit, zero for none.
-func (b *backend) arrive() int {
+// cancelRunning interrupts the running query and returns its number, zero for none.
+func (b *backend) cancelRunning() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := b.running
@@ -100,25 +101,25 @@
 	return n
 }
 
-// ways are the cancels of one query on their way to the server.
-type ways struct {
+// unreliableCanceller sends the cancel requests of one query with delays and losses.
+type unreliableCanceller struct {
 	t       *testing.T
 	backend *backend
 	query   int
-	dice    *dice
+	random  *randomizer
 	hits    *atomic.Int64
 }
 
-// Cancel takes a while, may not reach the server at all, and may lose sight of a
-// request that arrives all the same.
-func (w *ways) Cancel(context.Context, string, uint32, uint32) error {
-	d := w.dice.pause(100)
-	switch w.dice.draw(6) {
+// Cancel delivers a cancel request after a random delay, fails to connect, or returns ErrUnseen
+// although the request arrives later.
+func (w *unreliableCanceller) Cancel(context.Context, string, uint32, uint32) error {
+	d := w.random.delay(100)
+	switch w.random.intN(6) {
 	case 0:
 		return errors.New("connection refused")
 	case 1:
-		go w.run(d)
-		time.Sleep(w.dice.pause(25))
+		go w.hitAfter(d)
+		time.Sleep(w.random.delay(25))
 		return errors.WithType(errors.New("timeout"), dialer.ErrUnseen)
 	default:
 		time.Sleep(d)
@@ -127,13 +128,13 @@
 	}
 }
 
-func (w *ways) run(d time.Duration) {
+func (w *unreliableCanceller) hitAfter(d time.Duration) {
 	time.Sleep(d)
 	w.hit()
 }
 
-func (w *ways) hit() {
-	switch n := w.backend.arrive(); n {
+func (w *unreliableCanceller) hit() {
+	switch n := w.backend.cancelRunning(); n {
 	case 0:
 	case w.query:
 		w.hits.Add(1)
@@ -142,65 +143,67 @@
 	}
 }
 
+// discarded is an Output that drops the answer.
 type discarded struct{}
 
 func (discarded) Frame(byte, []byte, bool, bool) error { return nil }
 
-// A caller cancels while its answer is on the way, and the cancel arrives after
-// the connection went to the next caller. That caller's booking is broken off
-// without its doing. Cancels are sent, repeated, lost, or arrive after their sender
-// has given up waiting for the server to close their connection.
+// A caller cancels while its answer is in flight, and the cancel request arrives after the
+// connection was given to the next caller, whose statement is then cancelled by mistake. Cancel
+// requests are repeated, lost, or arrive after their sender has timed out waiting for the server to
+// close the cancel connection.
 func TestLateCancelNeverHitsTheNextUse(t *testing.T) {
 	var hits atomic.Int64
 	replaced := 0
 	for seed := range uint64(900) {
 		synctest.Test(t, func(t *testing.T) {
-			u := &uses{t: t, dice: &dice{source: rand.New(rand.NewPCG(1, seed))}, hits: &hits}
+			u := &sharedConnection{t: t, random: &randomizer{source: rand.New(rand.NewPCG(1, seed))}, hits: &hits}
 			u.open()
 			for n := 1; n <= 20; n++ {
-				u.use(n)
+				u.runQuery(n)
 			}
 			u.conn.Close()
-			// The last cancels arrive; virtual time ends with this function.
+			// Lets the last cancel requests arrive, since virtual time ends with this function.
 			time.Sleep(time.Second)
 			replaced += u.replaced
 		})
 	}
 	t.Logf("%d hits, %d replaced", hits.Load(), replaced)
 	if hits.Load() < 1000 || replaced < 100 {
-		t.Errorf("%d cancels hit their query and %d connections were replaced, the test shows nothing", hits.Load(), replaced)
+		t.Errorf("%d cancels hit their query and %d connections were replaced, too few for the test to be meaningful", hits.Load(), replaced)
 	}
 }
 
-// uses are the queries of one caller after the other over a pooled connection.
-type uses struct {
-	t        *testing.T
-	dice     *dice
-	hits     *atomic.Int64
-	conn     *keeper.Conn
-	backend  *backend
+// sharedConnection is a pooled connection on which several callers run queries in turn.
+type sharedConnection struct {
+	t       *testing.T
+	random  *randomizer
+	hits    *atomic.Int64
+	conn    *keeper.Conn
+	backend *backend
+	// replaced counts the connections that had to be closed.
 	replaced int
 }
 
-func (u *uses) open() {
+func (u *sharedConnection) open() {
 	near, far := net.Pipe()
 	u.conn = &keeper.Conn{Conn: &dialer.Conn{Conn: near, Reader: framer.Reader{Source: bufio.NewReader(near)}}}
-	u.backend = &backend{conn: far, dice: u.dice}
+	u.backend = &backend{conn: far, random: u.random}
 	go u.backend.run()
 }
 
-// use runs query n, which its caller cancels most of the time, and settles the
-// connection as its pool does, or leaves that to the next query.
-func (u *uses) use(n int) {
-	ctx, stop := context.WithTimeout(u.t.Context(), u.dice.pause(80))
+// runQuery runs query n, which its caller usually cancels. At random, it settles the connection
+// first, as the pool does, or leaves that to the Exchange.
+func (u *sharedConnection) runQuery(n int) {
+	ctx, stop := context.WithTimeout(u.t.Context(), u.random.delay(80))
 	defer stop()
-	if u.conn.Settle != nil && u.dice.draw(2) == 0 {
+	if u.conn.Settle != nil && u.random.intN(2) == 0 {
 		if err := u.conn.Settle(context.Background()); err != nil {
 			u.replace()
 		}
 		u.conn.Settle = nil
 	}
-	w := &ways{t: u.t, backend: u.backend, query: n, dice: u.dice, hits: u.hits}
+	w := &unreliableCanceller{t: u.t, backend: u.backend, query: n, random: u.random, hits: u.hits}
 	x := &Exchange{Conn: u.conn, Canceller: w, Batch: &batcher.Batch{}, Output: discarded{}}
 	x.Batch.AddQuery(batcher.Pass, strconv.Itoa(n))
 	_, err := x.Run(ctx)
@@ -210,10 +213,10 @@
 	case err != nil:
 		u.t.Errorf("query %d: %v", n, err)
 	}
-	time.Sleep(u.dice.pause(20))
+	time.Sleep(u.random.delay(20))
 }
 
-func (u *uses) replace() {
+func (u *sharedConnection) replace() {
 	u.replaced++
 	u.conn.Close()
 	u.open()
--- a/internal/pool/exchanger/copier.go
+++ b/internal/pool/exchanger/copier.go
@@ -6,7 +6,7 @@
 	"github.com/cuminwick/cuminwick/internal/wire/batcher"
 )
 
-// copyIn passes the caller's data on until it ends the COPY.
+// copyIn forwards the caller's COPY data to the server up to CopyDone or CopyFail.
 func (x *Exchange) copyIn() error {
 	for {
 		t, p, err := x.Input.Next()
@@ -22,8 +22,8 @@
 	}
 }
 
-// endCopy passes on the Sync that ends a COPY of the extended protocol: the
-// one that came with the batch is ignored by a backend server in COPY.
+// endCopy forwards the Sync that ends a COPY of the extended protocol. PostgreSQL ignores the Sync
+// of the batch itself, because it receives that one during COPY.
 func (x *Exchange) endCopy() error {
 	n := len(x.Batch.Items)
 	if x.Batch.Items[n-1].Type != batcher.Sync {
@@ -43,9 +43,9 @@
 	}
 }
 
-// abortCopy fails the COPY of a caller that went away, so that nothing of it takes effect.
+// abortCopy fails the COPY after the caller has disconnected, so that it is rolled back.
 func (x *Exchange) abortCopy(cause error) error {
-	x.outErr = errors.Annotate(cause, "read copy data from caller")
+	x.callerErr = errors.Annotate(cause, "read copy data from caller")
 	var b batcher.Batch
 	b.AddBody(batcher.CopyFail, batcher.Pass, []byte("caller disconnected\x00"))
 	if x.Batch.Items[len(x.Batch.Items)-1].Type == batcher.Sync {
--- a/internal/pool/exchanger/exchanger.go
+++ b/internal/pool/exchanger/exchanger.go
@@ -1,4 +1,4 @@
-// Package exchanger sends one batch over a pooled connection and passes on the answer.
+// Package exchanger sends one batch of messages over a pooled connection and forwards the answer to the caller.
 package exchanger
 
 import (
@@ -17,20 +17,20 @@
 )
 
 const (
-	// positionSQL asks for the mark of the log's last entry.
+	// positionSQL reads the mark (term and position) of the last entry of the server's log.
 	positionSQL = "SELECT cuminwick_position()"
-	// inlineWriteBytes is what is sent without a goroutine of its own; socket
-	// buffers hold it, so that sending can't wait for the answer to be read.
+	// inlineWriteBytes is the largest batch that is written before its answer is read. Socket
+	// buffers hold that much, so the write can't block until the answer is read.
 	inlineWriteBytes = 32 << 10
-	// maximumErrorBytes bounds an error response that is looked into.
+	// maximumErrorBytes is the largest body of an error response that is parsed for its SQLSTATE.
 	maximumErrorBytes = framer.ChunkBytes
 )
 
 const (
-	// ErrNotSent says that no byte of the batch reached the backend server.
+	// ErrNotSent is returned when no byte of the batch reached the backend server.
 	ErrNotSent = errors.ConstError("batch not sent")
-	// ErrLost says that the connection was lost after the batch was sent, so
-	// that its outcome is open.
+	// ErrLost is returned when the connection was lost after bytes of the batch were sent, so
+	// that its outcome is unknown.
 	ErrLost = errors.ConstError("connection lost")
 )
 
@@ -41,63 +41,70 @@
 	Failed        byte = 'E'
 )
 
-// Output takes the backend server's messages that are for the caller, except
-// for ReadyForQuery. A long message comes in several parts.
+// Output receives the backend server's messages for the caller, except for ReadyForQuery.
 type Output interface {
+	// Frame receives one part of a message of type t. A long message comes in several parts; first
+	// and last mark its ends, and the first part includes the header.
 	Frame(t byte, part []byte, first, last bool) error
 }
 
-// Input returns the caller's further messages during COPY FROM STDIN.
+// Input reads the caller's messages during COPY FROM STDIN.
 type Input interface {
+	// Next returns the type of the next message and its bytes with the header.
 	Next() (t byte, raw []byte, err error)
 }
 
-// Canceller sends a cancel request, usually a dialer.Dialer.
+// Canceller sends cancel requests to backend servers. It is usually a dialer.Dialer.
 type Canceller interface {
 	Cancel(ctx context.Context, address string, processID, secretKey uint32) error
 }
 
-// Result is what is known after an exchange.
+// Result describes the answer to one exchange.
 type Result struct {
-	// Status is the transaction state, zero after a batch that ends in Flush.
+	// Status is the transaction state that ReadyForQuery reported (Idle, InTransaction or Failed),
+	// zero after a batch that ends in Flush.
 	Status byte
-	// Position is the mark of the server's log after the batch, zero if not asked.
+	// Position is the mark of the server's log after the batch, zero unless AskPosition was set.
 	Position marker.Mark
-	// Before is the mark of the server's log before the batch, zero if not asked.
+	// Before is the mark of the server's log before the batch, zero unless AskBefore was set.
 	Before marker.Mark
-	// Code is the SQLSTATE of the first error, empty without error.
+	// Code is the SQLSTATE of the first error, empty if there was none.
 	Code string
 	// Tag is the last command tag.
 	Tag string
-	// Returned says that the connection went back to its pool with the answer.
+	// Returned reports whether the connection was returned to its pool together with the answer.
 	Returned bool
 }
 
-// Exchange is one batch on one connection.
+// Exchange sends one batch on one connection. The exported fields are set before Run.
 type Exchange struct {
-	Conn      *keeper.Conn
+	Conn *keeper.Conn
+	// Canceller sends the cancel requests when the context of Run ends.
 	Canceller Canceller
 	Batch     *batcher.Batch
 	Output    Output
 	Input     Input
-	// AskPosition sends a question for the log position along with the batch.
-	// It must not follow COPY FROM STDIN, whose data would be mistaken.
+	// AskPosition sends a query for the log position after the batch. It must not be set for a
+	// COPY FROM STDIN, because the query would arrive in the middle of the COPY data.
 	AskPosition bool
-	// AskBefore sends the same question ahead of the batch as well.
+	// AskBefore sends the same query before the batch as well.
 	AskBefore bool
-	// Prober, if set, tells a long statement from a connection gone silent.
+	// Prober distinguishes a long-running statement from a dead connection. If it is nil, dead
+	// connections aren't detected.
 	Prober Prober
 
 	follower follower.Follower
 	result   Result
-	outErr   error
-	cancel   *cancelling
+	// callerErr is the error that ended the forwarding to or from the caller.
+	callerErr error
+	cancel    *cancellation
 }
 
-// Run sends the batch and returns when its answer is complete.
+// Run sends the batch and returns when its answer is complete. An error is ErrNotSent, ErrLost or
+// that of Output or Input.
 //
-// When ctx ends, the backend server is asked to cancel, and the answer to that
-// is still awaited: the connection is worth nothing to others before.
+// When ctx ends, a cancel request is sent to the backend server and Run still reads the answer,
+// because the connection can't be reused before the answer is complete.
 func (x *Exchange) Run(ctx context.Context) (Result, error) {
 	if err := x.settle(ctx); err != nil {
 		return Result{}, errors.WithType(err, ErrNotSent)
@@ -105,25 +112,25 @@
 	if err := x.send(); err != nil {
 		return Result{}, err
 	}
-	x.cancel = &cancelling{Conn: x.Conn, Canceller: x.Canceller, done: make(chan struct{}), ended: make(chan struct{})}
+	x.cancel = &cancellation{Conn: x.Conn, Canceller: x.Canceller, done: make(chan struct{}), ended: make(chan struct{})}
 	stop := context.AfterFunc(ctx, x.cancel.run)
-	unwatch := x.watch(ctx)
+	stopDetection := x.detectSilence(ctx)
 	err := x.receive()
-	unwatch()
+	stopDetection()
 	close(x.cancel.done)
-	if x.outErr != nil {
+	if x.callerErr != nil {
 		go x.cancel.run()
 	}
-	if !stop() || x.outErr != nil {
+	if !stop() || x.callerErr != nil {
 		x.Conn.Settle = x.cancel.settle
 	}
 	if err != nil {
 		return x.result, err
 	}
-	return x.result, x.outErr
+	return x.result, x.callerErr
 }
 
-// settle waits until a cancel of an earlier batch can't hit this one.
+// settle waits until a cancel request for an earlier batch can no longer affect this one.
 func (x *Exchange) settle(ctx context.Context) error {
 	if x.Conn.Settle == nil {
 		return nil
@@ -135,10 +142,11 @@
 	return nil
 }
 
+// send sends the batch. An error is ErrNotSent or ErrLost.
 func (x *Exchange) send() error {
-	x.adapt()
+	x.rewriteBatch()
 	x.follower = follower.Follower{Batch: x.Batch}
-	p := x.bytes()
+	p := x.encode()
 	if len(p) > inlineWriteBytes {
 		go x.runSend(p)
 		return nil
@@ -153,14 +161,15 @@
 	return x.lost(err)
 }
 
-// runSend sends a long batch while its answer is already being read; without
-// this, both sides could wait for each other with full socket buffers.
+// runSend sends a large batch while its answer is already being read. Otherwise both sides could
+// deadlock with full socket buffers.
 func (x *Exchange) runSend(p []byte) {
 	if _, err := x.Conn.Write(p); err != nil {
 		x.Conn.Close()
 	}
 }
 
+// receive reads the answers to the position queries and to the batch.
 func (x *Exchange) receive() error {
 	if x.AskBefore {
 		m, err := x.receivePosition()
@@ -177,9 +186,10 @@
 	return err
 }
 
+// receiveBatch reads the answer to the batch itself.
 func (x *Exchange) receiveBatch() error {
 	for {
-		x.inject()
+		x.deliverInjected()
 		if x.follower.Done() {
 			return nil
 		}
@@ -187,25 +197,27 @@
 		if err != nil {
 			return x.lost(err)
 		}
-		if err := x.take(f); err != nil {
+		if err := x.handle(f); err != nil {
 			return err
 		}
 	}
 }
 
-func (x *Exchange) inject() {
+// deliverInjected sends the caller the answers that are due to messages which weren't sent.
+func (x *Exchange) deliverInjected() {
 	for {
 		t, ok := x.follower.Injected()
 		if !ok {
 			return
 		}
-		x.pass(t, []byte{t, 0, 0, 0, 4}, true, true)
+		x.deliver(t, []byte{t, 0, 0, 0, 4}, true, true)
 	}
 }
 
-func (x *Exchange) take(f framer.Frame) error {
+// handle processes one message of the backend server.
+func (x *Exchange) handle(f framer.Frame) error {
 	if f.Type == follower.ErrorResponse {
-		x.forgetParsed()
+		x.forgetSkippedParses()
 	}
 	pass := x.follower.Accept(f.Type)
 	switch f.Type {
@@ -213,19 +225,20 @@
 		x.result.Status = f.Body()[0]
 		return nil
 	case follower.ErrorResponse:
-		x.noteError(f)
+		x.recordCode(f)
 	case follower.CommandComplete:
 		x.result.Tag = string(bytes.TrimRight(f.Body(), "\x00"))
 	case follower.CopyInResponse:
-		x.pass(f.Type, f.Raw, true, f.Whole())
+		x.deliver(f.Type, f.Raw, true, f.Whole())
 		return x.copyIn()
 	}
 	return x.forward(f, pass)
 }
 
+// forward reads the rest of a message and, if pass is set, delivers all of it to the caller.
 func (x *Exchange) forward(f framer.Frame, pass bool) error {
 	if pass {
-		x.pass(f.Type, f.Raw, true, f.Whole())
+		x.deliver(f.Type, f.Raw, true, f.Whole())
 	}
 	for f.Remaining > 0 {
 		p, err := x.Conn.Reader.Rest(&f)
@@ -233,27 +246,27 @@
 			return x.lost(err)
 		}
 		if pass {
-			x.pass(f.Type, p, false, f.Whole())
+			x.deliver(f.Type, p, false, f.Whole())
 		}
 	}
 	return nil
 }
 
-// pass hands a part to the caller; after its connection has failed, the
-// statement is cancelled and the rest of the answer is read and dropped.
-func (x *Exchange) pass(t byte, p []byte, first, last bool) {
-	if x.outErr != nil {
+// deliver writes a part of a message to Output. Once that has failed, the statement is cancelled
+// and the rest of the answer is read and dropped.
+func (x *Exchange) deliver(t byte, p []byte, first, last bool) {
+	if x.callerErr != nil {
 		return
 	}
-	x.outErr = x.Output.Frame(t, p, first, last)
-	if x.outErr != nil {
+	x.callerErr = x.Output.Frame(t, p, first, last)
+	if x.callerErr != nil {
 		go x.cancel.run()
 	}
 }
 
-// forgetParsed notes that the server skips the Parse messages from the one
-// that failed up to the Sync.
-func (x *Exchange) forgetParsed() {
+// forgetSkippedParses removes from Conn.Replay the statements of the failed message and of those up
+// to the Sync, which the server skips.
+func (x *Exchange) forgetSkippedParses() {
 	for _, i := range x.follower.Rest() {
 		if i.Type == batcher.Sync {
 			return
@@ -264,15 +277,16 @@
 	}
 }
 
-func (x *Exchange) noteError(f framer.Frame) {
+// recordCode keeps the SQLSTATE of the first error response.
+func (x *Exchange) recordCode(f framer.Frame) {
 	if x.result.Code != "" || len(f.Raw) > maximumErrorBytes+framer.HeaderBytes {
 		return
 	}
 	x.result.Code = Code(f.Body())
 }
 
-// receivePosition reads the answer to a question for the log position. It is
-// zero if the server answered with an error, as after a cancel.
+// receivePosition reads the answer to a position query. The mark is zero if the server answered
+// with an error, as it does after a cancel.
 func (x *Exchange) receivePosition() (marker.Mark, error) {
 	var m marker.Mark
 	for {
@@ -289,11 +303,13 @@
 	}
 }
 
+// lost returns err as an ErrLost.
 func (x *Exchange) lost(err error) error {
 	return errors.WithType(errors.Annotatef(err, "exchange with backend server %s", x.Conn.Address), ErrLost)
 }
 
-// ParsePosition reads the mark from a row of one text column, as term/position.
+// ParsePosition returns the mark in the body of a DataRow with one text column of the form
+// term/position, zero if the row is malformed.
 func ParsePosition(row []byte) marker.Mark {
 	const columnHeader = 6
 	if len(row) <= columnHeader {
@@ -311,7 +327,7 @@
 	return marker.Mark{Term: marker.Term(n), Position: marker.Position(k)}
 }
 
-// Code returns the SQLSTATE of an error response's body.
+// Code returns the SQLSTATE in the body of an ErrorResponse, empty if there is none.
 func Code(body []byte) string {
 	for len(body) > 1 {
 		n := bytes.IndexByte(body, 0)
--- a/internal/pool/exchanger/fuzz_test.go
+++ b/internal/pool/exchanger/fuzz_test.go
@@ -9,12 +9,13 @@
 	"github.com/cuminwick/cuminwick/internal/wire/framer"
 )
 
-// An error response that a driver would understand gives the same SQLSTATE.
+// Code must return the SQLSTATE that a driver encoded in the ErrorResponse. A wrong one would change
+// how the error is handled.
 func FuzzCode(f *testing.F) {
 	f.Add("ERROR", "22012", "division by zero")
 	f.Add("", "", "")
 	f.Fuzz(func(t *testing.T, severity, code, message string) {
-		// Whatever the bytes are, reading them does no harm.
+		// Arbitrary bytes must not cause a panic.
 		Code([]byte(severity + code + message))
 		if strings.ContainsRune(severity+code+message, 0) {
 			return
@@ -30,7 +31,7 @@
 	})
 }
 
-// Only a position as a backend server writes it becomes a mark.
+// A row that isn't of the form term/position must not be parsed as a mark.
 func FuzzParsePosition(f *testing.F) {
 	f.Add([]byte("\x00\x01\x00\x00\x00\x043/17"))
 	f.Add([]byte("\x00\x01\x00\x00\x00\x143/99999999999999999999"))
--- a/internal/pool/exchanger/silence.go
+++ b/internal/pool/exchanger/silence.go
@@ -10,92 +10,98 @@
 )
 
 const (
-	// patience is how long an answer may bring no byte before the server is
-	// asked over a new connection.
-	patience = 300 * time.Millisecond
-	// maximumPatience bounds the time to the next question about a statement that
-	// the server works on, which doubles each time: a question costs a connection.
-	maximumPatience = 5 * time.Second
-	doublings       = 5
-	// doubt is the time to the second question, in which an answer that was
-	// under way arrives.
-	doubt = 100 * time.Millisecond
-	// denials is how often the server must deny that it works on the batch.
-	denials = 2
-	// abandonment is how long a cancelled batch is awaited while the server
-	// can't be asked.
-	abandonment = 5 * time.Second
+	// probeDelay is how long no byte of an answer may arrive before the server is probed over a
+	// new connection.
+	probeDelay = 300 * time.Millisecond
+	// maximumProbeDelay bounds the delay between the probes of a running statement. The delay
+	// doubles with each probe, because a probe costs a connection.
+	maximumProbeDelay = 5 * time.Second
+	maximumDoublings  = 5
+	// confirmationDelay is the time from a first idle probe to the next one. An answer that was in
+	// flight at the first one arrives in it.
+	confirmationDelay = 100 * time.Millisecond
+	// requiredIdleProbes is how many probes must find no running statement, with none in between
+	// that finds one, before the connection counts as dead.
+	requiredIdleProbes = 2
+	// unreachableTimeout is how long the answer to a cancelled batch is awaited while the server
+	// can't be probed.
+	unreachableTimeout = 5 * time.Second
 )
 
-// ErrSilent says that the server doesn't work on the batch, and no answer came.
+// ErrSilent is returned when no answer arrives although the server isn't running the batch, or when
+// the server couldn't be probed for unreachableTimeout after the caller cancelled.
 const ErrSilent = errors.ConstError("connection gone silent")
 
-// Prober asks the backend server over a new connection.
+// Prober queries and ends sessions of the backend server over a new connection.
 type Prober interface {
-	// Working reports whether the session with this process id runs a statement.
+	// Working reports whether the session with this process id is running a statement.
 	Working(ctx context.Context, processID uint32) (bool, error)
 	// Terminate ends the sessions with these process ids.
 	Terminate(ctx context.Context, processIDs []uint32) error
 }
 
-// silence judges the silence of one connection during one batch.
-type silence struct {
+// silenceDetector detects a dead connection while the answer to one batch is read.
+type silenceDetector struct {
 	ctx    context.Context
 	conn   *dialer.Conn
 	prober Prober
-	denied int
-	// works counts the answers that the server works on the batch.
-	works int
-	since time.Time
+	// idleProbes counts the probes that found no running statement since the last one that did.
+	idleProbes int
+	// activeProbes counts the probes that found a running statement.
+	activeProbes int
+	// unreachableSince is the time of the first probe that failed after ctx had ended, zero if none
+	// has.
+	unreachableSince time.Time
 }
 
-// watch makes reads of the connection notice when it has gone silent, and
-// returns what ends that.
-func (x *Exchange) watch(ctx context.Context) func() {
+// detectSilence makes reads of the connection fail with ErrSilent once the connection is dead, and
+// returns a function that undoes this. Without a Prober it does nothing.
+func (x *Exchange) detectSilence(ctx context.Context) func() {
 	if x.Prober == nil {
 		return func() {}
 	}
 	c := x.Conn.Conn
-	s := &silence{ctx: ctx, conn: c, prober: x.Prober}
-	c.Patience = patience
-	c.Silence = s.judge
+	s := &silenceDetector{ctx: ctx, conn: c, prober: x.Prober}
+	c.Patience = probeDelay
+	c.Silence = s.probe
 	return func() {
 		c.Silence = nil
 		c.SetReadDeadline(time.Time{})
 	}
 }
 
-// judge returns an error once the server has denied twice that it works on the
-// batch. A long statement, or one that waits for a lock, is never ended by it.
-func (s *silence) judge() error {
+// probe is called when no byte has arrived for conn.Patience. It returns an error once
+// requiredIdleProbes have found that the server isn't running the batch. A long-running statement,
+// or one that waits for a lock, never causes an error.
+func (s *silenceDetector) probe() error {
 	w, err := s.prober.Working(context.WithoutCancel(s.ctx), s.conn.ProcessID)
 	switch {
 	case err != nil:
-		return s.unasked(err)
+		return s.probeFailed(err)
 	case w:
-		s.denied = 0
-		s.works++
-		s.conn.Patience = min(patience<<min(s.works, doublings), maximumPatience)
+		s.idleProbes = 0
+		s.activeProbes++
+		s.conn.Patience = min(probeDelay<<min(s.activeProbes, maximumDoublings), maximumProbeDelay)
 		return nil
 	}
-	s.denied++
-	s.conn.Patience = doubt
-	if s.denied < denials {
+	s.idleProbes++
+	s.conn.Patience = confirmationDelay
+	if s.idleProbes < requiredIdleProbes {
 		return nil
 	}
 	return ErrSilent
 }
 
-// unasked goes on waiting for a server that can't be reached, but not for the
-// sake of a caller that has given up.
-func (s *silence) unasked(err error) error {
+// probeFailed returns nil as long as to go on waiting for a server that can't be probed: without a
+// limit while the caller waits, and for unreachableTimeout once ctx has ended.
+func (s *silenceDetector) probeFailed(err error) error {
 	if s.ctx.Err() == nil {
 		return nil
 	}
-	if s.since.IsZero() {
-		s.since = time.Now()
+	if s.unreachableSince.IsZero() {
+		s.unreachableSince = time.Now()
 	}
-	if time.Since(s.since) < abandonment {
+	if time.Since(s.unreachableSince) < unreachableTimeout {
 		return nil
 	}
 	return errors.WithType(err, ErrSilent)
--- a/internal/pool/exchanger/silence_test.go
+++ b/internal/pool/exchanger/silence_test.go
@@ -10,59 +10,59 @@
 	"github.com/cuminwick/cuminwick/internal/backend/dialer"
 )
 
-// words answers questions in turn, and goes on with the last answer.
-type words struct {
-	working []bool
+// fakeProber returns its answers in turn, and repeats the last one.
+type fakeProber struct {
+	answers []bool
 	err     error
-	asked   int
+	probes  int
 }
 
-func (w *words) Working(context.Context, uint32) (bool, error) {
+func (w *fakeProber) Working(context.Context, uint32) (bool, error) {
 	if w.err != nil {
 		return false, w.err
 	}
-	i := min(w.asked, len(w.working)-1)
-	w.asked++
-	return w.working[i], nil
+	i := min(w.probes, len(w.answers)-1)
+	w.probes++
+	return w.answers[i], nil
 }
 
-func (w *words) Terminate(context.Context, []uint32) error { return nil }
+func (w *fakeProber) Terminate(context.Context, []uint32) error { return nil }
 
-// A connection may have gone silent, or its statement takes long. Ending the
-// latter would cut off a report that only needs its time; waiting for the former
-// would keep its caller for good. Questions cost connections, so they get rarer.
+// A connection that delivers no bytes is either dead or runs a long statement. Closing it in the
+// second case would abort a statement that merely takes long; waiting in the first case would block
+// the caller forever. Each probe costs a connection, so the delay between probes must grow.
 func TestSilence(t *testing.T) {
 	ended, stop := context.WithCancel(t.Context())
 	stop()
 	tests := []struct {
 		name   string
 		ctx    context.Context
-		prober *words
+		prober *fakeProber
 		rounds int
 		silent bool
 		next   time.Duration
 	}{
-		{name: "denied once", ctx: t.Context(), prober: &words{working: []bool{false}}, rounds: 1, next: doubt},
-		{name: "denied twice", ctx: t.Context(), prober: &words{working: []bool{false}}, rounds: 2, silent: true, next: doubt},
-		{name: "denied, then at work", ctx: t.Context(), prober: &words{working: []bool{false, true}}, rounds: 2, next: 2 * patience},
-		{name: "denied, at work, denied", ctx: t.Context(), prober: &words{working: []bool{false, true, false}}, rounds: 3, next: doubt},
-		{name: "long at work", ctx: t.Context(), prober: &words{working: []bool{true}}, rounds: 100, next: maximumPatience},
-		{name: "can't be asked", ctx: t.Context(), prober: &words{err: errors.New("refused")}, rounds: 10, next: patience},
-		{name: "can't be asked for a caller that gave up", ctx: ended, prober: &words{err: errors.New("refused")}, rounds: 1, next: patience},
+		{name: "idle once", ctx: t.Context(), prober: &fakeProber{answers: []bool{false}}, rounds: 1, next: confirmationDelay},
+		{name: "idle twice", ctx: t.Context(), prober: &fakeProber{answers: []bool{false}}, rounds: 2, silent: true, next: confirmationDelay},
+		{name: "idle, then active", ctx: t.Context(), prober: &fakeProber{answers: []bool{false, true}}, rounds: 2, next: 2 * probeDelay},
+		{name: "idle, active, idle", ctx: t.Context(), prober: &fakeProber{answers: []bool{false, true, false}}, rounds: 3, next: confirmationDelay},
+		{name: "active for long", ctx: t.Context(), prober: &fakeProber{answers: []bool{true}}, rounds: 100, next: maximumProbeDelay},
+		{name: "can't be probed", ctx: t.Context(), prober: &fakeProber{err: errors.New("refused")}, rounds: 10, next: probeDelay},
+		{name: "can't be probed after the caller cancelled", ctx: ended, prober: &fakeProber{err: errors.New("refused")}, rounds: 1, next: probeDelay},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			c := &dialer.Conn{Patience: patience}
-			s := &silence{ctx: tt.ctx, conn: c, prober: tt.prober}
+			c := &dialer.Conn{Patience: probeDelay}
+			s := &silenceDetector{ctx: tt.ctx, conn: c, prober: tt.prober}
 			var err error
 			for range tt.rounds {
-				err = s.judge()
+				err = s.probe()
 			}
 			if errors.Is(err, ErrSilent) != tt.silent || !tt.silent && err != nil {
 				t.Errorf("error %v, want silent %t", err, tt.silent)
 			}
 			if c.Patience != tt.next {
-				t.Errorf("next question after %v, want %v", c.Patience, tt.next)
+				t.Errorf("next probe after %v, want %v", c.Patience, tt.next)
 			}
 		})
 	}
