--- a/internal/pool/forwarder/answer.go
+++ b/internal/pool/forwarder/answer.go
@@ -10,24 +10,25 @@
 	"github.com/cuminwick/cuminwick/internal/wire/batcher"
 )
 
-// answer is the answer to one exchange while it comes in.
-type answer struct {
+// answerReader reads the answer to one exchange from the pool owner and forwards it to the caller.
+type answerReader struct {
 	lease    *lease
 	exchange lessor.Exchange
-	// outErr is why the caller can't be answered any more.
-	outErr error
+	// callerErr is the error that ended the forwarding to or from the caller.
+	callerErr error
 }
 
-// Flags of an output message.
+// Flags in the header of an output message: the part is the first or the last one of its frame.
 const (
 	flagFirst = 1 << iota
 	flagLast
 )
 
-// OutputHeaderBytes come before the part of an answer: its type and flags.
+// OutputHeaderBytes is the length of the header of an output message: type and flags.
 const OutputHeaderBytes = 2
 
-// OutputHeader returns what comes before a part.
+// OutputHeader returns the header of an output message that carries one part of a message of type
+// t; first and last have the meaning that they have in exchanger.Output.
 func OutputHeader(t byte, first, last bool) [OutputHeaderBytes]byte {
 	var f byte
 	if first {
@@ -39,8 +40,8 @@
 	return [OutputHeaderBytes]byte{t, f}
 }
 
-// receive passes the answer on until its result.
-func (a *answer) receive() (exchanger.Result, error) {
+// receive forwards the answer to the caller up to its result.
+func (a *answerReader) receive() (exchanger.Result, error) {
 	for {
 		k, b, err := a.lease.conn.Read()
 		if err != nil {
@@ -48,11 +49,11 @@
 		}
 		switch k {
 		case messenger.KindOutput:
-			err = a.output(b)
+			err = a.handleOutput(b)
 		case messenger.KindInput:
-			err = a.input()
+			err = a.sendCopyData()
 		case messenger.KindResult:
-			return a.result(b)
+			return a.handleResult(b)
 		default:
 			err = errors.Annotatef(encoder.ErrMalformed, "message %q", k)
 		}
@@ -62,34 +63,33 @@
 	}
 }
 
-// output hands a part to the caller. Once that has failed, the exchange is
+// handleOutput writes a part of a message to the caller. Once that has failed, the exchange is
 // cancelled and the rest of the answer is read and dropped.
-func (a *answer) output(b []byte) error {
+func (a *answerReader) handleOutput(b []byte) error {
 	if len(b) < OutputHeaderBytes {
 		return errors.Annotate(encoder.ErrMalformed, "output without header")
 	}
-	if a.outErr != nil {
+	if a.callerErr != nil {
 		return nil
 	}
-	a.outErr = a.exchange.Output.Frame(b[0], b[OutputHeaderBytes:], b[1]&flagFirst != 0, b[1]&flagLast != 0)
-	if a.outErr == nil {
+	a.callerErr = a.exchange.Output.Frame(b[0], b[OutputHeaderBytes:], b[1]&flagFirst != 0, b[1]&flagLast != 0)
+	if a.callerErr == nil {
 		return nil
 	}
 	return a.lease.conn.SendValue(messenger.KindCancel, messenger.Cancel{Sequence: a.lease.sequence})
 }
 
-// input passes the caller's messages of COPY FROM STDIN on, up to the last
-// one that belongs to it.
-func (a *answer) input() error {
+// sendCopyData forwards the caller's messages of a COPY FROM STDIN up to its last one.
+func (a *answerReader) sendCopyData() error {
 	ended := false
 	for {
 		t, p, err := a.exchange.Input.Next()
 		if err != nil {
-			a.outErr = errors.Annotate(err, "read copy data from caller")
+			a.callerErr = errors.Annotate(err, "read copy data from caller")
 			return a.lease.conn.Send(messenger.KindCopyAbort)
 		}
 		ended = ended || t == batcher.CopyDone || t == batcher.CopyFail
-		if !a.complete(t, ended) {
+		if !a.endsCopy(t, ended) {
 			err = a.lease.conn.Put(messenger.KindCopyData, []byte{t}, p)
 		} else {
 			return a.lease.conn.Send(messenger.KindCopyData, []byte{t}, p)
@@ -100,9 +100,9 @@
 	}
 }
 
-// complete reports whether the message t is the last one of the COPY. In the
-// extended protocol a Sync follows its end.
-func (a *answer) complete(t byte, ended bool) bool {
+// endsCopy reports whether a message of type t is the last one of the COPY; ended says that CopyDone
+// or CopyFail has been sent. In the extended protocol a Sync follows them.
+func (a *answerReader) endsCopy(t byte, ended bool) bool {
 	i := a.exchange.Batch.Items
 	if ended && i[len(i)-1].Type == batcher.Sync {
 		return t == batcher.Sync
@@ -110,7 +110,8 @@
 	return ended
 }
 
-func (a *answer) result(b []byte) (exchanger.Result, error) {
+// handleResult returns the result of the exchange and the error that the pool owner reported.
+func (a *answerReader) handleResult(b []byte) (exchanger.Result, error) {
 	var r messenger.Result
 	if err := encoder.Unmarshal(b, &r); err != nil {
 		return exchanger.Result{}, a.lease.lost(err)
@@ -123,8 +124,8 @@
 		a.lease.pool.LoadRecorder.RecordLoad(*r.Load)
 	}
 	f := r.Failure
-	if a.outErr != nil && (f == nil || f.Cause == messenger.CauseCaller) {
-		return r.Exchanged(), a.outErr
+	if a.callerErr != nil && (f == nil || f.Cause == messenger.CauseCaller) {
+		return r.Exchanged(), a.callerErr
 	}
 	if f != nil {
 		return r.Exchanged(), f.Err(a.lease.pool.Host)
--- a/internal/pool/forwarder/forwarder.go
+++ b/internal/pool/forwarder/forwarder.go
@@ -1,4 +1,4 @@
-// Package forwarder borrows connections from the entry host that owns the pool of a backend server.
+// Package forwarder leases connections from the entry host that owns the pool of a backend server.
 package forwarder
 
 import (
@@ -18,72 +18,74 @@
 )
 
 const (
-	// ErrUnavailable says that an entry host didn't take the request on: it
-	// can't be reached, it is silent, or it doesn't own the pool. Nothing was
-	// sent, and another entry host may do.
+	// ErrUnavailable is returned when an entry host didn't accept the request, because it can't be
+	// reached, doesn't answer, or doesn't own the pool. Nothing was sent to a backend server, and the
+	// request may be sent to another entry host.
 	ErrUnavailable = errors.ConstError("pool owner not available")
-	// ErrSilent says that an entry host to which a first exchange was sent along didn't
-	// take the request on in time. It may run it all the same.
+	// ErrSilent is returned when an entry host didn't accept in time a request that was sent
+	// together with its first exchange. The host may still run the exchange.
 	ErrSilent = errors.ConstError("pool owner silent")
-	// beginTimeout bounds the wait for a stream. It is longer than an attempt to
-	// connect, whose failure the dialer remembers.
+	// beginTimeout bounds the wait for a stream. It is longer than an attempt to connect takes,
+	// so that the dialer can record the failure of the attempt.
 	beginTimeout = 700 * time.Millisecond
-	// cancelPatience bounds the wait for the answer to a cancelled exchange.
-	cancelPatience = 5 * time.Second
-	// MaximumQueuedBytes bounds a batch that is sent ahead of the connection. The
-	// pool owner keeps it in memory as long as it waits in its queue, and the queue
-	// may hold hundreds.
+	// cancelTimeout bounds the wait for the answer to a cancelled exchange.
+	cancelTimeout = 5 * time.Second
+	// MaximumQueuedBytes is the largest batch that is sent before the pool owner has granted a
+	// connection. The owner keeps the batch in memory while the request is queued, and the queue
+	// may hold hundreds of them.
 	MaximumQueuedBytes = 64 << 10
 )
 
-// Peers opens streams to entry hosts, usually a dialer.Dialer.
+// Peers opens streams to entry hosts. It is usually a dialer.Dialer.
 type Peers interface {
+	// Begin opens a stream to host for the request f, without waiting for the answer.
 	Begin(ctx context.Context, host string, f encoder.Forward) (*dialer.Pending, error)
 }
 
-// Forwarder borrows connections. The exported fields are set before use; all
+// Forwarder leases connections from other entry hosts. The exported fields are set before use. All
 // methods may be called from any goroutine.
 type Forwarder struct {
 	Peers Peers
-	// Avoider remembers hosts that failed to answer.
+	// Avoider records hosts that failed to answer, to which no requests are sent for a while.
 	Avoider *avoider.Avoider
 	// Forwards counts requests by result, unless it is nil.
 	Forwards *prometheus.CounterVec
-	// MinimumTimeout is the least time that a host is given to open a stream, and to take a
-	// request on, beginTimeout and minimumPatience if zero.
+	// MinimumTimeout is a lower bound of the timeouts for opening a stream to a host and for its
+	// accepting a request. If it is zero, beginTimeout and minimumAcceptTimeout are the bounds.
 	MinimumTimeout time.Duration
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// open holds the open leases by entry host.
 	open map[string]map[*lease]struct{}
-	// patience is kept for each host that was asked.
-	patience map[string]*patience
-	// parameters are those that backend servers reported at connect.
+	// estimators holds the timeout estimators by entry host.
+	estimators map[string]*timeoutEstimator
+	// parameters holds the parameter statuses that backend servers reported at connect.
 	parameters map[server]map[string]string
 }
 
-// server names a backend server.
+// server identifies a backend server.
 type server struct {
 	group, name string
 }
 
-// Pool names the pool of a backend server at an entry host.
+// Pool identifies the pool of a backend server at an entry host.
 type Pool struct {
 	Host          string
 	DatabaseGroup string
 	BackendServer string
-	// LoadRecorder, if set, is told of the pool's queue with each answer.
+	// LoadRecorder, if set, receives the load of the pool with each answer.
 	LoadRecorder LoadRecorder
 }
 
-// LoadRecorder takes what a pool owner tells of its queue.
+// LoadRecorder receives the load that a pool owner reports for its pool.
 type LoadRecorder interface {
 	RecordLoad(l gate.Load)
 }
 
-// Lease borrows a connection from p. An error wraps lessor.ErrNotRun, and
-// ErrUnavailable too where another entry host may do. It returns when the
-// connection is there, or will be shortly; in the second case a refusal comes from
-// the first exchange, which waits at the pool owner then.
+// Lease leases a connection from p. It returns when the connection has been granted or is about to
+// be. In the second case the first exchange waits at the pool owner and returns a refusal, if any.
+// An error wraps lessor.ErrNotRun, and also ErrUnavailable if the request may be sent to another
+// entry host.
 func (f *Forwarder) Lease(ctx context.Context, p Pool, d lessor.Demand) (lessor.Lease, error) {
 	e, err := f.begin(ctx, p, d, true)
 	if err != nil {
@@ -91,24 +93,23 @@
 	}
 	err = e.conn.Flush()
 	if err == nil {
-		err = e.accept(ctx)
+		err = e.awaitAcceptance(ctx)
 	}
 	if err != nil {
 		e.abort()
-		return nil, refusal(ctx, p, err)
+		return nil, unavailableError(ctx, p, err)
 	}
-	if err := e.await(ctx); err != nil {
+	if err := e.awaitLease(ctx); err != nil {
 		e.abort()
 		return nil, err
 	}
 	return e, nil
 }
 
-// LeasePipelined returns a lease whose first exchange is sent along with the request
-// for the connection, which spares a round trip. Where the first exchange fails
-// with ErrUnavailable, nothing was sent to a backend server. If the host is lost
-// before it answers, though, the exchange's outcome is open, so this is for
-// exchanges that may be repeated.
+// LeasePipelined returns a lease whose first exchange is sent together with the request for the
+// connection, which saves a round trip. If the first exchange fails with ErrUnavailable, nothing was
+// sent to a backend server. If the host is lost before it answers, however, the outcome of the
+// exchange is unknown, so LeasePipelined is only for exchanges that may be repeated.
 func (f *Forwarder) LeasePipelined(ctx context.Context, p Pool, d lessor.Demand) (lessor.Lease, error) {
 	e, err := f.begin(ctx, p, d, false)
 	if err != nil {
@@ -117,31 +118,32 @@
 	return e, nil
 }
 
-// begin makes a request for a connection, which is sent with the first message.
+// begin opens a stream and prepares the request for a connection, which is sent with the first
+// message. With callUp the pool owner sends KindCallUp shortly before it grants the connection.
 func (f *Forwarder) begin(ctx context.Context, p Pool, d lessor.Demand, callUp bool) (*lease, error) {
 	if !f.Avoider.Admit(p.Host, time.Now()) {
-		return nil, refusal(ctx, p, ErrAvoided)
+		return nil, unavailableError(ctx, p, ErrAvoided)
 	}
 	x, cancel := context.WithTimeout(ctx, max(beginTimeout, f.MinimumTimeout))
 	defer cancel()
-	q := request(p, d)
-	q.AskParameters = f.known(p) == nil
+	q := newRequest(p, d)
+	q.AskParameters = f.knownParameters(p) == nil
 	q.CallUp = callUp
 	n, err := f.Peers.Begin(x, p.Host, q)
 	if err != nil {
-		f.judge(ctx, p.Host, err)
-		return nil, refusal(ctx, p, err)
+		f.recordAnswer(ctx, p.Host, err)
+		return nil, unavailableError(ctx, p, err)
 	}
 	e := &lease{forwarder: f, pool: p, pending: n, queued: true, stream: n.Stream, conn: messenger.Conn{Stream: n.Stream, Prefix: n.Request}}
 	f.add(e)
 	return e, nil
 }
 
-// ErrAvoided says that the host failed to answer a moment ago.
+// ErrAvoided is the cause of an error for a host that recently failed to answer.
 const ErrAvoided = errors.ConstError("entry host avoided")
 
-// judge remembers whether the host answered.
-func (f *Forwarder) judge(ctx context.Context, host string, err error) {
+// recordAnswer counts a request that ended with err, and tells Avoider whether the host answered.
+func (f *Forwarder) recordAnswer(ctx context.Context, host string, err error) {
 	var r *encoder.Refusal
 	f.count(err)
 	switch {
@@ -152,14 +154,14 @@
 	}
 }
 
-// Results of requests to other entry hosts, as labels.
+// Results of requests to other entry hosts, as metric labels.
 const (
 	resultGranted = "granted"
 	resultRefused = "refused"
 	resultFailed  = "failed"
 )
 
-// count counts a request that ended with err.
+// count counts a request that ended with err by its result.
 func (f *Forwarder) count(err error) {
 	if f.Forwards == nil {
 		return
@@ -175,36 +177,36 @@
 	f.Forwards.WithLabelValues(l).Inc()
 }
 
-// patienceWith returns how long host may take to take a request on, which it does
-// before it queues it: silence for longer is a host that is gone.
-func (f *Forwarder) patienceWith(host string) time.Duration {
+// acceptTimeout returns how long to wait for host to accept a request. A host accepts a request
+// before it queues it, so one that takes longer is considered unavailable.
+func (f *Forwarder) acceptTimeout(host string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := f.patience[host]
+	p := f.estimators[host]
 	if p == nil {
-		p = newPatience()
+		p = newTimeoutEstimator()
 	}
-	return max(p.limit(), f.MinimumTimeout)
+	return max(p.timeout(), f.MinimumTimeout)
 }
 
-// took notes that host answered after d.
-func (f *Forwarder) took(host string, d time.Duration) {
+// recordResponseTime records that host answered after d.
+func (f *Forwarder) recordResponseTime(host string, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.patience == nil {
-		f.patience = make(map[string]*patience)
+	if f.estimators == nil {
+		f.estimators = make(map[string]*timeoutEstimator)
 	}
-	if f.patience[host] == nil {
-		f.patience[host] = newPatience()
+	if f.estimators[host] == nil {
+		f.estimators[host] = newTimeoutEstimator()
 	}
-	f.patience[host].answered(d)
+	f.estimators[host].observe(d)
 }
 
-// AbortLeases ends all leases of a host that is known to be gone. Without it their
+// AbortLeases aborts all leases at a host that is known not to be live. Otherwise their
 // callers would wait until the connection to the host times out.
 func (f *Forwarder) AbortLeases(host string) {
 	f.mu.Lock()
-	delete(f.patience, host)
+	delete(f.estimators, host)
 	var l []*lease
 	for e := range f.open[host] {
 		l = append(l, e)
@@ -215,7 +217,7 @@
 	}
 }
 
-// Hosts returns the hosts of which leases are open.
+// Hosts returns the hosts at which leases are open.
 func (f *Forwarder) Hosts() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -226,14 +228,15 @@
 	return h
 }
 
-// known returns the parameters of p's backend server, nil before the first lease.
-func (f *Forwarder) known(p Pool) map[string]string {
+// knownParameters returns the parameters of p's backend server, nil before the first lease.
+func (f *Forwarder) knownParameters(p Pool) map[string]string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.parameters[server{group: p.DatabaseGroup, name: p.BackendServer}]
 }
 
-func (f *Forwarder) learn(p Pool, m map[string]string) {
+// setParameters records the parameters of p's backend server.
+func (f *Forwarder) setParameters(p Pool, m map[string]string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.parameters == nil {
@@ -263,7 +266,8 @@
 	}
 }
 
-func request(p Pool, d lessor.Demand) encoder.Forward {
+// newRequest returns the message that asks the owner of p for a connection.
+func newRequest(p Pool, d lessor.Demand) encoder.Forward {
 	r := encoder.Forward{
 		DatabaseGroup: p.DatabaseGroup,
 		BackendServer: p.BackendServer,
@@ -274,34 +278,35 @@
 		Settings:      messenger.EncodeSettings(d.Settings),
 	}
 	if !d.Deadline.IsZero() {
-		// A deadline that has just passed must not turn into none.
+		// A zero Remaining means no deadline, so one that has just passed is sent as 1 ms.
 		r.Remaining = max(time.Until(d.Deadline), time.Millisecond)
 	}
 	return r
 }
 
-// refusal is the error of a host that didn't take the request on. The caller's
-// own end isn't the host's fault.
-func refusal(ctx context.Context, p Pool, err error) error {
+// unavailableError returns the error for a host that didn't accept the request because of err. If
+// ctx has ended, the error is the context's and doesn't wrap ErrUnavailable, because the host didn't
+// fail.
+func unavailableError(ctx context.Context, p Pool, err error) error {
 	if ctx.Err() != nil {
-		return &unsent{cause: errors.Annotatef(ctx.Err(), "ask entry host %s for connection", p.Host)}
+		return &notRunError{cause: errors.Annotatef(ctx.Err(), "ask entry host %s for connection", p.Host)}
 	}
 	t := ErrUnavailable
 	if errors.Is(err, dialer.ErrStreamLimit) {
-		// The host is there and busy; its successors would only open more
-		// connections to the same busy server.
+		// The host is available but overloaded. Its successors would only open more connections
+		// to the same overloaded backend server.
 		t = lessor.ErrConnectionLimit
 	}
-	return &unsent{cause: errors.WithType(errors.Annotatef(err, "ask entry host %s for connection", p.Host), t)}
+	return &notRunError{cause: errors.WithType(errors.Annotatef(err, "ask entry host %s for connection", p.Host), t)}
 }
 
-// unsent is an error before anything was sent to a backend server.
-type unsent struct {
+// notRunError is an error that occurred before anything was sent to a backend server.
+type notRunError struct {
 	cause error
 }
 
 // Error implements error.
-func (u *unsent) Error() string { return u.cause.Error() }
+func (u *notRunError) Error() string { return u.cause.Error() }
 
-// Unwrap lets errors.Is find the cause and lessor.ErrNotRun.
-func (u *unsent) Unwrap() []error { return []error{u.cause, lessor.ErrNotRun} }
+// Unwrap returns the cause and lessor.ErrNotRun, for errors.Is.
+func (u *notRunError) Unwrap() []error { return []error{u.cause, lessor.ErrNotRun} }
--- a/internal/pool/forwarder/lease.go
+++ b/internal/pool/forwarder/lease.go
@@ -16,63 +16,65 @@
 	"github.com/cuminwick/cuminwick/internal/wire/batcher"
 )
 
-// lease is a connection lent by another entry host. It has a stream of its
-// own, so that an answer can't come to another lease.
+// lease is a connection leased from another entry host. Each lease has its own stream, so that an
+// answer can't reach another lease.
 type lease struct {
 	forwarder *Forwarder
 	pool      Pool
-	// pending is the request for the connection until it is answered.
+	// pending is the request for the connection, nil once the host has accepted or refused it.
 	pending *dialer.Pending
-	// queued says that the pool owner hasn't told yet that it lends a connection.
+	// queued reports whether the pool owner hasn't granted a connection yet.
 	queued bool
-	// returned says that the pool owner has taken the connection back.
+	// returned reports whether the pool owner has taken the connection back with an answer.
 	returned bool
 	stream   *linker.Stream
 	conn     messenger.Conn
+	// sequence numbers the exchanges from 1.
 	sequence uint64
-	broken   bool
+	// broken reports whether the lease has failed, so that Release aborts its stream.
+	broken bool
 }
 
 var _ lessor.Lease = (*lease)(nil)
 
 // Parameters implements lessor.Lease.
-func (e *lease) Parameters() map[string]string { return e.forwarder.known(e.pool) }
+func (e *lease) Parameters() map[string]string { return e.forwarder.knownParameters(e.pool) }
 
-// accept waits until the host takes the request on. Hosts do so at once, so
-// silence is a host that is gone.
-func (e *lease) accept(ctx context.Context) error {
+// awaitAcceptance waits until the host accepts the request. Hosts do so immediately, so one that
+// doesn't answer in acceptTimeout is considered unavailable.
+func (e *lease) awaitAcceptance(ctx context.Context) error {
 	var w scheduler.Stopwatch
 	w.Elapsed()
-	x, cancel := context.WithTimeout(ctx, e.forwarder.patienceWith(e.pool.Host))
+	x, cancel := context.WithTimeout(ctx, e.forwarder.acceptTimeout(e.pool.Host))
 	defer cancel()
 	_, err := e.pending.Await(x)
 	e.pending = nil
 	if err == nil {
-		e.forwarder.took(e.pool.Host, w.Elapsed())
+		e.forwarder.recordResponseTime(e.pool.Host, w.Elapsed())
 	}
-	e.forwarder.judge(ctx, e.pool.Host, err)
+	e.forwarder.recordAnswer(ctx, e.pool.Host, err)
 	return err
 }
 
-// await waits in the pool owner's queue. When ctx ends, the stream is aborted,
-// which takes the request out of that queue.
-func (e *lease) await(ctx context.Context) error {
+// awaitLease waits in the pool owner's queue until the connection is granted, or about to be. When
+// ctx ends, the stream is aborted, which removes the request from the queue.
+func (e *lease) awaitLease(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, e.stream.Abort)
 	k, b, err := e.conn.Read()
 	if !stop() {
-		return &unsent{cause: errors.Annotatef(ctx.Err(), "wait at entry host %s for connection", e.pool.Host)}
+		return &notRunError{cause: errors.Annotatef(ctx.Err(), "wait at entry host %s for connection", e.pool.Host)}
 	}
 	if err != nil {
-		return &unsent{cause: errors.WithType(errors.Annotatef(err, "wait at entry host %s for connection", e.pool.Host), ErrUnavailable)}
+		return &notRunError{cause: errors.WithType(errors.Annotatef(err, "wait at entry host %s for connection", e.pool.Host), ErrUnavailable)}
 	}
 	if k == messenger.KindCallUp {
 		return nil
 	}
-	return e.leased(k, b)
+	return e.handleLeased(k, b)
 }
 
-// leased takes the pool owner's word on the connection.
-func (e *lease) leased(k messenger.Kind, b []byte) error {
+// handleLeased handles the message by which the pool owner grants or refuses the connection.
+func (e *lease) handleLeased(k messenger.Kind, b []byte) error {
 	var err error
 	switch k {
 	case messenger.KindLeased:
@@ -80,7 +82,7 @@
 		var l messenger.Leased
 		err = encoder.Unmarshal(b, &l)
 		if l.Parameters != nil {
-			e.forwarder.learn(e.pool, l.Parameters)
+			e.forwarder.setParameters(e.pool, l.Parameters)
 		}
 	case messenger.KindRefused:
 		var f messenger.Failure
@@ -91,17 +93,17 @@
 		err = errors.Annotatef(encoder.ErrMalformed, "message %q", k)
 	}
 	if err != nil {
-		return &unsent{cause: errors.Annotatef(err, "read answer of entry host %s", e.pool.Host)}
+		return &notRunError{cause: errors.Annotatef(err, "read answer of entry host %s", e.pool.Host)}
 	}
 	return nil
 }
 
-// begin takes the answers to the request for the connection, behind which the
-// first exchange was sent already. A cancel is a message of its own then, so
-// that the pool owner tells whether the exchange ran.
-func (e *lease) begin(ctx context.Context) error {
+// receiveLease reads the answers to the request for the connection after the first exchange has
+// been sent. When ctx ends, it goes on waiting: Exchange sends a Cancel, and the pool owner then
+// reports whether the exchange ran.
+func (e *lease) receiveLease(ctx context.Context) error {
 	if e.pending != nil {
-		if err := e.begun(ctx); err != nil {
+		if err := e.awaitPipelinedAcceptance(ctx); err != nil {
 			return err
 		}
 	}
@@ -112,19 +114,20 @@
 	if err != nil {
 		return e.lost(err)
 	}
-	err = e.leased(k, b)
+	err = e.handleLeased(k, b)
 	e.broken = err != nil
 	return err
 }
 
-// begun waits until the host takes on the request and its first exchange.
-func (e *lease) begun(ctx context.Context) error {
-	err := e.accept(context.WithoutCancel(ctx))
+// awaitPipelinedAcceptance waits until the host accepts a request that was sent together with its
+// first exchange.
+func (e *lease) awaitPipelinedAcceptance(ctx context.Context) error {
+	err := e.awaitAcceptance(context.WithoutCancel(ctx))
 	var r *encoder.Refusal
 	switch {
 	case errors.As(err, &r):
 		e.broken = true
-		return refusal(ctx, e.pool, err)
+		return unavailableError(ctx, e.pool, err)
 	case err != nil:
 		return e.lost(errors.WithType(err, ErrSilent))
 	}
@@ -135,14 +138,14 @@
 func (e *lease) Exchange(ctx context.Context, x lessor.Exchange) (exchanger.Result, error) {
 	switch {
 	case e.returned:
-		return exchanger.Result{}, &unsent{cause: errors.WithType(errors.Errorf("connection at entry host %s given back", e.pool.Host), exchanger.ErrNotSent)}
+		return exchanger.Result{}, &notRunError{cause: errors.WithType(errors.Errorf("connection at entry host %s given back", e.pool.Host), exchanger.ErrNotSent)}
 	case e.broken:
 		return exchanger.Result{}, e.lost(errors.New("stream closed"))
 	}
 	if e.queued && e.pending == nil && x.Batch.Bytes() > MaximumQueuedBytes {
-		if err := e.await(ctx); err != nil {
+		if err := e.awaitLease(ctx); err != nil {
 			e.broken = true
-			return exchanger.Result{}, unsentIfGone(err)
+			return exchanger.Result{}, notSentIfUnavailable(err)
 		}
 	}
 	e.sequence++
@@ -162,11 +165,13 @@
 	return r, err
 }
 
+// receive reads the answer to an exchange, after that to the request for the connection if it is
+// still due.
 func (e *lease) receive(ctx context.Context, x lessor.Exchange) (exchanger.Result, error) {
-	if err := e.begin(ctx); err != nil {
+	if err := e.receiveLease(ctx); err != nil {
 		return exchanger.Result{}, err
 	}
-	a := &answer{lease: e, exchange: x}
+	a := &answerReader{lease: e, exchange: x}
 	return a.receive()
 }
 
@@ -176,33 +181,35 @@
 		e.abort()
 		return
 	}
-	if !e.returned && e.conn.SendValue(messenger.KindRelease, release(r)) != nil {
+	if !e.returned && e.conn.SendValue(messenger.KindRelease, encodeRelease(r)) != nil {
 		e.abort()
 		return
 	}
 	e.forwarder.remove(e)
-	// What was written is delivered all the same, and nothing else comes.
+	// The error is ignored: Close still delivers what was written, and no answer is expected.
 	_ = e.stream.Close()
 }
 
-func release(r lessor.Return) messenger.Release {
+// encodeRelease returns the message for r.
+func encodeRelease(r lessor.Return) messenger.Release {
 	return messenger.Release{Clean: r.Clean, Settings: messenger.EncodeSettings(r.Settings), Hidden: r.Hidden}
 }
 
+// abort resets the stream, which makes the pool owner close the connection.
 func (e *lease) abort() {
 	e.forwarder.remove(e)
 	e.stream.Abort()
 }
 
 const (
-	// itemsPerMessage and bytesPerMessage bound a message of items, unless a
-	// single item is larger.
+	// itemsPerMessage and bytesPerMessage bound an Items message. A single larger item is sent in a
+	// message of its own.
 	itemsPerMessage = 500
 	bytesPerMessage = 256 << 10
 )
 
-// send sends the batch. The pool owner does nothing before it has the Execute,
-// so a failure before that one leaves the batch unsent.
+// send sends the batch. The pool owner runs nothing before it has received the Execute message, so
+// after a failure before that one the batch certainly didn't run.
 func (e *lease) send(x lessor.Exchange) error {
 	for i := 0; i < len(x.Batch.Items); {
 		var m messenger.Items
@@ -213,28 +220,29 @@
 		}
 		if err != nil {
 			e.broken = true
-			return &unsent{cause: errors.WithType(errors.Annotatef(err, "send to entry host %s", e.pool.Host), exchanger.ErrNotSent)}
+			return &notRunError{cause: errors.WithType(errors.Annotatef(err, "send to entry host %s", e.pool.Host), exchanger.ErrNotSent)}
 		}
 	}
 	m := messenger.Execute{Sequence: e.sequence, AskPosition: x.AskPosition, AskBefore: x.AskBefore, InTransaction: x.InTransaction, GiveBack: x.GiveBack}
 	if err := e.conn.SendValue(messenger.KindExecute, m); err != nil && !e.queued {
 		return e.lost(err)
 	}
-	// A pool owner that refuses while the batch is on its way ends the stream, which
-	// is noticed first. Its word is still there to be read; without it, a request
-	// that certainly didn't run would be told as one of unknown outcome.
+	// A pool owner that refuses the lease while the batch is in flight closes the stream, and the
+	// write fails before the refusal is read. The refusal can still be read; if it weren't, a request
+	// that certainly didn't run would be reported with an unknown outcome.
 	return nil
 }
 
-// unsentIfGone has a request made again whose host was lost while it waited there.
-func unsentIfGone(err error) error {
+// notSentIfUnavailable adds exchanger.ErrNotSent to an ErrUnavailable, so that a request whose host was
+// lost while it was queued there is retried.
+func notSentIfUnavailable(err error) error {
 	if errors.Is(err, ErrUnavailable) {
-		return &unsent{cause: errors.WithType(err, exchanger.ErrNotSent)}
+		return &notRunError{cause: errors.WithType(err, exchanger.ErrNotSent)}
 	}
 	return err
 }
 
-// collect takes items from i on and returns the first that it left.
+// collect adds items to m from item i on, and returns the index of the first one that didn't fit.
 func collect(b *batcher.Batch, i int, m *messenger.Items) int {
 	n := 0
 	for ; i < len(b.Items) && len(m.Items) < itemsPerMessage; i++ {
@@ -249,26 +257,26 @@
 	return i
 }
 
-// lost is the error of a stream that ended after a batch was sent: the pool
-// owner may have passed the batch on, so its outcome is open.
+// lost marks the lease as broken and returns err as an exchanger.ErrLost. The pool owner may have
+// sent the batch to the backend server, so its outcome is unknown.
 func (e *lease) lost(err error) error {
 	e.broken = true
 	return errors.WithType(errors.Annotatef(err, "exchange through entry host %s", e.pool.Host), exchanger.ErrLost)
 }
 
-// canceller passes the end of an exchange's context on.
+// canceller cancels an exchange at the pool owner when the exchange's context ends.
 type canceller struct {
 	lease    *lease
 	sequence uint64
 	done     chan struct{}
 }
 
-// run asks the pool owner to cancel and bounds the wait for the answer: a pool
-// owner that died without a word would keep the caller waiting otherwise.
+// run sends the Cancel and bounds the wait for the answer. Otherwise a pool owner that crashed
+// without closing the connection would block the caller.
 func (c *canceller) run() {
 	defer close(c.done)
-	_ = c.lease.stream.SetReadDeadline(time.Now().Add(cancelPatience))
-	_ = c.lease.stream.SetWriteDeadline(time.Now().Add(cancelPatience))
+	_ = c.lease.stream.SetReadDeadline(time.Now().Add(cancelTimeout))
+	_ = c.lease.stream.SetWriteDeadline(time.Now().Add(cancelTimeout))
 	_ = c.lease.conn.SendValue(messenger.KindCancel, messenger.Cancel{Sequence: c.sequence})
 	_ = c.lease.stream.SetWriteDeadline(time.Time{})
 }
--- a/internal/pool/forwarder/patience.go
+++ b/internal/pool/forwarder/patience.go
@@ -3,39 +3,41 @@
 import "time"
 
 const (
-	// minimumPatience covers a round trip to the other region many times over.
-	minimumPatience = 300 * time.Millisecond
-	// maximumPatience is the time that an attempt to connect may take.
-	maximumPatience = 700 * time.Millisecond
-	// patienceFactor is how many times longer than its slowest answer of late a
-	// host may take.
-	patienceFactor = 4
-	// decay is the part of the slowest answer that is forgotten with each answer.
-	decay = 64
+	// minimumAcceptTimeout is many times a round trip to the other region.
+	minimumAcceptTimeout = 300 * time.Millisecond
+	// maximumAcceptTimeout is as long as an attempt to connect may take.
+	maximumAcceptTimeout = 700 * time.Millisecond
+	// timeoutFactor is the ratio of a host's timeout to its slowest recent answer.
+	timeoutFactor = 4
+	// slowestDecayDivisor is the divisor of the slowest recent answer that gives its decay per
+	// answer.
+	slowestDecayDivisor = 64
 )
 
-// patience decides how long a host may take to answer before it counts as gone.
+// timeoutEstimator estimates how long a host may take to answer before it is considered
+// unavailable.
 //
-// One time for all hosts is wrong either way: a long one has all callers wait
-// when a host is killed, a short one takes a host that is short of processors for
-// gone, and reads that it was given fail. So a host that has answered slowly of
-// late, or hasn't answered often yet, gets more time.
-type patience struct {
+// One timeout for all hosts doesn't work. With a long one, all callers wait when a host is killed.
+// With a short one, a host that is short of CPU is considered unavailable, and the reads that were
+// sent to it fail. So a host that recently answered slowly, or hasn't answered often yet, gets a
+// longer timeout.
+type timeoutEstimator struct {
+	// slowest is the decaying maximum of the response times.
 	slowest time.Duration
 }
 
-// newPatience returns that of a host of which nothing is known.
-func newPatience() *patience {
-	return &patience{slowest: maximumPatience / patienceFactor}
+// newTimeoutEstimator returns an estimator without answers. Its timeout is maximumAcceptTimeout.
+func newTimeoutEstimator() *timeoutEstimator {
+	return &timeoutEstimator{slowest: maximumAcceptTimeout / timeoutFactor}
 }
 
-// limit returns how long to wait for the next answer.
-func (p *patience) limit() time.Duration {
-	return min(max(minimumPatience, patienceFactor*p.slowest), maximumPatience)
+// timeout returns the timeout for the next answer.
+func (p *timeoutEstimator) timeout() time.Duration {
+	return min(max(minimumAcceptTimeout, timeoutFactor*p.slowest), maximumAcceptTimeout)
 }
 
-// answered notes an answer that took d.
-func (p *patience) answered(d time.Duration) {
-	p.slowest -= p.slowest / decay
+// observe records an answer that took d.
+func (p *timeoutEstimator) observe(d time.Duration) {
+	p.slowest -= p.slowest / slowestDecayDivisor
 	p.slowest = max(p.slowest, d)
 }
--- a/internal/pool/forwarder/patience_test.go
+++ b/internal/pool/forwarder/patience_test.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// A host is killed and all requests to it wait for an answer first, or it is
-// merely short of processors and its answers take long. Callers notice the first
-// by a gap without writes, the second by reads that fail though the host is well.
-func TestPatience(t *testing.T) {
+// A timeout that is too long stops writes for a while when a host is killed, because all requests
+// wait for its answer. A timeout that is too short makes reads fail although the host is merely
+// short of CPU and answers slowly.
+func TestTimeoutEstimator(t *testing.T) {
 	const ms = time.Millisecond
 	tests := []struct {
 		name    string
 		answers []time.Duration
 		want    time.Duration
 	}{
-		{name: "nothing known", want: maximumPatience},
-		{name: "few quick answers", answers: repeat(5*ms, 10), want: 598 * ms},
-		{name: "many quick answers", answers: repeat(5*ms, 200), want: minimumPatience},
+		{name: "no answers", want: maximumAcceptTimeout},
+		{name: "few fast answers", answers: repeat(5*ms, 10), want: 598 * ms},
+		{name: "many fast answers", answers: repeat(5*ms, 200), want: minimumAcceptTimeout},
 		{name: "one slow answer", answers: append(repeat(5*ms, 200), 120*ms), want: 480 * ms},
-		{name: "one very slow answer", answers: append(repeat(5*ms, 200), 400*ms), want: maximumPatience},
-		{name: "slow answer long ago", answers: append([]time.Duration{400 * ms}, repeat(5*ms, 200)...), want: minimumPatience},
+		{name: "one very slow answer", answers: append(repeat(5*ms, 200), 400*ms), want: maximumAcceptTimeout},
+		{name: "slow answer long ago", answers: append([]time.Duration{400 * ms}, repeat(5*ms, 200)...), want: minimumAcceptTimeout},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p := newPatience()
+			p := newTimeoutEstimator()
 			for _, d := range tt.answers {
-				p.answered(d)
+				p.observe(d)
 			}
-			if d := p.limit().Round(ms); d != tt.want {
-				t.Errorf("limit %v, want %v", d, tt.want)
+			if d := p.timeout().Round(ms); d != tt.want {
+				t.Errorf("timeout %v, want %v", d, tt.want)
 			}
 		})
 	}
