--- a/internal/pool/delegator/delegator.go
+++ b/internal/pool/delegator/delegator.go
@@ -1,4 +1,4 @@
-// Package delegator leaves the lending of a backend server's connections to the entry host that owns its pool.
+// Package delegator obtains leases of a backend server's connections from the entry host that owns its pool.
 package delegator
 
 import (
@@ -14,16 +14,17 @@
 	"github.com/cuminwick/cuminwick/internal/pool/lessor"
 )
 
-// Candidates is how many entry hosts in order may serve a backend server's
-// pool: the owner and its successors.
+// Candidates is how many entry hosts may serve a backend server's pool: the owner and, in order, its
+// successors.
 const Candidates = 3
 
-// Owners tells who owns the pool of a backend server now.
+// Owners determines the current owners of pools.
 type Owners interface {
+	// Owners returns the owner of the pool of s and its successors, n hosts at most.
 	Owners(s assigner.Server, n int) assigner.Owners
 }
 
-// Peers borrows connections from other entry hosts, usually a forwarder.Forwarder.
+// Peers leases connections from other entry hosts. It is usually a forwarder.Forwarder.
 type Peers interface {
 	Lease(ctx context.Context, p forwarder.Pool, d lessor.Demand) (lessor.Lease, error)
 	LeasePipelined(ctx context.Context, p forwarder.Pool, d lessor.Demand) (lessor.Lease, error)
@@ -37,18 +38,18 @@
 	Server assigner.Server
 	Owners Owners
 	Peers  Peers
-	// Pool is this host's pool, used while it owns the server or succeeds its owner.
+	// Pool is this host's pool, used while this host is the owner or takes over as a successor.
 	Pool Pool
-	// Direct lends the few connections of a host that reaches no owner.
+	// Direct lends the few connections that this host opens itself when it reaches no owner.
 	Direct lessor.Lessor
 
 	mu sync.Mutex
-	// load is what the owner last told of its queue, at the given time.
-	load gate.Load
-	at   time.Time
+	// load is what the owner last reported, and loadAt when it did.
+	load   gate.Load
+	loadAt time.Time
 }
 
-// Pool lends connections of this host and tells of its queue.
+// Pool lends connections of this host and reports its load.
 type Pool interface {
 	lessor.Lessor
 	Load() gate.Load
@@ -56,20 +57,21 @@
 
 var _ lessor.Lessor = (*Delegator)(nil)
 
-// Lease implements lessor.Lessor. Owners that aren't available are passed over
-// in order. A host that reaches none connects by itself, so that a zone that is
-// cut off from the owner still serves what it can.
+// Lease implements lessor.Lessor. Owners that are unavailable are skipped, in order. A host that
+// reaches none opens connections itself, so that an availability zone that is partitioned from the
+// owner still serves what it can.
 func (l *Delegator) Lease(ctx context.Context, d lessor.Demand) (lessor.Lease, error) {
 	if h := l.Owner(); (!d.Write || d.Harmless) && h != "" && h != l.Self {
-		return &starting{delegator: l, host: h, demand: d}, nil
+		return &pipelinedLease{delegator: l, host: h, demand: d}, nil
 	}
 	return l.lease(ctx, d)
 }
 
+// lease returns a lease once a connection is granted or about to be.
 func (l *Delegator) lease(ctx context.Context, d lessor.Demand) (lessor.Lease, error) {
 	o := l.Owners.Owners(l.Server, Candidates)
 	if o.Count == 0 {
-		// All hosts are leaving; each finishes its own callers' work.
+		// All hosts are shutting down, and each one completes its own callers' requests.
 		return l.Pool.Lease(ctx, d)
 	}
 	for _, h := range o.Hosts[:o.Count] {
@@ -84,23 +86,24 @@
 	return l.Direct.Lease(ctx, d)
 }
 
+// pool identifies the server's pool at host.
 func (l *Delegator) pool(host string) forwarder.Pool {
 	return forwarder.Pool{Host: host, DatabaseGroup: l.Server.DatabaseGroup, BackendServer: l.Server.Name, LoadRecorder: l}
 }
 
-// loadAge is how long the owner's word on its queue counts.
-const loadAge = time.Second
+// maximumLoadAge is how long the load that the owner reported is used.
+const maximumLoadAge = time.Second
 
-// Load returns what waits and runs at the backend server, as far as this host
-// knows. An old word is dropped but for the service time: a host that took a
-// queue for long would never ask again, and so never learn that it is short.
+// Load returns the load of the backend server's pool as this host last received it. Of a load older
+// than maximumLoadAge only the slots and the service time are returned: a host that assumed a long
+// queue would send the owner no more requests, and so never receive a smaller load.
 func (l *Delegator) Load() gate.Load {
 	if l.Owns() {
 		return l.Pool.Load()
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if time.Since(l.at) > loadAge {
+	if time.Since(l.loadAt) > maximumLoadAge {
 		return gate.Load{Slots: l.load.Slots, ServiceTime: l.load.ServiceTime}
 	}
 	return l.load
@@ -110,11 +113,11 @@
 func (l *Delegator) RecordLoad(g gate.Load) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.load, l.at = g, time.Now()
+	l.load, l.loadAt = g, time.Now()
 }
 
-// Accepts reports whether other hosts may borrow from this host's pool: it is
-// the owner, or one of those that follow it when the owner isn't reached.
+// Accepts reports whether other hosts may lease connections from this host's pool, because this host
+// is the owner or one of the successors that are used when the owner can't be reached.
 func (l *Delegator) Accepts() bool {
 	o := l.Owners.Owners(l.Server, Candidates)
 	for _, h := range o.Hosts[:o.Count] {
--- a/internal/pool/delegator/delegator_test.go
+++ b/internal/pool/delegator/delegator_test.go
@@ -16,96 +16,97 @@
 	"github.com/cuminwick/cuminwick/internal/wire/batcher"
 )
 
-// fake stands for all that lends connections, and notes who was asked.
-type fake struct {
+// fakeHosts simulates everything that lends connections, and records the calls.
+type fakeHosts struct {
 	owners []string
 	errs   map[string]error
-	asked  []string
+	calls  []string
 }
 
-func (f *fake) Owners(_ assigner.Server, n int) assigner.Owners {
+func (f *fakeHosts) Owners(_ assigner.Server, n int) assigner.Owners {
 	var o assigner.Owners
 	o.Count = copy(o.Hosts[:n], f.owners)
 	return o
 }
 
-func (f *fake) ask(name string) (lessor.Lease, error) {
-	f.asked = append(f.asked, name)
+func (f *fakeHosts) lease(name string) (lessor.Lease, error) {
+	f.calls = append(f.calls, name)
 	if err := f.errs[name]; err != nil {
 		return nil, err
 	}
-	return &lent{fake: f, name: name}, nil
+	return &fakeLease{fakeHosts: f, name: name}, nil
 }
 
-func (f *fake) Lease(_ context.Context, p forwarder.Pool, _ lessor.Demand) (lessor.Lease, error) {
-	return f.ask(p.Host)
+func (f *fakeHosts) Lease(_ context.Context, p forwarder.Pool, _ lessor.Demand) (lessor.Lease, error) {
+	return f.lease(p.Host)
 }
 
-func (f *fake) LeasePipelined(_ context.Context, p forwarder.Pool, _ lessor.Demand) (lessor.Lease, error) {
-	return f.ask("start " + p.Host)
+func (f *fakeHosts) LeasePipelined(_ context.Context, p forwarder.Pool, _ lessor.Demand) (lessor.Lease, error) {
+	return f.lease("pipelined " + p.Host)
 }
 
-// local is the pool of this host or its direct connection.
-type local struct {
-	*fake
+// fakePool is this host's pool or its direct connections.
+type fakePool struct {
+	*fakeHosts
 	name string
 }
 
-func (l local) Lease(context.Context, lessor.Demand) (lessor.Lease, error) { return l.ask(l.name) }
+func (l fakePool) Lease(context.Context, lessor.Demand) (lessor.Lease, error) { return l.lease(l.name) }
 
-func (l local) Load() gate.Load { return gate.Load{} }
+func (l fakePool) Load() gate.Load { return gate.Load{} }
 
-// lent is a lease whose exchange fails with the error for "exchange" and its name.
-type lent struct {
-	*fake
+// fakeLease is a lease whose exchange fails with the error that errs has for "exchange" and its name.
+type fakeLease struct {
+	*fakeHosts
 	name string
 }
 
-func (l *lent) Exchange(context.Context, lessor.Exchange) (exchanger.Result, error) {
+func (l *fakeLease) Exchange(context.Context, lessor.Exchange) (exchanger.Result, error) {
 	return exchanger.Result{Tag: l.name}, l.errs["exchange "+l.name]
 }
 
-func (l *lent) Parameters() map[string]string { return nil }
+func (l *fakeLease) Parameters() map[string]string { return nil }
 
-func (l *lent) Release(lessor.Return) { l.asked = append(l.asked, "release") }
+func (l *fakeLease) Release(lessor.Return) { l.calls = append(l.calls, "release") }
 
-// Owners die, are cut off or refuse. A request must go to the next one exactly
-// where nothing of it was sent, and come back to its caller otherwise.
-func TestWhoLends(t *testing.T) {
-	gone := forwarder.ErrUnavailable
+// Owners crash, are unreachable, or refuse requests. A request must be sent to the next owner exactly
+// if nothing of it was sent to a backend server or what was sent has no effect, and must otherwise
+// return to its caller: a retry in another case could run it twice.
+func TestLeaseHostSelection(t *testing.T) {
+	unavailable := forwarder.ErrUnavailable
 	full := errors.New("queue full")
 	silent := errors.Join(forwarder.ErrSilent, exchanger.ErrLost)
 	tests := []struct {
 		name   string
 		owners []string
 		write  bool
-		// harmless writes go along with the request, and large ones don't.
+		// harmless writes are sent together with the request, large batches aren't.
 		harmless, large bool
 		errs            map[string]error
-		asked           []string
+		calls           []string
 		fails           error
 	}{
-		{name: "owner is this host", owners: []string{"self", "b"}, write: true, asked: []string{"pool"}},
-		{name: "another host owns", owners: []string{"a", "self"}, write: true, asked: []string{"a"}},
-		{name: "owner gone, this host next", owners: []string{"a", "self"}, write: true, errs: map[string]error{"a": gone}, asked: []string{"a", "pool"}},
-		{name: "owner gone, another next", owners: []string{"a", "b", "c"}, write: true, errs: map[string]error{"a": gone}, asked: []string{"a", "b"}},
-		{name: "all gone", owners: []string{"a", "b", "c"}, write: true, errs: map[string]error{"a": gone, "b": gone, "c": gone}, asked: []string{"a", "b", "c", "direct"}},
-		{name: "owner refuses", owners: []string{"a", "b"}, write: true, errs: map[string]error{"a": full}, asked: []string{"a"}, fails: full},
-		{name: "no host is live", write: true, asked: []string{"pool"}},
-		{name: "read goes along with the request", owners: []string{"a", "b"}, asked: []string{"start a"}},
-		{name: "read at a gone owner", owners: []string{"a", "b"}, errs: map[string]error{"start a": gone, "a": gone}, asked: []string{"start a", "a", "b"}},
-		{name: "read that the host doesn't take on", owners: []string{"a", "b"}, errs: map[string]error{"exchange start a": gone, "a": gone}, asked: []string{"start a", "release", "a", "b"}},
-		{name: "harmless first exchange", owners: []string{"a", "b"}, write: true, harmless: true, asked: []string{"start a"}},
-		{name: "harmless first exchange at a silent owner", owners: []string{"a", "b"}, write: true, harmless: true, errs: map[string]error{"exchange start a": silent, "a": gone}, asked: []string{"start a", "release", "a", "b"}},
-		{name: "read at a silent owner", owners: []string{"a", "b"}, errs: map[string]error{"exchange start a": silent}, asked: []string{"start a"}, fails: exchanger.ErrLost},
-		{name: "large first exchange", owners: []string{"a", "b"}, write: true, harmless: true, large: true, asked: []string{"a"}},
-		{name: "large first exchange at a gone owner", owners: []string{"a", "b"}, large: true, errs: map[string]error{"a": gone}, asked: []string{"a", "b"}},
-		{name: "read lost with its owner", owners: []string{"a", "b"}, errs: map[string]error{"exchange start a": exchanger.ErrLost}, asked: []string{"start a"}, fails: exchanger.ErrLost},
+		{name: "owner is this host", owners: []string{"self", "b"}, write: true, calls: []string{"pool"}},
+		{name: "another host owns", owners: []string{"a", "self"}, write: true, calls: []string{"a"}},
+		{name: "owner unavailable, this host next", owners: []string{"a", "self"}, write: true, errs: map[string]error{"a": unavailable}, calls: []string{"a", "pool"}},
+		{name: "owner unavailable, another next", owners: []string{"a", "b", "c"}, write: true, errs: map[string]error{"a": unavailable}, calls: []string{"a", "b"}},
+		{name: "all unavailable", owners: []string{"a", "b", "c"}, write: true, errs: map[string]error{"a": unavailable, "b": unavailable, "c": unavailable}, calls: []string{"a", "b", "c", "direct"}},
+		{name: "owner refuses", owners: []string{"a", "b"}, write: true, errs: map[string]error{"a": full}, calls: []string{"a"}, fails: full},
+		{name: "no host is live", write: true, calls: []string{"pool"}},
+		{name: "read sent together with the request", owners: []string{"a", "b"}, calls: []string{"pipelined a"}},
+		{name: "read at an unavailable owner", owners: []string{"a", "b"}, errs: map[string]error{"pipelined a": unavailable, "a": unavailable}, calls: []string{"pipelined a", "a", "b"}},
+		{name: "read that the host doesn't accept", owners: []string{"a", "b"}, errs: map[string]error{"exchange pipelined a": unavailable, "a": unavailable}, calls: []string{"pipelined a", "release", "a", "b"}},
+		{name: "harmless first exchange", owners: []string{"a", "b"}, write: true, harmless: true, calls: []string{"pipelined a"}},
+		{name: "harmless first exchange at a silent owner", owners: []string{"a", "b"}, write: true, harmless: true, errs: map[string]error{"exchange pipelined a": silent, "a": unavailable}, calls: []string{"pipelined a", "release", "a", "b"}},
+		{name: "read at a silent owner", owners: []string{"a", "b"}, errs: map[string]error{"exchange pipelined a": silent}, calls: []string{"pipelined a"}, fails: exchanger.ErrLost},
+		{name: "large first exchange", owners: []string{"a", "b"}, write: true, harmless: true, large: true, calls: []string{"a"}},
+		{name: "large first exchange at an unavailable owner", owners: []string{"a", "b"}, large: true, errs: map[string]error{"a": unavailable}, calls: []string{"a", "b"}},
+		{name: "read lost with its owner", owners: []string{"a", "b"}, errs: map[string]error{"exchange pipelined a": exchanger.ErrLost}, calls: []string{"pipelined a"}, fails: exchanger.ErrLost},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			f := &fake{owners: tt.owners, errs: tt.errs}
-			l := &delegator.Delegator{Self: "self", Owners: f, Peers: f, Pool: local{f, "pool"}, Direct: local{f, "direct"}}
+			f := &fakeHosts{owners: tt.owners, errs: tt.errs}
+			l := &delegator.Delegator{Self: "self", Owners: f, Peers: f, Pool: fakePool{f, "pool"}, Direct: fakePool{f, "direct"}}
 			e, err := l.Lease(t.Context(), lessor.Demand{Write: tt.write, Harmless: tt.harmless})
 			if err == nil {
 				var b batcher.Batch
@@ -114,8 +115,8 @@
 				}
 				_, err = e.Exchange(t.Context(), lessor.Exchange{Batch: &b})
 			}
-			if !errors.Is(err, tt.fails) || !slices.Equal(f.asked, tt.asked) {
-				t.Errorf("asked %q, error %v; want %q, %v", f.asked, err, tt.asked, tt.fails)
+			if !errors.Is(err, tt.fails) || !slices.Equal(f.calls, tt.calls) {
+				t.Errorf("calls %q, error %v; want %q, %v", f.calls, err, tt.calls, tt.fails)
 			}
 		})
 	}
--- a/internal/pool/delegator/starting.go
+++ b/internal/pool/delegator/starting.go
@@ -10,19 +10,20 @@
 	"github.com/cuminwick/cuminwick/internal/pool/lessor"
 )
 
-// starting is a lease for reads and for first exchanges without effect, which asks
-// for the connection along with the first exchange. That one may be repeated, so it
-// doesn't matter that its outcome is open if the owner is lost. A refusal, which
-// other leases for writes get from Lease, comes from the first Exchange here.
-type starting struct {
+// pipelinedLease is a lease for reads and for first exchanges without effect. It requests the
+// connection together with the first exchange. That exchange may be repeated, so it doesn't matter
+// that its outcome is unknown if the owner is lost. A refusal, which Lease returns for other leases,
+// is returned by the first Exchange.
+type pipelinedLease struct {
 	delegator *Delegator
 	host      string
 	demand    lessor.Demand
-	lease     lessor.Lease
+	// lease is the lease from the other host, nil before the first exchange.
+	lease lessor.Lease
 }
 
-// Parameters implements lessor.Lease; they aren't known before the first exchange.
-func (s *starting) Parameters() map[string]string {
+// Parameters implements lessor.Lease. It returns nil before the first exchange.
+func (s *pipelinedLease) Parameters() map[string]string {
 	if s.lease == nil {
 		return nil
 	}
@@ -30,30 +31,31 @@
 }
 
 // Exchange implements lessor.Lease.
-func (s *starting) Exchange(ctx context.Context, x lessor.Exchange) (exchanger.Result, error) {
+func (s *pipelinedLease) Exchange(ctx context.Context, x lessor.Exchange) (exchanger.Result, error) {
 	if s.lease != nil {
 		return s.lease.Exchange(ctx, x)
 	}
 	if x.Batch.Bytes() > forwarder.MaximumQueuedBytes {
-		return s.behind(ctx, x)
+		return s.exchangeQueued(ctx, x)
 	}
-	r, err := s.first(ctx, x)
-	if err == nil || ctx.Err() != nil || !s.again(err) {
+	r, err := s.exchangePipelined(ctx, x)
+	if err == nil || ctx.Err() != nil || !s.mayRetry(err) {
 		return r, err
 	}
 	s.Release(lessor.Return{})
-	return s.behind(ctx, x)
+	return s.exchangeQueued(ctx, x)
 }
 
-// again reports whether the first exchange may be made at another host: nothing was
-// sent, or it has no effect by itself and nobody has answered it. Were the second left
-// to the session, a dead owner would use up the group's budget for retries.
-func (s *starting) again(err error) bool {
+// mayRetry reports whether the first exchange may be made at another host after err: nothing was
+// sent, or the exchange has no effect by itself and the owner didn't answer. If the session handled
+// the second case, the requests that time out at a failed owner would exhaust the group's retry
+// budget.
+func (s *pipelinedLease) mayRetry(err error) bool {
 	return errors.Is(err, forwarder.ErrUnavailable) || s.demand.Harmless && errors.Is(err, forwarder.ErrSilent)
 }
 
-// behind makes the first exchange over a lease that was waited for.
-func (s *starting) behind(ctx context.Context, x lessor.Exchange) (exchanger.Result, error) {
+// exchangeQueued waits for a lease and makes the first exchange over it.
+func (s *pipelinedLease) exchangeQueued(ctx context.Context, x lessor.Exchange) (exchanger.Result, error) {
 	var err error
 	s.lease, err = s.delegator.lease(ctx, s.demand)
 	if err != nil {
@@ -63,7 +65,8 @@
 	return s.lease.Exchange(ctx, x)
 }
 
-func (s *starting) first(ctx context.Context, x lessor.Exchange) (exchanger.Result, error) {
+// exchangePipelined makes the first exchange together with the request for the connection.
+func (s *pipelinedLease) exchangePipelined(ctx context.Context, x lessor.Exchange) (exchanger.Result, error) {
 	e, err := s.delegator.Peers.LeasePipelined(ctx, s.delegator.pool(s.host), s.demand)
 	if err != nil {
 		return exchanger.Result{}, err
@@ -73,7 +76,7 @@
 }
 
 // Release implements lessor.Lease.
-func (s *starting) Release(r lessor.Return) {
+func (s *pipelinedLease) Release(r lessor.Return) {
 	if s.lease != nil {
 		s.lease.Release(r)
 		s.lease = nil
