--- a/internal/cancel/forwarder/forwarder.go
+++ b/internal/cancel/forwarder/forwarder.go
@@ -1,4 +1,4 @@
-// Package forwarder passes cancel requests on to the entry host that holds the session.
+// Package forwarder forwards cancel requests to the entry host that holds the session.
 package forwarder
 
 import (
@@ -21,19 +21,20 @@
 // timeout bounds the call to one host.
 const timeout = 2 * time.Second
 
-// Request is a caller's cancel key.
+// Request asks an entry host to cancel the request of the session with this cancel key.
 type Request struct {
 	ProcessID uint32 `cbor:"1,keyasint"`
 	Secret    uint32 `cbor:"2,keyasint"`
 }
 
-// Answer tells whether the host holds the session.
+// Answer reports whether the host holds the session.
 type Answer struct {
 	Found bool `cbor:"1,keyasint"`
 }
 
-// Members names the live entry hosts.
+// Members lists the members of the cluster.
 type Members interface {
+	// Live returns the live entry hosts.
 	Live() []assigner.Host
 }
 
@@ -50,8 +51,8 @@
 	Log    log.Interface
 }
 
-// ForwardCancel sends the key to the host whose id it bears. Where two hosts
-// share an id, both get it, and the secret decides.
+// ForwardCancel sends the key to the other host whose id it contains. If two hosts share an id, the
+// key is sent to both, and only the host that has a session with the key's secret cancels.
 func (f *Forwarder) ForwardCancel(ctx context.Context, k greeter.CancelKey) {
 	i := matcher.Key{ProcessID: k.ProcessID, Secret: k.SecretKey}.Host()
 	for _, h := range f.Members.Live() {
@@ -61,6 +62,7 @@
 	}
 }
 
+// send sends the key to one host and logs a failure.
 func (f *Forwarder) send(ctx context.Context, host string, k greeter.CancelKey) {
 	x, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -70,7 +72,7 @@
 	}
 }
 
-// Route returns the listener's route for forwarded cancels.
+// Route returns the listener's route for cancel requests that other entry hosts forward.
 func (f *Forwarder) Route() listener.Route {
 	return listener.Handle(KindCancelRequest, f.serve)
 }
