--- a/internal/cancel/matcher/key.go
+++ b/internal/cancel/matcher/key.go
@@ -1,29 +1,30 @@
-// Package matcher makes the cancel keys that callers get, and tells from a key which entry host holds its session.
+// Package matcher creates the cancel keys of sessions and finds the entry host that holds the session of a key.
 package matcher
 
 import "github.com/cespare/xxhash/v2"
 
-// Key is the cancel key that a caller gets with its session. The process id
-// names the entry host and the session there, so that any entry host can forward
-// a cancel without a table of sessions.
+// Key is the cancel key that a caller receives at the start of its session. The process id encodes
+// the entry host and the session there, so that any entry host can forward a cancel request without
+// a table of sessions.
 type Key struct {
 	ProcessID uint32
-	// Secret is random, it alone shows that the cancel comes from the caller.
+	// Secret is random. It alone proves that a cancel request comes from the session's caller.
 	Secret uint32
 }
 
-// HostID stands for an entry host in a key. Two hosts may share one; a cancel is
-// then forwarded to both, and the secret decides.
+// HostID identifies an entry host in a key. Two hosts may share an id. A cancel request is then
+// forwarded to both, and the secret determines which one acts on it.
 type HostID uint16
 
 const (
-	// sessionBits of the process id number the session, the rest above it the host.
-	// The topmost bit stays clear, as drivers take the id as a signed number.
+	// sessionBits is the number of low bits of the process id that hold the session number. The 16
+	// bits above hold the host id. The highest bit stays clear, because drivers read the process id
+	// as a signed number.
 	sessionBits = 15
 	sessionMask = 1<<sessionBits - 1
 )
 
-// IDOf returns the id of an entry host's name.
+// IDOf returns the id of the entry host with this name.
 func IDOf(host string) HostID {
 	return HostID(xxhash.Sum64String(host))
 }
@@ -33,7 +34,7 @@
 	return HostID(k.ProcessID >> sessionBits)
 }
 
-// NewKey makes a key of a session number, of which the low bits count.
+// NewKey returns the key of a session of host h. Only the low sessionBits of session are used.
 func NewKey(h HostID, session, secret uint32) Key {
 	return Key{ProcessID: uint32(h)<<sessionBits | session&sessionMask, Secret: secret}
 }
--- a/internal/cancel/matcher/key_test.go
+++ b/internal/cancel/matcher/key_test.go
@@ -2,9 +2,10 @@
 
 import "testing"
 
-// A cancel reaches any entry host, which finds the right one by the key alone. A key
-// that named another host, or a negative number, would leave the request running.
-func TestKeysNameTheirHost(t *testing.T) {
+// An entry host that receives a cancel request finds the host of the session by the key alone. With a
+// key that identifies another host, or that is negative as a signed number, the request wouldn't be
+// cancelled.
+func TestKeyIdentifiesHost(t *testing.T) {
 	for _, h := range []string{"entry-1", "entry-2", "ost-wien-1", "krakow-a-9"} {
 		seen := map[uint32]bool{}
 		for n := range uint32(sessionMask + 1) {
@@ -15,7 +16,7 @@
 			seen[k.ProcessID] = true
 		}
 		if k := NewKey(IDOf(h), sessionMask+2, 7); k.Host() != IDOf(h) {
-			t.Errorf("a session number that is too long changes the host: %+v", k)
+			t.Errorf("session number with too many bits changes the host: %+v", k)
 		}
 	}
 }
