--- a/internal/outcome/inquirer/expirer.go
+++ b/internal/outcome/inquirer/expirer.go
@@ -10,23 +10,24 @@
 )
 
 const (
-	// nowSQL asks for the backend server's clock.
+	// nowSQL reads the backend server's clock.
 	nowSQL = "SELECT now()"
-	// timeLayout is how PostgreSQL writes a time with its zone.
+	// timeLayout is PostgreSQL's text format of a timestamptz.
 	timeLayout = "2006-01-02 15:04:05.999999-07"
-	// maximumSkew is the largest difference between this host's clock and the
-	// backend server's at which keys are forgotten.
+	// maximumSkew is the largest difference between this host's clock and the backend server's
+	// with which keys are deleted.
 	maximumSkew = 5 * time.Minute
 )
 
-// ErrClockSkew says that two clocks differ too much to forget keys by them.
+// ErrClockSkew is returned when the clocks of this host and of the backend server differ by more than
+// maximumSkew.
 const ErrClockSkew = errors.ConstError("clocks differ")
 
-// Expire forgets the keys whose first attempt is older than retention.
+// Expire deletes the keys whose first attempt is older than retention at the time now of this host.
 //
-// A clock that has jumped ahead would forget keys of requests that are still
-// being repeated, and the repeats would run a second time. So the backend
-// server's clock must agree first.
+// If this host's clock has jumped ahead, that would delete keys of requests which are still being
+// retried, and the retries would run a second time. So Expire compares it with the backend server's
+// clock first and returns ErrClockSkew if they differ too much.
 func (i *Inquirer) Expire(ctx context.Context, now time.Time, retention time.Duration) error {
 	r, err := i.run(ctx, nowSQL)
 	if err != nil {
--- a/internal/outcome/inquirer/inquirer.go
+++ b/internal/outcome/inquirer/inquirer.go
@@ -1,4 +1,4 @@
-// Package inquirer asks a database group what became of a request with an idempotency key.
+// Package inquirer queries a database group for the outcome of a request with an idempotency key.
 package inquirer
 
 import (
@@ -18,28 +18,28 @@
 	"github.com/cuminwick/cuminwick/internal/wire/follower"
 )
 
-// ErrUnexpectedAnswer is returned when the backend server answers with an unexpected error.
+// ErrUnexpectedAnswer is returned when the backend server answers with an unexpected error or result.
 const ErrUnexpectedAnswer = errors.ConstError("outcome not told")
 
-// attemptPause is the time between two attempts to ask.
-const attemptPause = 50 * time.Millisecond
+// retryPause is the time between two tries to settle an attempt.
+const retryPause = 50 * time.Millisecond
 
-// Group is the database group that is asked.
+// Group is the database group that is queried.
 type Group interface {
-	// Primary waits for the group's confirmed primary.
+	// Primary waits until the group has a confirmed primary and returns it.
 	Primary(ctx context.Context) (lessor.Lessor, error)
-	// Acknowledge waits until a majority holds m.
+	// Acknowledge waits until a majority of the instances holds m.
 	Acknowledge(ctx context.Context, m marker.Mark) error
 }
 
-// Inquirer asks one database group.
+// Inquirer queries one database group. Group is set before use.
 type Inquirer struct {
 	Group Group
 }
 
-// Answer is what a key's rows say.
+// Answer is the outcome that the rows of a key record.
 type Answer struct {
-	// Attempt is the one that ran, or the next one to use.
+	// Attempt is the attempt that ran, or the next one to use.
 	Attempt recorder.Attempt
 	// Outcome is Ran, or NotRun if no attempt has run so far.
 	Outcome recorder.Outcome
@@ -47,8 +47,8 @@
 	Tag string
 }
 
-// LookUp follows the attempts of a key and returns what a majority holds. The
-// answer NotRun isn't final: an attempt may be in progress.
+// LookUp looks up the attempts of a key from a on, and returns the outcome once a majority of the
+// instances holds what was read. The answer NotRun isn't final, because an attempt may be in progress.
 func (i *Inquirer) LookUp(ctx context.Context, a recorder.Attempt) (Answer, error) {
 	for {
 		r, m, err := i.lookUp(ctx, a)
@@ -66,26 +66,28 @@
 		if d == recorder.Run {
 			return Answer{Attempt: n, Outcome: recorder.NotRun}, nil
 		}
-		t, err := i.tag(ctx, a)
+		t, err := i.lookUpTag(ctx, a)
 		return Answer{Attempt: a, Outcome: recorder.Ran, Tag: t}, err
 	}
 }
 
-// Settle makes the outcome of an attempt final: it inserts the tombstone in
-// the place of the attempt's own row, and whichever was there first holds. In a
-// group without an outcome table it makes the table first.
+// Settle makes the outcome of an attempt final and returns it. It inserts a tombstone under the key of
+// the attempt's own row, and the row that was inserted first determines the outcome. It creates the
+// outcome table in a group that has none, and retries until ctx ends.
 func (i *Inquirer) Settle(ctx context.Context, a recorder.Attempt) (recorder.Outcome, error) {
 	for {
 		o, err := i.settle(ctx, a)
 		if err == nil && o != recorder.Unknown {
 			return o, nil
 		}
-		if e := scheduler.Pause(ctx, attemptPause); e != nil {
+		if e := scheduler.Pause(ctx, retryPause); e != nil {
 			return recorder.Unknown, errors.Annotatef(cmp.Or(err, e), "settle key %s", a.Key)
 		}
 	}
 }
 
+// settle tries once to settle an attempt. The outcome is Unknown without an error after it has created
+// the outcome table.
 func (i *Inquirer) settle(ctx context.Context, a recorder.Attempt) (recorder.Outcome, error) {
 	r, err := i.run(ctx, a.Tombstone())
 	if err != nil {
@@ -97,13 +99,14 @@
 	case recorder.UndefinedTable:
 		return recorder.Unknown, i.CreateTable(ctx)
 	case recorder.UniqueViolation:
-		return i.settled(ctx, a)
+		return i.lookUpExisting(ctx, a)
 	default:
 		return recorder.Unknown, errors.Annotatef(ErrUnexpectedAnswer, "SQLSTATE %s to tombstone", r.Code)
 	}
 }
 
-func (i *Inquirer) settled(ctx context.Context, a recorder.Attempt) (recorder.Outcome, error) {
+// lookUpExisting returns the outcome in the row that prevented the tombstone.
+func (i *Inquirer) lookUpExisting(ctx context.Context, a recorder.Attempt) (recorder.Outcome, error) {
 	r, m, err := i.lookUp(ctx, a)
 	if err != nil {
 		return recorder.Unknown, err
@@ -114,7 +117,7 @@
 	return r.Outcome, i.Group.Acknowledge(ctx, m)
 }
 
-// CreateTable makes the outcome table of a group that has none.
+// CreateTable creates the outcome table, and waits until a majority of the instances holds it.
 func (i *Inquirer) CreateTable(ctx context.Context) error {
 	r, err := i.run(ctx, recorder.CreateTable)
 	if err != nil {
@@ -126,6 +129,7 @@
 	return errors.Annotate(i.Group.Acknowledge(ctx, r.Position), "confirm outcome table")
 }
 
+// lookUp reads the row of an attempt and returns it with the mark that the primary's log had reached.
 func (i *Inquirer) lookUp(ctx context.Context, a recorder.Attempt) (recorder.Row, marker.Mark, error) {
 	r, err := i.run(ctx, a.LookUp())
 	switch {
@@ -142,7 +146,8 @@
 	return w, r.Position, err
 }
 
-func (i *Inquirer) tag(ctx context.Context, a recorder.Attempt) (string, error) {
+// lookUpTag returns the command tag that was recorded for an attempt, empty if there is none.
+func (i *Inquirer) lookUpTag(ctx context.Context, a recorder.Attempt) (string, error) {
 	r, err := i.run(ctx, a.LookUpTag())
 	if err != nil || r.Code != "" || len(r.Rows) == 0 || len(r.Rows[0]) == 0 {
 		return "", err
@@ -150,7 +155,7 @@
 	return r.Rows[0][0], nil
 }
 
-// run runs a statement at the primary.
+// run runs a statement at the primary, in a lease of its own.
 func (i *Inquirer) run(ctx context.Context, sql string) (Result, error) {
 	l, err := i.Group.Primary(ctx)
 	if err != nil {
@@ -166,15 +171,14 @@
 	return r, err
 }
 
-// Result is the whole answer to a statement.
+// Result is the complete answer to a statement.
 type Result struct {
 	exchanger.Result
-	// Rows are in text form, a NULL as an empty string.
+	// Rows holds the values of the rows in text format, with an empty string for NULL.
 	Rows [][]string
 }
 
-// Run runs sql on a lease and collects its answer; with inTransaction the
-// position isn't asked for.
+// Run runs sql on a lease and returns its answer. With inTransaction the log position isn't queried.
 func Run(ctx context.Context, l lessor.Lease, sql string, inTransaction bool) (Result, error) {
 	var b batcher.Batch
 	b.AddQuery(batcher.Pass, sql)
@@ -183,7 +187,7 @@
 	return Result{Result: r, Rows: c.rows}, err
 }
 
-// collector keeps the rows of an answer.
+// collector is an exchanger.Output that keeps the rows of an answer.
 type collector struct {
 	rows [][]string
 }
