--- a/internal/outcome/recorder/recorder_test.go
+++ b/internal/outcome/recorder/recorder_test.go
@@ -7,6 +7,8 @@
 	"github.com/juju/errors"
 )
 
+// Keys are inserted into SQL without escaping and are followed by # in the key column. A key with a
+// quote or a # would change the statement or collide with the row of another key.
 func TestCheckKey(t *testing.T) {
 	tests := []struct {
 		key string
@@ -30,6 +32,7 @@
 	}
 }
 
+// A wrong decision after a look-up would run a request a second time, or never run it.
 func TestDecide(t *testing.T) {
 	a := First("k")
 	tests := []struct {
@@ -51,9 +54,9 @@
 	}
 }
 
-// An entry host's wall clock was set back by a day and an hour, and a booking is sent
-// with a key. With that host's time in its row any other host would forget the key
-// within ten minutes, and the booking, sent again, would run a second time.
+// The wall clock of an entry host is set back by a day and an hour, and it handles a request with a
+// key. With that host's time in the row, another host would delete the key within ten minutes, and a
+// retry of the request would run it a second time.
 func TestFirstRowBearsServersTime(t *testing.T) {
 	a := First("k")
 	for _, q := range []string{a.Reserve(), a.Tombstone(), a.RecordTag("INSERT 0 1")} {
@@ -64,7 +67,7 @@
 	_, n := Decide(a, Row{Found: true, Outcome: NotRun, RecordedAt: 90})
 	for _, q := range []string{n.Reserve(), n.Tombstone(), n.RecordTag("INSERT 0 1")} {
 		if !strings.HasSuffix(q, ", 90)") {
-			t.Errorf("not the time of the first row: %s", q)
+			t.Errorf("recorded_at isn't that of the first row: %s", q)
 		}
 	}
 }
--- a/internal/outcome/recorder/tag.go
+++ b/internal/outcome/recorder/tag.go
@@ -8,28 +8,29 @@
 	"github.com/juju/errors"
 )
 
-// maximumTagBytes is the longest command tag that is recorded.
+// maximumTagBytes is the length to which a recorded command tag is truncated.
 const maximumTagBytes = 64
 
-// RecordTag returns the statement that records the request's command tag in
-// its own transaction, so that a repeat of the request gets the same one.
+// RecordTag returns the statement that records the request's command tag in the request's own
+// transaction, so that a retry of the request returns the same tag.
 func (a Attempt) RecordTag(tag string) string {
 	t := strings.ReplaceAll(tag, "'", "")
 	t = t[:min(len(t), maximumTagBytes)]
-	return fmt.Sprintf("INSERT INTO %s (key, outcome, recorded_at) VALUES ('%s', '%s', %s)", Table, a.tagRow(), t, a.recordedAt())
+	return fmt.Sprintf("INSERT INTO %s (key, outcome, recorded_at) VALUES ('%s', '%s', %s)", Table, a.tagRowKey(), t, a.recordedAt())
 }
 
-// LookUpTag returns the statement that reads the command tag.
+// LookUpTag returns the statement that reads the recorded command tag.
 func (a Attempt) LookUpTag() string {
-	return fmt.Sprintf("SELECT outcome FROM %s WHERE key = '%s'", Table, a.tagRow())
+	return fmt.Sprintf("SELECT outcome FROM %s WHERE key = '%s'", Table, a.tagRowKey())
 }
 
-// tagRow can't be another attempt's row, since those end in a number.
-func (a Attempt) tagRow() string {
-	return a.row() + "#tag"
+// tagRowKey returns the value of the key column of the tag's row. It can't be that of another attempt,
+// because those end in a number.
+func (a Attempt) tagRowKey() string {
+	return a.rowKey() + "#tag"
 }
 
-// ParseRow reads a row of LookUp in text form.
+// ParseRow parses a result row of LookUp in text format.
 func ParseRow(values []string) (Row, error) {
 	if len(values) != 2 {
 		return Row{}, errors.Errorf("outcome row has %d columns, want 2", len(values))
