--- a/internal/outcome/settler/settler.go
+++ b/internal/outcome/settler/settler.go
@@ -1,4 +1,4 @@
-// Package settler decides which outcome of a request follows from what is known of it.
+// Package settler determines the outcome of a request, or the next step that is needed to determine it.
 package settler
 
 import (
@@ -6,46 +6,47 @@
 	"github.com/cuminwick/cuminwick/internal/outcome/recorder"
 )
 
-// Answer is the backend server's answer to what could have committed the request.
+// Answer is the backend server's answer to the statement that could commit the request.
 type Answer string
 
 // Answers of a backend server.
 const (
-	// AnswerNone: none has come yet.
+	// AnswerNone: no answer has arrived yet.
 	AnswerNone Answer = "none"
-	// AnswerCommitted: the server committed it, at its own log only.
+	// AnswerCommitted: the server committed the request in its own log. Whether replicas hold the
+	// commit is in Evidence.Commit.
 	AnswerCommitted Answer = "committed"
-	// AnswerRolledBack: the server said that it was rolled back and is ready
-	// again. A UniqueViolation on the key's own row isn't meant: an earlier attempt
-	// may have run, and recorder.Decide tells what to do.
+	// AnswerRolledBack: the server reported a rollback and is ready for the next statement. A
+	// UniqueViolation on the key's own row doesn't count, because an earlier attempt may have run;
+	// recorder.Decide handles that case.
 	AnswerRolledBack Answer = "rolled-back"
-	// AnswerLost: none will come, the connection is gone or silent.
+	// AnswerLost: no answer will arrive, because the connection was lost or is dead.
 	AnswerLost Answer = "lost"
 )
 
 // Evidence is what is known of one request.
 type Evidence struct {
-	// Sent says that any byte of the request may have reached a backend server.
+	// Sent reports whether any byte of the request may have reached a backend server.
 	Sent bool
-	// CommitSent says that any byte of what could commit it may have: of
-	// COMMIT in a transaction block, of the statement itself outside one.
+	// CommitSent reports whether any byte of the statement that commits the request may have reached
+	// a backend server: of COMMIT in a transaction block, of the statement itself outside one.
 	CommitSent bool
 	Answer     Answer
-	// Commit is the verdict on the committed mark, with AnswerCommitted.
+	// Commit is the state of the request's commit. It is set with AnswerCommitted.
 	Commit acknowledger.CommitState
 	// Key is the idempotency key, empty if there is none.
 	Key string
-	// Row is what the key's row says, found or inserted as a tombstone at a
-	// confirmed primary; empty while it isn't known.
+	// Row is the outcome in the key's row, which was found or inserted as a tombstone at a confirmed
+	// primary. It is empty while the row isn't known.
 	Row recorder.Outcome
-	// RowCommit is the verdict on the mark that the primary's log had reached when
-	// Row was read or inserted.
+	// RowCommit is the state of the mark that the primary's log had reached when Row was read or
+	// inserted.
 	RowCommit acknowledger.CommitState
-	// Expired says that the caller's deadline has passed.
+	// Expired reports whether the caller's deadline has passed.
 	Expired bool
 }
 
-// Step is what has to be done next.
+// Step is what to do next to settle a request.
 type Step string
 
 // Steps of settling.
@@ -54,28 +55,27 @@
 	Done Step = "done"
 	// WaitAnswer: wait for the server's answer, or probe a silent connection.
 	WaitAnswer Step = "wait-answer"
-	// WaitCommit: wait for the verdict on the commit.
+	// WaitCommit: wait until the state of the commit is final.
 	WaitCommit Step = "wait-commit"
-	// InsertTombstone: insert the key's tombstone at a confirmed primary, and look
-	// the row up if there is one.
+	// InsertTombstone: insert the key's tombstone at a confirmed primary, or look up the row if
+	// there is one already.
 	InsertTombstone Step = "insert-tombstone"
-	// WaitRow: wait for the verdict on the row.
+	// WaitRow: wait until the state of the row is final.
 	WaitRow Step = "wait-row"
 )
 
-// Next returns what to do next, and with Done the outcome.
+// Next returns the next step, and with Done the outcome.
 //
-// NotRun is returned only where nothing can have committed and nothing can
-// commit later. In particular a key that isn't found proves nothing while the old
-// transaction may still commit, for instance behind a connection gone silent
-// under the same primary. So the key is never merely looked up: a tombstone is
-// inserted in its place, and the database's own uniqueness decides.
+// NotRun is returned only if nothing can have committed and nothing can commit later. In particular,
+// a key that isn't found proves nothing while the original transaction may still commit, for instance
+// over a dead connection to the same primary. So the key isn't merely looked up: a tombstone is
+// inserted under it, and the unique constraint of the database decides.
 func Next(e Evidence) (Step, recorder.Outcome) {
 	switch {
 	case !e.Sent, e.Answer == AnswerRolledBack:
 		return Done, recorder.NotRun
 	case !e.CommitSent && (e.Answer == AnswerLost || e.Expired):
-		return Done, recorder.NotRun // and the caller of Next must not send it any more
+		return Done, recorder.NotRun // the caller of Next must not send the commit after this
 	case e.Answer == AnswerCommitted && e.Commit == acknowledger.Acknowledged:
 		return Done, recorder.Ran
 	case e.Answer == AnswerCommitted && e.Commit == acknowledger.Superseded:
@@ -92,10 +92,12 @@
 	return nextByKey(e)
 }
 
+// rowSettled reports whether the key's row is known and acknowledged.
 func rowSettled(e Evidence) bool {
 	return e.Row != "" && e.RowCommit == acknowledger.Acknowledged
 }
 
+// nextByKey returns the next step of a request whose outcome only its key's row can determine.
 func nextByKey(e Evidence) (Step, recorder.Outcome) {
 	switch {
 	case e.Key == "":
@@ -106,11 +108,11 @@
 	return InsertTombstone, recorder.Unknown // also after the row's own primary was superseded
 }
 
-// AnswerOf returns what an error answer with the SQLSTATE c says of a
-// request; fatal says that the server ended the session with it.
+// AnswerOf returns the Answer for an error response with the SQLSTATE c. If fatal is set, the server
+// ended the session with it.
 //
-// A server that ends the session may have committed before it did so, and two
-// SQLSTATEs say themselves that the outcome is open.
+// A server that ends the session may have committed the request before, and two SQLSTATEs are defined
+// to mean that the outcome is unknown.
 func AnswerOf(c string, fatal bool) Answer {
 	const (
 		statementCompletionUnknown   = "40003"
--- a/internal/outcome/settler/settler_test.go
+++ b/internal/outcome/settler/settler_test.go
@@ -7,12 +7,15 @@
 	"github.com/cuminwick/cuminwick/internal/outcome/recorder"
 )
 
+// A request that is reported as not run is run again by its caller. If Next returned NotRun for a
+// request that has committed or may still commit, the request would run twice; if it returned Ran for
+// one without an acknowledged commit, a failover could lose it.
 func TestNext(t *testing.T) {
 	const (
-		ack  = acknowledger.Acknowledged
-		wait = acknowledger.Waiting
-		gone = acknowledger.Superseded
-		open = acknowledger.Undetermined
+		ack          = acknowledger.Acknowledged
+		wait         = acknowledger.Waiting
+		superseded   = acknowledger.Superseded
+		undetermined = acknowledger.Undetermined
 	)
 	tests := []struct {
 		name     string
@@ -30,15 +33,15 @@
 		{"commit acknowledged after the deadline", Evidence{Sent: true, CommitSent: true, Answer: AnswerCommitted, Commit: ack, Expired: true}, Done, recorder.Ran},
 		{"commit waits", Evidence{Sent: true, CommitSent: true, Answer: AnswerCommitted, Commit: wait}, WaitCommit, recorder.Unknown},
 		{"replicas lag past the deadline", Evidence{Sent: true, CommitSent: true, Answer: AnswerCommitted, Commit: wait, Expired: true}, Done, recorder.Unknown},
-		{"commit superseded", Evidence{Sent: true, CommitSent: true, Answer: AnswerCommitted, Commit: gone}, Done, recorder.NotRun},
-		{"commit undetermined without key", Evidence{Sent: true, CommitSent: true, Answer: AnswerCommitted, Commit: open}, Done, recorder.Unknown},
-		{"commit undetermined with key", Evidence{Sent: true, CommitSent: true, Answer: AnswerCommitted, Commit: open, Key: "k"}, InsertTombstone, recorder.Unknown},
+		{"commit superseded", Evidence{Sent: true, CommitSent: true, Answer: AnswerCommitted, Commit: superseded}, Done, recorder.NotRun},
+		{"commit undetermined without key", Evidence{Sent: true, CommitSent: true, Answer: AnswerCommitted, Commit: undetermined}, Done, recorder.Unknown},
+		{"commit undetermined with key", Evidence{Sent: true, CommitSent: true, Answer: AnswerCommitted, Commit: undetermined, Key: "k"}, InsertTombstone, recorder.Unknown},
 		{"answer lost without key", Evidence{Sent: true, CommitSent: true, Answer: AnswerLost}, Done, recorder.Unknown},
 		{"answer lost with key", Evidence{Sent: true, CommitSent: true, Answer: AnswerLost, Key: "k"}, InsertTombstone, recorder.Unknown},
-		{"tombstone not held yet", Evidence{Sent: true, CommitSent: true, Answer: AnswerLost, Key: "k", Row: recorder.NotRun, RowCommit: wait}, WaitRow, recorder.Unknown},
-		{"tombstone's primary superseded", Evidence{Sent: true, CommitSent: true, Answer: AnswerLost, Key: "k", Row: recorder.NotRun, RowCommit: gone}, InsertTombstone, recorder.Unknown},
-		{"tombstone held", Evidence{Sent: true, CommitSent: true, Answer: AnswerLost, Key: "k", Row: recorder.NotRun, RowCommit: ack}, Done, recorder.NotRun},
-		{"row says ran and is held", Evidence{Sent: true, CommitSent: true, Answer: AnswerLost, Key: "k", Row: recorder.Ran, RowCommit: ack}, Done, recorder.Ran},
+		{"tombstone not acknowledged yet", Evidence{Sent: true, CommitSent: true, Answer: AnswerLost, Key: "k", Row: recorder.NotRun, RowCommit: wait}, WaitRow, recorder.Unknown},
+		{"tombstone's primary superseded", Evidence{Sent: true, CommitSent: true, Answer: AnswerLost, Key: "k", Row: recorder.NotRun, RowCommit: superseded}, InsertTombstone, recorder.Unknown},
+		{"tombstone acknowledged", Evidence{Sent: true, CommitSent: true, Answer: AnswerLost, Key: "k", Row: recorder.NotRun, RowCommit: ack}, Done, recorder.NotRun},
+		{"row with outcome ran acknowledged", Evidence{Sent: true, CommitSent: true, Answer: AnswerLost, Key: "k", Row: recorder.Ran, RowCommit: ack}, Done, recorder.Ran},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -50,6 +53,8 @@
 	}
 }
 
+// An error response that leaves the outcome open must not be taken for a rollback, because the request
+// would then be run again.
 func TestAnswerOf(t *testing.T) {
 	tests := []struct {
 		code  string
