--- a/internal/outcome/settler/settler.go
+++ b/internal/outcome/settler/settler.go
@@ -53,7 +53,7 @@
 const (
 	// Done: the outcome is final.
 	Done Step = "done"
-	// WaitAnswer: wait for the server's answer, or probe a silent connection.
+	// WaitAnswer: wait for the server's answer, or probe a connection that delivers no bytes.
 	WaitAnswer Step = "wait-answer"
 	// WaitCommit: wait until the state of the commit is final.
 	WaitCommit Step = "wait-commit"
--- a/internal/pool/exchanger/adapter.go
+++ b/internal/pool/exchanger/adapter.go
@@ -67,7 +67,8 @@
 	return batcher.Drop
 }
 
-// encode returns the bytes to send: the batch, with a position query before and after it as asked.
+// encode returns the bytes to send: the batch, preceded by a position query if AskBefore is set and
+// followed by one if AskPosition is set.
 func (x *Exchange) encode() []byte {
 	p := make([]byte, 0, x.Batch.Bytes()+2*len(positionQuery))
 	if x.AskBefore {
