--- a/internal/caller/server/changes.go
+++ b/internal/caller/server/changes.go
@@ -31,7 +31,7 @@
 	var l replayer.Settings
 	for n, v := range p {
 		k := strings.ToLower(n)
-		if slices.Contains(notSettings, k) || strings.HasPrefix(k, classifier.OwnPrefix) {
+		if slices.Contains(notSettings, k) || strings.HasPrefix(k, classifier.CuminwickPrefix) {
 			continue
 		}
 		l = append(l, replayer.Setting{Name: k, SQLValue: classifier.Quote(v)})
--- a/internal/caller/server/failure.go
+++ b/internal/caller/server/failure.go
@@ -156,9 +156,9 @@
 		return codeConnectionFailure
 	case errors.Is(err, ErrUnknownStatement):
 		return codeInvalidStatement
-	case errors.Is(err, replayer.ErrDuplicate):
+	case errors.Is(err, replayer.ErrDuplicateStatement):
 		return codeDuplicate
-	case errors.Is(err, replayer.ErrTooMany), errors.Is(err, ErrBatchTooLarge), errors.Is(err, ErrTooManyPortals):
+	case errors.Is(err, replayer.ErrTooManyStatements), errors.Is(err, ErrBatchTooLarge), errors.Is(err, ErrTooManyPortals):
 		return codeProgramLimit
 	case errors.Is(err, ErrMalformed):
 		return codeProtocol
--- a/internal/caller/server/fuzz_test.go
+++ b/internal/caller/server/fuzz_test.go
@@ -59,7 +59,7 @@
 		{"parse without types", step(0, "s\x00SELECT 1\x00"), ErrMalformed},
 		{"parse with fewer types than counted", step(0, "s\x00SELECT 1\x00\x00\x02\x00\x00\x00\x14"), ErrMalformed},
 		{"parse without end", step(0, "s"), ErrMalformed},
-		{"parse of a name twice", parse + parse, replayer.ErrDuplicate},
+		{"parse of a name twice", parse + parse, replayer.ErrDuplicateStatement},
 		{"bind of an unknown statement", step(1, "\x00other\x00\x00\x00\x00\x00\x00\x00"), ErrUnknownStatement},
 		{"bind without end", parse + step(1, "\x00s"), ErrMalformed},
 		{"bind of too many portals", parse + portals(maximumPortals+1), ErrTooManyPortals},
--- a/internal/caller/server/local.go
+++ b/internal/caller/server/local.go
@@ -34,7 +34,7 @@
 	}
 	c := &d.statement
 	switch {
-	case c.Own:
+	case c.CuminwickSetting:
 		return s.answerOwn(part(c)), true
 	case len(p.parts) == 0:
 		return localAnswer{}, false
@@ -58,7 +58,7 @@
 		return nil
 	}
 	for _, d := range all {
-		if d.statement.Kind != all[0].statement.Kind || d.statement.Own != all[0].statement.Own {
+		if d.statement.Kind != all[0].statement.Kind || d.statement.CuminwickSetting != all[0].statement.CuminwickSetting {
 			return nil
 		}
 	}
--- a/internal/pool/exchanger/adapter.go
+++ b/internal/pool/exchanger/adapter.go
@@ -10,7 +10,7 @@
 // is, so that it can be sent again over another connection.
 func (x *Exchange) adapt() {
 	if x.AskBefore {
-		x.Conn.Replay.Queried()
+		x.Conn.Replay.SimpleQuerySent()
 	}
 	if !x.namesStatements() {
 		return
@@ -35,7 +35,7 @@
 	named := false
 	for _, t := range x.Batch.Items {
 		if t.Type == batcher.Query {
-			x.Conn.Replay.Queried()
+			x.Conn.Replay.SimpleQuerySent()
 		}
 		named = named || t.Name != ""
 	}
@@ -44,7 +44,7 @@
 
 func (x *Exchange) adaptParse(b *batcher.Batch, i int) {
 	t := x.Batch.Items[i]
-	p := x.Conn.Replay.Use(t.Name, replayer.Prepared{ID: replayer.StatementID(t.Name)})
+	p := x.Conn.Replay.PlanStatement(t.Name, replayer.Prepared{ID: replayer.StatementID(t.Name)})
 	if p.Close != "" {
 		b.AddBody(batcher.Close, batcher.Swallow, []byte{'S'}, []byte(p.Close), []byte{0})
 	}
@@ -71,7 +71,7 @@
 	}
 	p = x.Batch.Append(p)
 	if x.AskPosition {
-		x.Conn.Replay.Queried()
+		x.Conn.Replay.SimpleQuerySent()
 		p = append(p, question...)
 	}
 	return p
--- a/internal/pool/exchanger/exchanger.go
+++ b/internal/pool/exchanger/exchanger.go
@@ -259,7 +259,7 @@
 			return
 		}
 		if i.Type == batcher.Parse && i.Name != "" {
-			x.Conn.Replay.Failed(replayer.StatementPlan{Name: replayer.StatementID(i.Name)})
+			x.Conn.Replay.ParseFailed(replayer.StatementPlan{Name: replayer.StatementID(i.Name)})
 		}
 	}
 }
--- a/internal/pool/lender/lender.go
+++ b/internal/pool/lender/lender.go
@@ -284,16 +284,16 @@
 // adopt gives the connection the session's settings before the session uses
 // it: a statement that ran under another caller's settings could answer wrongly.
 func (e *lease) adopt(ctx context.Context) error {
-	p := e.conn.Replay.Prepare(e.demand.Settings)
+	p := e.conn.Replay.PlanSettings(e.demand.Settings)
 	if p.Discard {
-		if err := e.execute(ctx, replayer.DiscardText); err != nil {
+		if err := e.execute(ctx, replayer.DiscardSQL); err != nil {
 			return err
 		}
 	}
-	if p.Text == "" {
+	if p.SQL == "" {
 		return nil
 	}
-	return e.execute(ctx, p.Text)
+	return e.execute(ctx, p.SQL)
 }
 
 func (e *lease) execute(ctx context.Context, sql string) error {
--- a/internal/session/replayer/connection.go
+++ b/internal/session/replayer/connection.go
@@ -7,25 +7,25 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Plan is what must be sent on a connection before it serves a session.
-type Plan struct {
+// SettingsPlan is what must be sent on a connection before it serves a session.
+type SettingsPlan struct {
 	// Discard says that DISCARD ALL comes first, in a message of its own since it
 	// can't stand in a text of several statements.
 	Discard bool
-	// Text sets and resets what differs, empty if nothing does. If it fails, the
+	// SQL sets and resets what differs, empty if nothing does. If it fails, the
 	// connection must be closed.
-	Text string
+	SQL string
 }
 
-// DiscardText is the text for Plan.Discard.
-const DiscardText = "DISCARD ALL"
+// DiscardSQL is the text for Plan.Discard.
+const DiscardSQL = "DISCARD ALL"
 
 // Connection knows what one pooled connection has in force. Maximum is set
 // before use; it belongs to one goroutine.
 type Connection struct {
-	// Maximum bounds the prepared statements that the server holds for the
+	// MaximumStatements bounds the prepared statements that the server holds for the
 	// connection, DefaultStatements if zero.
-	Maximum int
+	MaximumStatements int
 
 	settings Settings
 	// unknown says that a text may have left state that can't be seen, or that
@@ -35,34 +35,34 @@
 	statements *simplelru.LRU[StatementID, struct{}]
 }
 
-// Prepare returns what must be sent before the connection serves a session with
+// PlanSettings returns what must be sent before the connection serves a session with
 // the settings w, and takes it as done. Without it a setting of the last session, perhaps its role, would
 // leak to the next one, which would notice wrong results or missing rights.
-func (c *Connection) Prepare(w Settings) Plan {
-	var p Plan
+func (c *Connection) PlanSettings(w Settings) SettingsPlan {
+	var p SettingsPlan
 	if c.unknown {
 		p.Discard = true
 		c.settings = nil
 		c.forget()
 		c.unknown = false
 	}
-	p.Text = difference(c.settings, w)
+	p.SQL = difference(c.settings, w)
 	c.settings = w
-	if p.Text != "" {
-		c.Queried()
+	if p.SQL != "" {
+		c.SimpleQuerySent()
 	}
 	return p
 }
 
-// Queried notes that a simple query has been sent, which ends the unnamed
+// SimpleQuerySent notes that a simple query has been sent, which ends the unnamed
 // prepared statement.
-func (c *Connection) Queried() {
+func (c *Connection) SimpleQuerySent() {
 	c.unnamed = ""
 }
 
-// Discarded notes that DISCARD ALL or DEALLOCATE ALL of a pinned session has
+// StatementsDeallocated notes that DISCARD ALL or DEALLOCATE ALL of a pinned session has
 // ended all prepared statements.
-func (c *Connection) Discarded() {
+func (c *Connection) StatementsDeallocated() {
 	c.forget()
 }
 
--- a/internal/session/replayer/replayer_test.go
+++ b/internal/session/replayer/replayer_test.go
@@ -64,12 +64,12 @@
 			var c Connection
 			apply(t, &a, tt.before...)
 			apply(t, &b, tt.next...)
-			c.Prepare(a.Settings())
+			c.PlanSettings(a.Settings())
 			c.Finish(a.Settings(), false)
-			if p := c.Prepare(b.Settings()); p.Text != tt.want || p.Discard {
+			if p := c.PlanSettings(b.Settings()); p.SQL != tt.want || p.Discard {
 				t.Errorf("plan %+v, want %q", p, tt.want)
 			}
-			if p := c.Prepare(b.Settings()); p.Text != "" {
+			if p := c.PlanSettings(b.Settings()); p.SQL != "" {
 				t.Errorf("second plan %+v, want nothing", p)
 			}
 		})
@@ -114,7 +114,7 @@
 	for _, q := range strings.Split(text, "; ") {
 		w := strings.Fields(q)
 		switch {
-		case q == DiscardText:
+		case q == DiscardSQL:
 			*s = server{settings: map[string]string{}, statements: map[StatementID]string{}}
 		case len(w) == 2:
 			delete(s.settings, w[1])
@@ -131,7 +131,7 @@
 func TestNothingLeaksToTheNextSession(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c Connection
-		c.Maximum = 2
+		c.MaximumStatements = 2
 		v := server{settings: map[string]string{}, statements: map[StatementID]string{}}
 		var l [3]Session
 		var in [3]map[string]string
@@ -141,11 +141,11 @@
 		for range 40 {
 			i := rapid.IntRange(0, 2).Draw(t, "session")
 			s := &l[i]
-			p := c.Prepare(s.Settings())
+			p := c.PlanSettings(s.Settings())
 			if p.Discard {
-				v.run(DiscardText)
+				v.run(DiscardSQL)
 			}
-			v.run(p.Text)
+			v.run(p.SQL)
 			if v.hidden || !maps.Equal(v.settings, in[i]) {
 				t.Fatalf("session %d finds %v, hidden state %t, own settings %v", i, v.settings, v.hidden, in[i])
 			}
@@ -165,14 +165,14 @@
 				t.Fatal(err)
 			}
 			d, _ := s.Statement(name)
-			u := c.Use(name, d)
+			u := c.PlanStatement(name, d)
 			if u.Close != "" {
 				delete(v.statements, u.Close)
 			}
 			if u.Parse {
 				v.statements[u.Name] = text
 			}
-			if v.statements[u.Name] != text || len(v.statements) > c.Maximum+1 {
+			if v.statements[u.Name] != text || len(v.statements) > c.MaximumStatements+1 {
 				t.Fatalf("statement %q is %q on the server, want %q; %d held", name, v.statements[u.Name], text, len(v.statements))
 			}
 			hidden := rapid.IntRange(0, 9).Draw(t, "hidden") == 0
@@ -183,29 +183,29 @@
 }
 
 func TestStatements(t *testing.T) {
-	s := Session{Maximum: 2}
+	s := Session{MaximumStatements: 2}
 	a, _ := s.Parse("a", "SELECT $1", []uint32{23})
 	b, _ := s.Parse("b", "SELECT $1", []uint32{25})
 	if a.ID == b.ID || a.ID != Identify("SELECT $1", []uint32{23}) {
 		t.Errorf("ids %s and %s", a.ID, b.ID)
 	}
-	if _, err := s.Parse("a", "SELECT 2", nil); !errors.Is(err, ErrDuplicate) {
-		t.Errorf("error %v, want %v", err, ErrDuplicate)
+	if _, err := s.Parse("a", "SELECT 2", nil); !errors.Is(err, ErrDuplicateStatement) {
+		t.Errorf("error %v, want %v", err, ErrDuplicateStatement)
 	}
-	if _, err := s.Parse("c", "SELECT 2", nil); !errors.Is(err, ErrTooMany) {
-		t.Errorf("error %v, want %v", err, ErrTooMany)
+	if _, err := s.Parse("c", "SELECT 2", nil); !errors.Is(err, ErrTooManyStatements) {
+		t.Errorf("error %v, want %v", err, ErrTooManyStatements)
 	}
 	apply(t, &s, "DEALLOCATE ALL")
 	if _, ok := s.Statement("a"); ok {
 		t.Error("statement a outlives DEALLOCATE ALL")
 	}
 	var c Connection
-	c.Failed(c.Use("a", a))
-	if p := c.Use("a", a); !p.Parse {
+	c.ParseFailed(c.PlanStatement("a", a))
+	if p := c.PlanStatement("a", a); !p.Parse {
 		t.Error("a statement that failed to parse is taken as known")
 	}
-	c.Discarded()
-	if p := c.Use("a", a); !p.Parse {
+	c.StatementsDeallocated()
+	if p := c.PlanStatement("a", a); !p.Parse {
 		t.Error("a statement is taken as known after all were discarded")
 	}
 }
--- a/internal/session/replayer/setting.go
+++ b/internal/session/replayer/setting.go
@@ -82,8 +82,8 @@
 	// Startup are the settings that the caller gave on connecting. RESET goes
 	// back to them, as it does on a connection of the caller's own.
 	Startup Settings
-	// Maximum bounds the prepared statements, DefaultStatements if zero.
-	Maximum int
+	// MaximumStatements bounds the prepared statements, DefaultStatements if zero.
+	MaximumStatements int
 
 	settings   Settings
 	set        bool
--- a/internal/session/replayer/statement.go
+++ b/internal/session/replayer/statement.go
@@ -11,15 +11,15 @@
 
 // Errors of prepared statements.
 const (
-	// ErrDuplicate is a Parse with a name in use, SQLSTATE 42P05.
-	ErrDuplicate = errors.ConstError("prepared statement already exists")
-	// ErrTooMany is a session with too many prepared statements, SQLSTATE 53400.
-	ErrTooMany = errors.ConstError("too many prepared statements")
+	// ErrDuplicateStatement is a Parse with a name in use, SQLSTATE 42P05.
+	ErrDuplicateStatement = errors.ConstError("prepared statement already exists")
+	// ErrTooManyStatements is a session with too many prepared statements, SQLSTATE 53400.
+	ErrTooManyStatements = errors.ConstError("too many prepared statements")
 )
 
-// DefaultStatements bounds the prepared statements of a session and of a
+// DefaultMaximumStatements bounds the prepared statements of a session and of a
 // connection.
-const DefaultStatements = 500
+const DefaultMaximumStatements = 500
 
 // StatementID is the name of a prepared statement on the server. It follows
 // from the text, so that sessions share it, and from the parameter types.
@@ -56,10 +56,10 @@
 func (s *Session) Parse(name, text string, types []uint32) (Prepared, error) {
 	_, ok := s.statements[name]
 	if ok && name != "" {
-		return Prepared{}, errors.Annotatef(ErrDuplicate, "prepare %q", name)
+		return Prepared{}, errors.Annotatef(ErrDuplicateStatement, "prepare %q", name)
 	}
-	if !ok && len(s.statements) >= orDefault(s.Maximum) {
-		return Prepared{}, errors.Annotatef(ErrTooMany, "prepare %q", name)
+	if !ok && len(s.statements) >= orDefault(s.MaximumStatements) {
+		return Prepared{}, errors.Annotatef(ErrTooManyStatements, "prepare %q", name)
 	}
 	if s.statements == nil {
 		s.statements = map[string]Prepared{}
@@ -100,10 +100,10 @@
 	Close StatementID
 }
 
-// Use returns what must be sent before p, prepared by the caller as name, can be
+// PlanStatement returns what must be sent before p, prepared by the caller as name, can be
 // bound on the connection, and takes it as done. An unnamed statement stays
 // unnamed, as its text is mostly used once and would displace the others.
-func (c *Connection) Use(name string, p Prepared) StatementPlan {
+func (c *Connection) PlanStatement(name string, p Prepared) StatementPlan {
 	if name == "" {
 		n := c.unnamed != p.ID
 		c.unnamed = p.ID
@@ -117,15 +117,15 @@
 		return r
 	}
 	r.Parse = true
-	if c.statements.Len() >= orDefault(c.Maximum) {
+	if c.statements.Len() >= orDefault(c.MaximumStatements) {
 		r.Close, _, _ = c.statements.RemoveOldest()
 	}
 	c.statements.Add(p.ID, struct{}{})
 	return r
 }
 
-// Failed notes that the server refused to parse what r asked for.
-func (c *Connection) Failed(r StatementPlan) {
+// ParseFailed notes that the server refused to parse what r asked for.
+func (c *Connection) ParseFailed(r StatementPlan) {
 	if r.Name == "" {
 		c.unnamed = ""
 		return
@@ -138,12 +138,12 @@
 	c.unnamed = ""
 	// The bound is kept by Use, which must tell whom it displaces; the size is
 	// above zero, so there is no error.
-	c.statements, _ = simplelru.NewLRU[StatementID, struct{}](orDefault(c.Maximum)+1, nil)
+	c.statements, _ = simplelru.NewLRU[StatementID, struct{}](orDefault(c.MaximumStatements)+1, nil)
 }
 
 func orDefault(v int) int {
 	if v == 0 {
-		return DefaultStatements
+		return DefaultMaximumStatements
 	}
 	return v
 }
--- a/internal/session/signer/signer.go
+++ b/internal/session/signer/signer.go
@@ -20,10 +20,10 @@
 	ErrMalformed = errors.ConstError("session mark is malformed or truncated")
 	// ErrUnknownKey is a token signed with a key that isn't accepted.
 	ErrUnknownKey = errors.ConstError("session mark is signed with an unknown key")
-	// ErrForged is a token whose signature doesn't fit.
-	ErrForged = errors.ConstError("session mark has a wrong signature")
-	// ErrForeign is a well-signed token of another deployment.
-	ErrForeign = errors.ConstError("session mark belongs to another deployment")
+	// ErrSignature is a token whose signature doesn't fit.
+	ErrSignature = errors.ConstError("session mark has a wrong signature")
+	// ErrDeployment is a well-signed token of another deployment.
+	ErrDeployment = errors.ConstError("session mark belongs to another deployment")
 	// ErrNoKey is returned by Sign without a key.
 	ErrNoKey = errors.ConstError("no signing key is set")
 )
@@ -90,8 +90,8 @@
 	return base64.RawURLEncoding.EncodeToString(b), nil
 }
 
-// Open checks a token and returns its entries.
-func (s *Signer) Open(token string) ([]Entry, error) {
+// Verify checks a token and returns its entries.
+func (s *Signer) Verify(token string) ([]Entry, error) {
 	if base64.RawURLEncoding.DecodedLen(len(token)) > maximumBytes {
 		return nil, ErrMalformed
 	}
@@ -106,10 +106,10 @@
 		return nil, ErrUnknownKey
 	}
 	if !hmac.Equal(b[n:], signature(k.Secret, b[:n])) {
-		return nil, ErrForged
+		return nil, ErrSignature
 	}
 	if binary.BigEndian.Uint64(b[5:]) != xxhash.Sum64String(s.Deployment) {
-		return nil, ErrForeign
+		return nil, ErrDeployment
 	}
 	return entries(b[headBytes:n])
 }
@@ -117,7 +117,7 @@
 // Restore checks a token and raises in t the marks of those of groups that it
 // names; a group that isn't configured is left out.
 func (s *Signer) Restore(token string, groups []string, t *tracker.Tracker) error {
-	e, err := s.Open(token)
+	e, err := s.Verify(token)
 	if err != nil {
 		return err
 	}
--- a/internal/session/signer/signer_test.go
+++ b/internal/session/signer/signer_test.go
@@ -50,13 +50,13 @@
 	before := Signer{Deployment: "ost", Keys: []Key{oldKey}}
 	both := Signer{Deployment: "ost", Keys: []Key{newKey, oldKey}}
 	after := Signer{Deployment: "ost", Keys: []Key{newKey}}
-	if _, err := both.Open(sign(t, before)); err != nil {
+	if _, err := both.Verify(sign(t, before)); err != nil {
 		t.Errorf("old key while both are accepted: %v", err)
 	}
-	if _, err := after.Open(sign(t, both)); err != nil {
+	if _, err := after.Verify(sign(t, both)); err != nil {
 		t.Errorf("token of the rotation after it: %v", err)
 	}
-	if _, err := after.Open(sign(t, before)); !errors.Is(err, ErrUnknownKey) {
+	if _, err := after.Verify(sign(t, before)); !errors.Is(err, ErrUnknownKey) {
 		t.Errorf("dropped key: error %v, want %v", err, ErrUnknownKey)
 	}
 }
@@ -72,14 +72,14 @@
 		t.Fatal(err)
 	}
 	for n := range len(good) {
-		if _, err := s.Open(good[:n]); err == nil {
+		if _, err := s.Verify(good[:n]); err == nil {
 			t.Errorf("token cut to %d bytes is accepted", n)
 		}
 	}
 	for i := range len(raw) * 8 {
 		b := append([]byte(nil), raw...)
 		b[i/8] ^= 1 << (i % 8)
-		if _, err := s.Open(base64.RawURLEncoding.EncodeToString(b)); err == nil {
+		if _, err := s.Verify(base64.RawURLEncoding.EncodeToString(b)); err == nil {
 			t.Errorf("token with bit %d flipped is accepted", i)
 		}
 	}
@@ -91,13 +91,13 @@
 		{name: "empty", token: "", want: ErrMalformed},
 		{name: "not base 64", token: "§§", want: ErrMalformed},
 		{name: "too long", token: base64.RawURLEncoding.EncodeToString(append(long, make([]byte, 4096)...)), want: ErrMalformed},
-		{name: "other deployment, same key", token: sign(t, Signer{Deployment: "west", Keys: []Key{oldKey}}), want: ErrForeign},
-		{name: "same key id, other secret", token: sign(t, Signer{Deployment: "ost", Keys: []Key{{ID: 1, Secret: newKey.Secret}}}), want: ErrForged},
+		{name: "other deployment, same key", token: sign(t, Signer{Deployment: "west", Keys: []Key{oldKey}}), want: ErrDeployment},
+		{name: "same key id, other secret", token: sign(t, Signer{Deployment: "ost", Keys: []Key{{ID: 1, Secret: newKey.Secret}}}), want: ErrSignature},
 		{name: "unknown key", token: sign(t, Signer{Deployment: "ost", Keys: []Key{newKey}}), want: ErrUnknownKey},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if _, err := s.Open(tt.token); !errors.Is(err, tt.want) {
+			if _, err := s.Verify(tt.token); !errors.Is(err, tt.want) {
 				t.Errorf("error = %v, want %v", err, tt.want)
 			}
 		})
@@ -117,6 +117,6 @@
 	k := sign(b, s)
 	b.ReportAllocs()
 	for b.Loop() {
-		s.Open(k)
+		s.Verify(k)
 	}
 }
--- a/internal/session/tracker/tracker.go
+++ b/internal/session/tracker/tracker.go
@@ -45,9 +45,9 @@
 	return true
 }
 
-// CanTouch reports whether the session may use the group, so that its marks
+// CanTrack reports whether the session may use the group, so that its marks
 // stay bounded.
-func (t *Tracker) CanTouch(group string) bool {
+func (t *Tracker) CanTrack(group string) bool {
 	return len(t.Marks) < MaximumGroups || t.find(group) >= 0
 }
 
--- a/internal/session/tracker/tracker_test.go
+++ b/internal/session/tracker/tracker_test.go
@@ -37,7 +37,7 @@
 	for i := range MaximumGroups {
 		r.Raise(fmt.Sprint(i), marker.Mark{Term: 1})
 	}
-	if r.CanTouch("other") || !r.CanTouch("0") {
-		t.Errorf("other group %t, known group %t", r.CanTouch("other"), r.CanTouch("0"))
+	if r.CanTrack("other") || !r.CanTrack("0") {
+		t.Errorf("other group %t, known group %t", r.CanTrack("other"), r.CanTrack("0"))
 	}
 }
--- a/internal/statement/classifier/classifier.go
+++ b/internal/statement/classifier/classifier.go
@@ -10,13 +10,13 @@
 	"github.com/juju/errors"
 )
 
-// ErrText is returned for a text that can't be a statement of the protocol.
-const ErrText = errors.ConstError("text holds a zero byte")
+// ErrZeroByte is returned for a text that can't be a statement of the protocol.
+const ErrZeroByte = errors.ConstError("text holds a zero byte")
 
 // Defaults of a Classifier.
 const (
-	DefaultEntries          = 16384
-	DefaultBytes            = 8 << 20
+	DefaultMaximumEntries   = 16384
+	DefaultMaximumBytes     = 8 << 20
 	DefaultMaximumTextBytes = 8 << 10
 )
 
@@ -29,9 +29,9 @@
 // Classifier classifies texts and remembers the answers. The zero value is
 // ready; it may be used by many goroutines.
 type Classifier struct {
-	// Entries and Bytes bound the remembered answers, defaults if zero.
-	Entries int
-	Bytes   int
+	// MaximumEntries and Bytes bound the remembered answers, defaults if zero.
+	MaximumEntries int
+	MaximumBytes   int
 	// MaximumTextBytes is the longest text that is remembered.
 	MaximumTextBytes int
 
@@ -49,7 +49,7 @@
 // of KindUnparsed and goes to the primary unchanged, whose error the caller gets.
 func (c *Classifier) Classify(sql string) (Statement, error) {
 	if strings.IndexByte(sql, 0) >= 0 {
-		return Statement{}, ErrText
+		return Statement{}, ErrZeroByte
 	}
 	h, rest := splitComment(sql)
 	s := c.classifyRest(rest)
@@ -71,12 +71,12 @@
 	// The copy keeps the cache from holding on to a larger buffer of the caller.
 	sql = strings.Clone(sql)
 	s = parse(sql)
-	d.add(sql, s, c.entriesPerShard(), orDefault(c.Bytes, DefaultBytes)/shardCount)
+	d.add(sql, s, c.entriesPerShard(), orDefault(c.MaximumBytes, DefaultMaximumBytes)/shardCount)
 	return s
 }
 
 func (c *Classifier) entriesPerShard() int {
-	return max(1, orDefault(c.Entries, DefaultEntries)/shardCount)
+	return max(1, orDefault(c.MaximumEntries, DefaultMaximumEntries)/shardCount)
 }
 
 func (d *shard) get(sql string) (Statement, bool) {
--- a/internal/statement/classifier/classifier_test.go
+++ b/internal/statement/classifier/classifier_test.go
@@ -32,7 +32,7 @@
 	show("refusal", fmt.Sprintf("%q", s.Refusal.String()), s.Refusal != RefusalNone)
 	show("hidden", s.HiddenState, s.HiddenState)
 	show("sequence", s.SequenceState, s.SequenceState)
-	show("own", s.Own, s.Own)
+	show("own", s.CuminwickSetting, s.CuminwickSetting)
 	show("tag", s.Tag, s.Tag != "")
 	show("key", s.IdempotencyKey, s.IdempotencyKey != "")
 	show("age", s.MaximumAge, s.HasMaximumAge)
@@ -82,8 +82,8 @@
 
 func TestZeroByteIsRefused(t *testing.T) {
 	var c Classifier
-	if _, err := c.Classify("SELECT 1\x00; DELETE FROM a"); !errors.Is(err, ErrText) {
-		t.Errorf("error = %v, want %v", err, ErrText)
+	if _, err := c.Classify("SELECT 1\x00; DELETE FROM a"); !errors.Is(err, ErrZeroByte) {
+		t.Errorf("error = %v, want %v", err, ErrZeroByte)
 	}
 }
 
@@ -128,7 +128,7 @@
 }
 
 func TestCacheIsBounded(t *testing.T) {
-	c := Classifier{Entries: 160, Bytes: 160 << 10}
+	c := Classifier{MaximumEntries: 160, MaximumBytes: 160 << 10}
 	var w sync.WaitGroup
 	for g := range 4 {
 		w.Go(func() {
--- a/internal/statement/classifier/comment.go
+++ b/internal/statement/classifier/comment.go
@@ -100,6 +100,6 @@
 	s.IdempotencyKey = h.key
 	// A request whose key got lost could run twice, so it isn't run at all.
 	if h.malformed {
-		s.Refusal = RefusalKey
+		s.Refusal = RefusalInvalidKey
 	}
 }
--- a/internal/statement/classifier/parse.go
+++ b/internal/statement/classifier/parse.go
@@ -66,7 +66,7 @@
 
 // checkOwn handles the settings that cuminwick answers itself.
 func (s *Statement) checkOwn(p Part) {
-	if !strings.HasPrefix(p.Name, OwnPrefix) {
+	if !strings.HasPrefix(p.Name, CuminwickPrefix) {
 		return
 	}
 	switch p.Kind {
@@ -78,7 +78,7 @@
 		s.Refusal = RefusalMixedSettings
 		return
 	}
-	s.Own = true
+	s.CuminwickSetting = true
 	if !ownSettings[p.Name] {
 		s.Refusal = RefusalUnknownSetting
 	}
--- a/internal/statement/classifier/setting.go
+++ b/internal/statement/classifier/setting.go
@@ -7,8 +7,8 @@
 	pg_query "github.com/pganalyze/pg_query_go/v6"
 )
 
-// OwnPrefix starts the names of the settings that cuminwick answers itself.
-const OwnPrefix = "cuminwick."
+// CuminwickPrefix starts the names of the settings that cuminwick answers itself.
+const CuminwickPrefix = "cuminwick."
 
 // Settings of cuminwick itself.
 const (
--- a/internal/statement/classifier/statement.go
+++ b/internal/statement/classifier/statement.go
@@ -113,8 +113,8 @@
 	RefusalTwoPhase
 	// RefusalMixedSettings is a cuminwick setting in a text with further statements.
 	RefusalMixedSettings
-	// RefusalKey is an idempotency key that is too long or holds odd characters.
-	RefusalKey
+	// RefusalInvalidKey is an idempotency key that is too long or holds odd characters.
+	RefusalInvalidKey
 	// RefusalUnknownSetting is a SET or SHOW of a cuminwick setting that doesn't exist.
 	RefusalUnknownSetting
 )
@@ -170,8 +170,8 @@
 	// use of sequences (currval, lastval), so it is only right on a pinned
 	// connection or within the transaction that used them.
 	SequenceState bool
-	// Own says that the single part is a setting of cuminwick itself.
-	Own bool
+	// CuminwickSetting says that the single part is a setting of cuminwick itself.
+	CuminwickSetting bool
 	// Tag, IdempotencyKey and MaximumAge come from the leading comment.
 	Tag            string
 	IdempotencyKey string
