--- a/internal/pool/exchanger/adapter.go
+++ b/internal/pool/exchanger/adapter.go
@@ -10,7 +10,7 @@
 // can be sent again over another connection.
 func (x *Exchange) rewriteBatch() {
 	if x.AskBefore {
-		x.Conn.Replay.Queried()
+		x.Conn.Replay.SimpleQuerySent()
 	}
 	if !x.preparesStatements() {
 		return
@@ -35,7 +35,7 @@
 	named := false
 	for _, t := range x.Batch.Items {
 		if t.Type == batcher.Query {
-			x.Conn.Replay.Queried()
+			x.Conn.Replay.SimpleQuerySent()
 		}
 		named = named || t.Name != ""
 	}
@@ -46,7 +46,7 @@
 // evicted, if any, and the Parse itself if the server hasn't prepared the statement.
 func (x *Exchange) rewriteParse(b *batcher.Batch, i int) {
 	t := x.Batch.Items[i]
-	p := x.Conn.Replay.Use(t.Name, replayer.Prepared{ID: replayer.StatementID(t.Name)})
+	p := x.Conn.Replay.PlanStatement(t.Name, replayer.Prepared{ID: replayer.StatementID(t.Name)})
 	if p.Close != "" {
 		b.AddBody(batcher.Close, batcher.Swallow, []byte{'S'}, []byte(p.Close), []byte{0})
 	}
@@ -76,7 +76,7 @@
 	}
 	p = x.Batch.Append(p)
 	if x.AskPosition {
-		x.Conn.Replay.Queried()
+		x.Conn.Replay.SimpleQuerySent()
 		p = append(p, positionQuery...)
 	}
 	return p
