--- a/internal/caller/server/ahead.go
+++ b/internal/caller/server/ahead.go
@@ -22,7 +22,7 @@
 // gate keeps an answer from the caller until its read index is known.
 type gate struct {
 	context context.Context
-	ahead   Ahead
+	ahead   Speculation
 	// word is what Confirm said, once asked.
 	word  Confirmation
 	asked bool
@@ -67,7 +67,7 @@
 	case x.Err() != nil:
 		return notRun(codeCancelled, "canceling statement due to user request: "+cause(x), x.Err()), false
 	}
-	a.index, a.hasIndex = g.word.Index, g.word.HasIndex
+	a.index, a.hasIndex = g.word.ReadIndex, g.word.HasReadIndex
 	return notRun(codeCancelled, "the replica didn't hold what the session must see", nil), true
 }
 
--- a/internal/caller/server/ahead_test.go
+++ b/internal/caller/server/ahead_test.go
@@ -13,7 +13,7 @@
 
 // Confirm implements Ahead.
 func (u uncovered) Confirm(context.Context, marker.Mark) Confirmation {
-	return Confirmation{Index: u.index, HasIndex: true}
+	return Confirmation{ReadIndex: u.index, HasReadIndex: true}
 }
 
 // The primary is moved by plan while reads run ahead of their read index at the
--- a/internal/caller/server/attempt.go
+++ b/internal/caller/server/attempt.go
@@ -47,8 +47,8 @@
 		s.notice("no majority can be reached; the age of the data is unknown, but it holds this session's own writes")
 	}
 	s.out.begin(a.holds())
-	if a.fresh && s.choice.Ahead != nil {
-		s.out.gate = &gate{context: x, ahead: s.choice.Ahead}
+	if a.fresh && s.choice.Speculation != nil {
+		s.out.gate = &gate{context: x, ahead: s.choice.Speculation}
 	}
 	r, err := s.lease.Exchange(x, a.exchange())
 	if err != nil {
@@ -130,8 +130,8 @@
 		q.Write = !b.readOnly
 	}
 	q.Write = q.Write || s.keyed != nil
-	q.Repeatable = a.repeatable(&q)
-	q.Index, q.HasIndex = a.index, a.hasIndex
+	q.MaySpeculate = a.repeatable(&q)
+	q.ReadIndex, q.HasReadIndex = a.index, a.hasIndex
 	return q
 }
 
--- a/internal/caller/server/director.go
+++ b/internal/caller/server/director.go
@@ -33,17 +33,17 @@
 	Avoid string
 	// Attempt counts from zero.
 	Attempt int
-	// Repeatable says that the request may be answered ahead of its read index
+	// MaySpeculate says that the request may be answered ahead of its read index
 	// and be run again where that turns out to be wrong.
-	Repeatable bool
-	// Index is the read index of an attempt of this request that ran ahead.
-	Index    marker.Mark
-	HasIndex bool
+	MaySpeculate bool
+	// ReadIndex is the read index of an attempt of this request that ran ahead.
+	ReadIndex    marker.Mark
+	HasReadIndex bool
 }
 
-// Ahead tells whether the answer to a read that ran ahead of its read index may
+// Speculation tells whether the answer to a read that ran ahead of its read index may
 // be shown.
-type Ahead interface {
+type Speculation interface {
 	// Confirm waits for the read index. before is the server's log position
 	// before the read, zero if it isn't known.
 	Confirm(ctx context.Context, before marker.Mark) Confirmation
@@ -53,9 +53,9 @@
 type Confirmation struct {
 	// Covered says that the answer may be shown.
 	Covered bool
-	// Index is the read index, if there is one.
-	Index    marker.Mark
-	HasIndex bool
+	// ReadIndex is the read index, if there is one.
+	ReadIndex    marker.Mark
+	HasReadIndex bool
 }
 
 // Choice is where a request runs.
@@ -73,8 +73,8 @@
 	AgeUnknown bool
 	// Team is the caller's team, whose share of a full queue the request uses.
 	Team string
-	// Ahead isn't nil if the answer must be confirmed before it is shown.
-	Ahead Ahead
+	// Speculation isn't nil if the answer must be confirmed before it is shown.
+	Speculation Speculation
 }
 
 // Director decides where requests run and when commits are acknowledged.
--- a/internal/caller/server/session.go
+++ b/internal/caller/server/session.go
@@ -55,10 +55,10 @@
 	Marks      Marks
 	Log        log.Interface
 	// ID numbers the session at its entry host, Host names that.
-	ID           uint64
-	Host         string
-	MessageBytes int
-	WriteTimeout time.Duration
+	ID                  uint64
+	Host                string
+	MaximumMessageBytes int
+	WriteTimeout        time.Duration
 	// RequestTimeout ends a request whose caller declared no timeout.
 	RequestTimeout time.Duration
 	// IdleInTransactionTimeout ends a transaction whose caller sends nothing; zero is never.
@@ -307,7 +307,7 @@
 }
 
 func (s *Session) collect(t byte, i int) error {
-	if s.pending.Bytes()+len(s.current.Raw(i)) > s.MessageBytes {
+	if s.pending.Bytes()+len(s.current.Raw(i)) > s.MaximumMessageBytes {
 		s.fatal(&failure{severity: severityFatal, code: codeProgramLimit, message: ErrBatchTooLarge.Error(), outcome: recorder.NotRun})
 		return ErrBatchTooLarge
 	}
--- a/internal/caller/server/welcome.go
+++ b/internal/caller/server/welcome.go
@@ -15,9 +15,9 @@
 	s.in = inbound{
 		reader: framer.Reader{
 			Source:       bufio.NewReaderSize(s.Greeting.Conn, inboundBytes),
-			MaximumBytes: s.MessageBytes,
+			MaximumBytes: s.MaximumMessageBytes,
 		},
-		maximumBytes: s.MessageBytes,
+		maximumBytes: s.MaximumMessageBytes,
 		lost:         s.lost,
 	}
 	if err := s.startMark(); err != nil {
--- a/internal/host/runner/runner.go
+++ b/internal/host/runner/runner.go
@@ -276,7 +276,7 @@
 		Log:                      h.Log,
 		ID:                       h.sessions.Add(1),
 		Host:                     h.Settings.HostName,
-		MessageBytes:             h.Settings.Limits.MessageBytes,
+		MaximumMessageBytes:      h.Settings.Limits.MessageBytes,
 		WriteTimeout:             h.Settings.Limits.WriteTimeout,
 		RequestTimeout:           l.RequestTimeout,
 		IdleInTransactionTimeout: l.IdleInTransactionTimeout,
--- a/internal/route/director/ahead.go
+++ b/internal/route/director/ahead.go
@@ -13,7 +13,7 @@
 // runAhead chooses a replica for a read before its read index is known, if the answer can be withheld
 // until then. If it chooses none, the read index stays pending in s.
 func (s *search) runAhead(ctx context.Context) (server.Choice, bool) {
-	if !s.query.Repeatable || s.request.StaleAllowed || !chooser.NeedsReadIndex(&s.request) || !s.group.Driver.View().HasMajority() {
+	if !s.query.MaySpeculate || s.request.StaleAllowed || !chooser.NeedsReadIndex(&s.request) || !s.group.Driver.View().HasMajority() {
 		return server.Choice{}, false
 	}
 	if s.group.Driver.HandingOver() {
@@ -37,11 +37,11 @@
 		return server.Choice{}, false
 	}
 	c := s.choice(&x, l)
-	c.Ahead = &ahead{index: s.pending, mark: s.request.Mark, known: l[x.Index].Last, repeatBudget: b}
+	c.Speculation = &ahead{index: s.pending, mark: s.request.Mark, known: l[x.Index].Last, repeatBudget: b}
 	return c, true
 }
 
-// ahead implements server.Ahead.
+// ahead implements server.Speculation.
 type ahead struct {
 	// index is the pending read index.
 	index driver.PendingIndex
@@ -53,7 +53,7 @@
 	repeatBudget *retrier.Budget
 }
 
-// Confirm implements server.Ahead.
+// Confirm implements server.Speculation.
 func (a *ahead) Confirm(ctx context.Context, before marker.Mark) server.Confirmation {
 	m, err := awaitIndex(ctx, a.index)
 	if err != nil {
@@ -63,7 +63,7 @@
 	if !ok {
 		a.repeatBudget.Allow(retrier.OutcomeNotRun, true)
 	}
-	return server.Confirmation{Covered: ok, Index: m, HasIndex: true}
+	return server.Confirmation{Covered: ok, ReadIndex: m, HasReadIndex: true}
 }
 
 // awaitIndex waits for the read index, at most for indexTimeout.
--- a/internal/route/director/search.go
+++ b/internal/route/director/search.go
@@ -142,7 +142,7 @@
 func (s *search) prepareRequest() {
 	q := &s.query
 	s.request.Mark, s.request.HasMark = q.Mark, q.HasMark
-	s.request.ReadIndex, s.request.HasReadIndex = q.Index, q.HasIndex
+	s.request.ReadIndex, s.request.HasReadIndex = q.ReadIndex, q.HasReadIndex
 	s.rule = s.runtime.matcher.Match(matcher.Request{
 		DatabaseGroup:   q.Group,
 		Role:            q.Role,
