--- a/internal/session/tracker/tracker_test.go
+++ b/internal/session/tracker/tracker_test.go
@@ -7,6 +7,8 @@
 	"github.com/cuminwick/cuminwick/internal/group/marker"
 )
 
+// A mark that moves down lets a read run on a replica that is behind the session's earlier write or
+// read, so the session gets older data than before.
 func TestMarksOnlyMoveUp(t *testing.T) {
 	tests := []struct {
 		name string
@@ -32,12 +34,14 @@
 	}
 }
 
+// A session that uses ever more database groups makes its marks, and the token that carries them,
+// grow without bound.
 func TestGroupsAreBounded(t *testing.T) {
 	var r Tracker
 	for i := range MaximumGroups {
 		r.Raise(fmt.Sprint(i), marker.Mark{Term: 1})
 	}
 	if r.CanTrack("other") || !r.CanTrack("0") {
-		t.Errorf("other group %t, known group %t", r.CanTrack("other"), r.CanTrack("0"))
+		t.Errorf("CanTrack of another group %t, of a known group %t; want false, true", r.CanTrack("other"), r.CanTrack("0"))
 	}
 }
