--- a/internal/session/signer/signer.go
+++ b/internal/session/signer/signer.go
@@ -1,4 +1,4 @@
-// Package signer turns a session's marks into a signed token and back.
+// Package signer encodes a session's marks as a signed token and verifies such tokens.
 package signer
 
 import (
@@ -14,50 +14,51 @@
 	"github.com/cuminwick/cuminwick/internal/session/tracker"
 )
 
-// Errors of a token. The text of each is fit for the caller.
+// Errors of Sign, Verify and Restore. Their texts hold no secrets and can be sent to the caller.
 const (
-	// ErrMalformed is a token that is truncated, too long or otherwise no token.
+	// ErrMalformed is returned for a token that is truncated, too long or can't be decoded.
 	ErrMalformed = errors.ConstError("session mark is malformed or truncated")
-	// ErrUnknownKey is a token signed with a key that isn't accepted.
+	// ErrUnknownKey is returned for a token that is signed with a key that isn't accepted.
 	ErrUnknownKey = errors.ConstError("session mark is signed with an unknown key")
-	// ErrSignature is a token whose signature doesn't fit.
+	// ErrSignature is returned for a token whose signature doesn't match its content.
 	ErrSignature = errors.ConstError("session mark has a wrong signature")
-	// ErrDeployment is a well-signed token of another deployment.
+	// ErrDeployment is returned for a token of another deployment with a valid signature.
 	ErrDeployment = errors.ConstError("session mark belongs to another deployment")
-	// ErrNoKey is returned by Sign without a key.
+	// ErrNoKey is returned by Sign if Keys is empty.
 	ErrNoKey = errors.ConstError("no signing key is set")
 )
 
-// Sizes of a token's parts in bytes.
+// A token consists of a header (version, key ID, hash of the deployment), an entry for each group and
+// a signature. Sizes are in bytes.
 const (
-	// version is the first byte, for a later form of the token.
-	version        = 1
-	headBytes      = 1 + 4 + 8
-	signatureBytes = 16
-	entryBytes     = 8 + 2*binary.MaxVarintLen64
-	maximumBytes   = headBytes + tracker.MaximumGroups*entryBytes + signatureBytes
+	// version is the first byte of a token, so that the format can change.
+	version           = 1
+	headerBytes       = 1 + 4 + 8
+	signatureBytes    = 16
+	maximumEntryBytes = 8 + 2*binary.MaxVarintLen64
+	maximumTokenBytes = headerBytes + tracker.MaximumGroups*maximumEntryBytes + signatureBytes
 )
 
-// Key is one signing key.
+// Key is one key that signs and verifies tokens.
 type Key struct {
-	// ID is carried in the token and tells the keys apart.
+	// ID is stored in each token and selects the key that verifies it.
 	ID uint32
 	// Secret holds at least 16 random bytes.
 	Secret []byte
 }
 
-// Signer signs and checks tokens. Its fields are set before use, after which
-// it may be used by many goroutines.
+// Signer signs and verifies tokens. Its fields are set before use; after that it is safe for
+// concurrent use.
 type Signer struct {
-	// Deployment names the installation; tokens of others are refused.
+	// Deployment identifies the installation. Tokens of another deployment are rejected.
 	Deployment string
-	// Keys are all accepted, the first one signs. To rotate, add the new key
-	// behind the old one everywhere, then put it first, then drop the old one.
+	// Keys holds the accepted keys; the first one signs. To rotate keys, add the new key after the
+	// old one on every entry host, then move it to the front, then remove the old one.
 	Keys []Key
 }
 
-// GroupID stands for a group's name in a token, so that tokens stay short and
-// show no names.
+// GroupID is the hash of a group's name. Tokens hold it instead of the name, so that they stay short
+// and reveal no names.
 type GroupID uint64
 
 // Entry is one group's mark in a token.
@@ -66,18 +67,19 @@
 	Mark  marker.Mark
 }
 
-// IDOf returns the id of a group's name.
+// IDOf returns the ID of the group with this name.
 func IDOf(group string) GroupID {
 	return GroupID(xxhash.Sum64String(group))
 }
 
-// Sign returns the token for marks in unpadded URL-safe base 64.
+// Sign returns the token for marks, signed with the first key, in unpadded URL-safe base64. It returns
+// ErrNoKey if there is no key.
 func (s *Signer) Sign(marks []tracker.GroupMark) (string, error) {
 	if len(s.Keys) == 0 {
 		return "", ErrNoKey
 	}
 	k := s.Keys[0]
-	b := make([]byte, 0, headBytes+len(marks)*entryBytes+signatureBytes)
+	b := make([]byte, 0, headerBytes+len(marks)*maximumEntryBytes+signatureBytes)
 	b = append(b, version)
 	b = binary.BigEndian.AppendUint32(b, k.ID)
 	b = binary.BigEndian.AppendUint64(b, xxhash.Sum64String(s.Deployment))
@@ -90,18 +92,18 @@
 	return base64.RawURLEncoding.EncodeToString(b), nil
 }
 
-// Verify checks a token and returns its entries.
+// Verify returns the entries of a token, or an error if the token isn't valid.
 func (s *Signer) Verify(token string) ([]Entry, error) {
-	if base64.RawURLEncoding.DecodedLen(len(token)) > maximumBytes {
+	if base64.RawURLEncoding.DecodedLen(len(token)) > maximumTokenBytes {
 		return nil, ErrMalformed
 	}
-	// Strict, so that each token has one form only.
+	// Strict decoding accepts only one encoding of each token.
 	b, err := base64.RawURLEncoding.Strict().DecodeString(token)
-	if err != nil || len(b) < headBytes+signatureBytes || b[0] != version {
+	if err != nil || len(b) < headerBytes+signatureBytes || b[0] != version {
 		return nil, ErrMalformed
 	}
 	n := len(b) - signatureBytes
-	k, ok := s.key(binary.BigEndian.Uint32(b[1:]))
+	k, ok := s.findKey(binary.BigEndian.Uint32(b[1:]))
 	if !ok {
 		return nil, ErrUnknownKey
 	}
@@ -111,11 +113,11 @@
 	if binary.BigEndian.Uint64(b[5:]) != xxhash.Sum64String(s.Deployment) {
 		return nil, ErrDeployment
 	}
-	return entries(b[headBytes:n])
+	return decodeEntries(b[headerBytes:n])
 }
 
-// Restore checks a token and raises in t the marks of those of groups that it
-// names; a group that isn't configured is left out.
+// Restore verifies a token and raises in t the mark of each of groups that the token has an entry of.
+// Entries of other groups, which aren't configured, are ignored.
 func (s *Signer) Restore(token string, groups []string, t *tracker.Tracker) error {
 	e, err := s.Verify(token)
 	if err != nil {
@@ -132,7 +134,8 @@
 	return nil
 }
 
-func entries(b []byte) ([]Entry, error) {
+// decodeEntries decodes the bytes between the header and the signature.
+func decodeEntries(b []byte) ([]Entry, error) {
 	var l []Entry
 	for len(b) > 0 {
 		if len(b) < 8 {
@@ -155,7 +158,7 @@
 	return l, nil
 }
 
-func (s *Signer) key(id uint32) (Key, bool) {
+func (s *Signer) findKey(id uint32) (Key, bool) {
 	for _, k := range s.Keys {
 		if k.ID == id {
 			return k, true
@@ -164,7 +167,8 @@
 	return Key{}, false
 }
 
-// signature is cut to 128 bits, which leaves a forger a chance of 2^-128 a try.
+// signature returns the HMAC-SHA256 of b, truncated to 128 bits: each forged signature passes with a
+// probability of 2^-128.
 func signature(secret, b []byte) []byte {
 	h := hmac.New(sha256.New, secret)
 	h.Write(b)
--- a/internal/session/signer/signer_test.go
+++ b/internal/session/signer/signer_test.go
@@ -30,6 +30,8 @@
 	return k
 }
 
+// A token with a lower mark than the session's own must not move the mark down, or the session
+// reads older data than before.
 func TestRestore(t *testing.T) {
 	s := Signer{Deployment: "ost", Keys: []Key{oldKey}}
 	var r tracker.Tracker
@@ -46,25 +48,27 @@
 	}
 }
 
-func TestRotation(t *testing.T) {
+// If a rotation rejects tokens signed with the previous key while that key is still accepted, callers
+// lose the marks of their sessions.
+func TestKeyRotation(t *testing.T) {
 	before := Signer{Deployment: "ost", Keys: []Key{oldKey}}
 	both := Signer{Deployment: "ost", Keys: []Key{newKey, oldKey}}
 	after := Signer{Deployment: "ost", Keys: []Key{newKey}}
 	if _, err := both.Verify(sign(t, before)); err != nil {
-		t.Errorf("old key while both are accepted: %v", err)
+		t.Errorf("token signed with the old key while both keys are accepted: %v", err)
 	}
 	if _, err := after.Verify(sign(t, both)); err != nil {
-		t.Errorf("token of the rotation after it: %v", err)
+		t.Errorf("token signed during the rotation, verified after it: %v", err)
 	}
 	if _, err := after.Verify(sign(t, before)); !errors.Is(err, ErrUnknownKey) {
-		t.Errorf("dropped key: error %v, want %v", err, ErrUnknownKey)
+		t.Errorf("token signed with the removed key: error %v, want %v", err, ErrUnknownKey)
 	}
 }
 
-// A caller sends a mark that it made up, took from another deployment, or cut
-// while storing it. Taken as it is, it could make the session's reads wait for
-// a position that never comes, or show data older than its own writes.
-func TestBadTokensAreRefused(t *testing.T) {
+// A caller sends a forged token, one of another deployment, or one that was truncated when it was
+// stored. If it is accepted, the session's reads may wait for a position that no server reaches, or
+// return data older than the session's own writes.
+func TestInvalidTokensAreRejected(t *testing.T) {
 	s := Signer{Deployment: "ost", Keys: []Key{oldKey}}
 	good := sign(t, s)
 	raw, err := base64.RawURLEncoding.DecodeString(good)
@@ -73,7 +77,7 @@
 	}
 	for n := range len(good) {
 		if _, err := s.Verify(good[:n]); err == nil {
-			t.Errorf("token cut to %d bytes is accepted", n)
+			t.Errorf("token truncated to %d bytes is accepted", n)
 		}
 	}
 	for i := range len(raw) * 8 {
@@ -112,7 +116,7 @@
 	}
 }
 
-func BenchmarkOpen(b *testing.B) {
+func BenchmarkVerify(b *testing.B) {
 	s := Signer{Deployment: "ost", Keys: []Key{oldKey}}
 	k := sign(b, s)
 	b.ReportAllocs()
