--- a/internal/session/replayer/connection.go
+++ b/internal/session/replayer/connection.go
@@ -7,46 +7,47 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// SettingsPlan is what must be sent on a connection before it serves a session.
+// SettingsPlan holds the SQL that gives a connection a session's settings.
 type SettingsPlan struct {
-	// Discard says that DISCARD ALL comes first, in a message of its own since it
-	// can't stand in a text of several statements.
+	// Discard is set if DiscardSQL must be executed first, in a message of its own: a text of several
+	// statements can't contain DISCARD ALL.
 	Discard bool
-	// SQL sets and resets what differs, empty if nothing does. If it fails, the
-	// connection must be closed.
+	// SQL sets and resets the settings that differ, empty if none does. If it fails, the connection
+	// must be closed.
 	SQL string
 }
 
-// DiscardSQL is the text for Plan.Discard.
+// DiscardSQL is the statement that SettingsPlan.Discard asks for.
 const DiscardSQL = "DISCARD ALL"
 
-// Connection knows what one pooled connection has in force. Maximum is set
-// before use; it belongs to one goroutine.
+// Connection tracks the settings and prepared statements of one pooled connection to a backend
+// server. MaximumStatements is set before use. A Connection isn't safe for concurrent use.
 type Connection struct {
-	// MaximumStatements bounds the prepared statements that the server holds for the
-	// connection, DefaultStatements if zero.
+	// MaximumStatements is the highest number of named prepared statements that the server holds for
+	// the connection, DefaultMaximumStatements if zero.
 	MaximumStatements int
 
 	settings Settings
-	// unknown says that a text may have left state that can't be seen, or that
-	// a session was pinned here.
-	unknown    bool
+	// hiddenState is set if a session may have left state that isn't tracked, or was pinned to this
+	// connection.
+	hiddenState bool
+	// unnamed is the ID of the unnamed prepared statement, empty if there is none.
 	unnamed    StatementID
 	statements *simplelru.LRU[StatementID, struct{}]
 }
 
 // PlanSettings returns what must be sent before the connection serves a session with
-// the settings w, and takes it as done. Without it a setting of the last session, perhaps its role, would
-// leak to the next one, which would notice wrong results or missing rights.
+// the settings w, and records it as executed. Without it, a setting of the previous session, such as
+// its role, applies to the next session, which then gets wrong results or lacks privileges.
 func (c *Connection) PlanSettings(w Settings) SettingsPlan {
 	var p SettingsPlan
-	if c.unknown {
+	if c.hiddenState {
 		p.Discard = true
 		c.settings = nil
-		c.forget()
-		c.unknown = false
+		c.forgetStatements()
+		c.hiddenState = false
 	}
-	p.SQL = difference(c.settings, w)
+	p.SQL = changeSQL(c.settings, w)
 	c.settings = w
 	if p.SQL != "" {
 		c.SimpleQuerySent()
@@ -54,31 +55,31 @@
 	return p
 }
 
-// SimpleQuerySent notes that a simple query has been sent, which ends the unnamed
-// prepared statement.
+// SimpleQuerySent records that a simple query has been sent, which drops the unnamed prepared
+// statement on the server.
 func (c *Connection) SimpleQuerySent() {
 	c.unnamed = ""
 }
 
-// StatementsDeallocated notes that DISCARD ALL or DEALLOCATE ALL of a pinned session has
-// ended all prepared statements.
+// StatementsDeallocated records that DISCARD ALL or DEALLOCATE ALL of a pinned session has dropped
+// all prepared statements on the server.
 func (c *Connection) StatementsDeallocated() {
-	c.forget()
+	c.forgetStatements()
 }
 
-// Finish notes that a session that now has the settings w has used the
-// connection and left no transaction open. Hidden says that its texts may have left state that can't be seen, or that it
-// was pinned here.
-func (c *Connection) Finish(w Settings, hidden bool) {
+// Finish records that a session, which now has the settings w, has finished with the connection and
+// left no transaction open. If hiddenState is set, the session may have left state that isn't tracked,
+// or was pinned to the connection.
+func (c *Connection) Finish(w Settings, hiddenState bool) {
 	c.settings = w
-	c.unknown = c.unknown || hidden
+	c.hiddenState = c.hiddenState || hiddenState
 }
 
-// difference returns the text that leads from the settings a to b.
-func difference(a, b Settings) string {
+// changeSQL returns the SQL that changes the settings a to b, empty if they are equal.
+func changeSQL(a, b Settings) string {
 	var t []string
 	if !slices.Equal(a, b) {
-		// The right in force may forbid what the others need.
+		// The current role may lack the privileges that the other settings need.
 		for _, n := range []string{nameRole, nameAuthorization} {
 			if _, ok := a.Get(n); ok {
 				t = append(t, "RESET "+quoteName(n))
@@ -92,7 +93,7 @@
 		}
 	}
 	for _, x := range b {
-		if v, ok := a.Get(x.Name); (!ok || v != x.SQLValue) && !isRight(x.Name) {
+		if v, ok := a.Get(x.Name); (!ok || v != x.SQLValue) && !isPrivilegeSetting(x.Name) {
 			t = append(t, "SET "+quoteName(x.Name)+" TO "+x.SQLValue)
 		}
 	}
@@ -106,13 +107,15 @@
 	return strings.Join(t, "; ")
 }
 
-func isRight(name string) bool {
+// isPrivilegeSetting reports whether the setting changes the privileges of the connection.
+func isPrivilegeSetting(name string) bool {
 	return name == nameRole || name == nameAuthorization
 }
 
-// quoteName quotes each part of a name such as app.customer where it needs it.
+// quoteName returns n as an SQL identifier: unchanged if it is a plain name, else with each part
+// quoted, such as "app"."customer".
 func quoteName(n string) string {
-	if isPlain(n) {
+	if isPlainName(n) {
 		return n
 	}
 	p := strings.Split(n, ".")
@@ -122,9 +125,9 @@
 	return strings.Join(p, ".")
 }
 
-// isPlain reports whether n is a name without parts that needs no quotes, as
-// those of the server's own parameters.
-func isPlain(n string) bool {
+// isPlainName reports whether n has one part only and needs no quotes, as the names of PostgreSQL's
+// own parameters.
+func isPlainName(n string) bool {
 	for i := range len(n) {
 		if n[i] != '_' && (n[i] < 'a' || n[i] > 'z') {
 			return false
--- a/internal/session/replayer/replayer_test.go
+++ b/internal/session/replayer/replayer_test.go
@@ -36,7 +36,9 @@
 	}
 }
 
-func TestPlan(t *testing.T) {
+// If a plan misses a setting, or sets the role before the settings that need more privileges, a session
+// runs with wrong settings, or its connection is closed for the failed SET.
+func TestSettingsPlan(t *testing.T) {
 	tests := []struct {
 		name         string
 		before, next []string
@@ -46,10 +48,10 @@
 		{name: "same", before: []string{"SET search_path = a, b"}, next: []string{"SET search_path TO 'a', 'b'"}},
 		{name: "set", next: []string{"SET search_path = a", "SET statement_timeout = 5000"},
 			want: "SET search_path TO 'a'; SET statement_timeout TO 5000"},
-		{name: "reset what the other had", before: []string{"SET search_path = a", "SET geqo = off"}, next: []string{"SET geqo = on"},
+		{name: "reset settings of the previous session", before: []string{"SET search_path = a", "SET geqo = off"}, next: []string{"SET geqo = on"},
 			want: "RESET search_path; SET geqo TO 'on'"},
-		{name: "reset undone by its own session", before: []string{"SET geqo = off", "RESET geqo", "SET geqo = off", "RESET ALL"}},
-		{name: "rights reset first and set last", before: []string{"SET ROLE low", "SET geqo = off"}, next: []string{"SET ROLE x", "SET SESSION AUTHORIZATION y", "SET work_mem = '1MB'"},
+		{name: "session resets its own setting", before: []string{"SET geqo = off", "RESET geqo", "SET geqo = off", "RESET ALL"}},
+		{name: "role and authorization are reset first and set last", before: []string{"SET ROLE low", "SET geqo = off"}, next: []string{"SET ROLE x", "SET SESSION AUTHORIZATION y", "SET work_mem = '1MB'"},
 			want: "RESET role; RESET geqo; SET work_mem TO '1MB'; SET session_authorization TO 'y'; SET role TO 'x'"},
 		{name: "reset all keeps the role", next: []string{"SET ROLE x", "SET geqo = off", "RESET ALL"}, want: "SET role TO 'x'"},
 		{name: "characteristics", next: []string{"SET SESSION CHARACTERISTICS AS TRANSACTION ISOLATION LEVEL SERIALIZABLE, READ ONLY"},
@@ -76,6 +78,8 @@
 	}
 }
 
+// A server undoes SET when its transaction or savepoint is rolled back. If the session keeps the value,
+// it is applied to the next connection.
 func TestTransactionsUndoSettings(t *testing.T) {
 	s := Session{Startup: Settings{{Name: "geqo", SQLValue: "'off'"}}}
 	s.Begin()
@@ -103,7 +107,7 @@
 	}
 }
 
-// server is a fake connection of a backend server that carries texts out.
+// server simulates one connection of a backend server: it executes texts and holds what they change.
 type server struct {
 	settings   map[string]string
 	statements map[StatementID]string
@@ -124,10 +128,10 @@
 	}
 }
 
-// Sessions of different callers take turns on a few connections, change
-// settings, roll back, prepare statements of the same name, and leave hidden
-// state. One that finds another's setting reads the wrong schema or acts in the
-// wrong role; one that finds another's statement gets a foreign answer.
+// Sessions of different callers take turns on a connection, change settings, roll back, prepare
+// statements of the same name, and leave hidden state. If a setting of one session stays for the next,
+// that session reads the wrong schema or acts in the wrong role; if a statement does, that session
+// gets the answer of another one's query.
 func TestNothingLeaksToTheNextSession(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c Connection
@@ -147,7 +151,7 @@
 			}
 			v.run(p.SQL)
 			if v.hidden || !maps.Equal(v.settings, in[i]) {
-				t.Fatalf("session %d finds %v, hidden state %t, own settings %v", i, v.settings, v.hidden, in[i])
+				t.Fatalf("session %d runs with settings %v, hidden state %t, own settings %v", i, v.settings, v.hidden, in[i])
 			}
 			s.Begin()
 			n := rapid.SampledFrom([]string{"a", "b", "role"}).Draw(t, "name")
@@ -182,6 +186,8 @@
 	})
 }
 
+// A statement that the server doesn't hold, but that is recorded as prepared, isn't parsed again, and the
+// next Bind of it fails.
 func TestStatements(t *testing.T) {
 	s := Session{MaximumStatements: 2}
 	a, _ := s.Parse("a", "SELECT $1", []uint32{23})
@@ -197,15 +203,15 @@
 	}
 	apply(t, &s, "DEALLOCATE ALL")
 	if _, ok := s.Statement("a"); ok {
-		t.Error("statement a outlives DEALLOCATE ALL")
+		t.Error("session still has statement a after DEALLOCATE ALL")
 	}
 	var c Connection
 	c.ParseFailed(c.PlanStatement("a", a))
 	if p := c.PlanStatement("a", a); !p.Parse {
-		t.Error("a statement that failed to parse is taken as known")
+		t.Error("statement isn't parsed again after its Parse failed")
 	}
 	c.StatementsDeallocated()
 	if p := c.PlanStatement("a", a); !p.Parse {
-		t.Error("a statement is taken as known after all were discarded")
+		t.Error("statement isn't parsed again after all were deallocated")
 	}
 }
--- a/internal/session/replayer/setting.go
+++ b/internal/session/replayer/setting.go
@@ -1,4 +1,5 @@
-// Package replayer carries a session's settings and prepared statements over pooled connections.
+// Package replayer tracks a session's settings and prepared statements, and computes what restores
+// them on another pooled connection.
 package replayer
 
 import (
@@ -12,29 +13,28 @@
 type Setting struct {
 	// Name is in lower case.
 	Name string
-	// SQLValue is the right side of SET.
+	// SQLValue is the value as SQL, as it stands on the right side of SET.
 	SQLValue string
 }
 
-// Settings are sorted by name and name each parameter once. A list is never
-// changed in place, so that lists can be shared and kept as snapshots.
+// Settings is a list of settings, sorted by name, with each parameter at most once. A list is never
+// changed in place, so that it can be shared and kept as a snapshot.
 type Settings []Setting
 
-// Parameters whose change takes rights away or gives them. They are reset first
-// and set last, so that all other settings are made with the connection's own
-// rights.
+// Parameters that change the privileges of the connection. They are reset first and set last, so that
+// all other settings are changed with the privileges of the role that logged in.
 const (
 	nameRole          = "role"
 	nameAuthorization = "session_authorization"
 )
 
-// Parameters behind SET SESSION CHARACTERISTICS.
+// Parameters that SET SESSION CHARACTERISTICS changes.
 const (
 	nameReadOnly  = "default_transaction_read_only"
 	nameIsolation = "default_transaction_isolation"
 )
 
-// Get returns the value of name, false if it has the server's default.
+// Get returns the value of name as SQL, or false if name has the server's default.
 func (l Settings) Get(name string) (string, bool) {
 	i, ok := l.find(name)
 	if !ok {
@@ -43,12 +43,14 @@
 	return l[i].SQLValue, true
 }
 
+// find returns the index of name, or the index to insert it at and false.
 func (l Settings) find(name string) (int, bool) {
 	return slices.BinarySearchFunc(l, name, func(s Setting, n string) int {
 		return strings.Compare(s.Name, n)
 	})
 }
 
+// with returns the settings with name set to value.
 func (l Settings) with(name, value string) Settings {
 	i, ok := l.find(name)
 	if ok && l[i].SQLValue == value {
@@ -62,6 +64,7 @@
 	return slices.Insert(n, i, Setting{Name: name, SQLValue: value})
 }
 
+// without returns the settings with name at the server's default.
 func (l Settings) without(name string) Settings {
 	i, ok := l.find(name)
 	if !ok {
@@ -70,69 +73,74 @@
 	return slices.Delete(slices.Clone(l), i, i+1)
 }
 
-// savepoint is the state to go back to.
+// savepoint holds the settings that ROLLBACK TO SAVEPOINT restores.
 type savepoint struct {
 	name     string
 	settings Settings
 }
 
-// Session holds what one session has in force. Startup is set before use; it
-// belongs to one goroutine.
+// Session tracks the settings and prepared statements of one session. Exported fields are set before
+// use. A Session isn't safe for concurrent use.
 type Session struct {
-	// Startup are the settings that the caller gave on connecting. RESET goes
-	// back to them, as it does on a connection of the caller's own.
+	// Startup holds the settings of the caller's startup message. RESET restores them, as it does on a
+	// direct connection to a server.
 	Startup Settings
-	// MaximumStatements bounds the prepared statements, DefaultStatements if zero.
+	// MaximumStatements is the highest number of prepared statements, DefaultMaximumStatements if zero.
 	MaximumStatements int
 
-	settings   Settings
-	set        bool
-	open       bool
-	before     Settings
-	savepoints []savepoint
-	statements map[string]Prepared
+	settings Settings
+	// hasSettings is set once settings has replaced Startup.
+	hasSettings   bool
+	inTransaction bool
+	// beforeTransaction holds the settings to restore if the open transaction doesn't commit.
+	beforeTransaction Settings
+	savepoints        []savepoint
+	statements        map[string]Prepared
 }
 
-// Settings returns what is in force, or will be if the transaction commits.
+// Settings returns the session's settings. In a transaction they include its changes.
 func (s *Session) Settings() Settings {
-	if !s.set {
+	if !s.hasSettings {
 		return s.Startup
 	}
 	return s.settings
 }
 
-// Begin notes that a transaction is open, for several statements in one text
-// also the implicit one. A SET within it is undone if it doesn't commit.
+// Begin records that a transaction is open, which may be the implicit one of a text with several
+// statements. Its changes of settings are undone unless it commits. Begin does nothing if a
+// transaction is open already.
 func (s *Session) Begin() {
-	if s.open {
+	if s.inTransaction {
 		return
 	}
-	s.open = true
-	s.before = s.Settings()
+	s.inTransaction = true
+	s.beforeTransaction = s.Settings()
 	s.savepoints = nil
 }
 
-// End notes that the transaction has ended, with its changes if it committed.
+// End records that the transaction, if one is open, has ended, and undoes its changes of settings
+// unless it committed.
 func (s *Session) End(committed bool) {
-	if s.open && !committed {
-		s.put(s.before)
+	if s.inTransaction && !committed {
+		s.setSettings(s.beforeTransaction)
 	}
-	s.open = false
+	s.inTransaction = false
 	s.savepoints = nil
 }
 
-// Savepoint keeps the present settings under a name.
+// Savepoint keeps the current settings under a name.
 func (s *Session) Savepoint(name string) {
 	s.savepoints = append(s.savepoints, savepoint{name: name, settings: s.Settings()})
 }
 
-// RollbackTo goes back to the latest savepoint of that name, which stays.
+// RollbackTo restores the settings of the latest savepoint of that name, and drops the savepoints
+// after it.
 func (s *Session) RollbackTo(name string) {
 	i := s.findSavepoint(name)
 	if i < 0 {
 		return
 	}
-	s.put(s.savepoints[i].settings)
+	s.setSettings(s.savepoints[i].settings)
 	s.savepoints = s.savepoints[:i+1]
 }
 
@@ -152,15 +160,15 @@
 	return -1
 }
 
-// Apply notes that p was carried out with success. The caller's DEALLOCATE and
-// DISCARD ALL must not reach a connection that others share, as they would end
-// all shared statements there; they are answered after Apply without the server
-// unless the session is pinned.
+// Apply records that p was executed with success.
+//
+// DEALLOCATE ALL and DISCARD ALL of a session that isn't pinned are answered without the server, after
+// Apply: on a connection that sessions share, they would drop the prepared statements of all of them.
 func (s *Session) Apply(p classifier.Part) {
 	switch p.Kind {
 	case classifier.KindSet:
 		if !p.Local {
-			s.put(s.Settings().with(p.Name, p.SQLValue))
+			s.setSettings(s.Settings().with(p.Name, p.SQLValue))
 		}
 	case classifier.KindReset:
 		if !p.Local {
@@ -169,7 +177,7 @@
 	case classifier.KindResetAll:
 		s.resetAll()
 	case classifier.KindSetCharacteristics:
-		s.characteristics(p)
+		s.applyCharacteristics(p)
 	case classifier.KindDeallocate:
 		s.deallocate(p.Name)
 	case classifier.KindDiscard:
@@ -177,20 +185,21 @@
 	}
 }
 
-func (s *Session) put(l Settings) {
+func (s *Session) setSettings(l Settings) {
 	s.settings = l
-	s.set = true
+	s.hasSettings = true
 }
 
+// reset restores the startup value of a setting, else the server's default.
 func (s *Session) reset(name string) {
 	if v, ok := s.Startup.Get(name); ok {
-		s.put(s.Settings().with(name, v))
+		s.setSettings(s.Settings().with(name, v))
 		return
 	}
-	s.put(s.Settings().without(name))
+	s.setSettings(s.Settings().without(name))
 }
 
-// resetAll leaves the two settings alone that RESET ALL leaves alone.
+// resetAll restores the startup settings but keeps role and session_authorization, as RESET ALL does.
 func (s *Session) resetAll() {
 	n := s.Startup
 	for _, k := range []string{nameRole, nameAuthorization} {
@@ -199,26 +208,26 @@
 			n = n.with(k, v)
 		}
 	}
-	s.put(n)
+	s.setSettings(n)
 }
 
-// discard leaves all but DISCARD ALL to the server: plans are made anew, and the
-// rest only exists on a pinned connection.
+// discard handles DISCARD ALL. The other forms are left to the server: DISCARD PLANS only makes the
+// server plan again, and the rest drops state that only exists on a pinned connection.
 func (s *Session) discard(what string) {
 	if what == "all" {
-		s.put(s.Startup)
+		s.setSettings(s.Startup)
 		s.deallocate("")
 	}
 }
 
-func (s *Session) characteristics(p classifier.Part) {
+func (s *Session) applyCharacteristics(p classifier.Part) {
 	switch p.Access {
 	case classifier.AccessReadOnly:
-		s.put(s.Settings().with(nameReadOnly, "'on'"))
+		s.setSettings(s.Settings().with(nameReadOnly, "'on'"))
 	case classifier.AccessReadWrite:
-		s.put(s.Settings().with(nameReadOnly, "'off'"))
+		s.setSettings(s.Settings().with(nameReadOnly, "'off'"))
 	}
 	if p.Isolation != "" {
-		s.put(s.Settings().with(nameIsolation, classifier.Quote(p.Isolation)))
+		s.setSettings(s.Settings().with(nameIsolation, classifier.Quote(p.Isolation)))
 	}
 }
--- a/internal/session/replayer/statement.go
+++ b/internal/session/replayer/statement.go
@@ -11,32 +11,35 @@
 
 // Errors of prepared statements.
 const (
-	// ErrDuplicateStatement is a Parse with a name in use, SQLSTATE 42P05.
+	// ErrDuplicateStatement is returned for a name that is in use. Its SQLSTATE is 42P05.
 	ErrDuplicateStatement = errors.ConstError("prepared statement already exists")
-	// ErrTooManyStatements is a session with too many prepared statements, SQLSTATE 53400.
+	// ErrTooManyStatements is returned if the session has MaximumStatements already. Its SQLSTATE is
+	// 53400.
 	ErrTooManyStatements = errors.ConstError("too many prepared statements")
 )
 
-// DefaultMaximumStatements bounds the prepared statements of a session and of a
+// DefaultMaximumStatements is the default bound on the prepared statements of a session and of a
 // connection.
 const DefaultMaximumStatements = 500
 
-// StatementID is the name of a prepared statement on the server. It follows
-// from the text, so that sessions share it, and from the parameter types.
+// StatementID is the name of a prepared statement on the server. It is a hash of the text and the
+// parameter types, so that sessions share the statements on a connection.
 type StatementID string
 
-// idPrefix starts all names that are given to the server.
+// idPrefix starts the names of all prepared statements on the server.
 const idPrefix = "cuminwick_"
 
 // Prepared is one prepared statement of a session.
 type Prepared struct {
-	ID    StatementID
-	Text  string
+	ID   StatementID
+	Text string
+	// Types holds the OIDs of the parameter types that the caller declared.
 	Types []uint32
 }
 
-// Identify returns the id of a text with the types of its parameters. The hash
-// can't be steered, so that nobody can make another session run a wrong text.
+// Identify returns the ID of a text with the types of its parameters. The hash is cryptographic, so
+// that no caller can construct a text with the ID of another session's statement, which would make
+// that session execute the wrong text.
 func Identify(text string, types []uint32) StatementID {
 	h := sha256.New()
 	var b [4]byte
@@ -44,15 +47,15 @@
 		binary.BigEndian.PutUint32(b[:], t)
 		h.Write(b[:])
 	}
-	// The count parts the types from the text.
+	// The count separates the types from the text.
 	binary.BigEndian.PutUint32(b[:], uint32(len(types)))
 	h.Write(b[:])
 	h.Write([]byte(text))
 	return StatementID(idPrefix + hex.EncodeToString(h.Sum(nil)[:16]))
 }
 
-// Parse notes a statement that the caller prepares as name. The unnamed one,
-// with an empty name, replaces the one before.
+// Parse records a statement that the caller prepares as name. The unnamed statement, with an empty
+// name, replaces the previous one. Parse returns ErrDuplicateStatement or ErrTooManyStatements.
 func (s *Session) Parse(name, text string, types []uint32) (Prepared, error) {
 	_, ok := s.statements[name]
 	if ok && name != "" {
@@ -69,19 +72,19 @@
 	return p, nil
 }
 
-// Statement returns the statement that the caller prepared as name.
+// Statement returns the statement that the caller prepared as name, or false if there is none.
 func (s *Session) Statement(name string) (Prepared, bool) {
 	p, ok := s.statements[name]
 	return p, ok
 }
 
-// CloseStatement forgets name, as the caller's Close or a failed Parse asks. The
-// server keeps the shared statement until the connection has too many.
+// CloseStatement removes name, after the caller's Close or a failed Parse. The server keeps the shared
+// statement until PlanStatement closes it to make room.
 func (s *Session) CloseStatement(name string) {
 	delete(s.statements, name)
 }
 
-// deallocate forgets name, all if it is empty.
+// deallocate removes the statement name, or all if name is empty.
 func (s *Session) deallocate(name string) {
 	if name == "" {
 		clear(s.statements)
@@ -90,19 +93,19 @@
 	delete(s.statements, name)
 }
 
-// StatementPlan is what must be sent before a statement can be bound.
+// StatementPlan holds what must be sent on a connection before a statement can be bound.
 type StatementPlan struct {
 	// Name is the statement's name on this connection, empty for the unnamed one.
 	Name StatementID
-	// Parse says that the statement isn't known to the server yet.
+	// Parse is set if the statement must be parsed first.
 	Parse bool
-	// Close names a statement that must be closed to make room, empty for none.
+	// Close names a statement that must be closed first to make room, empty for none.
 	Close StatementID
 }
 
-// PlanStatement returns what must be sent before p, prepared by the caller as name, can be
-// bound on the connection, and takes it as done. An unnamed statement stays
-// unnamed, as its text is mostly used once and would displace the others.
+// PlanStatement returns what must be sent before p, prepared by the caller as name, can be bound on the
+// connection, and records it as sent. An unnamed statement stays unnamed, because its text is mostly
+// used once and would evict the others.
 func (c *Connection) PlanStatement(name string, p Prepared) StatementPlan {
 	if name == "" {
 		n := c.unnamed != p.ID
@@ -110,7 +113,7 @@
 		return StatementPlan{Parse: n}
 	}
 	if c.statements == nil {
-		c.forget()
+		c.forgetStatements()
 	}
 	r := StatementPlan{Name: p.ID}
 	if _, ok := c.statements.Get(p.ID); ok {
@@ -124,7 +127,7 @@
 	return r
 }
 
-// ParseFailed notes that the server refused to parse what r asked for.
+// ParseFailed records that the server rejected the Parse of r.
 func (c *Connection) ParseFailed(r StatementPlan) {
 	if r.Name == "" {
 		c.unnamed = ""
@@ -133,11 +136,11 @@
 	c.statements.Remove(r.Name)
 }
 
-// forget notes that the server holds no prepared statement any more.
-func (c *Connection) forget() {
+// forgetStatements records that the server holds no prepared statements.
+func (c *Connection) forgetStatements() {
 	c.unnamed = ""
-	// The bound is kept by Use, which must tell whom it displaces; the size is
-	// above zero, so there is no error.
+	// PlanStatement enforces the bound, because it must return the evicted statement; so the cache
+	// has room for one more. NewLRU only fails for a size that isn't positive.
 	c.statements, _ = simplelru.NewLRU[StatementID, struct{}](orDefault(c.MaximumStatements)+1, nil)
 }
 
--- a/internal/session/signer/signer_test.go
+++ b/internal/session/signer/signer_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-func BenchmarkVerify(b *testing.B) {
+func BenchmarkOpen(b *testing.B) {
 	s := Signer{Deployment: "ost", Keys: []Key{oldKey}}
 	k := sign(b, s)
 	b.ReportAllocs()
