--- a/internal/session/replayer/connection.go
+++ b/internal/session/replayer/connection.go
@@ -28,24 +28,24 @@
 	MaximumStatements int
 
 	settings Settings
-	// hiddenState is set if a session may have left state that isn't tracked, or was pinned to this
-	// connection.
-	hiddenState bool
+	// needsDiscard is set if a session may have left state that isn't tracked, or was pinned to this
+	// connection. The next PlanSettings asks for DISCARD ALL.
+	needsDiscard bool
 	// unnamed is the ID of the unnamed prepared statement, empty if there is none.
 	unnamed    StatementID
 	statements *simplelru.LRU[StatementID, struct{}]
 }
 
-// PlanSettings returns what must be sent before the connection serves a session with
-// the settings w, and records it as executed. Without it, a setting of the previous session, such as
-// its role, applies to the next session, which then gets wrong results or lacks privileges.
+// PlanSettings returns what must be sent before the connection serves a session with the settings w,
+// and records it as executed. Without it, a setting of the previous session, such as its role, applies
+// to the next session, which then gets wrong results or lacks privileges.
 func (c *Connection) PlanSettings(w Settings) SettingsPlan {
 	var p SettingsPlan
-	if c.hiddenState {
+	if c.needsDiscard {
 		p.Discard = true
 		c.settings = nil
 		c.forgetStatements()
-		c.hiddenState = false
+		c.needsDiscard = false
 	}
 	p.SQL = changeSQL(c.settings, w)
 	c.settings = w
@@ -72,7 +72,7 @@
 // or was pinned to the connection.
 func (c *Connection) Finish(w Settings, hiddenState bool) {
 	c.settings = w
-	c.hiddenState = c.hiddenState || hiddenState
+	c.needsDiscard = c.needsDiscard || hiddenState
 }
 
 // changeSQL returns the SQL that changes the settings a to b, empty if they are equal.
