--- a/internal/statement/classifier/classifier.go
+++ b/internal/statement/classifier/classifier.go
@@ -1,4 +1,4 @@
-// Package classifier tells from the text of a statement what it does and where it may run.
+// Package classifier determines from the text of a statement what it does and where it may run.
 package classifier
 
 import (
@@ -10,7 +10,8 @@
 	"github.com/juju/errors"
 )
 
-// ErrZeroByte is returned for a text that can't be a statement of the protocol.
+// ErrZeroByte is returned for a text with a zero byte, which no statement of the PostgreSQL protocol can
+// contain.
 const ErrZeroByte = errors.ConstError("text holds a zero byte")
 
 // Defaults of a Classifier.
@@ -22,44 +23,46 @@
 
 const (
 	shardCount = 16
-	// partBytes is the estimated size of a cached entry beside its text.
+	// partBytes is the estimated size of a cached Statement, and of each of its Parts.
 	partBytes = 320
 )
 
-// Classifier classifies texts and remembers the answers. The zero value is
-// ready; it may be used by many goroutines.
+// Classifier classifies texts and caches the results. The zero value is ready for use. A Classifier is
+// safe for concurrent use.
 type Classifier struct {
-	// MaximumEntries and Bytes bound the remembered answers, defaults if zero.
+	// MaximumEntries and MaximumBytes bound the cache, DefaultMaximumEntries and DefaultMaximumBytes if
+	// zero.
 	MaximumEntries int
 	MaximumBytes   int
-	// MaximumTextBytes is the longest text that is remembered.
+	// MaximumTextBytes is the longest text that is cached, DefaultMaximumTextBytes if zero.
 	MaximumTextBytes int
 
 	shards [shardCount]shard
 }
 
-// shard is one part of the cache, so that goroutines seldom meet at one lock.
+// shard is one part of the cache. Shards reduce lock contention.
 type shard struct {
 	mu    sync.Mutex
 	texts *simplelru.LRU[string, Statement]
 	bytes int
 }
 
-// Classify returns what sql holds. A text that doesn't parse is no error: it is
-// of KindUnparsed and goes to the primary unchanged, whose error the caller gets.
+// Classify classifies sql. It returns ErrZeroByte for a text with a zero byte. A text that can't be
+// parsed is no error: its kind is KindUnparsed, and it is sent to the primary unchanged, whose error
+// the caller receives.
 func (c *Classifier) Classify(sql string) (Statement, error) {
 	if strings.IndexByte(sql, 0) >= 0 {
 		return Statement{}, ErrZeroByte
 	}
 	h, rest := splitComment(sql)
-	s := c.classifyRest(rest)
+	s := c.classifyCached(rest)
 	h.addTo(&s)
 	return s, nil
 }
 
-// classifyRest works on the text behind the leading comment, so that a key that
-// is new with each request doesn't spoil the cache.
-func (c *Classifier) classifyRest(sql string) Statement {
+// classifyCached classifies a text without its leading comment: an idempotency key in the comment
+// differs with each request and would make every text a new cache entry.
+func (c *Classifier) classifyCached(sql string) Statement {
 	if len(sql) > orDefault(c.MaximumTextBytes, DefaultMaximumTextBytes) {
 		return parse(sql)
 	}
@@ -68,7 +71,7 @@
 	if ok {
 		return s
 	}
-	// The copy keeps the cache from holding on to a larger buffer of the caller.
+	// Without the copy, the cache would keep a larger buffer of the caller in memory.
 	sql = strings.Clone(sql)
 	s = parse(sql)
 	d.add(sql, s, c.entriesPerShard(), orDefault(c.MaximumBytes, DefaultMaximumBytes)/shardCount)
@@ -92,24 +95,26 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.texts == nil {
-		// The size is above zero, so there is no error.
-		d.texts, _ = simplelru.NewLRU(entries, d.forget)
+		// NewLRU only fails for a size that isn't positive.
+		d.texts, _ = simplelru.NewLRU(entries, d.entryEvicted)
 	}
 	if d.texts.Contains(sql) {
 		return
 	}
 	d.texts.Add(sql, s)
-	d.bytes += weigh(sql, s)
+	d.bytes += entryBytes(sql, s)
 	for d.bytes > bytes && d.texts.Len() > 1 {
 		d.texts.RemoveOldest()
 	}
 }
 
-func (d *shard) forget(sql string, s Statement) {
-	d.bytes -= weigh(sql, s)
+// entryEvicted is called by the cache for each entry that it removes.
+func (d *shard) entryEvicted(sql string, s Statement) {
+	d.bytes -= entryBytes(sql, s)
 }
 
-func weigh(sql string, s Statement) int {
+// entryBytes estimates the size of a cache entry.
+func entryBytes(sql string, s Statement) int {
 	return len(sql) + partBytes*(1+len(s.Parts))
 }
 
--- a/internal/statement/classifier/classifier_test.go
+++ b/internal/statement/classifier/classifier_test.go
@@ -14,12 +14,12 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// kindNames are for the golden file only, in the order of the constants.
+// kindNames holds the names of the kinds in the golden file, in the order of the constants.
 var kindNames = strings.Fields(`unparsed empty read write begin commit rollback savepoint set reset reset-all
 	set-transaction set-characteristics show prepare execute deallocate copy-in copy-out declare fetch close
 	listen unlisten notify lock discard`)
 
-// describe shows all fields of s that aren't zero, on one line.
+// describe returns all fields of s that aren't zero, on one line.
 func describe(s Statement) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s replica=%t writes=%t", kindNames[s.Kind], s.ReplicaSafe, s.Writes)
@@ -80,6 +80,7 @@
 	}
 }
 
+// The parser would read a text up to its zero byte only, and miss the statements after it.
 func TestZeroByteIsRefused(t *testing.T) {
 	var c Classifier
 	if _, err := c.Classify("SELECT 1\x00; DELETE FROM a"); !errors.Is(err, ErrZeroByte) {
@@ -87,9 +88,9 @@
 	}
 }
 
-// A caller sends a text that nests without end, by fault or by intent. The
-// parser's C stack overflows, the entry host dies, and all callers on it lose
-// their sessions. Such texts go unparsed to the primary.
+// A caller sends a text that nests too deeply, by mistake or on purpose. The parser's C stack overflows,
+// which ends the process of the entry host and with it the sessions of all callers. Such texts must
+// not be parsed.
 func TestDeepTextsDoNotEndTheProcess(t *testing.T) {
 	for _, w := range []string{"+1", "::t", " UNION SELECT 1", " JOIN a ON true", " COLLATE c", "||a", "[1]", " AND (b OR a"} {
 		for _, n := range []int{8000, 60000} {
@@ -104,6 +105,8 @@
 	}
 }
 
+// A long text that isn't parsed may hide a statement that needs a pinned connection. Only a single
+// write without a known function is classified without its tree.
 func TestLongTexts(t *testing.T) {
 	rows := "(1, 'x')" + strings.Repeat(", (1, 'x')", 5000)
 	tests := []struct {
@@ -127,6 +130,8 @@
 	}
 }
 
+// Texts that differ with each request fill the cache. If evicted entries stay counted, or aren't evicted
+// in time, the cache shrinks or grows without bound.
 func TestCacheIsBounded(t *testing.T) {
 	c := Classifier{MaximumEntries: 160, MaximumBytes: 160 << 10}
 	var w sync.WaitGroup
@@ -143,7 +148,7 @@
 		sum := 0
 		for _, k := range d.texts.Keys() {
 			v, _ := d.texts.Peek(k)
-			sum += weigh(k, v)
+			sum += entryBytes(k, v)
 		}
 		if sum != d.bytes || sum > 10<<10 || d.texts.Len() > 10 {
 			t.Errorf("shard %d: %d entries, %d bytes counted, %d held", i, d.texts.Len(), d.bytes, sum)
@@ -151,12 +156,14 @@
 	}
 }
 
+// Most requests repeat a text, so an allocation for a cached text adds to the cost of nearly every
+// request.
 func TestHitDoesNotAllocate(t *testing.T) {
 	var c Classifier
 	const q = "/* tag=report key=abc */ SELECT * FROM drafts WHERE id = $1"
 	c.Classify(q)
 	if n := testing.AllocsPerRun(100, func() { c.Classify(q) }); n != 0 {
-		t.Errorf("%v allocations for a remembered text, want 0", n)
+		t.Errorf("%v allocations for a cached text, want 0", n)
 	}
 }
 
@@ -173,10 +180,10 @@
 		a, e := c.Classify(sql)
 		b, _ := c.Classify(sql)
 		if d := cmp.Diff(a, b); d != "" {
-			t.Errorf("remembered answer differs: %s", d)
+			t.Errorf("cached result differs: %s", d)
 		}
 		if e == nil && a.ReplicaSafe && (a.Writes || a.Pin != PinNone || a.Kind == KindUnparsed) {
-			t.Errorf("unsafe text allowed on a replica: %+v", a)
+			t.Errorf("text with ReplicaSafe isn't safe on a replica: %+v", a)
 		}
 	})
 }
--- a/internal/statement/classifier/comment.go
+++ b/internal/statement/classifier/comment.go
@@ -15,24 +15,25 @@
 // MaximumKeyBytes is the longest idempotency key.
 const MaximumKeyBytes = 128
 
-// header is what a leading comment says.
-type header struct {
-	tag, key  string
-	age       time.Duration
-	hasAge    bool
-	hasKey    bool
+// leadingComment holds the fields of the comment that a text starts with.
+type leadingComment struct {
+	tag, key string
+	age      time.Duration
+	hasAge   bool
+	hasKey   bool
+	// malformed is set if key isn't valid.
 	malformed bool
 }
 
-// splitComment returns what the leading comment says, and the text behind it.
-func splitComment(sql string) (header, string) {
-	var h header
+// splitComment returns the fields of the leading comment and the text after it.
+func splitComment(sql string) (leadingComment, string) {
+	var h leadingComment
 	t := strings.TrimLeft(sql, " \t\r\n")
 	if !strings.HasPrefix(t, "/*") {
 		return h, sql
 	}
 	e := strings.Index(t, "*/")
-	// A nested comment is left to the parser.
+	// A text with a nested comment is left to the parser as it is.
 	if e < 2 || strings.Contains(t[2:e], "/*") {
 		return h, sql
 	}
@@ -40,7 +41,7 @@
 	return h, t[e+2:]
 }
 
-func (h *header) read(c string) {
+func (h *leadingComment) read(c string) {
 	for c != "" {
 		var f string
 		f, c = cutField(c)
@@ -60,7 +61,7 @@
 	return c[:i], c[i+1:]
 }
 
-func (h *header) set(k, v string) {
+func (h *leadingComment) set(k, v string) {
 	switch k {
 	case commentTag:
 		h.tag = v
@@ -70,14 +71,14 @@
 		h.malformed = !ValidKey(v)
 	case commentMaximumAge:
 		d, err := time.ParseDuration(v)
-		// An age that can't be read is left out, which asks for the latest data.
+		// An age that can't be parsed is ignored, so the request asks for the latest data.
 		h.hasAge = err == nil && d >= 0
 		h.age = max(d, 0)
 	}
 }
 
-// ValidKey reports whether k can be an idempotency key: printable ASCII without
-// space, quotes or backslash, and of bounded length.
+// ValidKey reports whether k can be an idempotency key: 1 to MaximumKeyBytes characters of printable
+// ASCII without space, quotes and backslash.
 func ValidKey(k string) bool {
 	if k == "" || len(k) > MaximumKeyBytes {
 		return false
@@ -90,7 +91,8 @@
 	return true
 }
 
-func (h *header) addTo(s *Statement) {
+// addTo sets the fields of s that come from the comment.
+func (h *leadingComment) addTo(s *Statement) {
 	s.Tag = h.tag
 	s.MaximumAge = h.age
 	s.HasMaximumAge = h.hasAge
@@ -98,7 +100,7 @@
 		return
 	}
 	s.IdempotencyKey = h.key
-	// A request whose key got lost could run twice, so it isn't run at all.
+	// Without its idempotency key the request could be executed twice, so it is refused.
 	if h.malformed {
 		s.Refusal = RefusalInvalidKey
 	}
--- a/internal/statement/classifier/parse.go
+++ b/internal/statement/classifier/parse.go
@@ -11,13 +11,14 @@
 
 // parse classifies a text without its leading comment.
 func parse(sql string) Statement {
-	if len(sql) > freelyParsedBytes {
+	if len(sql) > maximumUncheckedBytes {
 		return parseLong(sql)
 	}
-	return parseFreely(sql)
+	return parseTree(sql)
 }
 
-func parseFreely(sql string) Statement {
+// parseTree classifies a text that the parser can handle within its stack.
+func parseTree(sql string) Statement {
 	r, err := pg_query.Parse(sql)
 	if err != nil {
 		return unparsed()
@@ -30,6 +31,8 @@
 	return s
 }
 
+// unparsed returns the result for a text of unknown effect: it may write and leave any state on the
+// connection.
 func unparsed() Statement {
 	return Statement{
 		Parts:       []Part{{Kind: KindUnparsed}},
@@ -40,7 +43,7 @@
 	}
 }
 
-// summarize sets the fields that follow from all parts together.
+// summarize sets the fields that follow from all parts.
 func (s *Statement) summarize() {
 	if len(s.Parts) == 0 {
 		s.Kind = KindEmpty
@@ -51,7 +54,7 @@
 	for _, p := range s.Parts {
 		s.Writes = s.Writes || p.Kind.mayWrite()
 		s.ReplicaSafe = s.ReplicaSafe && p.Kind.replicaSafe()
-		s.checkOwn(p)
+		s.checkCuminwickSetting(p)
 	}
 	s.ReplicaSafe = s.ReplicaSafe && !s.Writes && s.Pin == PinNone
 	s.Kind = s.Parts[0].Kind
@@ -64,8 +67,9 @@
 	}
 }
 
-// checkOwn handles the settings that cuminwick answers itself.
-func (s *Statement) checkOwn(p Part) {
+// checkCuminwickSetting sets CuminwickSetting or Refusal if p sets, resets or shows a setting of
+// cuminwick itself.
+func (s *Statement) checkCuminwickSetting(p Part) {
 	if !strings.HasPrefix(p.Name, CuminwickPrefix) {
 		return
 	}
@@ -79,7 +83,7 @@
 		return
 	}
 	s.CuminwickSetting = true
-	if !ownSettings[p.Name] {
+	if !cuminwickSettings[p.Name] {
 		s.Refusal = RefusalUnknownSetting
 	}
 }
@@ -92,8 +96,8 @@
 	return false
 }
 
-// replicaSafe leaves out what belongs to a transaction or session whose server
-// has been chosen before.
+// replicaSafe reports whether a part of this kind may run on a replica. Kinds that belong to an open
+// transaction or a pinned session are excluded, because their server is already chosen.
 func (k Kind) replicaSafe() bool {
 	switch k {
 	case KindEmpty, KindRead, KindShow, KindCopyOut:
@@ -137,7 +141,7 @@
 	}
 }
 
-// addOther handles what is neither a query nor a transaction command.
+// addOther handles the statements that addNode doesn't.
 func (s *Statement) addOther(n *pg_query.Node) Part {
 	switch v := n.GetNode().(type) {
 	case *pg_query.Node_ListenStmt:
--- a/internal/statement/classifier/scan.go
+++ b/internal/statement/classifier/scan.go
@@ -7,24 +7,25 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// effect is what calling a known function does beside giving an answer.
+// effect is what a call of a known function does besides returning a result.
 type effect uint8
 
 const (
 	effectNone effect = iota
-	// effectWrite needs the primary.
+	// effectWrite requires the primary.
 	effectWrite
-	// effectAdvisoryLock holds a lock until the session ends.
+	// effectAdvisoryLock takes a lock that is held until the session ends.
 	effectAdvisoryLock
 	// effectSession leaves other state on the connection.
 	effectSession
-	// effectSequence reads state that the connection's sequences left.
+	// effectSequence reads the connection's state of sequences.
 	effectSequence
-	// effectSetting is set_config, which may be local to the transaction.
+	// effectSetting changes a setting, for the session or only for the transaction.
 	effectSetting
 )
 
-// functions are those known to write or to hold state, by their last name.
+// functions holds the effects of the functions that are known to write or to keep state, by name
+// without schema.
 var functions = map[string]effect{
 	"nextval":                          effectWrite,
 	"setval":                           effectWrite,
@@ -67,65 +68,66 @@
 	"dblink_connect_u":                 effectSession,
 }
 
+// temporarySchema is the alias of a session's schema for temporary objects.
 const temporarySchema = "pg_temp"
 
-// scanner looks for what can hide at any depth of a statement.
+// scanner searches a statement's tree at any depth for writes and for effects on the session.
 type scanner struct {
 	s      *Statement
 	writes bool
 }
 
-// scan adds the session effects found under n and reports whether it writes.
+// scan adds the effects on the session that are found in n and reports whether n writes.
 func (s *Statement) scan(n *pg_query.Node) bool {
 	c := scanner{s: s}
-	c.message(n.ProtoReflect())
+	c.visitMessage(n.ProtoReflect())
 	return c.writes
 }
 
-func (c *scanner) message(m protoreflect.Message) {
+func (c *scanner) visitMessage(m protoreflect.Message) {
 	switch v := m.Interface().(type) {
 	case *pg_query.FuncCall:
-		c.call(v)
+		c.visitCall(v)
 	case *pg_query.SelectStmt:
 		c.writes = c.writes || len(v.LockingClause) > 0 || v.IntoClause != nil
 	case *pg_query.InsertStmt, *pg_query.UpdateStmt, *pg_query.DeleteStmt, *pg_query.MergeStmt:
 		c.writes = true
 	case *pg_query.CreateStmt:
-		c.relation(v.Relation, v.Oncommit)
+		c.visitRelation(v.Relation, v.Oncommit)
 	case *pg_query.IntoClause:
-		c.relation(v.Rel, v.OnCommit)
+		c.visitRelation(v.Rel, v.OnCommit)
 	case *pg_query.ViewStmt:
-		c.relation(v.View, pg_query.OnCommitAction_ONCOMMIT_NOOP)
+		c.visitRelation(v.View, pg_query.OnCommitAction_ONCOMMIT_NOOP)
 	case *pg_query.CreateSeqStmt:
-		c.relation(v.Sequence, pg_query.OnCommitAction_ONCOMMIT_NOOP)
+		c.visitRelation(v.Sequence, pg_query.OnCommitAction_ONCOMMIT_NOOP)
 	}
-	m.Range(c.field)
+	m.Range(c.visitField)
 }
 
-func (c *scanner) field(d protoreflect.FieldDescriptor, v protoreflect.Value) bool {
+func (c *scanner) visitField(d protoreflect.FieldDescriptor, v protoreflect.Value) bool {
 	if d.Kind() != protoreflect.MessageKind {
 		return true
 	}
 	if !d.IsList() {
-		c.message(v.Message())
+		c.visitMessage(v.Message())
 		return true
 	}
 	l := v.List()
 	for i := range l.Len() {
-		c.message(l.Get(i).Message())
+		c.visitMessage(l.Get(i).Message())
 	}
 	return true
 }
 
-// relation pins for a temporary relation that outlives the transaction.
-func (c *scanner) relation(r *pg_query.RangeVar, o pg_query.OnCommitAction) {
+// visitRelation pins the session if r is a temporary relation that outlives the transaction.
+func (c *scanner) visitRelation(r *pg_query.RangeVar, o pg_query.OnCommitAction) {
 	t := r.GetRelpersistence() == "t" || r.GetSchemaname() == temporarySchema
 	if t && o != pg_query.OnCommitAction_ONCOMMIT_DROP {
 		c.s.pin(PinTemporaryTable)
 	}
 }
 
-func (c *scanner) call(f *pg_query.FuncCall) {
+func (c *scanner) visitCall(f *pg_query.FuncCall) {
 	if len(f.Funcname) == 0 {
 		return
 	}
@@ -149,7 +151,7 @@
 	}
 }
 
-// isLocalSetting reports whether set_config certainly ends with its transaction.
+// isLocalSetting reports whether a call of set_config certainly applies to its transaction only.
 func isLocalSetting(f *pg_query.FuncCall) bool {
 	if len(f.Args) != 3 {
 		return false
--- a/internal/statement/classifier/setting.go
+++ b/internal/statement/classifier/setting.go
@@ -7,26 +7,28 @@
 	pg_query "github.com/pganalyze/pg_query_go/v6"
 )
 
-// CuminwickPrefix starts the names of the settings that cuminwick answers itself.
+// CuminwickPrefix is the prefix of the names of cuminwick's own settings, which it answers without a
+// backend server.
 const CuminwickPrefix = "cuminwick."
 
-// Settings of cuminwick itself.
+// Settings of cuminwick itself, which callers access with SET, RESET and SHOW.
 const (
 	// SettingMark is the session's signed mark.
 	SettingMark = "cuminwick.mark"
-	// SettingIdempotencyKey marks the next request as not repeatable.
+	// SettingIdempotencyKey is the idempotency key of the session's next write or transaction, which
+	// must not be executed twice.
 	SettingIdempotencyKey = "cuminwick.idempotency_key"
-	// SettingLastOutcome tells how the session's last request ended.
+	// SettingLastOutcome is the outcome of the session's last request.
 	SettingLastOutcome = "cuminwick.last_outcome"
-	// SettingMaximumAge is how old data the session's reads may be.
+	// SettingMaximumAge is the maximum age of the data that the session's reads may return.
 	SettingMaximumAge = "cuminwick.maximum_age"
-	// SettingTag is the tag of requests without one in their comment.
+	// SettingTag is the tag of requests whose leading comment has none.
 	SettingTag = "cuminwick.tag"
-	// SettingServer names the backend server that the last request ran at.
+	// SettingServer is the name of the backend server that executed the last request.
 	SettingServer = "cuminwick.server"
 )
 
-var ownSettings = map[string]bool{
+var cuminwickSettings = map[string]bool{
 	SettingMark:           true,
 	SettingIdempotencyKey: true,
 	SettingLastOutcome:    true,
@@ -35,7 +37,7 @@
 	SettingServer:         true,
 }
 
-// Names that the grammar gives to SET TRANSACTION and its kin.
+// Names that PostgreSQL's grammar gives to SET TRANSACTION and SET SESSION CHARACTERISTICS.
 const (
 	multiTransaction     = "TRANSACTION"
 	multiCharacteristics = "SESSION CHARACTERISTICS"
@@ -46,7 +48,7 @@
 	switch t.Kind {
 	case pg_query.TransactionStmtKind_TRANS_STMT_BEGIN, pg_query.TransactionStmtKind_TRANS_STMT_START:
 		p.Kind = KindBegin
-		p.modes(t.Options)
+		p.readModes(t.Options)
 	case pg_query.TransactionStmtKind_TRANS_STMT_COMMIT:
 		p.Kind = KindCommit
 	case pg_query.TransactionStmtKind_TRANS_STMT_ROLLBACK:
@@ -62,8 +64,9 @@
 	return p
 }
 
-// modes reads the transaction modes of BEGIN and SET TRANSACTION.
-func (p *Part) modes(options []*pg_query.Node) {
+// readModes sets the transaction modes from the options of BEGIN, SET TRANSACTION or SET SESSION
+// CHARACTERISTICS.
+func (p *Part) readModes(options []*pg_query.Node) {
 	for _, o := range options {
 		d := o.GetDefElem()
 		c := d.GetArg().GetAConst()
@@ -86,7 +89,7 @@
 	switch v.Kind {
 	case pg_query.VariableSetKind_VAR_SET_VALUE:
 		p.Kind = KindSet
-		p.values(v)
+		p.readValues(v)
 		if p.SQLValue == "" && !p.Local {
 			s.pin(PinSetting)
 		}
@@ -95,7 +98,7 @@
 	case pg_query.VariableSetKind_VAR_RESET_ALL:
 		p.Kind = KindResetAll
 	case pg_query.VariableSetKind_VAR_SET_MULTI:
-		p.multi(v)
+		p.readMulti(v)
 		if p.Kind == KindSetCharacteristics && p.Deferrable {
 			s.pin(PinSetting)
 		}
@@ -105,31 +108,32 @@
 	return p
 }
 
-func (p *Part) multi(v *pg_query.VariableSetStmt) {
+// readMulti handles the forms of SET that set several transaction modes at once.
+func (p *Part) readMulti(v *pg_query.VariableSetStmt) {
 	switch v.Name {
 	case multiTransaction:
 		p.Kind = KindSetTransaction
-		p.modes(v.Args)
+		p.readModes(v.Args)
 	case multiCharacteristics:
 		p.Kind = KindSetCharacteristics
-		p.modes(v.Args)
+		p.readModes(v.Args)
 	default:
-		// SET TRANSACTION SNAPSHOT belongs to a snapshot of the primary.
+		// SET TRANSACTION SNAPSHOT imports a snapshot of the primary and has no modes.
 		p.Kind = KindSetTransaction
 	}
 }
 
-// values sets Value and SQLValue from the right side of a SET, neither if it
-// isn't made of constants, as in SET TIME ZONE INTERVAL '1' HOUR.
-func (p *Part) values(v *pg_query.VariableSetStmt) {
+// readValues sets Value and SQLValue from the right side of a SET. It leaves both empty if the right
+// side doesn't only consist of constants, as in SET TIME ZONE INTERVAL '1' HOUR.
+func (p *Part) readValues(v *pg_query.VariableSetStmt) {
 	var l []string
 	for _, a := range v.Args {
 		c := a.GetAConst()
 		if c == nil {
 			return
 		}
-		l = append(l, literal(c))
-		p.Value = plain(c)
+		l = append(l, constantSQL(c))
+		p.Value = constantText(c)
 	}
 	if len(l) > 1 {
 		p.Value = ""
@@ -137,7 +141,8 @@
 	p.SQLValue = strings.Join(l, ", ")
 }
 
-func plain(c *pg_query.A_Const) string {
+// constantText returns the value of a constant without quotes.
+func constantText(c *pg_query.A_Const) string {
 	switch v := c.Val.(type) {
 	case *pg_query.A_Const_Ival:
 		return strconv.Itoa(int(v.Ival.Ival))
@@ -149,15 +154,16 @@
 	return c.GetSval().GetSval()
 }
 
-func literal(c *pg_query.A_Const) string {
+// constantSQL returns a constant as SQL, with strings quoted.
+func constantSQL(c *pg_query.A_Const) string {
 	if _, ok := c.Val.(*pg_query.A_Const_Sval); ok {
-		return Quote(plain(c))
+		return Quote(constantText(c))
 	}
-	return plain(c)
+	return constantText(c)
 }
 
-// Quote returns v as a string constant that reads the same under either value
-// of standard_conforming_strings.
+// Quote returns v as an SQL string constant that has the same meaning under either value of
+// standard_conforming_strings.
 func Quote(v string) string {
 	q := "'" + strings.ReplaceAll(v, "'", "''") + "'"
 	if !strings.Contains(v, `\`) {
