--- a/internal/proxy/runner/bounds.go
+++ b/internal/proxy/runner/bounds.go
@@ -2,28 +2,30 @@
 
 import "time"
 
-// Bounds are times that the deployment sets, and may change while hosts run.
+// Bounds holds the time limits that the deployment sets and may change while hosts run.
 type Bounds struct {
-	// Grace is the time from a request to stop to the kill.
+	// Grace is the time between the request to stop the process and its kill.
 	Grace time.Duration
-	// ConfigurationLimit is how soon a configuration must be in force everywhere.
+	// ConfigurationLimit is the time within which a new configuration must be in force on all
+	// hosts.
 	ConfigurationLimit time.Duration
-	// DrainLimit is how soon a leaving server must get no more work.
+	// DrainLimit is the time within which a draining backend server must receive no more
+	// statements.
 	DrainLimit time.Duration
-	// Lease is how long a host that has ordered a promotion is respected by the others.
+	// Lease is how long other hosts order no promotion of a group after a host has ordered one.
 	Lease time.Duration
 }
 
-// SetBounds takes b into force for whatever begins from now on; a waiting call that has begun
-// ends by the old ones.
-func (h *Host) SetBounds(b Bounds) { h.adjusted.Store(&b) }
+// SetBounds replaces the bounds. Operations that begin afterwards use b; a watch call that is
+// already waiting keeps its time limit.
+func (h *Host) SetBounds(b Bounds) { h.currentBounds.Store(&b) }
 
 func (h *Host) bounds() Bounds {
-	if b := h.adjusted.Load(); b != nil {
+	if b := h.currentBounds.Load(); b != nil {
 		return *b
 	}
 	return h.Bounds
 }
 
-// lasting is a time that doesn't change.
-func lasting(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
+// constant returns a function that always returns d.
+func constant(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
--- a/internal/proxy/runner/callers.go
+++ b/internal/proxy/runner/callers.go
@@ -9,13 +9,14 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/executor"
 )
 
-// acceptor takes callers.
+// acceptor accepts callers' connections and starts a session for each.
 type acceptor struct {
 	host     *Host
 	listener net.Listener
 }
 
-// acceptPause is waited after a failed accept, such as for want of descriptors.
+// acceptPause is the pause after a failed accept, for example when the process has run out of
+// file descriptors.
 const acceptPause = 10 * time.Millisecond
 
 func (a *acceptor) run() {
@@ -38,34 +39,35 @@
 	h.mu.Lock()
 	h.sessions[s] = struct{}{}
 	h.mu.Unlock()
-	go (&service{host: h, session: s}).run()
+	go (&sessionServer{host: h, session: s}).run()
 }
 
-// service is one session that is being served.
-type service struct {
+// sessionServer runs one session and removes it from the host when it ends.
+type sessionServer struct {
 	host    *Host
 	session *executor.Session
 }
 
-func (s *service) run() {
-	defer s.host.forget(s.session)
+func (s *sessionServer) run() {
+	defer s.host.removeSession(s.session)
 	s.session.Run()
 }
 
-func (h *Host) forget(s *executor.Session) {
+func (h *Host) removeSession(s *executor.Session) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.sessions, s)
 }
 
-// SessionCount returns how many sessions are served.
+// SessionCount returns the number of running sessions.
 func (h *Host) SessionCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.sessions)
 }
 
-func (h *Host) each(f func(*executor.Session)) {
+// forEachSession calls f with each session, without holding the mutex.
+func (h *Host) forEachSession(f func(*executor.Session)) {
 	h.mu.Lock()
 	l := make([]*executor.Session, 0, len(h.sessions))
 	for s := range h.sessions {
--- a/internal/proxy/runner/catalogue.go
+++ b/internal/proxy/runner/catalogue.go
@@ -7,21 +7,23 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/declarer"
 )
 
-// ghostFor is how long a server is kept after its entry went while the platform was
-// away: such entries lapse and are back within about two seconds, if the server lives.
-const ghostFor = 2500 * time.Millisecond
+// lapsedServerRetention is how long a server that is missing from a new list is kept. Entries of
+// servers lapse while the platform's store is unavailable; a running server's entry is back within
+// about two seconds.
+const lapsedServerRetention = 2500 * time.Millisecond
 
-// catalogue holds the servers as they are listed.
+// catalogue holds the backend servers that the platform lists.
 type catalogue struct {
-	// publish is given the whole list after each change.
+	// publish receives the whole list after each change.
 	publish func([]declarer.Server)
 
 	mu      sync.Mutex
 	servers map[string]declarer.Server
 }
 
-// reset takes the whole list. One that comes after the first may lack servers whose
-// entries lapsed meanwhile; they are dropped by sweep unless they come back.
+// reset replaces the list. A list after the first one may lack servers whose entries have lapsed
+// in the meantime; these are kept for lapsedServerRetention and then removed unless they are listed
+// again.
 func (c *catalogue) reset(l []declarer.Server) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -30,18 +32,18 @@
 	for _, s := range l {
 		c.servers[s.ID] = s
 	}
-	gone := 0
+	missing := 0
 	for id, s := range old {
 		if _, ok := c.servers[id]; !ok {
 			c.servers[id] = s
-			gone++
-			time.AfterFunc(ghostFor, expiry{catalogue: c, server: s}.run)
+			missing++
+			time.AfterFunc(lapsedServerRetention, expiry{catalogue: c, server: s}.run)
 		}
 	}
 	c.emit()
 }
 
-// expiry drops a server that was missing from a list, and hasn't come back since.
+// expiry removes a server that was missing from a list and has not been listed again since.
 type expiry struct {
 	catalogue *catalogue
 	server    declarer.Server
@@ -57,7 +59,7 @@
 	}
 }
 
-// apply takes changes.
+// apply applies changes to the list.
 func (c *catalogue) apply(l []Change[declarer.Server]) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,7 +73,7 @@
 	c.emit()
 }
 
-// emit publishes the list. The mutex is held, so that lists come in order.
+// emit publishes the list. The caller holds the mutex, which keeps published lists in order.
 func (c *catalogue) emit() {
 	l := make([]declarer.Server, 0, len(c.servers))
 	for _, s := range c.servers {
--- a/internal/proxy/runner/deployment_test.go
+++ b/internal/proxy/runner/deployment_test.go
@@ -22,36 +22,38 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/lender"
 )
 
-var quiet = &log.Logger{Handler: discard.New()}
+var discardLog = &log.Logger{Handler: discard.New()}
 
-// deployment is one database group before many entry hosts, in virtual time.
+// deployment simulates one database group behind many entry hosts, in virtual time.
 type deployment struct {
 	began   time.Time
 	servers []*instance
-	// limit is the most connections to a server.
+	// limit is the maximum number of connections to a server.
 	limit int
 
 	mu sync.Mutex
-	// lag is how long a replica applies a commit after it was made.
-	lag   time.Duration
-	nodes []*node
-	draw  *rand.Rand
-	// arrivals are the statements that came to servers, shed those that were turned away.
+	// lag is the delay after which a commit is visible on a replica.
+	lag    time.Duration
+	nodes  []*node
+	random *rand.Rand
+	// arrivals counts the statements that servers received, shed those that they refused because
+	// their queue was full.
 	arrivals, shed int
 }
 
-// instance is one backend server: slots behind a short queue, and a limit of connections.
+// instance simulates one backend server with slots, a short queue and a limit of connections.
 type instance struct {
 	deployment *deployment
 	declared   declarer.Server
 	handshake  time.Duration
 
 	mu sync.Mutex
-	// dark says that nothing answers; what is sent then is never answered.
-	dark    bool
-	open    int
-	ends    []time.Time // when the slots that are taken come free
-	commits []time.Time // when each commit is visible here
+	// unresponsive is set while the server answers nothing. Statements sent meanwhile are never
+	// answered.
+	unresponsive bool
+	open         int
+	slotEnds     []time.Time // when each occupied or queued slot becomes free, sorted
+	commits      []time.Time // when each commit becomes visible here
 }
 
 const (
@@ -59,34 +61,34 @@
 	serverQueue = 16
 )
 
-// work takes a slot for d, and returns when that will be over; false if the queue is full.
-// The mutex is held.
-func (s *instance) work(d time.Duration) (time.Time, bool) {
+// occupySlot occupies a slot for d and returns when that ends, false if the queue is full. The caller
+// holds the mutex.
+func (s *instance) occupySlot(d time.Duration) (time.Time, bool) {
 	now := time.Now()
-	waiting := s.ends[:0]
-	for _, e := range s.ends {
+	waiting := s.slotEnds[:0]
+	for _, e := range s.slotEnds {
 		if e.After(now) {
 			waiting = append(waiting, e)
 		}
 	}
-	s.ends = waiting
-	if len(s.ends) >= slots+serverQueue {
+	s.slotEnds = waiting
+	if len(s.slotEnds) >= slots+serverQueue {
 		return now, false
 	}
 	start := now
-	if len(s.ends) >= slots {
-		start = s.ends[len(s.ends)-slots]
+	if len(s.slotEnds) >= slots {
+		start = s.slotEnds[len(s.slotEnds)-slots]
 	}
 	end := start.Add(d)
-	i := len(s.ends)
-	for i > 0 && s.ends[i-1].After(end) {
+	i := len(s.slotEnds)
+	for i > 0 && s.slotEnds[i-1].After(end) {
 		i--
 	}
-	s.ends = append(s.ends[:i], append([]time.Time{end}, s.ends[i:]...)...)
+	s.slotEnds = append(s.slotEnds[:i], append([]time.Time{end}, s.slotEnds[i:]...)...)
 	return end, true
 }
 
-// position is the end of the log as it can be read. The mutex is held.
+// position returns the position of the last visible commit. The caller holds the mutex.
 func (s *instance) position() marker.Mark {
 	now := time.Now()
 	n := len(s.commits)
@@ -96,13 +98,13 @@
 	return marker.Mark{Term: 1, Position: marker.Position(n + 1)}
 }
 
-func (d *deployment) lagBy(x time.Duration) {
+func (d *deployment) setLag(x time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lag = x
 }
 
-// commit makes a commit visible on all servers.
+// commit makes a commit visible on the primary at once and on the replicas after the lag.
 func (d *deployment) commit(at time.Time) {
 	d.mu.Lock()
 	lag := d.lag
@@ -128,7 +130,7 @@
 			continue
 		}
 		s.mu.Lock()
-		if s.dark {
+		if s.unresponsive {
 			s.mu.Unlock()
 			time.Sleep(250 * time.Millisecond)
 			return nil, marker.Mark{}, connpooler.ErrNoRoute
@@ -137,7 +139,7 @@
 		if !full {
 			s.open++
 		}
-		end, _ := s.work(s.handshake)
+		end, _ := s.occupySlot(s.handshake)
 		m := s.position()
 		s.mu.Unlock()
 		time.Sleep(time.Until(end))
@@ -149,14 +151,15 @@
 	return nil, marker.Mark{}, connpooler.ErrNoRoute
 }
 
-// session is a connection to a server.
+// session simulates a connection to a server.
 type session struct {
 	instance *instance
 	answers  []answerAt
 	closed   bool
 	open     bool
-	// silent says that the connection was used while its server was dark, and stays so.
-	silent bool
+	// stuck is set if the connection was used while its server was unresponsive. It is never
+	// answered again.
+	stuck bool
 }
 
 type answerAt struct {
@@ -169,7 +172,7 @@
 		return io.EOF
 	}
 	c.instance.mu.Lock()
-	c.silent = c.silent || c.instance.dark
+	c.stuck = c.stuck || c.instance.unresponsive
 	c.instance.mu.Unlock()
 	for i := range r {
 		c.answers = append(c.answers, c.run(&r[i]))
@@ -208,7 +211,8 @@
 	return x
 }
 
-// serve runs a caller's statement: its kind and its work in microseconds.
+// serve runs a caller's statement, whose text is READ or WRITE and its duration in microseconds. It
+// reports whether the statement wrote.
 func (c *session) serve(r *declarer.Request, x *answerAt) (wrote bool) {
 	s := c.instance
 	verb, rest, _ := strings.Cut(r.Text, " ")
@@ -223,7 +227,7 @@
 	case !s.position().Covers(r.After):
 		x.answer.Code = declarer.CodeLagging
 	default:
-		end, ok := s.work(time.Duration(us) * time.Microsecond)
+		end, ok := s.occupySlot(time.Duration(us) * time.Microsecond)
 		if !ok {
 			x.answer.Code = declarer.CodeBusy
 			s.deployment.mu.Lock()
@@ -242,7 +246,7 @@
 		return io.EOF
 	}
 	p := c.answers[0]
-	if c.silent || p.at.After(deadline) {
+	if c.stuck || p.at.After(deadline) {
 		time.Sleep(time.Until(deadline))
 		return connpooler.ErrTimeout
 	}
@@ -265,17 +269,18 @@
 	}
 }
 
-// node is one entry host.
+// node is one entry host of the deployment.
 type node struct {
 	host *Host
 	lent atomic.Int64
-	// gone says that it has lost power.
-	gone atomic.Bool
+	// poweredOff is set once the host has lost power.
+	poweredOff atomic.Bool
 }
 
-// newDeployment makes three servers in three zones and so many hosts before them.
+// newDeployment returns a deployment of three servers in three availability zones and the given number
+// of hosts.
 func newDeployment(hosts, limit int, seed uint64) *deployment {
-	d := &deployment{began: time.Now(), limit: limit, lag: 90 * time.Millisecond, draw: rand.New(rand.NewPCG(seed, 1))}
+	d := &deployment{began: time.Now(), limit: limit, lag: 90 * time.Millisecond, random: rand.New(rand.NewPCG(seed, 1))}
 	for i := range 3 {
 		x := declarer.Server{ID: fmt.Sprintf("i-%d", i), Group: "db", Address: "a", AvailabilityZone: fmt.Sprintf("z-%d", i), Slots: slots, Primary: i == 0, Revision: 1}
 		d.servers = append(d.servers, &instance{deployment: d, declared: x, handshake: 12 * time.Millisecond})
@@ -286,7 +291,7 @@
 	return d
 }
 
-// node makes host i of n, which knows the others.
+// node returns host i of n, whose roster lists all hosts.
 func (d *deployment) node(i, n int) *node {
 	regions := map[string]string{"z-0": "r-0", "z-1": "r-0", "z-2": "r-1"}
 	zone := fmt.Sprintf("z-%d", i%3)
@@ -303,21 +308,21 @@
 		},
 		Groups: map[string]declarer.Group{"db": {Name: "db", MaximumConnections: d.limit}},
 	})
-	h := &Host{Name: fmt.Sprintf("h-%02d", i), Board: b, Log: quiet}
-	h.roster.own, h.roster.regions = declarer.Host{Name: h.Name}, regions
+	h := &Host{Name: fmt.Sprintf("h-%02d", i), Board: b, Log: discardLog}
+	h.roster.self, h.roster.regions = declarer.Host{Name: h.Name}, regions
 	var l []declarer.Host
 	for k := range n {
 		l = append(l, d.listed(k))
 	}
 	h.roster.reset(l)
 	x := &node{host: h}
-	h.pools = pools{self: h.Name, board: b, dialer: d, observer: h, roster: &h.roster, link: d.link}
+	h.pools = pools{self: h.Name, board: b, dialer: d, observer: h, roster: &h.roster, dialLink: d.link}
 	h.observer = executor.Observer{Board: b, Pools: &h.pools}
 	var s []declarer.Server
 	for _, y := range d.servers {
 		s = append(s, y.declared)
 	}
-	h.pools.take(s)
+	h.pools.setServers(s)
 	b.TakeServers(s)
 	return x
 }
@@ -333,62 +338,62 @@
 	return nil
 }
 
-// listed is what the platform lists of host i.
+// listed returns the platform's entry of host i.
 func (d *deployment) listed(i int) declarer.Host {
 	n := fmt.Sprintf("h-%02d", i)
 	return declarer.Host{Name: n, Address: n, AvailabilityZone: fmt.Sprintf("z-%d", i%3)}
 }
 
-// acquaintance is how long hosts that have started don't know each other.
-const acquaintance = 3 * time.Second
+// rosterDelay is how long the rosters of restarted hosts are empty.
+const rosterDelay = 3 * time.Second
 
-// messageTime is how long a message between hosts takes.
-const messageTime = time.Millisecond
+// messageDelay is the one-way delay of a message between hosts.
+const messageDelay = time.Millisecond
 
-// link connects to the host that owns a server's connections.
+// link opens a link to the host that owns a server's connections.
 func (d *deployment) link(_ context.Context, owner string, s declarer.Server) (connpooler.Connection, error) {
-	time.Sleep(2 * messageTime)
+	time.Sleep(2 * messageDelay)
 	x := d.find(owner)
-	if x == nil || x.gone.Load() {
+	if x == nil || x.poweredOff.Load() {
 		return nil, connpooler.ErrNoRoute
 	}
 	c := &link{owner: x, events: make(chan lender.Event, 64), answers: make(chan declarer.Answer, 256)}
-	l := &lender.Link{Borrower: &borrower{link: c}, Pool: func() *connpooler.Pool { return x.host.pools.own(s.ID) }, OnAnswer: func() {}, ActiveLeases: &x.lent}
+	l := &lender.Link{Borrower: &borrower{link: c}, Pool: func() *connpooler.Pool { return x.host.pools.ownPool(s.ID) }, OnAnswer: func() {}, ActiveLeases: &x.lent}
 	go l.Run()
 	return c, nil
 }
 
 // link is the borrower's end of a link between hosts.
 type link struct {
-	owner   *node
-	events  chan lender.Event
-	answers chan declarer.Answer
-	lend    *lender.Event
-	owed    int
-	closed  bool
+	owner       *node
+	events      chan lender.Event
+	answers     chan declarer.Answer
+	pendingLend *lender.Event
+	pending     int
+	closed      bool
 }
 
 func (l *link) Borrow(a connpooler.AcquireRequest) {
-	l.lend = &lender.Event{Kind: lender.KindLend, Wait: time.Until(a.Deadline) - 20*messageTime, Class: a.Class, Team: a.Team}
+	l.pendingLend = &lender.Event{Kind: lender.KindLend, Wait: time.Until(a.Deadline) - 20*messageDelay, Class: a.Class, Team: a.Team}
 	if !a.Objective.IsZero() {
-		l.lend.Objective = max(time.Millisecond, time.Until(a.Objective)-20*messageTime)
+		l.pendingLend.Objective = max(time.Millisecond, time.Until(a.Objective)-20*messageDelay)
 	}
 }
 
 func (l *link) Return() error {
-	if l.lend == nil {
+	if l.pendingLend == nil {
 		l.events <- lender.Event{Kind: lender.KindReturn}
 	}
-	l.lend = nil
+	l.pendingLend = nil
 	return nil
 }
 
 func (l *link) Send(r []declarer.Request, deadline time.Time) error {
-	if l.lend != nil {
-		l.events <- *l.lend
-		l.lend = nil
+	if l.pendingLend != nil {
+		l.events <- *l.pendingLend
+		l.pendingLend = nil
 	}
-	l.owed += len(r)
+	l.pending += len(r)
 	l.events <- lender.Event{Kind: lender.KindStatements, Wait: time.Until(deadline), Requests: append([]declarer.Request(nil), r...)}
 	return nil
 }
@@ -401,7 +406,7 @@
 		if !ok {
 			return io.EOF
 		}
-		l.owed--
+		l.pending--
 		*a = x
 		return nil
 	case <-t.C:
@@ -409,10 +414,10 @@
 	}
 }
 
-func (l *link) PendingAnswers() int { return l.owed }
+func (l *link) PendingAnswers() int { return l.pending }
 
-// Ended sees what keep-alive probes find out: the owner has restarted.
-func (l *link) Ended() bool { return l.closed || l.owner.gone.Load() }
+// Ended also reports a restart of the owner, which keep-alive probes would detect.
+func (l *link) Ended() bool { return l.closed || l.owner.poweredOff.Load() }
 
 func (l *link) Close() {
 	if !l.closed {
@@ -421,7 +426,7 @@
 	}
 }
 
-// borrower is the owner's end.
+// borrower is the owner's end of a link.
 type borrower struct {
 	link *link
 	out  []declarer.Answer
@@ -431,11 +436,11 @@
 
 func (b *borrower) Next() (lender.Event, error) {
 	e, ok := <-b.link.events
-	if !ok || b.link.owner.gone.Load() {
+	if !ok || b.link.owner.poweredOff.Load() {
 		return e, io.EOF
 	}
 	if e.Kind == lender.KindLend {
-		time.Sleep(messageTime)
+		time.Sleep(messageDelay)
 	}
 	return e, nil
 }
@@ -457,7 +462,7 @@
 }
 
 func (b *borrower) Flush() error {
-	time.Sleep(messageTime)
+	time.Sleep(messageDelay)
 	for _, x := range b.out {
 		b.link.answers <- x
 	}
@@ -465,15 +470,15 @@
 	return nil
 }
 
-// loseAll takes the power of all hosts away and starts them again after down. The servers go
-// on to count the connections that were open, for linger.
-func (d *deployment) loseAll(down, linger time.Duration) {
+// powerCycleAll powers all hosts off and starts them again after down. The servers count the
+// connections that were open as such until linger has passed.
+func (d *deployment) powerCycleAll(down, linger time.Duration) {
 	d.mu.Lock()
 	old := d.nodes
 	d.nodes = nil
 	d.mu.Unlock()
 	for _, x := range old {
-		x.gone.Store(true)
+		x.poweredOff.Store(true)
 	}
 	time.Sleep(down)
 	d.mu.Lock()
@@ -481,7 +486,7 @@
 		x := d.node(i, len(old))
 		hosts := x.host.roster.others()
 		x.host.roster.reset(nil)
-		time.AfterFunc(acquaintance, func() { x.host.roster.reset(append(hosts, d.listed(i))) })
+		time.AfterFunc(rosterDelay, func() { x.host.roster.reset(append(hosts, d.listed(i))) })
 		d.nodes = append(d.nodes, x)
 	}
 	d.mu.Unlock()
@@ -495,7 +500,8 @@
 	}
 }
 
-// restart has one host lose its power and come back, known to all, unless all have lost it.
+// restart power cycles one host. The others' rosters still list it. It does nothing while all hosts
+// are powered off.
 func (d *deployment) restart(draw uint64) {
 	d.mu.Lock()
 	if len(d.nodes) == 0 {
@@ -504,7 +510,7 @@
 	}
 	i := int(draw % uint64(len(d.nodes)))
 	old := d.nodes[i]
-	old.gone.Store(true)
+	old.poweredOff.Store(true)
 	d.nodes[i] = d.node(i, len(d.nodes))
 	d.mu.Unlock()
 	time.Sleep(3 * time.Second)
@@ -515,18 +521,18 @@
 	}
 }
 
-// darken has a server answer nothing for a while.
-func (s *instance) darken(d time.Duration) {
+// makeUnresponsive makes the server answer nothing for d.
+func (s *instance) makeUnresponsive(d time.Duration) {
 	s.mu.Lock()
-	s.dark = true
+	s.unresponsive = true
 	s.mu.Unlock()
 	time.Sleep(d)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dark = false
+	s.unresponsive = false
 }
 
-// trim closes connections that nobody needs until ctx ends, as hosts do.
+// trim closes unused connections of all hosts at intervals until ctx ends, as Host.Run does.
 func (d *deployment) trim(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(trimInterval)
@@ -539,4 +545,4 @@
 	}
 }
 
-var errNoHost = errors.New("no host takes callers")
+var errNoHost = errors.New("no host accepts callers")
--- a/internal/proxy/runner/draining.go
+++ b/internal/proxy/runner/draining.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	// rotation is how long the balancer may send new connections after the host has
-	// said that it isn't ready: it asks once a second and twice before it believes.
-	rotation = 2200 * time.Millisecond
-	// exitSpare is what is left of the grace for the process to end.
-	exitSpare = 500 * time.Millisecond
-	// drainStep is how often a draining host looks whether all sessions have ended.
-	drainStep = 50 * time.Millisecond
+	// readinessPropagationDelay is how long the balancer may send new connections after the host
+	// has become unready: it polls once a second and acts on the second negative answer.
+	readinessPropagationDelay = 2200 * time.Millisecond
+	// exitReserve is the part of the grace period that is left for the process to exit.
+	exitReserve = 500 * time.Millisecond
+	// drainPollInterval is how often a draining host checks whether all sessions have ended.
+	drainPollInterval = 50 * time.Millisecond
 )
 
-// drain says that the host isn't ready, waits until the balancer knows, has sessions
-// end where nothing is cut off, and cuts open transactions off at half the grace.
+// drain makes the host unready and waits until the balancer sends no more connections. Sessions
+// then end as soon as they are outside of a transaction; after five eighths of the grace period
+// those with an open transaction are terminated as well.
 func (h *Host) drain(ctx context.Context) {
 	began, grace := time.Now(), h.bounds().Grace
 	h.draining.Store(true)
 	h.Log.WithField("sessions", h.SessionCount()).Info("draining")
-	// Others borrow from the next owner then; what they have borrowed here may end.
-	h.leave()
-	_ = scheduler.Pause(ctx, min(rotation, grace/2))
-	h.each((*executor.Session).Stop)
-	for time.Since(began) < grace-exitSpare && h.SessionCount()+int(h.lent.Load()) > 0 {
+	// Without its entry, other hosts borrow from the next owner. Leases that are out may end.
+	h.deregister()
+	_ = scheduler.Pause(ctx, min(readinessPropagationDelay, grace/2))
+	h.forEachSession((*executor.Session).Stop)
+	for time.Since(began) < grace-exitReserve && h.SessionCount()+int(h.activeLeases.Load()) > 0 {
 		if time.Since(began) > grace*5/8 {
-			h.each((*executor.Session).Terminate)
+			h.forEachSession((*executor.Session).Terminate)
 		} else {
-			h.each((*executor.Session).Stop)
+			h.forEachSession((*executor.Session).Stop)
 		}
-		if scheduler.Pause(ctx, drainStep) != nil {
+		if scheduler.Pause(ctx, drainPollInterval) != nil {
 			return
 		}
 	}
-	h.Log.WithField("sessions", h.SessionCount()).WithField("lent", h.lent.Load()).Info("drained")
+	h.Log.WithField("sessions", h.SessionCount()).WithField("lent", h.activeLeases.Load()).Info("drained")
 }
--- a/internal/proxy/runner/follower.go
+++ b/internal/proxy/runner/follower.go
@@ -13,93 +13,97 @@
 )
 
 const (
-	// watchSlack is what the answer to a waiting call may begin later than it waits.
+	// watchSlack is how long after the end of its wait the answer to a watch call may begin.
 	watchSlack = 400 * time.Millisecond
-	// listTimeout bounds other calls, up to the beginning of an answer.
+	// listTimeout bounds the time until the answer to any other call begins.
 	listTimeout = 700 * time.Millisecond
-	// stallTimeout ends a call of whose answer nothing more comes.
+	// stallTimeout ends a call whose answer has begun and makes no more progress.
 	stallTimeout = 700 * time.Millisecond
 )
 
-// Source is one kind of object on the platform, decoded.
+// Source reads and decodes one kind of object of the platform's store.
 type Source[T any] interface {
-	// List returns all there are, and the revision from where to watch.
+	// List returns all objects and the revision to watch from.
 	List(ctx context.Context) ([]T, uint64, error)
-	// Watch waits for changes after the revision and returns them with the new one.
-	// It returns cachesyncer.ErrForgotten if they aren't kept so long.
+	// Watch waits up to wait for changes after a revision and returns them with the new
+	// revision. It returns cachesyncer.ErrForgotten if the store has discarded the changes since
+	// that revision.
 	Watch(ctx context.Context, after uint64, wait time.Duration) ([]Change[T], uint64, error)
 }
 
-// Change is that of one object.
+// Change is the change of one object.
 type Change[T any] struct {
-	// Name is the object's, Value is zero if it is gone or can't be understood.
-	Name    string
+	// Name is the name of the object.
+	Name string
+	// Value is the new value, zero if the object was removed or can't be decoded.
 	Value   T
 	Removed bool
 }
 
-// follower keeps up with one kind of object.
+// follower keeps a local copy of one kind of object current by list and watch calls.
 type follower[T any] struct {
 	name   string
 	source Source[T]
-	// wait is how long a waiting call lasts. It bounds for how long a change stays
-	// unknown that was missed on a watch that went silent, and each call is counted by
-	// the platform.
+	// wait returns how long a watch call waits for changes. A change that is missed on a stalled
+	// watch stays unknown for so long at most; shorter waits make more calls, and the platform
+	// counts each.
 	wait func() time.Duration
-	// reset takes the whole list, apply one change.
+	// reset receives the whole list, apply the changes after it.
 	reset func([]T)
 	apply func([]Change[T])
 	log   log.Interface
-	// lost counts losses of the platform by name.
-	lost func(name string)
-	// gate says when the store may be asked.
+	// onLost is called with name when the platform stops answering.
+	onLost func(name string)
+	// gate limits the calls while the store does not answer.
 	gate *gate
-	// after, if it isn't nil, is what is waited for, up to patience, before the first call:
-	// that other hosts are known from which can be read.
-	after    <-chan struct{}
-	patience time.Duration
-	// first is closed with the first list.
-	first chan struct{}
-	// confirmed is told of each answer.
-	confirmed func()
-	listed    atomic.Bool
-	failing   bool
+	// startAfter, if not nil, delays the first call until it is closed or startTimeout has
+	// passed, so that the upstream hosts are known by then.
+	startAfter   <-chan struct{}
+	startTimeout time.Duration
+	// firstListed, if not nil, is closed when the first list has been received.
+	firstListed chan struct{}
+	// onAnswer is called after each successful call.
+	onAnswer func()
+	// listed reports whether a list has been received.
+	listed atomic.Bool
+	// failing reports whether the last call failed.
+	failing bool
 }
 
 // run lists and watches until ctx ends.
 func (f *follower[T]) run(ctx context.Context) {
-	f.await(ctx)
-	var at uint64
-	fresh := false
-	for f.gate.pass(ctx) == nil {
+	f.awaitStart(ctx)
+	var revision uint64
+	watching := false
+	for f.gate.await(ctx) == nil {
 		var err error
-		if fresh {
-			at, err = f.watch(ctx, at)
+		if watching {
+			revision, err = f.watch(ctx, revision)
 		} else {
-			at, err = f.list(ctx)
+			revision, err = f.list(ctx)
 		}
-		f.note(err)
+		f.recordResult(err)
 		switch {
 		case err == nil:
-			fresh = true
-			f.gate.answered()
-			f.confirmed()
+			watching = true
+			f.gate.recordAnswer()
+			f.onAnswer()
 		case errors.Is(err, cachesyncer.ErrForgotten):
-			fresh = false
+			watching = false
 		default:
-			f.gate.failed()
+			f.gate.recordFailure()
 		}
 	}
 }
 
-func (f *follower[T]) await(ctx context.Context) {
-	if f.after == nil {
+func (f *follower[T]) awaitStart(ctx context.Context) {
+	if f.startAfter == nil {
 		return
 	}
-	t := time.NewTimer(f.patience)
+	t := time.NewTimer(f.startTimeout)
 	defer t.Stop()
 	select {
-	case <-f.after:
+	case <-f.startAfter:
 	case <-t.C:
 	case <-ctx.Done():
 	}
@@ -108,40 +112,41 @@
 func (f *follower[T]) list(ctx context.Context) (uint64, error) {
 	c, cancel := watchdog.With(ctx, listTimeout, stallTimeout)
 	defer cancel()
-	l, at, err := f.source.List(c)
+	l, revision, err := f.source.List(c)
 	if err != nil {
 		return 0, err
 	}
 	f.reset(l)
-	if f.listed.CompareAndSwap(false, true) && f.first != nil {
-		close(f.first)
+	if f.listed.CompareAndSwap(false, true) && f.firstListed != nil {
+		close(f.firstListed)
 	}
-	return at, nil
+	return revision, nil
 }
 
-func (f *follower[T]) watch(ctx context.Context, at uint64) (uint64, error) {
+func (f *follower[T]) watch(ctx context.Context, revision uint64) (uint64, error) {
 	wait := f.wait()
 	c, cancel := watchdog.With(ctx, wait+watchSlack, stallTimeout)
 	defer cancel()
-	l, next, err := f.source.Watch(c, at, wait)
+	l, next, err := f.source.Watch(c, revision, wait)
 	if err != nil {
-		return at, err
+		return revision, err
 	}
 	if len(l) > 0 {
 		f.apply(l)
 	}
-	return max(at, next), nil
+	return max(revision, next), nil
 }
 
-// note writes down when the platform is lost and regained.
-func (f *follower[T]) note(err error) {
+// recordResult logs when calls begin to fail and when they succeed again. ErrForgotten is no
+// failure, as the store has answered.
+func (f *follower[T]) recordResult(err error) {
 	failing := err != nil && !errors.Is(err, cachesyncer.ErrForgotten)
 	if failing == f.failing {
 		return
 	}
 	f.failing = failing
 	if failing {
-		f.lost(f.name)
+		f.onLost(f.name)
 		f.log.WithError(err).WithField("kind", f.name).Warn("platform lost")
 		return
 	}
--- a/internal/proxy/runner/follower_test.go
+++ b/internal/proxy/runner/follower_test.go
@@ -13,8 +13,8 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/declarer"
 )
 
-// script answers calls in order; after the last one it waits.
-type script struct {
+// scriptedSource gives answers in order. A call after the last answer waits until its context ends.
+type scriptedSource struct {
 	answers []answer
 	calls   []string
 }
@@ -25,7 +25,7 @@
 	err  error
 }
 
-func (s *script) next(ctx context.Context, call string) answer {
+func (s *scriptedSource) next(ctx context.Context, call string) answer {
 	s.calls = append(s.calls, call)
 	if len(s.answers) == 0 {
 		<-ctx.Done()
@@ -36,12 +36,12 @@
 	return a
 }
 
-func (s *script) List(ctx context.Context) ([]string, uint64, error) {
+func (s *scriptedSource) List(ctx context.Context) ([]string, uint64, error) {
 	a := s.next(ctx, "list")
 	return a.list, a.at, a.err
 }
 
-func (s *script) Watch(ctx context.Context, after uint64, _ time.Duration) ([]Change[string], uint64, error) {
+func (s *scriptedSource) Watch(ctx context.Context, after uint64, _ time.Duration) ([]Change[string], uint64, error) {
 	a := s.next(ctx, "watch "+time.Duration(after).String())
 	var l []Change[string]
 	for _, v := range a.list {
@@ -50,11 +50,11 @@
 	return l, a.at, a.err
 }
 
-// The store forgets its history while a change is made. Going on from the old revision
-// would miss that change for good.
+// Guards against a missed change: the store discards its history while a change is made, so that a
+// follower which goes on from the old revision never receives that change. It must list again.
 func TestFollowerListsAnewAfterForgetting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{answers: []answer{
+		s := &scriptedSource{answers: []answer{
 			{err: errors.New("away")},
 			{list: []string{"a"}, at: 5},
 			{list: []string{"b"}, at: 7},
@@ -64,7 +64,7 @@
 		}}
 		var seen []string
 		f := &follower[string]{
-			name: "test", source: s, gate: &gate{}, confirmed: func() {}, wait: lasting(1800 * time.Millisecond), log: quiet, lost: func(string) {},
+			name: "test", source: s, gate: &gate{}, onAnswer: func() {}, wait: constant(1800 * time.Millisecond), log: discardLog, onLost: func(string) {},
 			reset: func(l []string) { seen = append(append(seen, "all"), l...) },
 			apply: func(l []Change[string]) { seen = append(seen, l[0].Value) },
 		}
@@ -82,12 +82,13 @@
 	})
 }
 
-// A watch goes silent: its connection is open and nothing comes. A change made meanwhile
-// must be in force within three seconds of its acknowledgement.
+// Guards against a watch that stalls: its connection stays open and no data arrives. A change made
+// meanwhile must be in force within three seconds of its acknowledgement, so the watch must time out
+// before that.
 func TestSilentWatchIsGivenUpInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{answers: []answer{{at: 5}}}
-		f := &follower[string]{name: "test", source: s, gate: &gate{}, confirmed: func() {}, wait: lasting(1800 * time.Millisecond), log: quiet, lost: func(string) {}, reset: func([]string) {}, apply: func([]Change[string]) {}}
+		s := &scriptedSource{answers: []answer{{at: 5}}}
+		f := &follower[string]{name: "test", source: s, gate: &gate{}, onAnswer: func() {}, wait: constant(1800 * time.Millisecond), log: discardLog, onLost: func(string) {}, reset: func([]string) {}, apply: func([]Change[string]) {}}
 		ctx, cancel := context.WithCancel(t.Context())
 		go f.run(ctx)
 		time.Sleep(2900 * time.Millisecond)
@@ -99,9 +100,10 @@
 	})
 }
 
-// While the store is away entries of servers lapse, and are back soon after its return.
-// Dropping the servers at once would leave callers without any that are well.
-func TestLapsedServersAreKeptForAWhile(t *testing.T) {
+// Guards against the loss of healthy servers: while the store is unavailable, entries of servers
+// lapse, and they are back soon after its return. If the servers were removed at once, callers would
+// have none.
+func TestLapsedServersAreRetainedTemporarily(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var now []string
 		c := &catalogue{publish: func(l []declarer.Server) {
@@ -119,10 +121,10 @@
 		}
 		b.Revision = 9
 		c.apply([]Change[declarer.Server]{{Name: "b", Value: b}})
-		time.Sleep(ghostFor + time.Millisecond)
+		time.Sleep(lapsedServerRetention + time.Millisecond)
 		synctest.Wait()
 		if want := []string{"b"}; !slices.Equal(now, want) {
-			t.Errorf("servers %q in the end, want %q", now, want)
+			t.Errorf("servers %q after the retention, want %q", now, want)
 		}
 		c.apply([]Change[declarer.Server]{{Name: "b", Removed: true}})
 		if len(now) != 0 {
--- a/internal/proxy/runner/gate.go
+++ b/internal/proxy/runner/gate.go
@@ -8,35 +8,35 @@
 )
 
 const (
-	// firstBackoff and longestBackoff bound the pause after a failed call.
-	firstBackoff   = 100 * time.Millisecond
-	longestBackoff = 400 * time.Millisecond
+	// minimumBackoff and maximumBackoff bound the pause after a failed call.
+	minimumBackoff = 100 * time.Millisecond
+	maximumBackoff = 400 * time.Millisecond
 )
 
-// gate lets one call at a time go out to a store that doesn't answer, in growing
-// intervals, and all of them once it has. The store counts and refuses calls also while
-// it is away; if each of a host's parts asked by itself, a fleet would make four times as
-// many, and find out no sooner.
+// gate admits one call at a time to a store that does not answer, at growing intervals, and all
+// calls once it has answered. The store counts and refuses calls even while it is unavailable. If
+// each part of a host retried on its own, a deployment would make four times as many calls and
+// detect the store's return no sooner.
 type gate struct {
 	mu sync.Mutex
-	// pause is the present interval, zero while the store answers.
+	// pause is the current interval between calls, zero while the store answers.
 	pause time.Duration
-	// next is when the next call may go out.
-	next time.Time
-	// opened is closed when the store has answered.
-	opened chan struct{}
+	// nextCall is when the next call is admitted.
+	nextCall time.Time
+	// reopened is closed when the store answers again.
+	reopened chan struct{}
 }
 
-// pass waits until a call may be made.
-func (g *gate) pass(ctx context.Context) error {
+// await waits until a call is admitted. It returns the error of ctx if that ends first.
+func (g *gate) await(ctx context.Context) error {
 	for ctx.Err() == nil {
-		d, opened := g.turn()
+		d, reopened := g.delay()
 		if d <= 0 {
 			return nil
 		}
 		t := time.NewTimer(d)
 		select {
-		case <-opened:
+		case <-reopened:
 		case <-t.C:
 		case <-ctx.Done():
 		}
@@ -45,42 +45,42 @@
 	return ctx.Err()
 }
 
-// turn returns how long to wait, and what ends the wait sooner. Whoever needn't wait has
-// the only call of this interval.
-func (g *gate) turn() (time.Duration, <-chan struct{}) {
+// delay returns how long to wait and a channel whose closing ends the wait early. A caller that
+// gets no delay while the store does not answer makes the only call of this interval.
+func (g *gate) delay() (time.Duration, <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.pause == 0 {
 		return 0, nil
 	}
-	if d := time.Until(g.next); d > 0 {
-		return d, g.opened
+	if d := time.Until(g.nextCall); d > 0 {
+		return d, g.reopened
 	}
-	g.putOff()
+	g.postpone()
 	return 0, nil
 }
 
-// putOff puts the next call off. The mutex is held.
-func (g *gate) putOff() { g.next = time.Now().Add(g.pause/2 + rand.N(g.pause)) }
+// postpone sets the time of the next call with a random jitter. The caller holds the mutex.
+func (g *gate) postpone() { g.nextCall = time.Now().Add(g.pause/2 + rand.N(g.pause)) }
 
-// failed notes a call that the store didn't answer.
-func (g *gate) failed() {
+// recordFailure records a call that the store did not answer.
+func (g *gate) recordFailure() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.pause == 0 {
-		g.opened = make(chan struct{})
+		g.reopened = make(chan struct{})
 	}
-	g.pause = min(max(firstBackoff, 2*g.pause), longestBackoff)
-	g.putOff()
+	g.pause = min(max(minimumBackoff, 2*g.pause), maximumBackoff)
+	g.postpone()
 }
 
-// answered notes one that it did.
-func (g *gate) answered() {
+// recordAnswer records a call that the store answered, and admits all waiting calls.
+func (g *gate) recordAnswer() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.pause == 0 {
 		return
 	}
 	g.pause = 0
-	close(g.opened)
+	close(g.reopened)
 }
--- a/internal/proxy/runner/host.go
+++ b/internal/proxy/runner/host.go
@@ -26,27 +26,27 @@
 )
 
 const (
-	// listPatience bounds the wait for the list of entry hosts before the other lists are
-	// asked for: an answer of the store takes milliseconds, and where the store is away
+	// hostListTimeout bounds the wait for the list of entry hosts before the other lists are
+	// requested. An answer of the store takes milliseconds, and while the store is unavailable
 	// nothing can be read anyway.
-	listPatience = 300 * time.Millisecond
-	// entryPatience bounds the wait for a host's own entry at such a start.
-	entryPatience = time.Second
-	// trimInterval is how often unused connections are looked for.
+	hostListTimeout = 300 * time.Millisecond
+	// registrationTimeout bounds the wait for the host's own registration at a first start.
+	registrationTimeout = time.Second
+	// trimInterval is how often unused connections are closed.
 	trimInterval = 500 * time.Millisecond
 )
 
 // Host is one entry host. Its exported fields are set before Run.
 type Host struct {
 	Name string
-	// CallerAddress takes callers, ReadinessAddress the balancer's questions.
-	CallerAddress    string
+	// CallerAddress is the address on which callers connect.
+	CallerAddress string
+	// ReadinessAddress is the address on which the balancer polls ReadinessPath over HTTP.
 	ReadinessAddress string
-	// ReadinessPath is where the balancer asks.
-	ReadinessPath string
-	// Bounds are those at the start; Adjust changes them later.
+	ReadinessPath    string
+	// Bounds holds the initial bounds; SetBounds replaces them.
 	Bounds Bounds
-	// FirstStart says that all hosts of the deployment start now for the first time.
+	// FirstStart is set if all hosts of the deployment start now for the first time.
 	FirstStart bool
 
 	Board          *blackboard.Board
@@ -55,17 +55,21 @@
 	Hosts          Source[declarer.Host]
 	Registrar      Registrar
 	Transport      relaydialer.Transport
-	Relayer        *relayer.Relayer
-	// DialLink opens a link to the host that owns a server's connections, Borrower takes
-	// over the other end of one.
-	DialLink    func(ctx context.Context, owner string, s declarer.Server) (connpooler.Connection, error)
+	// Relayer serves connections of other hosts. Run sets its listener and its functions Find, Alive,
+	// Answered and Lend.
+	Relayer *relayer.Relayer
+	// DialLink opens a link to the host that owns the connections to a server. owner is that
+	// host's address.
+	DialLink func(ctx context.Context, owner string, s declarer.Server) (connpooler.Connection, error)
+	// NewBorrower wraps the accepting end of such a link.
 	NewBorrower func(c net.Conn) lender.Borrower
-	// Self is how other hosts reach this one.
+	// Self is the entry under which other hosts find and reach this one.
 	Self declarer.Host
-	// ParseStatus reads the row in which a server tells its status.
-	ParseStatus       func(row string) (declarer.Status, error)
+	// ParseStatus parses the row in which a server reports its status.
+	ParseStatus func(row string) (declarer.Status, error)
+	// PromotionPlatform makes claims and orders promotions.
 	PromotionPlatform promoter.Platform
-	// NewCaller makes a caller of a connection.
+	// NewCaller wraps a caller's connection.
 	NewCaller func(net.Conn) executor.Caller
 	Reporter  executor.Reporter
 	Counter   Counter
@@ -83,28 +87,31 @@
 	prober         promoter.Prober
 	dialer         relaydialer.Dialer
 	draining       atomic.Bool
-	// adjusted are the bounds that came after those at the start.
-	adjusted atomic.Pointer[Bounds]
-	// entered is closed once the hosts of a first start have entered the store.
-	entered chan struct{}
-	// lent counts the connections that other hosts have borrowed.
-	lent atomic.Int64
+	// currentBounds holds the bounds of the last SetBounds, nil before the first.
+	currentBounds atomic.Pointer[Bounds]
+	// registered is closed once all hosts of a first start had time to register. It is nil at any
+	// other start.
+	registered chan struct{}
+	// activeLeases counts the connections that other hosts currently borrow.
+	activeLeases atomic.Int64
 
-	mu        sync.Mutex
-	sessions  map[*executor.Session]struct{}
+	mu       sync.Mutex
+	sessions map[*executor.Session]struct{}
+	// promoters holds the names of the groups whose promoter has been started.
 	promoters map[string]bool
-	// running is Run's context, under which promoters of groups that come later run.
-	running context.Context
+	// runContext is the context of Run, which also ends promoters of groups that are listed later.
+	runContext context.Context
 }
 
-// Counter counts what isn't a statement.
+// Counter counts events other than statements.
 type Counter interface {
 	promoter.Counter
+	// PlatformLost counts that calls about one kind of object have begun to fail.
 	PlatformLost(kind string)
 }
 
-// Run serves until drain is closed, and then until all sessions have ended or the
-// grace is over.
+// Run serves callers until drain is closed, and then until all sessions have ended or the grace
+// period is over. It returns an error if it can't listen on an address.
 func (h *Host) Run(ctx context.Context, drain <-chan struct{}) error {
 	h.prepare()
 	c, err := net.Listen("tcp4", h.CallerAddress)
@@ -120,7 +127,7 @@
 	}
 	x, cancel := context.WithCancel(ctx)
 	defer cancel()
-	h.running = x
+	h.runContext = x
 	h.start(x, c, r)
 	select {
 	case <-drain:
@@ -134,43 +141,43 @@
 func (h *Host) prepare() {
 	h.sessions = make(map[*executor.Session]struct{})
 	h.promoters = make(map[string]bool)
-	h.roster.own = h.Self
+	h.roster.self = h.Self
 	h.roster.regions = h.Board.Regions
 	h.dialer = relaydialer.Dialer{Transport: h.Transport, Hosts: h.roster.others}
 	h.prober = promoter.Prober{Dialer: &h.dialer, Parse: h.ParseStatus}
-	h.pools = pools{self: h.Name, board: h.Board, dialer: &h.dialer, observer: h, roster: &h.roster, link: h.DialLink}
+	h.pools = pools{self: h.Name, board: h.Board, dialer: &h.dialer, observer: h, roster: &h.roster, dialLink: h.DialLink}
 	h.hosts = follower[declarer.Host]{
-		name: "entry hosts", source: h.Hosts, wait: lasting(hostsWait), first: make(chan struct{}), gate: &h.gate, confirmed: h.confirms(blackboard.SectionHosts),
-		reset: h.roster.reset, apply: h.roster.apply, log: h.Log, lost: h.Counter.PlatformLost,
+		name: "entry hosts", source: h.Hosts, wait: constant(hostsWait), firstListed: make(chan struct{}), gate: &h.gate, onAnswer: h.confirmFunc(blackboard.SectionHosts),
+		reset: h.roster.reset, apply: h.roster.apply, log: h.Log, onLost: h.Counter.PlatformLost,
 	}
-	patience := listPatience
+	startTimeout := hostListTimeout
 	if h.FirstStart {
-		h.entered = make(chan struct{})
-		h.hosts.after, h.hosts.patience = h.entered, entryPatience
-		patience += entryPatience
+		h.registered = make(chan struct{})
+		h.hosts.startAfter, h.hosts.startTimeout = h.registered, registrationTimeout
+		startTimeout += registrationTimeout
 	}
 	h.observer = executor.Observer{Board: h.Board, Pools: &h.pools}
-	h.catalogue = catalogue{publish: h.publish}
+	h.catalogue = catalogue{publish: h.publishServers}
 	h.configurations = follower[*declarer.Configuration]{
-		name: "configuration", source: h.Configurations, wait: h.configWait, after: h.hosts.first, patience: patience,
-		gate: &h.gate, confirmed: h.confirms(blackboard.SectionConfiguration),
-		reset: h.configure, apply: h.reconfigure, log: h.Log, lost: h.Counter.PlatformLost,
+		name: "configuration", source: h.Configurations, wait: h.configWait, startAfter: h.hosts.firstListed, startTimeout: startTimeout,
+		gate: &h.gate, onAnswer: h.confirmFunc(blackboard.SectionConfiguration),
+		reset: h.resetConfiguration, apply: h.applyConfiguration, log: h.Log, onLost: h.Counter.PlatformLost,
 	}
 	h.servers = follower[declarer.Server]{
-		name: "servers", source: h.Servers, wait: h.serversWait, after: h.hosts.first, patience: patience,
-		gate: &h.gate, confirmed: h.confirms(blackboard.SectionServers),
-		reset: h.catalogue.reset, apply: h.catalogue.apply, log: h.Log, lost: h.Counter.PlatformLost,
+		name: "servers", source: h.Servers, wait: h.serversWait, startAfter: h.hosts.firstListed, startTimeout: startTimeout,
+		gate: &h.gate, onAnswer: h.confirmFunc(blackboard.SectionServers),
+		reset: h.catalogue.reset, apply: h.catalogue.apply, log: h.Log, onLost: h.Counter.PlatformLost,
 	}
 }
 
-// confirms returns what notes on the board that a section was confirmed.
-func (h *Host) confirms(s blackboard.Section) func() {
+// confirmFunc returns a function that records on the board that a section is current.
+func (h *Host) confirmFunc(s blackboard.Section) func() {
 	return func() { h.Board.Confirm(s) }
 }
 
 func (h *Host) start(ctx context.Context, callers, readiness net.Listener) {
 	m := http.NewServeMux()
-	m.HandleFunc(h.ReadinessPath, h.answerReadiness)
+	m.HandleFunc(h.ReadinessPath, h.handleReadiness)
 	s := &http.Server{Handler: m, ReadHeaderTimeout: time.Second}
 	h.follow(ctx)
 	h.Relayer.Find = h.pools.find
@@ -184,16 +191,16 @@
 	h.Log.WithField("host", h.Name).Info("started")
 }
 
-// Follow enters the host into the platform and keeps up with what that lists until ctx
-// ends. It takes no callers.
+// Follow registers the host with the platform and follows the platform's lists until ctx ends,
+// without accepting callers.
 func (h *Host) Follow(ctx context.Context) {
 	h.prepare()
-	h.running = ctx
+	h.runContext = ctx
 	h.follow(ctx)
 	<-ctx.Done()
 }
 
-// follow starts what keeps up with the platform.
+// follow starts the followers of the platform's lists and the registration.
 func (h *Host) follow(ctx context.Context) {
 	go h.configurations.run(ctx)
 	go h.servers.run(ctx)
@@ -201,7 +208,7 @@
 	go (&registration{host: h}).run(ctx)
 }
 
-// readinessServer answers the balancer.
+// readinessServer serves the balancer's readiness checks.
 type readinessServer struct {
 	server   *http.Server
 	listener net.Listener
@@ -210,11 +217,11 @@
 
 func (r *readinessServer) run() {
 	if err := r.server.Serve(r.listener); !errors.Is(err, http.ErrServerClosed) {
-		r.log.WithError(err).Error("readiness is not served any more")
+		r.log.WithError(err).Error("readiness server failed")
 	}
 }
 
-func (h *Host) answerReadiness(w http.ResponseWriter, _ *http.Request) {
+func (h *Host) handleReadiness(w http.ResponseWriter, _ *http.Request) {
 	if !h.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -222,15 +229,15 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Ready reports whether the host takes callers.
+// Ready reports whether the host accepts callers.
 func (h *Host) Ready() bool { return !h.draining.Load() && h.ready() }
 
-// ready reports whether the host knows the configuration and the servers.
+// ready reports whether the host has received the configuration and the list of servers.
 func (h *Host) ready() bool {
 	return h.Board.Configuration() != nil && h.servers.listed.Load()
 }
 
-// trimmer closes connections that nobody needs.
+// trimmer closes unused connections at intervals.
 type trimmer struct {
 	host *Host
 }
@@ -241,35 +248,35 @@
 	}
 }
 
-func (h *Host) configure(l []*declarer.Configuration) {
+func (h *Host) resetConfiguration(l []*declarer.Configuration) {
 	for _, c := range l {
-		h.adopt(c)
+		h.setConfiguration(c)
 	}
 }
 
-func (h *Host) reconfigure(l []Change[*declarer.Configuration]) {
+func (h *Host) applyConfiguration(l []Change[*declarer.Configuration]) {
 	for _, c := range l {
 		if !c.Removed {
-			h.adopt(c.Value)
+			h.setConfiguration(c.Value)
 		}
 	}
 }
 
-func (h *Host) adopt(c *declarer.Configuration) {
+func (h *Host) setConfiguration(c *declarer.Configuration) {
 	if h.Board.Configure(c) {
 		h.Log.WithField("version", c.Version).WithField("routes", len(c.Routes)).Info("configuration in force")
 	}
 }
 
-// publish takes the servers as they are listed now.
-func (h *Host) publish(l []declarer.Server) {
-	h.pools.take(l)
+// publishServers passes the current list of servers to the pools and the board.
+func (h *Host) publishServers(l []declarer.Server) {
+	h.pools.setServers(l)
 	h.Board.TakeServers(l)
-	h.promote()
+	h.startPromoters()
 }
 
-// promote starts a promoter for each group that has none.
-func (h *Host) promote() {
+// startPromoters starts a promoter for each group that has none.
+func (h *Host) startPromoters() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, g := range h.Board.Groups() {
@@ -281,16 +288,16 @@
 			Host: h.Name, Group: g, Board: h.Board, Roles: &h.roster, Dialer: &h.dialer, Prober: &h.prober,
 			Platform: h.PromotionPlatform, Counter: h.Counter, Lease: func() time.Duration { return h.bounds().Lease }, Log: h.Log,
 		}
-		go p.Run(h.running)
+		go p.Run(h.runContext)
 	}
 }
 
-// Connected and Unreachable note what pools learn.
+// Connected records that a server has answered a pool's connection attempt.
 func (h *Host) Connected(s declarer.Server, m marker.Mark) {
 	h.Board.Do(s.Group, func(g *grouptracker.Group) { g.RecordAnswer(s.ID, h.Board.Time(), 0, m) })
 }
 
-// Unreachable is the counterpart of Connected.
+// Unreachable records that a pool could not connect to a server.
 func (h *Host) Unreachable(s declarer.Server, err error) {
 	h.Board.Unreachable(s.Group, s.ID, h.Board.Time(), err)
 }
--- a/internal/proxy/runner/lending.go
+++ b/internal/proxy/runner/lending.go
@@ -12,12 +12,12 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/successor"
 )
 
-// lend serves a host that borrows this host's connections to a server.
+// lend serves another host that borrows this host's connections to a server, until the link ends.
 func (h *Host) lend(c net.Conn, server string) {
 	l := &lender.Link{
 		Borrower:     h.NewBorrower(c),
-		ActiveLeases: &h.lent,
-		Pool:         func() *connpooler.Pool { return h.pools.own(server) },
+		ActiveLeases: &h.activeLeases,
+		Pool:         func() *connpooler.Pool { return h.pools.ownPool(server) },
 		OnAnswer: func() {
 			s, ok := h.pools.find(server)
 			if ok {
@@ -28,14 +28,14 @@
 	l.Run()
 }
 
-// aliveFor is how long a server's last answer counts as a sign of life.
-const aliveFor = 500 * time.Millisecond
+// aliveWindow is how long a server counts as alive after its last answer.
+const aliveWindow = 500 * time.Millisecond
 
-// alive reports whether the server has answered this host a moment ago.
-func (h *Host) alive(s declarer.Server) bool { return h.answeredWithin(s, aliveFor) }
+// alive reports whether the server has answered this host within aliveWindow.
+func (h *Host) alive(s declarer.Server) bool { return h.answeredWithin(s, aliveWindow) }
 
-// answered reports whether it has within the time after which another host, which has had no
-// answer, may replace it.
+// answered reports whether the server has answered this host within successor.DownAfter, the time
+// after which another host that has received no answer may replace it.
 func (h *Host) answered(s declarer.Server) bool { return h.answeredWithin(s, successor.DownAfter) }
 
 func (h *Host) answeredWithin(s declarer.Server, d time.Duration) bool {
--- a/internal/proxy/runner/load_test.go
+++ b/internal/proxy/runner/load_test.go
@@ -17,7 +17,7 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/executor"
 )
 
-// caller is one caller's connection.
+// caller simulates one caller's connection.
 type caller struct {
 	database string
 	in       chan declarer.Statement
@@ -58,20 +58,23 @@
 	return nil
 }
 
-// load are callers that come at a rate, whatever became of those before.
+// load simulates callers that arrive at a rate, independently of the outcome of earlier ones.
 type load struct {
 	deployment *deployment
 
-	mu      sync.Mutex
-	asked   map[int]int
+	mu sync.Mutex
+	// arrived and inTime count, by second, the operations that began then and those of them that
+	// were served within their objective.
+	arrived map[int]int
 	inTime  map[int]int
+	// refused holds how long each refused statement took.
 	refused []time.Duration
-	// unknown counts answers that leave open whether a statement ran.
-	unknown int
-	wait    sync.WaitGroup
+	// unknown counts answers that do not tell whether the statement ran.
+	unknown    int
+	operations sync.WaitGroup
 }
 
-// Statement takes the report of a statement.
+// Statement counts the report of a statement.
 func (l *load) Statement(r *executor.Report) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,25 +86,25 @@
 	}
 }
 
-// run has callers come until end, rate of them a second at each moment.
+// run starts callers' operations until end, at rate per second, and waits for them.
 func (l *load) run(end time.Duration, rate func(time.Duration) float64) {
 	d := l.deployment
 	r := rand.New(rand.NewPCG(7, 7))
 	for n := 0; time.Since(d.began) < end; n++ {
 		at := time.Since(d.began)
 		time.Sleep(time.Duration(r.ExpFloat64() / rate(at) * float64(time.Second)))
-		l.wait.Go(l.operation(n, r))
+		l.operations.Go(l.operation(n, r))
 	}
-	l.wait.Wait()
+	l.operations.Wait()
 }
 
-// operation returns what one caller does: a statement, tried three times at most.
+// operation returns the operation of one caller: a statement that is sent up to three times.
 func (l *load) operation(n int, r *rand.Rand) func() {
-	database, text, aim, deadline := "reschedule", "READ", 500*time.Millisecond, 2*time.Second
+	database, text, objective, deadline := "reschedule", "READ", 500*time.Millisecond, 2*time.Second
 	mean, writes := 9.0, 0.12
 	switch k := r.IntN(20); {
 	case k < 3:
-		database, mean, writes, aim = "confirm", 3, 0.5, 300*time.Millisecond
+		database, mean, writes, objective = "confirm", 3, 0.5, 300*time.Millisecond
 	case k < 6:
 		database, mean, writes, deadline = "browse", 15, 0, 3*time.Second
 	}
@@ -132,14 +135,14 @@
 		}
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.asked[window]++
-		if served && time.Since(began) <= aim {
+		l.arrived[window]++
+		if served && time.Since(began) <= objective {
 			l.inTime[window]++
 		}
 	}
 }
 
-// try has one statement served by a host.
+// try sends one statement to a host and returns its code.
 func (l *load) try(draw uint64, database, id, text string) (declarer.Code, error) {
 	d := l.deployment
 	d.mu.Lock()
@@ -162,24 +165,24 @@
 	return k, nil
 }
 
-// goodput is the part of the callers from one second to another that were served in time.
+// goodput returns the share of operations that began between two seconds and were served in time.
 func (l *load) goodput(from, to int) float64 {
-	asked, served := 0, 0
+	arrived, served := 0, 0
 	for i := from; i < to; i++ {
-		asked += l.asked[i]
+		arrived += l.arrived[i]
 		served += l.inTime[i]
 	}
-	return float64(served) / float64(max(1, asked))
+	return float64(served) / float64(max(1, arrived))
 }
 
-// play runs callers at a rate over a deployment whose faults are told by disturb.
-func play(t *testing.T, hosts, limit int, end time.Duration, rate func(time.Duration) float64, disturb func(*deployment)) *load {
+// runUnderLoad runs callers at a rate against a deployment into which injectFaults injects faults.
+func runUnderLoad(t *testing.T, hosts, limit int, end time.Duration, rate func(time.Duration) float64, injectFaults func(*deployment)) *load {
 	t.Helper()
 	d := newDeployment(hosts, limit, 1)
-	l := &load{deployment: d, asked: make(map[int]int), inTime: make(map[int]int)}
+	l := &load{deployment: d, arrived: make(map[int]int), inTime: make(map[int]int)}
 	ctx, cancel := context.WithCancel(context.Background())
 	go d.trim(ctx)
-	go disturb(d)
+	go injectFaults(d)
 	l.run(end, rate)
 	t.Cleanup(func() {
 		cancel()
@@ -191,7 +194,7 @@
 		time.Sleep(time.Minute)
 	})
 	for i := range int(end / time.Second) {
-		t.Logf("%2d s: %d of %d in time", i, l.inTime[i], l.asked[i])
+		t.Logf("%2d s: %d of %d in time", i, l.inTime[i], l.arrived[i])
 	}
 	slices.Sort(l.refused)
 	t.Logf("%d arrivals at servers, %d shed; %d refused, %d unknown", d.arrivals, d.shed, len(l.refused), l.unknown)
@@ -203,32 +206,33 @@
 }
 
 const (
-	// usual is the load of callers a second, recovery how many seconds goodput may take to be
-	// back once the last cause of a loss has ended, and healthy what it is then.
-	usual    = 280
-	recovery = 2
-	healthy  = 0.97
+	// usualRate is the normal load in operations per second.
+	usualRate = 280
+	// recoverySeconds is how long goodput may stay below minimumGoodput after the last cause of
+	// a loss has ended.
+	recoverySeconds = 2
+	minimumGoodput  = 0.97
 )
 
-// Guards against an overload that outlives its cause: replicas lag so that the primary has
-// the reads of all, then catch up.
-func TestGoodputReturnsAfterReplicasLagged(t *testing.T) {
+// Guards against an overload that outlives its cause: while the replicas lag, the primary receives
+// all reads; after they have caught up, goodput must recover.
+func TestGoodputRecoversAfterReplicaLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := play(t, 24, 30, 20*time.Second, steady(usual), func(d *deployment) {
+		l := runUnderLoad(t, 24, 30, 20*time.Second, steady(usualRate), func(d *deployment) {
 			time.Sleep(4 * time.Second)
-			d.lagBy(4 * time.Second)
+			d.setLag(4 * time.Second)
 			time.Sleep(4 * time.Second)
-			d.lagBy(90 * time.Millisecond)
+			d.setLag(90 * time.Millisecond)
 		})
-		// The last commit of the fault is visible four seconds after it.
-		if g := l.goodput(12+recovery, 20); g < healthy {
+		// The last commit made during the fault is visible four seconds after the fault has ended.
+		if g := l.goodput(12+recoverySeconds, 20); g < minimumGoodput {
 			t.Errorf("goodput %.3f after replicas caught up", g)
 		}
 		if len(l.refused) == 0 {
-			t.Fatal("nothing was refused; the load is too small to show anything")
+			t.Fatal("no statement was refused; the load is too small for this test")
 		}
 		if l.unknown > 0 {
-			t.Errorf("%d statements whose outcome isn't known, no server was lost", l.unknown)
+			t.Errorf("%d statements with an unknown outcome although no server failed", l.unknown)
 		}
 		if d := l.deployment; d.shed*100 > 3*d.arrivals {
 			t.Errorf("servers shed %d of %d", d.shed, d.arrivals)
@@ -236,19 +240,19 @@
 	})
 }
 
-// Guards against retries that keep a burst's load up after it has ended, in a deployment
-// whose hosts have connections of their own and in one where they borrow.
-func TestGoodputReturnsAfterBurst(t *testing.T) {
+// Guards against retries that sustain the load of a burst after it has ended, in a deployment whose
+// hosts open their own connections and in one whose hosts borrow.
+func TestGoodputRecoversAfterBurst(t *testing.T) {
 	for name, hosts := range map[string]int{"small": 6, "large": 120} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := play(t, hosts, 30, 14*time.Second, func(at time.Duration) float64 {
+				l := runUnderLoad(t, hosts, 30, 14*time.Second, func(at time.Duration) float64 {
 					if at > 4*time.Second && at < 7*time.Second {
-						return 3 * usual
+						return 3 * usualRate
 					}
-					return usual
+					return usualRate
 				}, func(*deployment) {})
-				if g := l.goodput(7+recovery, 14); g < healthy {
+				if g := l.goodput(7+recoverySeconds, 14); g < minimumGoodput {
 					t.Errorf("goodput %.3f after the burst", g)
 				}
 				if d := l.deployment; d.shed*100 > 3*d.arrivals {
@@ -259,26 +263,26 @@
 	}
 }
 
-// seeds is how many courses of faults are played.
-var seeds = flag.Uint64("load.seeds", 6, "courses of faults that are played under load")
+// seeds is the number of random fault sequences that are tested.
+var seeds = flag.Uint64("load.seeds", 6, "number of fault sequences that are tested under load")
 
-// fault is one that is over after a while.
+// fault is a temporary fault.
 type fault struct {
 	name string
-	// begin begins it and returns when its last effect is over.
-	begin func(d *deployment, r *rand.Rand) time.Duration
+	// inject starts the fault and returns after which time its last effect has ended.
+	inject func(d *deployment, r *rand.Rand) time.Duration
 }
 
 var faults = []fault{
 	{"replicas lag", func(d *deployment, r *rand.Rand) time.Duration {
 		lag := time.Duration(1+r.IntN(3)) * time.Second
-		d.lagBy(lag)
-		time.AfterFunc(2*time.Second, func() { d.lagBy(90 * time.Millisecond) })
+		d.setLag(lag)
+		time.AfterFunc(2*time.Second, func() { d.setLag(90 * time.Millisecond) })
 		return 2*time.Second + lag
 	}},
-	{"a replica is dark", func(d *deployment, r *rand.Rand) time.Duration {
+	{"a replica is unresponsive", func(d *deployment, r *rand.Rand) time.Duration {
 		t := time.Duration(1+r.IntN(4)) * time.Second
-		go d.servers[1+r.IntN(2)].darken(t)
+		go d.servers[1+r.IntN(2)].makeUnresponsive(t)
 		return t
 	}},
 	{"a host restarts", func(d *deployment, r *rand.Rand) time.Duration {
@@ -286,40 +290,40 @@
 		return 3 * time.Second
 	}},
 	{"all hosts lose power", func(d *deployment, _ *rand.Rand) time.Duration {
-		go d.loseAll(1200*time.Millisecond, 3*time.Second)
-		return 1200*time.Millisecond + acquaintance
+		go d.powerCycleAll(1200*time.Millisecond, 3*time.Second)
+		return 1200*time.Millisecond + rosterDelay
 	}},
 }
 
-// Guards against a state that outlives what brought it about: two faults at random times,
-// and two seconds after the last of them callers are served as before, by every server from
-// every host.
-func TestServiceReturnsWhateverFailed(t *testing.T) {
+// Guards against a degraded state that outlives its cause. Two faults occur at random times; two
+// seconds after the last one has ended, callers must be served as before, and every host must reach
+// every server.
+func TestServiceRecoversAfterRandomFaults(t *testing.T) {
 	for seed := range *seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := rand.New(rand.NewPCG(seed, 5))
-				var over time.Duration
-				l := play(t, 30, 30, 22*time.Second, steady(usual), func(d *deployment) {
+				var ended time.Duration
+				l := runUnderLoad(t, 30, 30, 22*time.Second, steady(usualRate), func(d *deployment) {
 					for range 2 {
 						time.Sleep(time.Duration(1000+r.IntN(3000)) * time.Millisecond)
 						f := faults[r.IntN(len(faults))]
 						t.Logf("%s at %s", f.name, time.Since(d.began))
-						over = max(over, time.Since(d.began)+f.begin(d, r))
+						ended = max(ended, time.Since(d.began)+f.inject(d, r))
 					}
 				})
-				from := int(over/time.Second) + 1 + recovery
-				if g := l.goodput(from, 22); g < healthy {
+				from := int(ended/time.Second) + 1 + recoverySeconds
+				if g := l.goodput(from, 22); g < minimumGoodput {
 					t.Errorf("goodput %.3f from %d s", g, from)
 				}
-				l.deployment.askAll(t)
+				l.deployment.queryAll(t)
 			})
 		})
 	}
 }
 
-// askAll has every host ask every server.
-func (d *deployment) askAll(t *testing.T) {
+// queryAll sends a statement from every host to every server.
+func (d *deployment) queryAll(t *testing.T) {
 	t.Helper()
 	for _, x := range d.nodes {
 		for _, s := range d.servers {
@@ -335,23 +339,23 @@
 				err = l.Receive(&a, time.Now().Add(time.Second))
 			}
 			if err != nil || a.Code != declarer.CodeNone {
-				t.Errorf("%s asks %s: code %d, %v", x.host.Name, s.declared.ID, a.Code, err)
+				t.Errorf("query from %s to %s: code %d, %v", x.host.Name, s.declared.ID, a.Code, err)
 			}
 			l.Release(err != nil)
 		}
 	}
 }
 
-// Guards against servers that nobody can use after all hosts lost power: hosts that don't
-// know the owners yet each open a connection, and keep it.
+// Guards against servers that no host can use after a power loss of all hosts: hosts whose rosters
+// are still empty know no owner of the connections, so that each opens one of its own and keeps it.
 func TestServersServeAgainAfterLossOfPower(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := play(t, 78, 16, 22*time.Second, steady(usual), func(d *deployment) {
+		l := runUnderLoad(t, 78, 16, 22*time.Second, steady(usualRate), func(d *deployment) {
 			time.Sleep(4 * time.Second)
-			d.loseAll(1200*time.Millisecond, 3*time.Second)
+			d.powerCycleAll(1200*time.Millisecond, 3*time.Second)
 		})
-		// Hosts know each other from 8.2 s.
-		if g := l.goodput(9+recovery, 22); g < healthy {
+		// The rosters are complete from 8.2 s.
+		if g := l.goodput(9+recoverySeconds, 22); g < minimumGoodput {
 			t.Errorf("goodput %.3f after the loss of power", g)
 		}
 	})
--- a/internal/proxy/runner/pace.go
+++ b/internal/proxy/runner/pace.go
@@ -5,41 +5,41 @@
 )
 
 const (
-	// waitTenths is the part, in tenths, of the time allowed for a change that one
-	// waiting call may last: a watch gone silent is noticed then, and the change is read
-	// anew in what is left.
+	// waitTenths is the part, in tenths, of the time allowed for a change that one watch call
+	// lasts. A stalled watch is detected at its end, and the change is read again in the
+	// remaining time.
 	waitTenths = 6
-	// hostsWait is how long a call that waits for other entry hosts lasts. One that has
-	// gone is found out by asking it.
+	// hostsWait is how long a watch call for entry hosts waits. It may be long, as a lost host is
+	// detected by requests to it.
 	hostsWait = 15 * time.Second
-	// firstServersRest to longestHostsRest are the pauses after changes. Which server leads
-	// matters within a fraction of a second, which hosts there are doesn't.
-	firstServersRest   = 50 * time.Millisecond
-	longestServersRest = 400 * time.Millisecond
-	firstHostsRest     = 500 * time.Millisecond
-	longestHostsRest   = 2 * time.Second
+	// The pauses after changes. A change of a primary must be known within a fraction of a
+	// second, a change of the entry hosts need not.
+	minimumServersPause = 50 * time.Millisecond
+	maximumServersPause = 400 * time.Millisecond
+	minimumHostsPause   = 500 * time.Millisecond
+	maximumHostsPause   = 2 * time.Second
 )
 
-// ReadTiming says how one kind of object is read from the store.
+// ReadTiming holds the times of reading one kind of object from the store.
 type ReadTiming struct {
-	// Lifetime is how long after an answer of the store what was read counts as current: as
-	// long as the next waiting call may last.
+	// Lifetime returns how long after an answer of the store its data counts as current, which is
+	// as long as the next watch call may last.
 	Lifetime func() time.Duration
-	// MinimumPause and MaximumPause bound the pause after changes.
+	// MinimumPause and MaximumPause bound the pause between a change and the next watch call.
 	MinimumPause, MaximumPause time.Duration
 }
 
-// ConfigurationTiming is how the configuration is read.
+// ConfigurationTiming returns the times of reading the configuration.
 func (h *Host) ConfigurationTiming() ReadTiming { return ReadTiming{Lifetime: lifetime(h.configWait)} }
 
-// ServersTiming is how the servers are read.
+// ServersTiming returns the times of reading the servers.
 func (h *Host) ServersTiming() ReadTiming {
-	return ReadTiming{Lifetime: lifetime(h.serversWait), MinimumPause: firstServersRest, MaximumPause: longestServersRest}
+	return ReadTiming{Lifetime: lifetime(h.serversWait), MinimumPause: minimumServersPause, MaximumPause: maximumServersPause}
 }
 
-// HostsTiming is how the entry hosts are read.
+// HostsTiming returns the times of reading the entry hosts.
 func (h *Host) HostsTiming() ReadTiming {
-	return ReadTiming{Lifetime: lifetime(lasting(hostsWait)), MinimumPause: firstHostsRest, MaximumPause: longestHostsRest}
+	return ReadTiming{Lifetime: lifetime(constant(hostsWait)), MinimumPause: minimumHostsPause, MaximumPause: maximumHostsPause}
 }
 
 func lifetime(wait func() time.Duration) func() time.Duration {
--- a/internal/proxy/runner/pools.go
+++ b/internal/proxy/runner/pools.go
@@ -13,51 +13,54 @@
 )
 
 const (
-	// defaultConnections stands for a group that declares no limit.
+	// defaultConnections is the limit of connections per server of a group that declares none.
 	defaultConnections = 16
-	// hostShare is the part of a server's connections that one host may take where
-	// each has its own. Without a bound a host that comes first with a backlog takes
-	// all, and the callers of the others wait until it has worked that off.
-	hostShare = 3
-	// leastShare is what it may take at least.
-	leastShare = 2
-	// reserve are connections that the owner of a server's leaves to probes.
-	reserve = 2
-	// linkLimit bounds the links to one owner for one server.
-	linkLimit = 64
-	// scarce is the number of connections a host below which one host owns those to a
-	// server and the others borrow: with fewer, a host often has none for its statements.
-	scarce = 3
-	// silentFor is how long an owner that can't be reached is passed over.
-	silentFor = 3 * time.Second
+	// hostShareDivisor limits one host to a third of a server's connections where each host
+	// opens its own. Without a limit, the first host with a backlog takes them all, and callers
+	// of the other hosts wait until its backlog is done.
+	hostShareDivisor = 3
+	// minimumHostShare is the number of connections that a host may always open.
+	minimumHostShare = 2
+	// probeReserve is the number of connections that the owner of a server's connections leaves
+	// to probes.
+	probeReserve = 2
+	// maximumLinks bounds the links to one owner for one server.
+	maximumLinks = 64
+	// ownershipThreshold is the number of connections per host below which one host owns those
+	// to a server and the others borrow. With fewer, a host often has none for its statements.
+	ownershipThreshold = 3
+	// ownerRetryDelay is how long an unreachable owner is skipped.
+	ownerRetryDelay = 3 * time.Second
 )
 
-// poolKey is how this host comes to a server: by its own connections, or by another host's.
+// poolKey identifies a pool by the server and the host whose connections it uses.
 type poolKey struct {
 	server string
-	// owner is empty for its own.
+	// owner is the name of the host that owns the connections, empty for this host.
 	owner string
 }
 
-// pools are the connections to all servers that are listed.
+// pools holds the connection pools of all listed servers.
 type pools struct {
+	// self is the name of this host.
 	self     string
 	board    *blackboard.Board
 	dialer   connpooler.Dialer
 	observer connpooler.Observer
 	roster   *roster
-	// link opens a link to the owner of a server's connections.
-	link func(ctx context.Context, owner string, s declarer.Server) (connpooler.Connection, error)
+	// dialLink opens a link to the owner of a server's connections.
+	dialLink func(ctx context.Context, owner string, s declarer.Server) (connpooler.Connection, error)
 
 	mu      sync.Mutex
 	servers map[string]declarer.Server
 	pools   map[poolKey]*connpooler.Pool
-	// silent is until when an owner is passed over.
-	silent map[string]time.Time
+	// skippedUntil holds, by host name, until when an owner is skipped.
+	skippedUntil map[string]time.Time
 }
 
-// take closes the pools of servers that are gone or have started again.
-func (p *pools) take(l []declarer.Server) {
+// setServers replaces the list of servers and closes the pools of those that are not listed or
+// have restarted.
+func (p *pools) setServers(l []declarer.Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.servers = make(map[string]declarer.Server, len(l))
@@ -73,53 +76,55 @@
 	}
 }
 
-// Pool returns the connections to the server, nil if it isn't listed.
+// Pool returns the pool through which this host uses the server: links to the owner of the
+// server's connections, or connections of its own. It returns nil if the server isn't listed.
 func (p *pools) Pool(id string) *connpooler.Pool {
 	s, ok := p.find(id)
 	if !ok {
 		return nil
 	}
 	if o, ok := p.owner(s); ok && o.Name != p.self {
-		return p.borrowed(s, o)
+		return p.borrowedPool(s, o)
 	}
-	return p.own(id)
+	return p.ownPool(id)
 }
 
-// own returns this host's own connections to the server, nil if it isn't listed.
-func (p *pools) own(id string) *connpooler.Pool {
+// ownPool returns the pool of this host's own connections to the server, nil if the server isn't
+// listed.
+func (p *pools) ownPool(id string) *connpooler.Pool {
 	s, ok := p.find(id)
 	if !ok {
 		return nil
 	}
-	limit, kept := p.share(s)
-	o := p.keep(poolKey{server: id}, &connpooler.Pool{Server: s, Dialer: p.dialer, Observer: p.observer, Limit: limit, MinOpen: kept})
-	o.Resize(limit, kept)
+	limit, minimum := p.connectionShare(s)
+	o := p.getOrAdd(poolKey{server: id}, &connpooler.Pool{Server: s, Dialer: p.dialer, Observer: p.observer, Limit: limit, MinOpen: minimum})
+	o.Resize(limit, minimum)
 	return o
 }
 
-// share returns how many connections to the server this host may open, and how many it
-// keeps though unused: none where another host owns the server's. A connection kept by
-// each of many hosts would leave the owner without any.
-func (p *pools) share(s declarer.Server) (limit, kept int) {
-	n := p.limit(s.Group)
+// connectionShare returns how many connections to the server this host may open, and how many it
+// keeps open while unused. It keeps none if another host owns the server's connections, as one
+// connection kept by each of many hosts would leave the owner without any.
+func (p *pools) connectionShare(s declarer.Server) (limit, minimum int) {
+	n := p.connectionLimit(s.Group)
 	o, ok := p.owner(s)
 	switch {
 	case !ok:
-		return max(leastShare, n/hostShare), 1
+		return max(minimumHostShare, n/hostShareDivisor), 1
 	case o.Name == p.self:
-		return max(leastShare, n-reserve), 1
+		return max(minimumHostShare, n-probeReserve), 1
 	}
-	return max(leastShare, n/hostShare), 0
+	return max(minimumHostShare, n/hostShareDivisor), 0
 }
 
-// borrowed returns the links to the owner.
-func (p *pools) borrowed(s declarer.Server, o declarer.Host) *connpooler.Pool {
-	l := &links{pools: p, owner: o}
-	return p.keep(poolKey{server: s.ID, owner: o.Name}, &connpooler.Pool{Server: s, Dialer: l, Observer: l, Limit: linkLimit, MinOpen: 1, OnDemand: true})
+// borrowedPool returns the pool of links to the owner.
+func (p *pools) borrowedPool(s declarer.Server, o declarer.Host) *connpooler.Pool {
+	l := &linkDialer{pools: p, owner: o}
+	return p.getOrAdd(poolKey{server: s.ID, owner: o.Name}, &connpooler.Pool{Server: s, Dialer: l, Observer: l, Limit: maximumLinks, MinOpen: 1, OnDemand: true})
 }
 
-// keep returns the pool that is there for the way, or puts n there.
-func (p *pools) keep(w poolKey, n *connpooler.Pool) *connpooler.Pool {
+// getOrAdd returns the pool of the key, which is n if there was none.
+func (p *pools) getOrAdd(w poolKey, n *connpooler.Pool) *connpooler.Pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if o := p.pools[w]; o != nil {
@@ -132,43 +137,43 @@
 	return n
 }
 
-// owner returns the host that owns the server's connections, false if each host has its
-// own or no owner can be reached.
+// owner returns the host that owns the server's connections, false if each host opens its own or
+// all possible owners are skipped.
 func (p *pools) owner(s declarer.Server) (declarer.Host, bool) {
-	if p.limit(s.Group) >= scarce*p.roster.count() {
+	if p.connectionLimit(s.Group) >= ownershipThreshold*p.roster.count() {
 		return declarer.Host{}, false
 	}
 	for _, h := range p.roster.owners(s) {
-		if h.Name == p.self || !p.isSilent(h.Name) {
+		if h.Name == p.self || !p.isSkipped(h.Name) {
 			return h, true
 		}
 	}
 	return declarer.Host{}, false
 }
 
-func (p *pools) isSilent(host string) bool {
+func (p *pools) isSkipped(host string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Now().Before(p.silent[host])
+	return time.Now().Before(p.skippedUntil[host])
 }
 
-func (p *pools) passOver(host string) {
+func (p *pools) skip(host string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.silent == nil {
-		p.silent = make(map[string]time.Time)
+	if p.skippedUntil == nil {
+		p.skippedUntil = make(map[string]time.Time)
 	}
-	p.silent[host] = time.Now().Add(silentFor)
+	p.skippedUntil[host] = time.Now().Add(ownerRetryDelay)
 }
 
-func (p *pools) limit(group string) int {
+func (p *pools) connectionLimit(group string) int {
 	if c := p.board.Configuration(); c != nil && c.Groups[group].MaximumConnections > 0 {
 		return c.Groups[group].MaximumConnections
 	}
 	return defaultConnections
 }
 
-// find returns a server that is listed.
+// find returns the listed server with the id, false if there is none.
 func (p *pools) find(id string) (declarer.Server, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -176,34 +181,35 @@
 	return s, ok
 }
 
-// trim closes connections that nobody needs. The share of this host is looked at anew: it
-// may have ceased to own a server's connections, and then isn't asked for them any more.
+// trim closes unused connections. It also applies this host's current share, because a host that
+// has ceased to own a server's connections gets no more requests that would resize its pool.
 func (p *pools) trim(now time.Time) {
 	p.mu.Lock()
 	l := maps.Clone(p.pools)
 	p.mu.Unlock()
 	for w, o := range l {
 		if w.owner == "" {
-			o.Resize(p.share(o.Server))
+			o.Resize(p.connectionShare(o.Server))
 		}
 		o.Trim(now)
 	}
 }
 
-// links opens links to one owner. What it learns is of the owner, not of the server.
-type links struct {
+// linkDialer opens links to one owner. As an observer it records the reachability of the owner, not
+// of the server.
+type linkDialer struct {
 	pools *pools
 	owner declarer.Host
 }
 
-// Dial opens a link.
-func (l *links) Dial(ctx context.Context, s declarer.Server) (connpooler.Connection, marker.Mark, error) {
-	c, err := l.pools.link(ctx, l.owner.Address, s)
+// Dial opens a link to the owner for the server.
+func (l *linkDialer) Dial(ctx context.Context, s declarer.Server) (connpooler.Connection, marker.Mark, error) {
+	c, err := l.pools.dialLink(ctx, l.owner.Address, s)
 	return c, marker.Mark{}, err
 }
 
-// Connected is told of a link that was opened.
-func (l *links) Connected(declarer.Server, marker.Mark) {}
+// Connected does nothing: an open link tells nothing about the server.
+func (l *linkDialer) Connected(declarer.Server, marker.Mark) {}
 
-// Unreachable passes the owner over for a while.
-func (l *links) Unreachable(declarer.Server, error) { l.pools.passOver(l.owner.Name) }
+// Unreachable skips the owner for ownerRetryDelay.
+func (l *linkDialer) Unreachable(declarer.Server, error) { l.pools.skip(l.owner.Name) }
--- a/internal/proxy/runner/readers.go
+++ b/internal/proxy/runner/readers.go
@@ -15,116 +15,117 @@
 )
 
 const (
-	// readerHosts is how many hosts of an availability zone read through one of them. Each
-	// makes a call a second for each of three kinds of object, so it answers 72 a second at
-	// most.
-	readerHosts = 25
-	// readerSilent is how long a host that didn't answer, or has lost the store, isn't read
-	// from.
-	readerSilent = 3 * time.Second
+	// hostsPerUpstream is the maximum size of a shard, a part of an availability zone whose hosts
+	// read through one of them. Each of the others makes a call per second for each of three
+	// kinds of object, so that the upstream host answers 72 calls per second at most.
+	hostsPerUpstream = 25
+	// upstreamRetryDelay is how long a host that did not answer, or has lost the store, is skipped
+	// as an upstream host.
+	upstreamRetryDelay = 3 * time.Second
 )
 
-// rankReaders puts the hosts of this host's region in the order in which they are read from:
-// those with more bandwidth first, equal ones by a hash. A host reads only from hosts before
-// it in this order, whichever of them it knows or passes over, so that no two hosts vouch
-// for each other's state in a circle. The mutex is held.
-func (r *roster) rankReaders() {
-	region := r.regions[r.own.AvailabilityZone]
-	r.readers = r.readers[:0]
+// rankUpstreams sorts the hosts of this host's region by their order as upstream hosts: those with
+// more bandwidth first, equal ones by a hash. A host reads only from hosts before it in this order,
+// whichever of them it has listed or skips. Hosts therefore never read from each other in a cycle, in
+// which each would confirm the others' outdated state. The caller holds the mutex.
+func (r *roster) rankUpstreams() {
+	region := r.regions[r.self.AvailabilityZone]
+	r.upstreams = r.upstreams[:0]
 	for _, h := range r.hosts {
 		if r.regions[h.AvailabilityZone] == region {
-			r.readers = append(r.readers, h)
+			r.upstreams = append(r.upstreams, h)
 		}
 	}
-	slices.SortFunc(r.readers, compareReaders)
+	slices.SortFunc(r.upstreams, compareUpstreams)
 }
 
-func compareReaders(a, b declarer.Host) int {
-	return cmp.Or(cmp.Compare(b.Bandwidth, a.Bandwidth), cmp.Compare(readerHash(a.Name), readerHash(b.Name)), cmp.Compare(a.Name, b.Name))
+func compareUpstreams(a, b declarer.Host) int {
+	return cmp.Or(cmp.Compare(b.Bandwidth, a.Bandwidth), cmp.Compare(upstreamHash(a.Name), upstreamHash(b.Name)), cmp.Compare(a.Name, b.Name))
 }
 
-func readerHash(host string) uint64 { return xxhash.Sum64String("reader-" + host) }
+func upstreamHash(host string) uint64 { return xxhash.Sum64String("reader-" + host) }
 
-// reader returns the host from which to read a kind of object, false if this host is
-// to read the store itself. The first host of a region reads the store, the first one of
-// each part of an availability zone from that, and the others from the first of their part.
-func (r *roster) reader(kind string) (declarer.Host, bool) {
+// upstream returns the host from which to read a kind of object, false if this host reads the store
+// itself. The first host of a region reads the store, the first host of each shard reads from that
+// one, and the other hosts read from the first of their shard.
+func (r *roster) upstream(kind string) (declarer.Host, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	parts := r.parts()
-	own := readerHash(r.own.Name) % parts
-	h, ok := r.firstReader(kind, func(h declarer.Host) bool {
-		return h.AvailabilityZone == r.own.AvailabilityZone && readerHash(h.Name)%parts == own
+	shards := r.shards()
+	shard := upstreamHash(r.self.Name) % shards
+	h, ok := r.firstUpstream(kind, func(h declarer.Host) bool {
+		return h.AvailabilityZone == r.self.AvailabilityZone && upstreamHash(h.Name)%shards == shard
 	})
 	if ok {
 		return h, true
 	}
-	return r.firstReader(kind, func(declarer.Host) bool { return true })
+	return r.firstUpstream(kind, func(declarer.Host) bool { return true })
 }
 
-// parts returns in how many parts this host's zone reads through a host each. The mutex is
-// held.
-func (r *roster) parts() uint64 {
+// shards returns the number of shards of this host's availability zone. The caller holds the mutex.
+func (r *roster) shards() uint64 {
 	n := 0
-	for _, h := range r.readers {
-		if h.AvailabilityZone == r.own.AvailabilityZone {
+	for _, h := range r.upstreams {
+		if h.AvailabilityZone == r.self.AvailabilityZone {
 			n++
 		}
 	}
-	return uint64(max(1, (n+readerHosts-1)/readerHosts))
+	return uint64(max(1, (n+hostsPerUpstream-1)/hostsPerUpstream))
 }
 
-// firstReader returns the first host before this one that fits and isn't passed over, false
-// if there is none. The mutex is held.
-func (r *roster) firstReader(kind string, fits func(declarer.Host) bool) (declarer.Host, bool) {
-	for _, h := range r.readers {
-		if compareReaders(h, r.own) >= 0 {
+// firstUpstream returns the first host before this one that matches and isn't skipped, false if there
+// is none. The caller holds the mutex.
+func (r *roster) firstUpstream(kind string, matches func(declarer.Host) bool) (declarer.Host, bool) {
+	for _, h := range r.upstreams {
+		if compareUpstreams(h, r.self) >= 0 {
 			break
 		}
-		if fits(h) && !r.passedOver(h.Name, kind) {
+		if matches(h) && !r.isSkipped(h.Name, kind) {
 			return h, true
 		}
 	}
 	return declarer.Host{}, false
 }
 
-// silence is what a host isn't read for: a kind of object, all if it is empty.
-type silence struct {
+// skipKey identifies a host that is skipped for one kind of object, or for all if kind is empty.
+type skipKey struct {
 	host, kind string
 }
 
-// passedOver reports whether the host isn't read from now. The mutex is held.
-func (r *roster) passedOver(host, kind string) bool {
+// isSkipped reports whether the host is currently skipped for the kind. The caller holds the mutex.
+func (r *roster) isSkipped(host, kind string) bool {
 	now := time.Now()
-	return now.Before(r.silent[silence{host: host}]) || now.Before(r.silent[silence{host: host, kind: kind}])
+	return now.Before(r.skippedUntil[skipKey{host: host}]) || now.Before(r.skippedUntil[skipKey{host: host, kind: kind}])
 }
 
-// passOver leaves a host out for a while, for one kind of object or for all if that is empty,
-// and reports whether it had answered before.
-func (r *roster) passOver(host, kind string) bool {
+// skip skips a host for upstreamRetryDelay, for one kind of object or for all if kind is empty. It
+// reports whether the previous skip ended longer than upstreamRetryDelay ago or there was none, so
+// that a lasting failure is logged once.
+func (r *roster) skip(host, kind string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.silent == nil {
-		r.silent = make(map[silence]time.Time)
+	if r.skippedUntil == nil {
+		r.skippedUntil = make(map[skipKey]time.Time)
 	}
-	maps.DeleteFunc(r.silent, func(_ silence, until time.Time) bool { return time.Since(until) > readerSilent })
-	k := silence{host: host, kind: kind}
-	before := r.silent[k]
-	r.silent[k] = time.Now().Add(readerSilent)
-	return time.Since(before) > readerSilent
+	maps.DeleteFunc(r.skippedUntil, func(_ skipKey, until time.Time) bool { return time.Since(until) > upstreamRetryDelay })
+	k := skipKey{host: host, kind: kind}
+	before := r.skippedUntil[k]
+	r.skippedUntil[k] = time.Now().Add(upstreamRetryDelay)
+	return time.Since(before) > upstreamRetryDelay
 }
 
-// UpstreamHost returns the host from which to read a kind of object, false for the platform's
-// store itself.
-func (h *Host) UpstreamHost(kind string) (declarer.Host, bool) { return h.roster.reader(kind) }
+// UpstreamHost returns the host from which to read a kind of object, false if this host reads the
+// platform's store itself.
+func (h *Host) UpstreamHost(kind string) (declarer.Host, bool) { return h.roster.upstream(kind) }
 
-// UpstreamFailed notes a host that didn't answer, or can't vouch for what it has of a kind.
+// UpstreamFailed skips a host that did not answer, for all kinds of object, or one that has lost the
+// store, for the kind it was asked for.
 func (h *Host) UpstreamFailed(x declarer.Host, kind string, err error) {
-	over := kind
+	skipped := kind
 	if !errors.Is(err, cachesyncer.ErrAway) {
-		over = ""
+		skipped = ""
 	}
-	if h.roster.passOver(x.Name, over) {
+	if h.roster.skip(x.Name, skipped) {
 		h.Log.WithError(err).WithFields(log.Fields{"host": x.Name, "kind": kind}).Warn("platform not read through another host")
 	}
 }
--- a/internal/proxy/runner/readers_test.go
+++ b/internal/proxy/runner/readers_test.go
@@ -18,20 +18,20 @@
 	os.Exit(m.Run())
 }
 
-// regionsOf are the zones "a" and "b" of one region, and "c" of another.
+// regionsOf maps the availability zones a and b to one region, and c to another.
 var regionsOf = map[string]string{"a": "x", "b": "x", "c": "y"}
 
-// rosters returns the hosts' views of the same hosts.
-func rosters(hosts []declarer.Host) map[string]*roster {
+// newRosters returns the roster of each host, by name. Each lists all hosts.
+func newRosters(hosts []declarer.Host) map[string]*roster {
 	m := make(map[string]*roster)
 	for _, h := range hosts {
-		m[h.Name] = view(h, hosts)
+		m[h.Name] = newRoster(h, hosts)
 	}
 	return m
 }
 
-func view(own declarer.Host, hosts []declarer.Host) *roster {
-	r := &roster{own: own, regions: regionsOf, silent: make(map[silence]time.Time)}
+func newRoster(self declarer.Host, hosts []declarer.Host) *roster {
+	r := &roster{self: self, regions: regionsOf, skippedUntil: make(map[skipKey]time.Time)}
 	r.reset(hosts)
 	return r
 }
@@ -44,75 +44,75 @@
 	return l
 }
 
-// One host of a region reads the store, one of each zone from that, and the others of a zone
-// from that one. In a large zone there are several of them.
-func TestOneHostOfARegionReadsTheStore(t *testing.T) {
-	for n, parts := range map[int]int{1: 1, 3: 1, 25: 1, 26: 2, 100: 4} {
-		all := rosters(append(append(zoneHosts("a", n), zoneHosts("b", n)...), zoneHosts("c", n)...))
+// One host per region reads the store, one host per shard of an availability zone reads from that one,
+// and the others read from the first of their shard. Large zones have several shards.
+func TestOneHostPerRegionReadsTheStore(t *testing.T) {
+	for n, shards := range map[int]int{1: 1, 3: 1, 25: 1, 26: 2, 100: 4} {
+		all := newRosters(append(append(zoneHosts("a", n), zoneHosts("b", n)...), zoneHosts("c", n)...))
 		direct := make(map[string]int)
-		readers := make(map[string]map[string]bool)
+		upstreams := make(map[string]map[string]bool)
 		for _, r := range all {
-			zone := r.own.AvailabilityZone
-			h, ok := r.reader("k")
+			zone := r.self.AvailabilityZone
+			h, ok := r.upstream("k")
 			if !ok {
 				direct[regionsOf[zone]]++
 				continue
 			}
 			if regionsOf[h.AvailabilityZone] != regionsOf[zone] {
-				t.Errorf("%s reads through %s of another region", r.own.Name, h.Name)
+				t.Errorf("%s reads through %s of another region", r.self.Name, h.Name)
 			}
-			if next, ok := all[h.Name].reader("k"); ok {
-				if _, ok := all[next.Name].reader("k"); ok {
-					t.Errorf("%s is more than two hosts from the store", r.own.Name)
+			if next, ok := all[h.Name].upstream("k"); ok {
+				if _, ok := all[next.Name].upstream("k"); ok {
+					t.Errorf("%s is more than two hosts from the store", r.self.Name)
 				}
 			}
-			if readers[zone] == nil {
-				readers[zone] = make(map[string]bool)
+			if upstreams[zone] == nil {
+				upstreams[zone] = make(map[string]bool)
 			}
-			readers[zone][h.Name] = true
+			upstreams[zone][h.Name] = true
 		}
 		if direct["x"] != 1 || direct["y"] != 1 {
 			t.Errorf("%d hosts a zone: %v read the store, want one of each region", n, direct)
 		}
-		for zone, l := range readers {
-			// One for each part, and the first of the region.
-			if len(l) > parts+1 {
+		for zone, l := range upstreams {
+			// One for each shard, and the first host of the region.
+			if len(l) > shards+1 {
 				t.Errorf("%d hosts a zone: those of %s read through %d hosts", n, zone, len(l))
 			}
 		}
 	}
 }
 
-// Reading for others loads a host's link. Those that have more of it do so.
-func TestHostsWithMoreBandwidthAreReadFrom(t *testing.T) {
+// Serving reads of other hosts takes bandwidth, so hosts with more of it must be the upstream hosts.
+func TestUpstreamsHaveMoreBandwidth(t *testing.T) {
 	l := append(zoneHosts("a", 12), zoneHosts("b", 12)...)
 	l[3].Bandwidth, l[17].Bandwidth = 200e6, 200e6
-	for _, r := range rosters(l) {
-		if h, ok := r.reader("k"); ok && h.Bandwidth == 0 {
-			t.Errorf("%s reads through %s", r.own.Name, h.Name)
+	for _, r := range newRosters(l) {
+		if h, ok := r.upstream("k"); ok && h.Bandwidth == 0 {
+			t.Errorf("%s reads through %s", r.self.Name, h.Name)
 		}
 	}
 }
 
-// The host that reads the store is lost without a word. The next in order finds that it is
-// to read the store itself, the others read through it.
+// The host that reads the store fails without deregistering. The next host in the order must read the
+// store itself, and the others must read through that one.
 func TestNextHostReadsTheStore(t *testing.T) {
-	all := rosters(zoneHosts("a", 5))
-	lost := ""
+	all := newRosters(zoneHosts("a", 5))
+	failed := ""
 	for _, r := range all {
-		if h, ok := r.reader("k"); ok {
-			lost = h.Name
-			r.passOver(lost, "")
+		if h, ok := r.upstream("k"); ok {
+			failed = h.Name
+			r.skip(failed, "")
 		}
 	}
 	direct := 0
 	for name, r := range all {
-		h, ok := r.reader("k")
-		if name != lost && !ok {
+		h, ok := r.upstream("k")
+		if name != failed && !ok {
 			direct++
 		}
-		if ok && h.Name == lost {
-			t.Errorf("%s still reads through the lost host", name)
+		if ok && h.Name == failed {
+			t.Errorf("%s still reads through the failed host", name)
 		}
 	}
 	if direct != 1 {
@@ -120,8 +120,8 @@
 	}
 }
 
-// Hosts know different hosts and pass over different ones. If two came to read from each
-// other, they would vouch for what neither has from the store.
+// Guards against cycles of upstream hosts. Hosts list and skip different hosts; if two read from each
+// other, each would confirm the other's state although neither reads the store.
 func TestHostsNeverReadInACircle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var hosts []declarer.Host
@@ -131,19 +131,19 @@
 		}
 		from := make(map[string]string)
 		for _, h := range hosts {
-			var known []declarer.Host
+			var listed []declarer.Host
 			for _, x := range hosts {
 				if rapid.IntRange(0, 4).Draw(t, "knows") > 0 {
-					known = append(known, x)
+					listed = append(listed, x)
 				}
 			}
-			r := view(h, known)
-			for _, x := range known {
+			r := newRoster(h, listed)
+			for _, x := range listed {
 				if rapid.IntRange(0, 4).Draw(t, "passes over") == 0 {
-					r.passOver(x.Name, rapid.SampledFrom([]string{"", "k", "other"}).Draw(t, "kind"))
+					r.skip(x.Name, rapid.SampledFrom([]string{"", "k", "other"}).Draw(t, "kind"))
 				}
 			}
-			if x, ok := r.reader("k"); ok {
+			if x, ok := r.upstream("k"); ok {
 				from[h.Name] = x.Name
 			}
 		}
--- a/internal/proxy/runner/roster.go
+++ b/internal/proxy/runner/roster.go
@@ -12,27 +12,30 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/declarer"
 )
 
-// Registrar enters this host into the platform's store, where the others find it.
+// Registrar maintains this host's entry in the platform's store, where other hosts find it.
 type Registrar interface {
+	// Register writes the entry.
 	Register(ctx context.Context, h declarer.Host) error
+	// Leave removes the entry of the host with the name.
 	Leave(ctx context.Context, name string) error
 }
 
-// roster holds the entry hosts that the platform lists. One that was lost without a
-// word stays listed; whoever asks it finds out.
+// roster holds the entry hosts that the platform lists. A host that has failed stays listed; requests
+// to it detect the failure.
 type roster struct {
-	// own is this host as it enters the store.
-	own declarer.Host
-	// regions tells where the availability zones are.
+	// self is this host's own entry.
+	self declarer.Host
+	// regions maps availability zones to their regions.
 	regions map[string]string
 
-	mu       sync.Mutex
-	hosts    map[string]declarer.Host
+	mu    sync.Mutex
+	hosts map[string]declarer.Host
+	// assigner assigns the owners of the servers' connections among hosts.
 	assigner *assigner.Assigner
-	// readers are the hosts of this host's region in the order in which they are read from.
-	readers []declarer.Host
-	// silent is until when a host isn't read from.
-	silent map[silence]time.Time
+	// upstreams holds the listed hosts of this host's region in their order as upstream hosts.
+	upstreams []declarer.Host
+	// skippedUntil holds until when a host is skipped as an upstream host.
+	skippedUntil map[skipKey]time.Time
 }
 
 func (r *roster) reset(l []declarer.Host) {
@@ -42,27 +45,29 @@
 	for _, h := range l {
 		r.hosts[h.Name] = h
 	}
-	r.compile()
+	r.rebuild()
 }
 
-// compile ranks the hosts anew. The mutex is held.
-func (r *roster) compile() {
+// rebuild recomputes the assigner and the order of the upstream hosts from hosts. The caller holds
+// the mutex.
+func (r *roster) rebuild() {
 	var l []assigner.Host
 	for _, h := range r.hosts {
 		l = append(l, assigner.Host{Name: h.Name, AvailabilityZone: h.AvailabilityZone, Region: r.regions[h.AvailabilityZone]})
 	}
 	r.assigner = assigner.Compile(l)
-	r.rankReaders()
+	r.rankUpstreams()
 }
 
-// count returns how many hosts are listed.
+// count returns the number of listed hosts.
 func (r *roster) count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.hosts)
 }
 
-// owners returns the hosts that own the server's connections, the first that can.
+// owners returns the possible owners of the server's connections, in the order in which they are to
+// be tried.
 func (r *roster) owners(s declarer.Server) []declarer.Host {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,23 +83,23 @@
 }
 
 const (
-	// watchers is how many hosts look after a group at full rate.
-	watchers = 12
-	// claimants is how many of them may claim a group that nobody has, one after the other.
-	claimants = 3
+	// watcherCount is the number of hosts that check a group at the full rate.
+	watcherCount = 12
+	// claimantCount is the number of hosts that may claim an unclaimed group, one after the other.
+	claimantCount = 3
 )
 
-// Watches reports whether this host is among those that look after the group.
-func (r *roster) Watches(group string) bool { return r.rank(group) < watchers }
+// Watches reports whether this host checks the group at the full rate.
+func (r *roster) Watches(group string) bool { return r.rank(group) < watcherCount }
 
-// MayClaim reports whether it is among those that may claim it first.
-func (r *roster) MayClaim(group string) bool { return r.rank(group) < claimants }
+// MayClaim reports whether this host may claim the group if no host has claimed it.
+func (r *roster) MayClaim(group string) bool { return r.rank(group) < claimantCount }
 
-// rank returns how many hosts go before this one for the group.
+// rank returns the number of hosts before this one in the group's order of hosts.
 func (r *roster) rank(group string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	own := xxhash.Sum64String(r.own.Name + "/" + group)
+	own := xxhash.Sum64String(r.self.Name + "/" + group)
 	before := 0
 	for n := range r.hosts {
 		if xxhash.Sum64String(n+"/"+group) < own {
@@ -114,63 +119,63 @@
 		}
 		r.hosts[c.Name] = c.Value
 	}
-	r.compile()
+	r.rebuild()
 }
 
-// others returns all but this host.
+// others returns all listed hosts except this one.
 func (r *roster) others() []declarer.Host {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := make([]declarer.Host, 0, len(r.hosts))
 	for _, h := range r.hosts {
-		if h.Name != r.own.Name {
+		if h.Name != r.self.Name {
 			l = append(l, h)
 		}
 	}
 	return l
 }
 
-// knows reports whether the host is listed as it is.
-func (r *roster) knows(h declarer.Host) bool {
+// contains reports whether the host is listed with equal fields.
+func (r *roster) contains(h declarer.Host) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.hosts[h.Name] == h
 }
 
-// startSpread is within which all hosts of a deployment start that starts for the first
-// time, with what it takes each to enter the store.
-const startSpread = 400 * time.Millisecond
+// firstStartSpread is the time within which all hosts of a deployment that starts for the first time
+// start and register.
+const firstStartSpread = 400 * time.Millisecond
 
-// registration enters this host into the store.
+// registration registers this host in the store.
 type registration struct {
 	host *Host
 }
 
-// run enters the host once the hosts are listed: until then the store doesn't answer, and a
-// host that was killed may find its entry still there. At the first start of a deployment
-// it goes before the list, so that this has all hosts.
+// run registers the host once the hosts are listed: before that the store does not answer, and the
+// entry of a host that was killed may still exist. At the first start of a deployment it registers
+// before the hosts are listed, so that the list contains all of them.
 func (r *registration) run(ctx context.Context) {
 	h := r.host
 	if h.FirstStart {
-		r.enter(ctx)
-		_ = scheduler.Pause(ctx, startSpread)
-		close(h.entered)
+		r.register(ctx)
+		_ = scheduler.Pause(ctx, firstStartSpread)
+		close(h.registered)
 		return
 	}
 	select {
-	case <-h.hosts.first:
+	case <-h.hosts.firstListed:
 	case <-ctx.Done():
 		return
 	}
-	if !h.roster.knows(h.Self) {
-		r.enter(ctx)
+	if !h.roster.contains(h.Self) {
+		r.register(ctx)
 	}
 }
 
-// enter tries until the store has taken the entry.
-func (r *registration) enter(ctx context.Context) {
+// register retries until the store has accepted the entry.
+func (r *registration) register(ctx context.Context) {
 	h := r.host
-	pause := firstBackoff
+	pause := minimumBackoff
 	for ctx.Err() == nil {
 		c, cancel := context.WithTimeout(ctx, listTimeout)
 		err := h.Registrar.Register(c, h.Self)
@@ -180,19 +185,19 @@
 		}
 		h.Log.WithError(err).Warn("host not entered into the store yet")
 		_ = scheduler.Pause(ctx, pause)
-		pause = min(2*pause, longestBackoff)
+		pause = min(2*pause, maximumBackoff)
 	}
 }
 
-// leave takes the host's entry out of the store. An entry that stays costs the others
-// an attempt now and then.
-func (h *Host) leave() {
-	c, cancel := context.WithTimeout(context.Background(), leaveTimeout)
+// deregister removes the host's entry from the store. An entry that stays costs the other hosts an
+// occasional failed attempt.
+func (h *Host) deregister() {
+	c, cancel := context.WithTimeout(context.Background(), deregisterTimeout)
 	defer cancel()
 	if err := h.Registrar.Leave(c, h.Name); err != nil {
-		h.Log.WithError(err).Warn("host not taken out of the store")
+		h.Log.WithError(err).Warn("host not removed from the store")
 	}
 }
 
-// leaveTimeout bounds the call; the host is about to stop.
-const leaveTimeout = 300 * time.Millisecond
+// deregisterTimeout bounds the call that removes the entry, as the host is about to stop.
+const deregisterTimeout = 300 * time.Millisecond
