--- a/internal/proxy/runner/deployment_test.go
+++ b/internal/proxy/runner/deployment_test.go
@@ -61,8 +61,8 @@
 	serverQueue = 16
 )
 
-// occupySlot occupies a slot for d and returns when that ends, false if the queue is full. The caller
-// holds the mutex.
+// occupySlot occupies a slot for d and returns when that ends, false if the queue is full. The
+// caller holds the mutex.
 func (s *instance) occupySlot(d time.Duration) (time.Time, bool) {
 	now := time.Now()
 	waiting := s.slotEnds[:0]
@@ -277,8 +277,8 @@
 	poweredOff atomic.Bool
 }
 
-// newDeployment returns a deployment of three servers in three availability zones and the given number
-// of hosts.
+// newDeployment returns a deployment of three servers in three availability zones and the given
+// number of hosts.
 func newDeployment(hosts, limit int, seed uint64) *deployment {
 	d := &deployment{began: time.Now(), limit: limit, lag: 90 * time.Millisecond, random: rand.New(rand.NewPCG(seed, 1))}
 	for i := range 3 {
--- a/internal/proxy/runner/follower_test.go
+++ b/internal/proxy/runner/follower_test.go
@@ -83,8 +83,8 @@
 }
 
 // Guards against a watch that stalls: its connection stays open and no data arrives. A change made
-// meanwhile must be in force within three seconds of its acknowledgement, so the watch must time out
-// before that.
+// meanwhile must be in force within three seconds of its acknowledgement, so the watch must time
+// out before that.
 func TestSilentWatchIsGivenUpInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &scriptedSource{answers: []answer{{at: 5}}}
@@ -101,8 +101,8 @@
 }
 
 // Guards against the loss of healthy servers: while the store is unavailable, entries of servers
-// lapse, and they are back soon after its return. If the servers were removed at once, callers would
-// have none.
+// lapse, and they are back soon after its return. If the servers were removed at once, callers
+// would have none.
 func TestLapsedServersAreRetainedTemporarily(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var now []string
--- a/internal/proxy/runner/gate_test.go
+++ b/internal/proxy/runner/gate_test.go
@@ -29,8 +29,8 @@
 }
 
 // Guards against excess calls, which the platform counts: the store is unavailable for ten seconds
-// while four parts of a host call it. Each part on its own would make 25 calls or more. Together they
-// may make one call every 0.2 to 0.6 s, and all continue as soon as one is answered.
+// while four parts of a host call it. Each part on its own would make 25 calls or more. Together
+// they may make one call every 0.2 to 0.6 s, and all continue as soon as one is answered.
 func TestGateMakesOneCallAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
--- a/internal/proxy/runner/host.go
+++ b/internal/proxy/runner/host.go
@@ -55,8 +55,8 @@
 	Hosts          Source[declarer.Host]
 	Registrar      Registrar
 	Transport      relaydialer.Transport
-	// Relayer serves connections of other hosts. Run sets its listener and its functions Find, Alive,
-	// Answered and Lend.
+	// Relayer serves connections of other hosts. Run sets its listener and its functions Find,
+	// Alive, Answered and Lend.
 	Relayer *relayer.Relayer
 	// DialLink opens a link to the host that owns the connections to a server. owner is that
 	// host's address.
--- a/internal/proxy/runner/readers.go
+++ b/internal/proxy/runner/readers.go
@@ -26,8 +26,8 @@
 
 // rankUpstreams sorts the hosts of this host's region by their order as upstream hosts: those with
 // more bandwidth first, equal ones by a hash. A host reads only from hosts before it in this order,
-// whichever of them it has listed or skips. Hosts therefore never read from each other in a cycle, in
-// which each would confirm the others' outdated state. The caller holds the mutex.
+// whichever of them it has listed or skips. Hosts therefore never read from each other in a cycle,
+// in which each would confirm the others' outdated state. The caller holds the mutex.
 func (r *roster) rankUpstreams() {
 	region := r.regions[r.self.AvailabilityZone]
 	r.upstreams = r.upstreams[:0]
@@ -73,8 +73,8 @@
 	return uint64(max(1, (n+hostsPerUpstream-1)/hostsPerUpstream))
 }
 
-// firstUpstream returns the first host before this one that matches and isn't skipped, false if there
-// is none. The caller holds the mutex.
+// firstUpstream returns the first host before this one that matches and isn't skipped, false if
+// there is none. The caller holds the mutex.
 func (r *roster) firstUpstream(kind string, matches func(declarer.Host) bool) (declarer.Host, bool) {
 	for _, h := range r.upstreams {
 		if compareUpstreams(h, r.self) >= 0 {
@@ -118,8 +118,8 @@
 // platform's store itself.
 func (h *Host) UpstreamHost(kind string) (declarer.Host, bool) { return h.roster.upstream(kind) }
 
-// UpstreamFailed skips a host that did not answer, for all kinds of object, or one that has lost the
-// store, for the kind it was asked for.
+// UpstreamFailed skips a host that did not answer, for all kinds of object, or one that has lost
+// the store, for the kind it was asked for.
 func (h *Host) UpstreamFailed(x declarer.Host, kind string, err error) {
 	skipped := kind
 	if !errors.Is(err, cachesyncer.ErrAway) {
--- a/internal/proxy/runner/readers_test.go
+++ b/internal/proxy/runner/readers_test.go
@@ -44,8 +44,8 @@
 	return l
 }
 
-// One host per region reads the store, one host per shard of an availability zone reads from that one,
-// and the others read from the first of their shard. Large zones have several shards.
+// One host per region reads the store, one host per shard of an availability zone reads from that
+// one, and the others read from the first of their shard. Large zones have several shards.
 func TestOneHostPerRegionReadsTheStore(t *testing.T) {
 	for n, shards := range map[int]int{1: 1, 3: 1, 25: 1, 26: 2, 100: 4} {
 		all := newRosters(append(append(zoneHosts("a", n), zoneHosts("b", n)...), zoneHosts("c", n)...))
@@ -83,7 +83,8 @@
 	}
 }
 
-// Serving reads of other hosts takes bandwidth, so hosts with more of it must be the upstream hosts.
+// Serving reads of other hosts takes bandwidth, so hosts with more of it must be the upstream
+// hosts.
 func TestUpstreamsHaveMoreBandwidth(t *testing.T) {
 	l := append(zoneHosts("a", 12), zoneHosts("b", 12)...)
 	l[3].Bandwidth, l[17].Bandwidth = 200e6, 200e6
@@ -94,8 +95,8 @@
 	}
 }
 
-// The host that reads the store fails without deregistering. The next host in the order must read the
-// store itself, and the others must read through that one.
+// The host that reads the store fails without deregistering. The next host in the order must read
+// the store itself, and the others must read through that one.
 func TestNextHostReadsTheStore(t *testing.T) {
 	all := newRosters(zoneHosts("a", 5))
 	failed := ""
@@ -120,8 +121,8 @@
 	}
 }
 
-// Guards against cycles of upstream hosts. Hosts list and skip different hosts; if two read from each
-// other, each would confirm the other's state although neither reads the store.
+// Guards against cycles of upstream hosts. Hosts list and skip different hosts; if two read from
+// each other, each would confirm the other's state although neither reads the store.
 func TestHostsNeverReadInACircle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var hosts []declarer.Host
--- a/internal/proxy/runner/roster.go
+++ b/internal/proxy/runner/roster.go
@@ -20,8 +20,8 @@
 	Leave(ctx context.Context, name string) error
 }
 
-// roster holds the entry hosts that the platform lists. A host that has failed stays listed; requests
-// to it detect the failure.
+// roster holds the entry hosts that the platform lists. A host that has failed stays listed;
+// requests to it detect the failure.
 type roster struct {
 	// self is this host's own entry.
 	self declarer.Host
@@ -142,8 +142,8 @@
 	return r.hosts[h.Name] == h
 }
 
-// firstStartSpread is the time within which all hosts of a deployment that starts for the first time
-// start and register.
+// firstStartSpread is the time within which all hosts of a deployment that starts for the first
+// time start and register.
 const firstStartSpread = 400 * time.Millisecond
 
 // registration registers this host in the store.
