--- a/internal/proxy/commander/commander.go
+++ b/internal/proxy/commander/commander.go
@@ -1,4 +1,4 @@
-// Package commander is the command line of an entry host on the platform.
+// Package commander implements the command line of an entry host on the platform.
 package commander
 
 import (
@@ -11,18 +11,18 @@
 
 // Exit codes.
 const (
-	exitDone   = 0
-	exitFailed = 1
-	exitUsage  = 2
+	exitSuccess = 0
+	exitFailure = 1
+	exitUsage   = 2
 )
 
-// Forms of the output.
+// Output formats.
 const (
 	formatTable = "table"
 	formatJSON  = "json"
 )
 
-// arguments are the subcommands.
+// arguments holds the subcommands, of which the parsed one is not nil.
 type arguments struct {
 	Serve    *serve    `arg:"subcommand:serve" help:"run an entry host, for example: cuminwick-platform serve"`
 	Validate *validate `arg:"subcommand:validate" help:"check a settings file, for example: cuminwick-platform validate settings.conf"`
@@ -30,48 +30,48 @@
 	Losses   *losses   `arg:"subcommand:losses" help:"show where statements were lost, for example: cuminwick-platform losses host-1.log host-2.log"`
 }
 
-// Description opens the help.
+// Description returns the first lines of the help text.
 func (arguments) Description() string {
 	return "An entry host of cuminwick on the platform, and what its operators need."
 }
 
-// command is one subcommand.
+// command is a subcommand. It writes its data to out.
 type command interface {
 	run(out io.Writer) error
 }
 
-// Run carries out a command line and returns the exit code. Data goes to out, errors
-// to faults.
-func Run(line []string, out, faults io.Writer) int {
+// Run executes the command with the given arguments and returns the exit code. Data is written to
+// out, errors and the usage after an error to errOut.
+func Run(args []string, out, errOut io.Writer) int {
 	var a arguments
 	p, err := arg.NewParser(arg.Config{Program: "cuminwick-platform", Out: out}, &a)
 	if err != nil {
-		complain(faults, err)
-		return exitFailed
+		printError(errOut, err)
+		return exitFailure
 	}
-	err = p.Parse(line)
+	err = p.Parse(args)
 	switch {
 	case errors.Is(err, arg.ErrHelp):
 		p.WriteHelp(out)
-		return exitDone
+		return exitSuccess
 	case err != nil:
-		complain(faults, err)
-		p.WriteUsage(faults)
+		printError(errOut, err)
+		p.WriteUsage(errOut)
 		return exitUsage
 	}
 	c, ok := p.Subcommand().(command)
 	if !ok {
-		p.WriteHelp(faults)
+		p.WriteHelp(errOut)
 		return exitUsage
 	}
 	if err := c.run(out); err != nil {
-		complain(faults, err)
-		return exitFailed
+		printError(errOut, err)
+		return exitFailure
 	}
-	return exitDone
+	return exitSuccess
 }
 
-// complain prints an error. There is nobody to tell if even that fails.
-func complain(w io.Writer, err error) {
+// printError prints an error. A failure to print is ignored, as it can't be reported anywhere.
+func printError(w io.Writer, err error) {
 	_, _ = fmt.Fprintln(w, err)
 }
--- a/internal/proxy/commander/commander_test.go
+++ b/internal/proxy/commander/commander_test.go
@@ -17,40 +17,40 @@
 	good := filepath.Join("..", "..", "..", "platform", "testdata", "settings.conf")
 	log := filepath.Join("..", "explainer", "testdata", "unknown", "front-warszawa-b-1.log")
 	for name, c := range map[string]struct {
-		line   []string
+		args   []string
 		code   int
 		out    string
-		faults string
+		errOut string
 	}{
-		"help":               {[]string{"--help"}, exitDone, "explain --request", ""},
-		"nothing":            {nil, exitUsage, "", "Usage"},
-		"unknown subcommand": {[]string{"dance"}, exitUsage, "", "dance"},
-		"good settings":      {[]string{"validate", good}, exitDone, "entry host front-z-1", ""},
-		"bad settings":       {[]string{"validate", bad}, exitFailed, "", "zone is missing"},
-		"no settings":        {[]string{"validate", filepath.Join(d, "none")}, exitFailed, "", "none"},
-		"serve without":      {[]string{"serve"}, exitFailed, "", "CUMINWICK_BOOT names no file"},
-		"explain":            {[]string{"explain", "--request", "141bc760d96d8f76", log}, exitDone, "outcome=unknown", ""},
-		"explain as json":    {[]string{"explain", "--request", "141bc760d96d8f76", "--format", "json", log}, exitDone, `"holes":`, ""},
-		"explain, no line":   {[]string{"explain", "--request", "x", log}, exitFailed, "", "no line of the request"},
-		"explain, bad form":  {[]string{"explain", "--request", "x", "--format", "xml", log}, exitFailed, "", `format "xml"`},
-		"losses":             {[]string{"losses", log}, exitDone, "statements lost from", ""},
-		"losses as json":     {[]string{"losses", "--format", "json", "--window", "1s", log}, exitDone, `"causes":`, ""},
-		"losses, bad form":   {[]string{"losses", "--format", "xml", log}, exitFailed, "", `format "xml"`},
-		"losses, bad window": {[]string{"losses", "--window", "-1s", log}, exitFailed, "", "window -1s"},
-		"losses, no line":    {[]string{"losses", "--group", "none", log}, exitFailed, "", "no line of a statement"},
-		"explain, no id":     {[]string{"explain", log}, exitUsage, "", "--request"},
+		"help":                {[]string{"--help"}, exitSuccess, "explain --request", ""},
+		"nothing":             {nil, exitUsage, "", "Usage"},
+		"unknown subcommand":  {[]string{"dance"}, exitUsage, "", "dance"},
+		"good settings":       {[]string{"validate", good}, exitSuccess, "entry host front-z-1", ""},
+		"bad settings":        {[]string{"validate", bad}, exitFailure, "", "zone is missing"},
+		"no settings":         {[]string{"validate", filepath.Join(d, "none")}, exitFailure, "", "none"},
+		"serve, no settings":  {[]string{"serve"}, exitFailure, "", "CUMINWICK_BOOT names no file"},
+		"explain":             {[]string{"explain", "--request", "141bc760d96d8f76", log}, exitSuccess, "outcome=unknown", ""},
+		"explain as json":     {[]string{"explain", "--request", "141bc760d96d8f76", "--format", "json", log}, exitSuccess, `"holes":`, ""},
+		"explain, no line":    {[]string{"explain", "--request", "x", log}, exitFailure, "", "no line of the request"},
+		"explain, bad format": {[]string{"explain", "--request", "x", "--format", "xml", log}, exitFailure, "", `format "xml"`},
+		"losses":              {[]string{"losses", log}, exitSuccess, "statements lost from", ""},
+		"losses as json":      {[]string{"losses", "--format", "json", "--window", "1s", log}, exitSuccess, `"causes":`, ""},
+		"losses, bad format":  {[]string{"losses", "--format", "xml", log}, exitFailure, "", `format "xml"`},
+		"losses, bad window":  {[]string{"losses", "--window", "-1s", log}, exitFailure, "", "window -1s"},
+		"losses, no line":     {[]string{"losses", "--group", "none", log}, exitFailure, "", "no line of a statement"},
+		"explain, no id":      {[]string{"explain", log}, exitUsage, "", "--request"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Setenv("CUMINWICK_BOOT", "")
-			var out, faults bytes.Buffer
-			if code := Run(c.line, &out, &faults); code != c.code {
-				t.Errorf("exit code %d, want %d: %s", code, c.code, faults.String())
+			var out, errOut bytes.Buffer
+			if code := Run(c.args, &out, &errOut); code != c.code {
+				t.Errorf("exit code %d, want %d: %s", code, c.code, errOut.String())
 			}
-			if !strings.Contains(out.String(), c.out) || !strings.Contains(faults.String(), c.faults) {
-				t.Errorf("output %q, errors %q", out.String(), faults.String())
+			if !strings.Contains(out.String(), c.out) || !strings.Contains(errOut.String(), c.errOut) {
+				t.Errorf("output %q, errors %q", out.String(), errOut.String())
 			}
-			if c.code != exitDone && out.Len() > 0 {
-				t.Errorf("data %q beside an error", out.String())
+			if c.code != exitSuccess && out.Len() > 0 {
+				t.Errorf("data %q in spite of an error", out.String())
 			}
 		})
 	}
--- a/internal/proxy/commander/explain.go
+++ b/internal/proxy/commander/explain.go
@@ -12,7 +12,7 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/explainer"
 )
 
-// explain tells a request's story from log files.
+// explain prints the timeline of a request from log files.
 type explain struct {
 	Request string   `arg:"--request,required" placeholder:"ID" help:"id of the request"`
 	Format  string   `arg:"--format" default:"table" placeholder:"table|json" help:"form of the output"`
--- a/internal/proxy/commander/losses.go
+++ b/internal/proxy/commander/losses.go
@@ -11,7 +11,7 @@
 	"github.com/cuminwick/cuminwick/internal/proxy/analyzer"
 )
 
-// losses shows where statements were lost, from log files.
+// losses prints statistics of lost statements from log files.
 type losses struct {
 	Window time.Duration `arg:"--window" default:"2s" placeholder:"DURATION" help:"length of the intervals"`
 	Group  string        `arg:"--group" placeholder:"NAME" help:"only this database group"`
--- a/internal/proxy/commander/serve.go
+++ b/internal/proxy/commander/serve.go
@@ -11,11 +11,11 @@
 	"github.com/cuminwick/cuminwick/platform"
 )
 
-// serve runs an entry host. Its settings are in the file that the environment names.
+// serve runs an entry host. Its settings are in the file that an environment variable names.
 type serve struct{}
 
-// run serves until SIGTERM and then drains. SIGHUP has the settings read anew: what may
-// change while a host runs comes into force, and the log names the rest.
+// run serves until SIGTERM or SIGINT and then drains. SIGHUP reloads the settings: those that may
+// change while a host runs come into force, and the log names the others that have changed.
 func (*serve) run(out io.Writer) error {
 	s, err := platform.LoadSettings()
 	if err != nil {
@@ -24,21 +24,21 @@
 	c, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	signal.Ignore(syscall.SIGPIPE)
-	r := &relay{signals: make(chan os.Signal, 1), asked: make(chan struct{})}
+	r := &signalForwarder{signals: make(chan os.Signal, 1), reloads: make(chan struct{})}
 	signal.Notify(r.signals, syscall.SIGHUP)
 	go r.run()
-	h := &assembler.Assembler{Settings: s, LogOutput: out, Reload: r.asked, Load: platform.LoadSettings}
+	h := &assembler.Assembler{Settings: s, LogOutput: out, Reload: r.reloads, Load: platform.LoadSettings}
 	return h.Run(context.Background(), c.Done())
 }
 
-// relay passes signals on as questions.
-type relay struct {
+// signalForwarder sends on reloads for each signal.
+type signalForwarder struct {
 	signals chan os.Signal
-	asked   chan struct{}
+	reloads chan struct{}
 }
 
-func (r *relay) run() {
+func (r *signalForwarder) run() {
 	for range r.signals {
-		r.asked <- struct{}{}
+		r.reloads <- struct{}{}
 	}
 }
