--- a/internal/proxy/explainer/explainer.go
+++ b/internal/proxy/explainer/explainer.go
@@ -1,4 +1,4 @@
-// Package explainer tells the story of one request from the log files of several hosts.
+// Package explainer builds the timeline of one request from the log files of several hosts.
 package explainer
 
 import (
@@ -15,20 +15,20 @@
 )
 
 const (
-	// before and after are how far from the request's lines others belong to its
-	// story: a primary is replaced within five seconds.
-	before = 5 * time.Second
-	after  = 5 * time.Second
+	// windowBefore and windowAfter bound the time around the request's lines from which other lines
+	// are included. A primary is replaced within five seconds.
+	windowBefore = 5 * time.Second
+	windowAfter  = 5 * time.Second
 )
 
-// File is the log of one host.
+// File is the log file of one host.
 type File struct {
-	// Host names it in the story.
+	// Host is the name of the host in the timeline.
 	Host  string
 	Lines io.Reader
 }
 
-// entry is one line of a log.
+// entry is one line of a log. fields holds all fields of the line, the known ones included.
 type entry struct {
 	Time          time.Time `json:"time"`
 	Level         string    `json:"level"`
@@ -39,52 +39,53 @@
 	Server        string    `json:"server"`
 	Took          string    `json:"took"`
 
-	host string
-	raw  map[string]any
+	host   string
+	fields map[string]any
 }
 
-// Step is one line of the story.
+// Step is one line of the timeline.
 type Step struct {
 	Time time.Time `json:"time"`
 	Host string    `json:"host"`
 	Text string    `json:"text"`
 }
 
-// Timeline is what the logs tell of one request.
+// Timeline holds the log lines that concern one request, sorted by time.
 type Timeline struct {
 	Request string `json:"request"`
 	Steps   []Step `json:"steps"`
-	// Gaps say which lines would belong to the story and aren't there.
+	// Gaps describes the lines that are missing from the logs.
 	Gaps []string `json:"holes"`
 }
 
-// ErrRequestNotFound is a request that no file has a line of.
+// ErrRequestNotFound is returned for a request of which no file contains a line.
 const ErrRequestNotFound = errors.ConstError("no line of the request")
 
-// Explain reads the files and tells the story of the request.
+// Explain reads the files and returns the timeline of the request. It returns ErrRequestNotFound if
+// no file contains a line of the request.
 func Explain(request string, files []File) (*Timeline, error) {
 	var all []entry
 	for _, f := range files {
-		l, err := read(f)
+		l, err := readEntries(f)
 		if err != nil {
 			return nil, errors.Annotatef(err, "read log of %s", f.Host)
 		}
 		all = append(all, l...)
 	}
 	slices.SortStableFunc(all, func(a, b entry) int { return a.Time.Compare(b.Time) })
-	own := slices.DeleteFunc(slices.Clone(all), func(e entry) bool { return e.Request != request })
-	if len(own) == 0 {
+	requested := slices.DeleteFunc(slices.Clone(all), func(e entry) bool { return e.Request != request })
+	if len(requested) == 0 {
 		return nil, errors.Annotatef(ErrRequestNotFound, "%s in %d files: it never reached these hosts, or it ran and its line was left out by sampling", request, len(files))
 	}
-	return tell(request, own, all), nil
+	return buildTimeline(request, requested, all), nil
 }
 
-// read returns the lines of a file that are ours.
-func read(f File) ([]entry, error) {
+// readEntries returns the lines of a file that are JSON objects with a message; others are skipped.
+func readEntries(f File) ([]entry, error) {
 	var l []entry
 	err := decoder.Each(f.Lines, func(object []byte) {
 		e := entry{host: f.Host}
-		if json.Unmarshal(object, &e) != nil || json.Unmarshal(object, &e.raw) != nil || e.Message == "" {
+		if json.Unmarshal(object, &e) != nil || json.Unmarshal(object, &e.fields) != nil || e.Message == "" {
 			return
 		}
 		l = append(l, e)
@@ -92,39 +93,40 @@
 	return l, err
 }
 
-// tell gathers the request's lines and those about what it met.
-func tell(request string, own, all []entry) *Timeline {
+// buildTimeline collects the request's lines and related ones from all, which are sorted by time.
+// requested holds the request's lines.
+func buildTimeline(request string, requested, all []entry) *Timeline {
 	s := &Timeline{Request: request}
-	from, to := own[0].Time.Add(-before), own[len(own)-1].Time.Add(after)
+	from, to := requested[0].Time.Add(-windowBefore), requested[len(requested)-1].Time.Add(windowAfter)
 	groups := make(map[string]bool)
-	for _, e := range own {
+	for _, e := range requested {
 		groups[e.DatabaseGroup] = true
 	}
 	for _, e := range all {
 		if e.Time.Before(from) || e.Time.After(to) {
 			continue
 		}
-		if e.Request == request || e.Request == "" && concerns(e, groups) {
-			s.Steps = append(s.Steps, Step{Time: e.Time, Host: e.host, Text: text(e)})
+		if e.Request == request || e.Request == "" && isRelated(e, groups) {
+			s.Steps = append(s.Steps, Step{Time: e.Time, Host: e.host, Text: formatEntry(e)})
 		}
 	}
-	s.Gaps = holes(own, all, from, to)
+	s.Gaps = findGaps(requested, all, from, to)
 	return s
 }
 
-// concerns reports whether a line that isn't a request's belongs to the story: what is
-// about the group, or about the whole host.
-func concerns(e entry, groups map[string]bool) bool {
+// isRelated reports whether a line without a request belongs to the timeline: it concerns one of
+// the groups, or the whole host.
+func isRelated(e entry, groups map[string]bool) bool {
 	if e.DatabaseGroup != "" {
 		return groups[e.DatabaseGroup]
 	}
 	return e.Message != "statement"
 }
 
-// text is the line in words: the message, and the fields in alphabetical order.
-func text(e entry) string {
+// formatEntry returns the message of the line and its other fields in alphabetical order.
+func formatEntry(e entry) string {
 	var l []string
-	for k, v := range e.raw {
+	for k, v := range e.fields {
 		if k != "time" && k != "level" && k != "message" {
 			l = append(l, fmt.Sprintf("%s=%v", k, v))
 		}
@@ -133,30 +135,31 @@
 	return strings.TrimSpace(e.Message + " " + strings.Join(l, " "))
 }
 
-// holes names the lines that are missing.
-func holes(own, all []entry, from, to time.Time) []string {
+// findGaps describes the lines that are missing from the logs.
+func findGaps(requested, all []entry, from, to time.Time) []string {
 	var l []string
-	for _, e := range own {
+	for _, e := range requested {
 		if e.Outcome == "" {
 			l = append(l, "no outcome in the line of "+e.Time.Format(time.RFC3339Nano))
 		}
 	}
-	last := own[len(own)-1]
-	if last.Outcome == "unknown" && !replaced(all, from, to, last.DatabaseGroup) {
+	last := requested[len(requested)-1]
+	if last.Outcome == "unknown" && !hasGroupEvent(all, from, to, last.DatabaseGroup) {
 		l = append(l, "no line of a loss or change of a primary of "+last.DatabaseGroup+": server "+last.Server+
 			" or the route to it may have failed alone, or the host that replaced it isn't among the files")
 	}
 	return l
 }
 
-// replaced reports whether a line about the group's lead is there.
-func replaced(all []entry, from, to time.Time, group string) bool {
+// hasGroupEvent reports whether all contains a line about the group itself, such as a change of its
+// primary, between from and to.
+func hasGroupEvent(all []entry, from, to time.Time, group string) bool {
 	return slices.ContainsFunc(all, func(e entry) bool {
 		return e.DatabaseGroup == group && e.Request == "" && !e.Time.Before(from) && !e.Time.After(to)
 	})
 }
 
-// Write prints the story, one line a step.
+// Write prints the timeline, one line per step, and then the gaps.
 func (s *Timeline) Write(w io.Writer) error {
 	b := &strings.Builder{}
 	for _, x := range s.Steps {
--- a/internal/proxy/explainer/explainer_test.go
+++ b/internal/proxy/explainer/explainer_test.go
@@ -13,9 +13,9 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// story reads the logs of a directory and compares the request's story with the golden
-// file beside them.
-func story(t *testing.T, directory, request string) string {
+// checkTimeline reads the logs of a directory, compares the request's timeline with the golden file
+// in the directory, and returns it.
+func checkTimeline(t *testing.T, directory, request string) string {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join("testdata", directory, "*.log"))
 	if err != nil || len(names) == 0 {
@@ -53,10 +53,10 @@
 	return b.String()
 }
 
-// The three stories of docs/OPERATIONS.md, from lines of a real play: an adviser's read
-// refused under load, a booking whose outcome nobody knew after its primary was lost, and
-// a read that came slowly since its availability zone was cut off from the primary. The
-// story must name the cause.
+// The three examples of docs/OPERATIONS.md, with log lines of a real run: an adviser's read that
+// was refused under load, a booking whose outcome is unknown because its primary was lost, and a
+// read that was slow because its availability zone was cut off from the primary. The timeline must
+// name the cause.
 func TestStories(t *testing.T) {
 	for directory, c := range map[string]struct {
 		request string
@@ -67,10 +67,10 @@
 		"cut-off": {"e2211da69f9dfe26", []string{"outcome=not-run", "platform lost", "no server can take over answers=1"}},
 	} {
 		t.Run(directory, func(t *testing.T) {
-			got := story(t, directory, c.request)
+			got := checkTimeline(t, directory, c.request)
 			for _, want := range c.cause {
 				if !strings.Contains(got, want) {
-					t.Errorf("the story doesn't tell %q", want)
+					t.Errorf("the timeline does not contain %q", want)
 				}
 			}
 		})
@@ -81,23 +81,24 @@
 	return []File{{Host: "h1", Lines: strings.NewReader(strings.Join(l, "\n"))}}
 }
 
-// A request has no line: its story would be empty, and an engineer would take that for
-// nothing having happened.
-func TestMissingRequestIsSaid(t *testing.T) {
+// Guards against an empty timeline of a request without a line, which an engineer would read as
+// "nothing happened".
+func TestMissingRequestIsReported(t *testing.T) {
 	_, err := Explain("x", lines(`{"time":"2026-12-03T06:00:00Z","message":"statement","request":"y"}`))
 	if !errors.Is(err, ErrRequestNotFound) {
 		t.Errorf("error %v", err)
 	}
 }
 
-// The host that replaced the primary isn't among the files.
-func TestHoleIsSaid(t *testing.T) {
+// Guards against a timeline that hides missing lines: the log of the host that replaced the primary
+// is not among the files.
+func TestGapIsReported(t *testing.T) {
 	s, err := Explain("x", lines(
 		`12.5 front-1 {"time":"2026-12-03T06:00:01Z","message":"statement","request":"x","database-group":"g","outcome":"unknown","server":"i-1"}`,
 		`not a line of ours`,
 		`{"time":"2026-12-03T06:09:00Z","message":"promotion done","database-group":"g"}`,
 	))
 	if err != nil || len(s.Steps) != 1 || len(s.Gaps) != 1 || !strings.Contains(s.Gaps[0], "i-1") {
-		t.Errorf("story %+v, %v", s, err)
+		t.Errorf("timeline %+v, error %v", s, err)
 	}
 }
