--- a/internal/proxy/analyzer/analyzer.go
+++ b/internal/proxy/analyzer/analyzer.go
@@ -1,5 +1,8 @@
-// Package analyzer finds in log files where statements were lost: when, in which database
-// group, at which server, for what reason, and how long their callers were held.
+// Package analyzer summarizes the lost statements of log files: when, in which database group, at
+// which server and for what reason they were lost, and how long their callers were held.
+//
+// A statement is lost if its outcome is any other than "ran". How long it was held is the field
+// took of its log line.
 package analyzer
 
 import (
@@ -16,56 +19,59 @@
 	"github.com/cuminwick/cuminwick/internal/log/decoder"
 )
 
-// Errors of logs that can't be summed up.
+// Errors of Analyze.
 const (
-	// ErrNoStatement is a log without a line of a statement.
+	// ErrNoStatement is returned for logs without a line of a statement.
 	ErrNoStatement = errors.ConstError("no line of a statement")
-	// ErrTooManyWindows is a window that is too short for the time that the logs span.
+	// ErrTooManyWindows is returned if the logs span more than maximumWindows windows.
 	ErrTooManyWindows = errors.ConstError("window is too short for the time that the logs span")
 )
 
-// maximumWindows is how many rows a table may have: two days in windows of 2 s.
+// maximumWindows is the maximum number of windows, and of rows of a table: two days in windows of 2
+// s.
 const maximumWindows = 100_000
 
-// Options says what to look at.
+// Options selects what is summarized.
 type Options struct {
 	// Window is the length of the intervals of time, 2 s if zero.
 	Window time.Duration
-	// Group leaves out all other database groups, none if empty.
+	// Group is the only database group that is included, all if empty.
 	Group string
 }
 
-// LossCount is how many statements were lost under a name.
+// LossCount holds the number of statements lost at one server or by one operation.
 type LossCount struct {
 	Name string `json:"name"`
 	Lost int    `json:"lost"`
 }
 
-// GroupSeries is how many statements a group lost in each window.
+// GroupSeries holds the number of statements that a database group lost in each window and in
+// total.
 type GroupSeries struct {
 	Group   string `json:"group"`
 	Windows []int  `json:"windows"`
 	Lost    int    `json:"lost"`
 }
 
-// Cause is one way in which statements were lost, and how long they were held.
+// Cause holds the number of statements that were lost with the same outcome, code and reason, and
+// how long they were held.
 type Cause struct {
 	Outcome string `json:"outcome"`
 	Code    string `json:"code"`
-	// Reason is the reason with the names of servers and numbers left out.
+	// Reason is the reason with addresses, names with digits, and numbers replaced by asterisks.
 	Reason       string        `json:"why"`
 	Lost         int           `json:"lost"`
 	Median       time.Duration `json:"median"`
 	Percentile90 time.Duration `json:"ninetieth"`
 }
 
-// Summary is where statements were lost. Statements that ran are logged in part only and
-// aren't counted.
+// Summary holds statistics of lost statements. Statements that ran aren't counted, because only a
+// sample of them is logged.
 type Summary struct {
 	From   time.Time     `json:"from"`
 	Window time.Duration `json:"window"`
 	Lost   int           `json:"lost"`
-	// Unreadable counts the lines that may have been those of lost statements.
+	// Unreadable counts the lines that can't be decoded and may be those of lost statements.
 	Unreadable   int           `json:"unreadable"`
 	Median       time.Duration `json:"median"`
 	Percentile90 time.Duration `json:"ninetieth"`
@@ -73,35 +79,36 @@
 	Causes       []Cause       `json:"causes"`
 	Servers      []LossCount   `json:"servers"`
 	Operations   []LossCount   `json:"operations"`
-	// AttemptCounts is by how often a statement was sent, from none.
+	// AttemptCounts holds, by the number of times that a statement was sent from zero on, how many
+	// statements were lost.
 	AttemptCounts []int `json:"tries"`
 }
 
-// kind is what tells a statement's line from others.
-type kind struct {
+// messageOnly holds the field that identifies the line of a statement.
+type messageOnly struct {
 	Message string `json:"message"`
 }
 
-// statement is the line of one.
+// statement is the log line of a statement.
 type statement struct {
-	Time      time.Time `json:"time"`
-	Group     string    `json:"database-group"`
-	Operation string    `json:"operation"`
-	Outcome   string    `json:"outcome"`
-	Code      string    `json:"code"`
-	Server    string    `json:"server"`
-	Why       string    `json:"why"`
-	Attempts  int       `json:"attempts"`
-	Took      period    `json:"took"`
+	Time      time.Time   `json:"time"`
+	Group     string      `json:"database-group"`
+	Operation string      `json:"operation"`
+	Outcome   string      `json:"outcome"`
+	Code      string      `json:"code"`
+	Server    string      `json:"server"`
+	Reason    string      `json:"why"`
+	Attempts  int         `json:"attempts"`
+	Held      logDuration `json:"took"`
 }
 
-// period is a duration as logs have it, such as 1.5ms.
-type period time.Duration
+// logDuration is a duration in the format of logs, such as 1.5ms.
+type logDuration time.Duration
 
-// UnmarshalText reads a period.
-func (p *period) UnmarshalText(text []byte) error {
+// UnmarshalText parses a duration.
+func (p *logDuration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
-	*p = period(d)
+	*p = logDuration(d)
 	return err
 }
 
@@ -111,11 +118,12 @@
 	defaultWindow    = 2 * time.Second
 )
 
-// Analyze reads the files of all hosts.
-func Analyze(q Options, files []io.Reader) (*Summary, error) {
-	t := &tally{group: q.Group}
+// Analyze reads the log files of all hosts and summarizes the lost statements. It returns
+// ErrNoStatement, ErrTooManyWindows or an error of reading a file.
+func Analyze(o Options, files []io.Reader) (*Summary, error) {
+	t := &collector{group: o.Group}
 	for _, f := range files {
-		if err := decoder.Each(f, t.take); err != nil {
+		if err := decoder.Each(f, t.add); err != nil {
 			return nil, errors.Annotate(err, "read log")
 		}
 	}
@@ -123,7 +131,7 @@
 		return nil, ErrNoStatement
 	}
 	slices.SortStableFunc(t.statements, func(a, b statement) int { return a.Time.Compare(b.Time) })
-	s, err := summarize(cmp.Or(q.Window, defaultWindow), t.statements)
+	s, err := summarize(cmp.Or(o.Window, defaultWindow), t.statements)
 	if err != nil {
 		return nil, err
 	}
@@ -131,15 +139,16 @@
 	return s, nil
 }
 
-// tally gathers the statements of logs, those of one group if it is named.
-type tally struct {
+// collector collects the statements of logs, only those of one database group if group isn't empty.
+type collector struct {
 	group      string
 	statements []statement
 	unreadable int
 }
 
-func (t *tally) take(object []byte) {
-	var k kind
+// add takes the JSON object of one log line.
+func (t *collector) add(object []byte) {
+	var k messageOnly
 	if json.Unmarshal(object, &k) != nil {
 		t.unreadable++
 		return
@@ -156,45 +165,47 @@
 	}
 }
 
-// longestHeld is the longest time that is told from longer ones. Statements have deadlines of
-// seconds.
-const longestHeld = time.Hour
+// maximumHeld is the longest time that a histogram records; longer ones count as this. Statements
+// have deadlines of seconds.
+const maximumHeld = time.Hour
 
-// held is how long statements were held, in microseconds.
-type held struct{ *hdrhistogram.Histogram }
+// histogram records how long statements were held, in microseconds.
+type histogram struct{ *hdrhistogram.Histogram }
 
-func newHeld() held { return held{hdrhistogram.New(1, longestHeld.Microseconds(), 3)} }
+func newHistogram() histogram { return histogram{hdrhistogram.New(1, maximumHeld.Microseconds(), 3)} }
 
-func (h held) add(took period) error {
-	d := min(time.Duration(took), longestHeld)
+func (h histogram) add(held logDuration) error {
+	d := min(time.Duration(held), maximumHeld)
 	return h.RecordValue(max(1, d.Microseconds()))
 }
 
-func (h held) at(quantile float64) time.Duration {
-	return time.Duration(h.ValueAtQuantile(quantile)) * time.Microsecond
+// percentile returns the percentile p, from 0 to 100.
+func (h histogram) percentile(p float64) time.Duration {
+	return time.Duration(h.ValueAtQuantile(p)) * time.Microsecond
 }
 
-// sums gathers what the statements that were lost have in common.
-type sums struct {
-	summary    *Summary
-	windows    int
-	all        held
-	groups     map[string]*GroupSeries
-	causes     map[Cause]held
-	servers    map[string]int
-	operations map[string]int
+// aggregator counts lost statements by window, group, cause, server and operation.
+type aggregator struct {
+	summary     *Summary
+	windowCount int
+	all         histogram
+	groups      map[string]*GroupSeries
+	causes      map[Cause]histogram
+	servers     map[string]int
+	operations  map[string]int
 }
 
-// summarize sums up statements, which are in the order of their time.
+// summarize returns the summary of statements that are sorted by time. It returns ErrTooManyWindows
+// if they span too many windows.
 func summarize(window time.Duration, l []statement) (*Summary, error) {
 	from := l[0].Time
 	n := l[len(l)-1].Time.Sub(from)/window + 1
 	if n > maximumWindows {
 		return nil, errors.Annotatef(ErrTooManyWindows, "%d of %s from %s", n, window, from.Format(time.RFC3339))
 	}
-	s := &sums{
-		summary: &Summary{From: from, Window: window}, windows: int(n), all: newHeld(),
-		groups: make(map[string]*GroupSeries), causes: make(map[Cause]held),
+	s := &aggregator{
+		summary: &Summary{From: from, Window: window}, windowCount: int(n), all: newHistogram(),
+		groups: make(map[string]*GroupSeries), causes: make(map[Cause]histogram),
 		servers: make(map[string]int), operations: make(map[string]int),
 	}
 	for _, x := range l {
@@ -209,66 +220,67 @@
 }
 
 // add counts a statement that was lost.
-func (s *sums) add(x statement) error {
+func (s *aggregator) add(x statement) error {
 	s.summary.Lost++
-	s.addTries(x.Attempts)
-	g := s.group(x.Group)
+	s.addAttempts(x.Attempts)
+	g := s.groupSeries(x.Group)
 	g.Lost++
 	g.Windows[int(x.Time.Sub(s.summary.From)/s.summary.Window)]++
 	s.servers[cmp.Or(x.Server, "none")]++
 	s.operations[x.Operation]++
-	if err := s.all.add(x.Took); err != nil {
+	if err := s.all.add(x.Held); err != nil {
 		return err
 	}
-	return s.cause(x).add(x.Took)
+	return s.causeHistogram(x).add(x.Held)
 }
 
-func (s *sums) addTries(n int) {
+func (s *aggregator) addAttempts(n int) {
 	for len(s.summary.AttemptCounts) <= n {
 		s.summary.AttemptCounts = append(s.summary.AttemptCounts, 0)
 	}
 	s.summary.AttemptCounts[n]++
 }
 
-func (s *sums) group(name string) *GroupSeries {
+func (s *aggregator) groupSeries(name string) *GroupSeries {
 	g := s.groups[name]
 	if g == nil {
-		g = &GroupSeries{Group: name, Windows: make([]int, s.windows)}
+		g = &GroupSeries{Group: name, Windows: make([]int, s.windowCount)}
 		s.groups[name] = g
 	}
 	return g
 }
 
-func (s *sums) cause(x statement) held {
-	c := Cause{Outcome: x.Outcome, Code: x.Code, Reason: general(x.Why)}
+func (s *aggregator) causeHistogram(x statement) histogram {
+	c := Cause{Outcome: x.Outcome, Code: x.Code, Reason: generalize(x.Reason)}
 	h, ok := s.causes[c]
 	if !ok {
-		h = newHeld()
+		h = newHistogram()
 		s.causes[c] = h
 	}
 	return h
 }
 
-// finish puts what lost most first.
-func (s *sums) finish() *Summary {
+// finish returns the summary with all lists sorted by the number of lost statements in descending
+// order.
+func (s *aggregator) finish() *Summary {
 	r := s.summary
-	r.Median, r.Percentile90 = s.all.at(50), s.all.at(90)
+	r.Median, r.Percentile90 = s.all.percentile(50), s.all.percentile(90)
 	for _, g := range s.groups {
 		r.Groups = append(r.Groups, *g)
 	}
 	slices.SortFunc(r.Groups, func(a, b GroupSeries) int { return cmp.Or(b.Lost-a.Lost, cmp.Compare(a.Group, b.Group)) })
 	for c, h := range s.causes {
-		c.Lost, c.Median, c.Percentile90 = int(h.TotalCount()), h.at(50), h.at(90)
+		c.Lost, c.Median, c.Percentile90 = int(h.TotalCount()), h.percentile(50), h.percentile(90)
 		r.Causes = append(r.Causes, c)
 	}
 	slices.SortFunc(r.Causes, func(a, b Cause) int {
 		return cmp.Or(b.Lost-a.Lost, cmp.Compare(a.Outcome, b.Outcome), cmp.Compare(a.Code, b.Code), cmp.Compare(a.Reason, b.Reason))
 	})
-	r.Servers, r.Operations = counts(s.servers), counts(s.operations)
+	r.Servers, r.Operations = lossCounts(s.servers), lossCounts(s.operations)
 	return r
 }
 
-func counts(m map[string]int) []LossCount {
+func lossCounts(m map[string]int) []LossCount {
 	var l []LossCount
 	for n, c := range m {
 		l = append(l, LossCount{Name: n, Lost: c})
@@ -277,9 +289,9 @@
 	return l
 }
 
-// particular is what differs between statements that were lost for the same reason:
-// addresses, names with digits, and numbers.
-var particular = regexp.MustCompile(`[0-9a-zA-Z.:-]*[0-9](?:[0-9a-zA-Z.:-]*[0-9a-zA-Z])?`)
+// variablePart matches what differs between the reasons of statements that were lost for the same
+// cause: addresses, names with digits, and numbers.
+var variablePart = regexp.MustCompile(`[0-9a-zA-Z.:-]*[0-9](?:[0-9a-zA-Z.:-]*[0-9a-zA-Z])?`)
 
-// general leaves out of a reason what differs from statement to statement.
-func general(why string) string { return particular.ReplaceAllString(why, "*") }
+// generalize replaces the variable parts of a reason by asterisks.
+func generalize(reason string) string { return variablePart.ReplaceAllString(reason, "*") }
--- a/internal/proxy/analyzer/analyzer_test.go
+++ b/internal/proxy/analyzer/analyzer_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// Guards against lines that are left out without a word, and against a line without a time
-// that has the table begin in the year one.
+// Guards against lines that are skipped silently, and against a line without a time, which would
+// make the table begin in the year one.
 func TestUnreadableLinesAreCounted(t *testing.T) {
 	log := `{"time":"2026-12-03T06:00:00Z","message":"statement","outcome":"not-run","took":"2ms"}
 {"time":"2026-12-03T06:00:00Z","message":"statement","outcome":"not-run","took":"long"}
@@ -84,7 +84,8 @@
 	}
 }
 
-// Guards against a table that takes all memory.
+// Guards against a table that exhausts the memory: a short window over a long time makes too many
+// rows.
 func TestTooShortWindowIsRefused(t *testing.T) {
 	log := `{"time":"2026-12-03T06:00:00Z","message":"statement","outcome":"not-run","took":"2ms"}
 {"time":"2026-12-03T06:00:01Z","message":"statement","outcome":"not-run","took":"2ms"}`
@@ -93,7 +94,8 @@
 	}
 }
 
-// Guards against statements that are lost to the count since they were held for long.
+// Guards against statements that aren't counted because they were held longer than a histogram
+// records.
 func TestLongHeldStatementIsCounted(t *testing.T) {
 	log := `{"time":"2026-12-03T06:00:00Z","message":"statement","outcome":"unknown","took":"25h"}`
 	s, err := Analyze(Options{}, []io.Reader{strings.NewReader(log)})
--- a/internal/proxy/analyzer/writer.go
+++ b/internal/proxy/analyzer/writer.go
@@ -9,31 +9,31 @@
 	"time"
 )
 
-// listed is how many causes and servers are printed.
-const listed = 12
+// maximumListed is the maximum number of causes, servers and operations that are printed.
+const maximumListed = 12
 
 // Write prints the summary as tables.
 func (s *Summary) Write(w io.Writer) error {
 	b := &strings.Builder{}
-	fmt.Fprintf(b, "%d statements lost from %s, held %s in the median, %s in the 90th percentile\n\n", s.Lost, s.From.Format(time.RFC3339), short(s.Median), short(s.Percentile90))
+	fmt.Fprintf(b, "%d statements lost from %s, held %s in the median, %s in the 90th percentile\n\n", s.Lost, s.From.Format(time.RFC3339), formatMilliseconds(s.Median), formatMilliseconds(s.Percentile90))
 	if s.Unreadable > 0 {
 		fmt.Fprintf(b, "%d lines can't be read and aren't counted\n\n", s.Unreadable)
 	}
 	if _, err := io.WriteString(w, b.String()); err != nil {
 		return err
 	}
-	if err := align(w, s.groups(), tabwriter.AlignRight); err != nil {
+	if err := writeTable(w, s.groupTable(), tabwriter.AlignRight); err != nil {
 		return err
 	}
-	if err := align(w, s.causes(), 0); err != nil {
+	if err := writeTable(w, s.causeTable(), 0); err != nil {
 		return err
 	}
-	_, err := io.WriteString(w, counted("server", s.Servers)+counted("operation", s.Operations)+s.tries())
+	_, err := io.WriteString(w, formatCounts("server", s.Servers)+formatCounts("operation", s.Operations)+s.attemptsLine())
 	return err
 }
 
-// align prints columns that are separated by tabs.
-func align(w io.Writer, text string, flags uint) error {
+// writeTable prints text whose columns are separated by tabs as an aligned table.
+func writeTable(w io.Writer, text string, flags uint) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', flags)
 	if _, err := io.WriteString(t, text+"\n"); err != nil {
 		return err
@@ -41,14 +41,14 @@
 	return t.Flush()
 }
 
-// groups is a row for each window with a column for each group.
-func (s *Summary) groups() string {
+// groupTable returns a table with a row for each window and a column for each group.
+func (s *Summary) groupTable() string {
 	b := &strings.Builder{}
 	b.WriteString("from\t")
 	for _, g := range s.Groups {
 		b.WriteString(g.Group + "\t")
 	}
-	for i := range s.windows() {
+	for i := range s.windowCount() {
 		fmt.Fprintf(b, "\n%s\t", time.Duration(i)*s.Window)
 		for _, g := range s.Groups {
 			fmt.Fprintf(b, "%d\t", g.Windows[i])
@@ -58,16 +58,16 @@
 	return b.String()
 }
 
-func (s *Summary) causes() string {
+func (s *Summary) causeTable() string {
 	b := &strings.Builder{}
 	b.WriteString("lost\tmedian\t90th\toutcome\tcode\twhy\n")
-	for _, c := range s.Causes[:min(len(s.Causes), listed)] {
-		fmt.Fprintf(b, "%d\t%s\t%s\t%s\t%s\t%s\n", c.Lost, short(c.Median), short(c.Percentile90), c.Outcome, c.Code, c.Reason)
+	for _, c := range s.Causes[:min(len(s.Causes), maximumListed)] {
+		fmt.Fprintf(b, "%d\t%s\t%s\t%s\t%s\t%s\n", c.Lost, formatMilliseconds(c.Median), formatMilliseconds(c.Percentile90), c.Outcome, c.Code, c.Reason)
 	}
 	return b.String()
 }
 
-func (s *Summary) tries() string {
+func (s *Summary) attemptsLine() string {
 	b := &strings.Builder{}
 	b.WriteString("sent")
 	for i, n := range s.AttemptCounts {
@@ -77,21 +77,23 @@
 	return b.String()
 }
 
-func (s *Summary) windows() int {
+func (s *Summary) windowCount() int {
 	if len(s.Groups) == 0 {
 		return 0
 	}
 	return len(s.Groups[0].Windows)
 }
 
-func counted(name string, l []LossCount) string {
+func formatCounts(name string, l []LossCount) string {
 	b := &strings.Builder{}
 	b.WriteString(name + ":")
-	for _, c := range l[:min(len(l), listed)] {
+	for _, c := range l[:min(len(l), maximumListed)] {
 		fmt.Fprintf(b, "  %s %d", c.Name, c.Lost)
 	}
 	b.WriteString("\n\n")
 	return b.String()
 }
 
-func short(d time.Duration) string { return strconv.FormatFloat(d.Seconds()*1000, 'f', 1, 64) + " ms" }
+func formatMilliseconds(d time.Duration) string {
+	return strconv.FormatFloat(d.Seconds()*1000, 'f', 1, 64) + " ms"
+}
