--- a/cmd/cuminwick-platform/main.go
+++ b/cmd/cuminwick-platform/main.go
@@ -1,4 +1,5 @@
-// Command cuminwick-platform is an entry host on the platform.
+// Command cuminwick-platform runs an entry host on the platform, checks its settings and evaluates
+// its logs.
 package main
 
 import (
