--- a/internal/proxy/analyzer/writer.go
+++ b/internal/proxy/analyzer/writer.go
@@ -15,7 +15,7 @@
 // Write prints the summary as tables.
 func (s *Summary) Write(w io.Writer) error {
 	b := &strings.Builder{}
-	fmt.Fprintf(b, "%d statements lost from %s, held %s in the median, %s in the 90th percentile\n\n", s.Lost, s.From.Format(time.RFC3339), formatMilliseconds(s.Median), formatMilliseconds(s.Percentile90))
+	fmt.Fprintf(b, "%d statements lost from %s, held %s in the median, %s in the 90th percentile\n\n", s.Lost, s.From.Format(time.RFC3339), millis(s.Median), millis(s.Percentile90))
 	if s.Unreadable > 0 {
 		fmt.Fprintf(b, "%d lines can't be read and aren't counted\n\n", s.Unreadable)
 	}
@@ -62,7 +62,7 @@
 	b := &strings.Builder{}
 	b.WriteString("lost\tmedian\t90th\toutcome\tcode\twhy\n")
 	for _, c := range s.Causes[:min(len(s.Causes), maximumListed)] {
-		fmt.Fprintf(b, "%d\t%s\t%s\t%s\t%s\t%s\n", c.Lost, formatMilliseconds(c.Median), formatMilliseconds(c.Percentile90), c.Outcome, c.Code, c.Reason)
+		fmt.Fprintf(b, "%d\t%s\t%s\t%s\t%s\t%s\n", c.Lost, millis(c.Median), millis(c.Percentile90), c.Outcome, c.Code, c.Reason)
 	}
 	return b.String()
 }
@@ -94,6 +94,4 @@
 	return b.String()
 }
 
-func formatMilliseconds(d time.Duration) string {
-	return strconv.FormatFloat(d.Seconds()*1000, 'f', 1, 64) + " ms"
-}
+func millis(d time.Duration) string { return strconv.FormatFloat(d.Seconds()*1000, 'f', 1, 64) + " ms" }
