--- a/internal/pool/keeper/alive.go
+++ b/internal/pool/keeper/alive.go
@@ -5,13 +5,13 @@
 	"syscall"
 )
 
-// alive reports whether an idle connection is still open as far as this host
-// has been told.
+// alive reports whether an idle connection is still open, as far as this host's kernel has
+// received.
 //
-// A backend server that crashed or restarted has closed its idle connections.
-// A request sent over one would be lost with its outcome open, although a look
-// beforehand shows the end of the stream. An idle connection has nothing to
-// read, so anything that can be read is a reason not to use it.
+// A backend server that crashed or restarted has closed its idle connections. A request sent
+// over one would be lost with an unknown outcome, while a non-blocking peek beforehand detects
+// the end of the stream. An idle connection has nothing to read, so one with readable data is
+// not used either.
 func alive(n net.Conn) bool {
 	s, ok := n.(syscall.Conn)
 	if !ok {
--- a/internal/pool/keeper/keeper.go
+++ b/internal/pool/keeper/keeper.go
@@ -1,4 +1,4 @@
-// Package keeper keeps the pooled connections to one backend server.
+// Package keeper implements the pool of connections to one backend server.
 package keeper
 
 import (
@@ -18,20 +18,22 @@
 )
 
 const (
-	// ErrClosed is returned after Close.
+	// ErrClosed is returned by Acquire after Close.
 	ErrClosed = errors.ConstError("pool closed")
-	// defaultReserved connections are left for control when none are declared.
+	// defaultReserved is the number of connections left to probes and fencing if the
+	// configuration declares none.
 	defaultReserved = 3
 )
 
 // Conn is a pooled connection, owned by one request or transaction at a time.
 type Conn struct {
 	*dialer.Conn
-	// Replay knows the settings and prepared statements at the server.
+	// Replay tracks the session settings and prepared statements at the server.
 	Replay replayer.Connection
-	// FinishCancel, if set, must succeed before the connection is used again.
+	// FinishCancel, if set, waits until a cancel request that was sent for this connection can't
+	// affect a later query. It must succeed before the connection is used again.
 	FinishCancel func(ctx context.Context) error
-	// LastUsed is when the connection was last used.
+	// LastUsed is when the connection was last released, zero if never.
 	LastUsed time.Time
 }
 
@@ -40,61 +42,65 @@
 	Open(ctx context.Context, address, database string) (*dialer.Conn, error)
 }
 
-// Keeper hands out connections to one backend server.
+// Keeper is a pool of connections to one backend server. The exported fields are set before use.
 //
-// The backend server's own limit on connections decides; the keeper stays
-// below it by the reserved ones, which belong to probes and fencing.
+// Its size is bounded by the backend server's connection limit less the reserved connections,
+// which belong to probes and fencing.
 type Keeper struct {
 	Server   declarer.BackendServer
 	Database string
 	Opener   Opener
-	// Clock tells when something is due, timers of its own if nil.
+	// Clock schedules retries; if nil, each one uses a timer of its own.
 	Clock *scheduler.Scheduler
 	Log   log.Interface
 
-	mu      sync.Mutex
-	idle    []*Conn
-	open    int
+	mu sync.Mutex
+	// idle holds the idle connections, least recently used first.
+	idle []*Conn
+	// open counts all connections, including those being opened.
+	open int
+	// dialing counts the connections being opened.
 	dialing int
 	waiters []chan result
 	closed  bool
 	failure failure
 	opened  atomic.Uint64
-	ctx     context.Context
-	stop    context.CancelFunc
+	// ctx is that of the connections being opened; stop cancels it.
+	ctx  context.Context
+	stop context.CancelFunc
 }
 
-// result is what a waiter gets.
+// result is what a waiter receives: a connection or an error.
 type result struct {
 	conn *Conn
 	err  error
 }
 
-// Opened returns how many connections were opened in all.
+// Opened returns the total number of connections opened so far.
 func (k *Keeper) Opened() uint64 {
 	return k.opened.Load()
 }
 
-// OpenConnections returns how many connections are open now.
+// OpenConnections returns how many connections are open or being opened.
 func (k *Keeper) OpenConnections() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.open
 }
 
-// Count is how many connections there are by state.
+// Count is the number of connections by state.
 type Count struct {
 	Idle, Working, Opening int
 }
 
-// Count returns the present count.
+// Count returns the current number of connections by state.
 func (k *Keeper) Count() Count {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return Count{Idle: len(k.idle), Working: k.open - k.dialing - len(k.idle), Opening: k.dialing}
 }
 
-// Capacity returns how many connections requests may use.
+// Capacity returns the maximum number of connections that requests may use, at least one.
 func (k *Keeper) Capacity() int {
 	r := k.Server.ReservedConnections
 	if r == 0 {
@@ -103,16 +109,16 @@
 	return max(1, k.Server.Connections-r)
 }
 
-// TryAcquire returns an idle connection, nil if there is none.
+// TryAcquire returns an idle connection without waiting, nil if there is none.
 func (k *Keeper) TryAcquire() *Conn {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.take()
+	return k.takeIdle()
 }
 
-// Acquire returns an idle connection or waits for one, be it given back or new.
+// Acquire returns an idle connection or waits until one is released or opened.
 func (k *Keeper) Acquire(ctx context.Context) (*Conn, error) {
-	c, w, err := k.enlist()
+	c, w, err := k.takeOrEnqueue()
 	if err != nil {
 		return nil, errors.Annotatef(err, "acquire connection to backend server %s", k.Server.Name)
 	}
@@ -125,10 +131,10 @@
 	return c, nil
 }
 
-// Release gives a connection back; one that isn't clean is closed.
+// Release returns a connection to the pool, or closes it if it isn't clean.
 //
-// A connection is clean only if its last answer was read to a ReadyForQuery
-// outside a transaction.
+// A connection is clean only if its last response was read up to a ReadyForQuery outside a
+// transaction.
 func (k *Keeper) Release(c *Conn, clean bool) {
 	c.LastUsed = time.Now()
 	if !clean {
@@ -136,14 +142,14 @@
 		return
 	}
 	if c.FinishCancel != nil {
-		go k.runSettle(c)
+		go k.finishCancel(c)
 		return
 	}
-	k.giveBack(c)
+	k.returnConn(c)
 }
 
-// CloseIdle closes all idle connections, for instance after one has gone silent
-// or the server has restarted, and returns their process ids.
+// CloseIdle closes all idle connections, for example after one stopped responding or the server
+// restarted, and returns the process IDs of their sessions at the server.
 func (k *Keeper) CloseIdle() []uint32 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -151,11 +157,12 @@
 	for _, c := range k.idle {
 		l = append(l, c.ProcessID)
 	}
-	k.retire()
+	k.closeIdle()
 	return l
 }
 
-func (k *Keeper) retire() {
+// closeIdle closes all idle connections. The caller holds the mutex.
+func (k *Keeper) closeIdle() {
 	for _, c := range k.idle {
 		c.Close()
 	}
@@ -163,39 +170,39 @@
 	k.idle = nil
 }
 
-// Interrupt fails all who wait for a connection and gives up those being
-// opened. It is called when the server stops answering: without it, requests
-// would wait until their attempts to connect time out although another server
-// may serve them by then. Idle connections are kept, as the silence may pass;
-// each is looked at before it is used.
+// Interrupt fails all waiters with cause and cancels the connections being opened. It is called
+// when the server stops responding: otherwise requests would wait until the attempts to connect
+// time out, although another server may be able to serve them sooner. Idle connections are kept,
+// since the server may recover; each is checked before it is used.
 func (k *Keeper) Interrupt(cause error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.end()
-	k.fail(cause)
+	k.cancelDials()
+	k.failWaiters(cause)
 }
 
-// Close closes the idle connections and refuses further use.
+// Close closes the idle connections and fails all waiters and later calls of Acquire with
+// ErrClosed. Connections in use are closed when they are released.
 func (k *Keeper) Close() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.closed = true
-	k.end()
-	k.retire()
-	k.fail(ErrClosed)
+	k.cancelDials()
+	k.closeIdle()
+	k.failWaiters(ErrClosed)
 }
 
-// fail gives err to all waiters. The mutex is held.
-func (k *Keeper) fail(err error) {
+// failWaiters fails all waiters with err. The caller holds the mutex.
+func (k *Keeper) failWaiters(err error) {
 	for _, w := range k.waiters {
 		w <- result{err: err}
 	}
 	k.waiters = nil
 }
 
-// take returns an idle connection that is still open, nil if there is none. The
-// mutex is held.
-func (k *Keeper) take() *Conn {
+// takeIdle returns the most recently used idle connection that is still open, nil if there is
+// none, and closes those that aren't. The caller holds the mutex.
+func (k *Keeper) takeIdle() *Conn {
 	for n := len(k.idle); n > 0 && !k.closed; n-- {
 		c := k.idle[n-1]
 		k.idle = k.idle[:n-1]
@@ -208,17 +215,18 @@
 	return nil
 }
 
-func (k *Keeper) enlist() (*Conn, chan result, error) {
+// takeOrEnqueue returns an idle connection, or else the channel of a new waiter.
+func (k *Keeper) takeOrEnqueue() (*Conn, chan result, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.closed {
 		return nil, nil, ErrClosed
 	}
-	if c := k.take(); c != nil {
+	if c := k.takeIdle(); c != nil {
 		return c, nil, nil
 	}
 	now := time.Now()
-	if k.failure.present(now) != nil && k.open == 0 && !k.failure.passing(now) {
+	if k.failure.current(now) != nil && k.open == 0 && !k.failure.temporary(now) {
 		return nil, nil, k.failure.unavailable(now)
 	}
 	w := make(chan result, 1)
@@ -232,13 +240,13 @@
 	case r := <-w:
 		return r.conn, r.err
 	case <-ctx.Done():
-		k.leave(w)
+		k.cancelWait(w)
 		return nil, ctx.Err()
 	}
 }
 
-// leave removes a waiter and passes on what it was given meanwhile.
-func (k *Keeper) leave(w chan result) {
+// cancelWait removes a waiter. A connection that it has already been given is passed on.
+func (k *Keeper) cancelWait(w chan result) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if i := slices.Index(k.waiters, w); i >= 0 {
@@ -250,7 +258,8 @@
 	}
 }
 
-// put gives a connection to the next waiter. The mutex is held.
+// put gives a connection to the first waiter, or adds it to the idle ones. The caller holds the
+// mutex.
 func (k *Keeper) put(c *Conn) {
 	switch {
 	case k.closed:
@@ -265,13 +274,13 @@
 	}
 }
 
-func (k *Keeper) giveBack(c *Conn) {
+func (k *Keeper) returnConn(c *Conn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.put(c)
 }
 
-// discard closes a connection; waiters get a new one in its place.
+// discard closes a connection and opens a new one in its place if there are waiters.
 func (k *Keeper) discard(c *Conn) {
 	c.Close()
 	k.mu.Lock()
@@ -280,13 +289,14 @@
 	k.grow()
 }
 
-// runSettle settles a cancelled connection before it is used again.
-func (k *Keeper) runSettle(c *Conn) {
+// finishCancel returns a connection to the pool once its pending cancel request is finished, and
+// discards it if that fails.
+func (k *Keeper) finishCancel(c *Conn) {
 	if err := c.FinishCancel(context.Background()); err != nil {
 		k.Log.WithError(err).WithField("step", "settle").WithField("peer", k.Server.Name).Warn("connection discarded")
 		k.discard(c)
 		return
 	}
 	c.FinishCancel = nil
-	k.giveBack(c)
+	k.returnConn(c)
 }
--- a/internal/pool/keeper/keeper_test.go
+++ b/internal/pool/keeper/keeper_test.go
@@ -17,27 +17,27 @@
 
 var errRefused = errors.New("connection refused")
 
-// opener opens connections in virtual time and counts.
+// opener opens connections after dialTime, or fails with err, and counts the attempts.
 type opener struct {
-	takes time.Duration
+	dialTime time.Duration
 
-	mu      sync.Mutex
-	err     error
-	dials   int
-	dialing int
-	most    int
+	mu          sync.Mutex
+	err         error
+	dials       int
+	dialing     int
+	peakDialing int
 }
 
 func (o *opener) Open(ctx context.Context, _, _ string) (*dialer.Conn, error) {
 	o.mu.Lock()
 	o.dials++
 	o.dialing++
-	o.most = max(o.most, o.dialing)
+	o.peakDialing = max(o.peakDialing, o.dialing)
 	err := o.err
 	o.mu.Unlock()
-	defer o.end()
+	defer o.endDial()
 	select {
-	case <-time.After(o.takes):
+	case <-time.After(o.dialTime):
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -48,24 +48,24 @@
 	return &dialer.Conn{Conn: c}, nil
 }
 
-func (o *opener) end() {
+func (o *opener) endDial() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.dialing--
 }
 
-func (o *opener) set(err error) {
+func (o *opener) setError(err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.err = err
 }
 
-func pool(o *opener) *Keeper {
+func newKeeper(o *opener) *Keeper {
 	return &Keeper{Server: declarer.BackendServer{Name: "a", Connections: 16}, Opener: o}
 }
 
-// acquire lets n requests wait for a connection and returns what came of them.
-func acquire(ctx context.Context, k *Keeper, n int) (got []*Conn, errs []error) {
+// acquire acquires n connections concurrently and returns the connections and errors.
+func acquire(ctx context.Context, k *Keeper, n int) (conns []*Conn, errs []error) {
 	var w sync.WaitGroup
 	var mu sync.Mutex
 	for range n {
@@ -77,46 +77,46 @@
 				errs = append(errs, err)
 				return
 			}
-			got = append(got, c)
+			conns = append(conns, c)
 		})
 	}
 	w.Wait()
-	return got, errs
+	return conns, errs
 }
 
-// checkRetryAfter fails the test unless err says when to come back, and that is
-// before the pause is over.
+// checkRetryAfter fails the test unless err carries a positive RetryAfter of at most
+// maximumPause.
 func checkRetryAfter(t *testing.T, err error) {
 	t.Helper()
 	var u *Unavailable
 	if !errors.As(err, &u) || u.RetryAfter <= 0 || u.RetryAfter > maximumPause {
-		t.Errorf("retry after %+v of %v", u, err)
+		t.Errorf("error %v carries %+v, want RetryAfter up to %v", err, u, maximumPause)
 	}
 }
 
-// A server comes back after a failure and forty requests miss their connection
-// at once. If each dialled by itself, logins would take the server's whole time.
-func TestDialsAreBounded(t *testing.T) {
+// Guards against a login storm: when a server comes back after a failure, many requests need a
+// connection at once. If each of them opened its own, the server would be busy with logins.
+func TestConcurrentDialsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := &opener{takes: 20 * time.Millisecond}
-		k := pool(o)
-		got, errs := acquire(t.Context(), k, k.Capacity())
-		if len(errs) > 0 || len(got) != k.Capacity() {
-			t.Errorf("%d connections, errors %v", len(got), errs)
+		o := &opener{dialTime: 20 * time.Millisecond}
+		k := newKeeper(o)
+		conns, errs := acquire(t.Context(), k, k.Capacity())
+		if len(errs) > 0 || len(conns) != k.Capacity() {
+			t.Errorf("%d connections, errors %v", len(conns), errs)
 		}
-		if o.most != maximumDialing || k.OpenConnections() != k.Capacity() {
-			t.Errorf("%d dials at a time, %d connections open", o.most, k.OpenConnections())
+		if o.peakDialing != maximumDialing || k.OpenConnections() != k.Capacity() {
+			t.Errorf("%d concurrent dials, want %d; %d connections open, want %d", o.peakDialing, maximumDialing, k.OpenConnections(), k.Capacity())
 		}
 		k.Close()
 	})
 }
 
-// A server refuses connections. Requests hear of it at once, so that another
-// server can serve them, and the server isn't asked again for each of them.
+// Guards against retry storms and long waits when a server refuses connections: requests must
+// fail at once, so that another server can serve them, and must not each cause a new attempt.
 func TestFailurePausesDials(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := &opener{takes: time.Millisecond, err: errRefused}
-		k := pool(o)
+		o := &opener{dialTime: time.Millisecond, err: errRefused}
+		k := newKeeper(o)
 		for range 100 {
 			_, errs := acquire(t.Context(), k, 10)
 			if len(errs) != 10 || !errors.Is(errs[0], errRefused) {
@@ -127,9 +127,9 @@
 			}
 		}
 		if o.dials > 2*maximumDialing {
-			t.Errorf("%d dials to a server that refuses", o.dials)
+			t.Errorf("%d dials to a server that refuses connections", o.dials)
 		}
-		o.set(nil)
+		o.setError(nil)
 		time.Sleep(maximumPause)
 		if _, errs := acquire(t.Context(), k, 1); errs != nil {
 			t.Errorf("after the pause: %v", errs)
@@ -138,16 +138,15 @@
 	})
 }
 
-// A server stops answering while connections to it are being opened. Without
-// the interruption the requests wait for the whole connect timeout, although
-// the group has a new primary long before.
+// Guards against waits for the whole connect timeout: a server stops responding while connections
+// to it are being opened, and the group has a new primary long before the timeout.
 func TestInterruptFreesWaiters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := pool(&opener{takes: time.Hour})
+		k := newKeeper(&opener{dialTime: time.Hour})
 		time.AfterFunc(time.Second, func() { k.Interrupt(errRefused) })
-		got, errs := acquire(t.Context(), k, 3)
-		if len(got) != 0 || len(errs) != 3 || !errors.Is(errs[0], errRefused) {
-			t.Errorf("%d connections, errors %v", len(got), errs)
+		conns, errs := acquire(t.Context(), k, 3)
+		if len(conns) != 0 || len(errs) != 3 || !errors.Is(errs[0], errRefused) {
+			t.Errorf("%d connections, errors %v", len(conns), errs)
 		}
 		synctest.Wait()
 		if k.OpenConnections() != 0 {
@@ -157,11 +156,11 @@
 	})
 }
 
-// A caller gives up just as a connection comes back. The connection must reach
-// the next in line, or the pool is one connection short from then on.
-func TestGivenUpWaitLosesNoConnection(t *testing.T) {
+// Guards against a leaked connection: a waiter is cancelled just as a connection is released to
+// it. The connection must go to the next waiter, or the pool stays one connection short.
+func TestCancelledWaitLosesNoConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := pool(&opener{takes: time.Millisecond})
+		k := newKeeper(&opener{dialTime: time.Millisecond})
 		k.Server.Connections = defaultReserved + 1
 		c, err := k.Acquire(t.Context())
 		if err != nil {
@@ -170,9 +169,9 @@
 		for range 20 {
 			x, cancel := context.WithTimeout(t.Context(), 5*time.Millisecond)
 			time.AfterFunc(5*time.Millisecond, func() { k.Release(c, true) })
-			got, _ := acquire(x, k, 2)
+			conns, _ := acquire(x, k, 2)
 			cancel()
-			for _, g := range got {
+			for _, g := range conns {
 				k.Release(g, true)
 			}
 			if c, err = k.Acquire(t.Context()); err != nil {
@@ -186,9 +185,9 @@
 	})
 }
 
-func TestAheadOpensWithinTheLimit(t *testing.T) {
+func TestEnsureOpenStaysWithinLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := pool(&opener{takes: time.Millisecond})
+		k := newKeeper(&opener{dialTime: time.Millisecond})
 		for range 100 {
 			k.EnsureOpen(100)
 			time.Sleep(time.Millisecond)
@@ -200,30 +199,30 @@
 	})
 }
 
-// A pool moves to another entry host while the former owner still holds all
-// that the server accepts, and gives it up within a second. Callers wait that
-// long; were they refused at once, each move would show as errors.
-func TestLimitOfServerPasses(t *testing.T) {
+// Guards against errors when a pool moves to another entry host: the former owner still holds all
+// connections that the server accepts and closes them within a second. Callers must wait that
+// long instead of failing at once.
+func TestTemporaryConnectionLimit(t *testing.T) {
 	tests := []struct {
-		name   string
-		passes time.Duration
-		errors int
+		name     string
+		duration time.Duration
+		errors   int
 	}{
-		{name: "former owner gives up", passes: time.Second},
-		{name: "limit stays", passes: time.Minute, errors: 2},
+		{name: "former owner closes its connections", duration: time.Second},
+		{name: "limit stays reached", duration: time.Minute, errors: 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				o := &opener{takes: 10 * time.Millisecond}
-				o.set(&pgconn.PgError{Code: "53300"})
-				k := pool(o)
+				o := &opener{dialTime: 10 * time.Millisecond}
+				o.setError(&pgconn.PgError{Code: "53300"})
+				k := newKeeper(o)
 				defer k.Close()
-				stop := time.AfterFunc(tt.passes, func() { o.set(nil) })
+				stop := time.AfterFunc(tt.duration, func() { o.setError(nil) })
 				defer stop.Stop()
-				got, errs := acquire(t.Context(), k, 2)
-				if len(errs) != tt.errors || len(got)+len(errs) != 2 {
-					t.Errorf("%d connections, errors %v, want %d errors", len(got), errs, tt.errors)
+				conns, errs := acquire(t.Context(), k, 2)
+				if len(errs) != tt.errors || len(conns)+len(errs) != 2 {
+					t.Errorf("%d connections, errors %v, want %d errors", len(conns), errs, tt.errors)
 				}
 			})
 		})
--- a/internal/pool/keeper/shrink.go
+++ b/internal/pool/keeper/shrink.go
@@ -1,7 +1,7 @@
 package keeper
 
-// Shrink closes up to n idle connections, those unused for longest first, and
-// returns how many it closed.
+// Shrink closes up to n idle connections, least recently used first, and returns how many it
+// closed.
 func (k *Keeper) Shrink(n int) int {
 	k.mu.Lock()
 	n = min(n, len(k.idle))
--- a/internal/pool/keeper/unavailable.go
+++ b/internal/pool/keeper/unavailable.go
@@ -4,10 +4,10 @@
 	"time"
 )
 
-// Unavailable is the failure of the last attempt to connect, told to requests
-// that find no connection before the next attempt is due.
+// Unavailable is the error that requests receive when there is no connection after a failed
+// attempt to connect and the next attempt is not due yet.
 type Unavailable struct {
-	// Cause is the error of the attempt.
+	// Cause is the error of the last attempt.
 	Cause error
 	// RetryAfter is the time until the next attempt.
 	RetryAfter time.Duration
@@ -19,11 +19,11 @@
 // Unwrap returns the cause.
 func (u *Unavailable) Unwrap() error { return u.Cause }
 
-// RetryAfterHint returns RetryAfter. A caller that came back sooner would be
-// told of the same attempt once more.
+// RetryAfterHint returns RetryAfter. A caller that retries sooner gets the error of the same
+// attempt again.
 func (u *Unavailable) RetryAfterHint() time.Duration { return u.RetryAfter }
 
-// unavailable returns what requests are told of the last failure.
+// unavailable returns the error that requests receive after the last failure.
 func (f *failure) unavailable(now time.Time) error {
 	return &Unavailable{
 		Cause:      f.err,
