--- a/internal/pool/lender/giveback_test.go
+++ b/internal/pool/lender/giveback_test.go
@@ -18,12 +18,12 @@
 	"github.com/cuminwick/cuminwick/internal/wire/framer"
 )
 
-// answerer opens connections to a server that answers each batch with a status.
-type answerer struct {
+// statusOpener opens connections to a server that answers each batch with this transaction status.
+type statusOpener struct {
 	status byte
 }
 
-func (a answerer) Open(context.Context, string, string) (*dialer.Conn, error) {
+func (a statusOpener) Open(context.Context, string, string) (*dialer.Conn, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -38,7 +38,7 @@
 	return &dialer.Conn{Conn: near, Reader: framer.Reader{Source: bufio.NewReader(near)}}, err
 }
 
-func (a answerer) run(c net.Conn) {
+func (a statusOpener) run(c net.Conn) {
 	b := make([]byte, 1<<10)
 	for {
 		if _, err := c.Read(b); err != nil {
@@ -48,19 +48,19 @@
 	}
 }
 
-type nowhere struct{}
+type nullOutput struct{}
 
-func (nowhere) Frame(byte, []byte, bool, bool) error { return nil }
+func (nullOutput) Frame(byte, []byte, bool, bool) error { return nil }
 
-// A connection that goes back with the answer is used by the next caller at once.
-// Were it inside a transaction, or given back a second time by its session, two
-// callers would share it, and one would get the other's rows.
-func TestConnectionGoesBackWithAnswer(t *testing.T) {
+// Guards against a connection shared by two callers, of which one would receive the other's rows.
+// A connection that is returned to the pool with its result is used by the next caller at once, so
+// it must not be inside a transaction, and its session must not return it a second time.
+func TestConnectionReturnedWithAnswer(t *testing.T) {
 	tests := []struct {
-		name     string
-		status   byte
-		giveBack bool
-		returned bool
+		name         string
+		status       byte
+		returnIfIdle bool
+		returned     bool
 	}{
 		{"idle", exchanger.Idle, true, true},
 		{"not allowed", exchanger.Idle, false, false},
@@ -70,7 +70,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			l := &Lender{
-				Keeper: &keeper.Keeper{Server: declarer.BackendServer{Name: "a", Connections: 16}, Opener: answerer{tt.status}},
+				Keeper: &keeper.Keeper{Server: declarer.BackendServer{Name: "a", Connections: 16}, Opener: statusOpener{tt.status}},
 				Gate:   &gate.Gate{BackendServer: "a", Queue: admitter.Queue{Slots: 1}},
 			}
 			defer l.Keeper.Close()
@@ -78,7 +78,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			x := lessor.Exchange{Batch: &batcher.Batch{}, Output: nowhere{}, ReturnIfIdle: tt.giveBack}
+			x := lessor.Exchange{Batch: &batcher.Batch{}, Output: nullOutput{}, ReturnIfIdle: tt.returnIfIdle}
 			x.Batch.AddQuery(batcher.Pass, "SELECT 1")
 			r, err := e.Exchange(t.Context(), x)
 			if err != nil || r.Returned != tt.returned {
@@ -95,21 +95,22 @@
 			e.Release(lessor.Return{Clean: tt.status == exchanger.Idle})
 			c := l.Keeper.Count()
 			if want := tt.status == exchanger.Idle; (c.Idle == 1) != want || c.Working != 0 {
-				t.Errorf("in the end %+v", c)
+				t.Errorf("connections after the release: %+v", c)
 			}
 		})
 	}
 }
 
-// Without the position that was asked for, the session asks once more over the same
-// connection; it would have to answer a commit as of unknown outcome otherwise.
+// Guards against commits that are reported with an unknown outcome: if the result lacks the
+// requested log position, the session queries it again over the same connection, which therefore
+// must not be returned to the pool.
 func TestConnectionWithoutPositionIsKept(t *testing.T) {
 	r := exchanger.Result{Status: exchanger.Idle}
-	if returns(&lessor.Exchange{ReturnIfIdle: true, AskPosition: true}, &r) {
-		t.Error("goes back without its position")
+	if mayReturn(&lessor.Exchange{ReturnIfIdle: true, AskPosition: true}, &r) {
+		t.Error("the connection is returned without the position")
 	}
 	r.Position.Position = 1
-	if !returns(&lessor.Exchange{ReturnIfIdle: true, AskPosition: true}, &r) {
-		t.Error("is kept with its position")
+	if !mayReturn(&lessor.Exchange{ReturnIfIdle: true, AskPosition: true}, &r) {
+		t.Error("the connection is kept although the result has the position")
 	}
 }
--- a/internal/pool/lender/lender.go
+++ b/internal/pool/lender/lender.go
@@ -1,4 +1,4 @@
-// Package lender lends the pooled connections of one backend server at this entry host.
+// Package lender leases the connections of this entry host's pool to one backend server.
 package lender
 
 import (
@@ -19,64 +19,65 @@
 )
 
 const (
-	// quiet is how long a connection may be idle and still be used unasked.
-	quiet = 2 * time.Second
-	// roundTripTimeout bounds the question to a connection that has been quiet.
+	// uncheckedIdleTime is how long a connection may be idle and still be used without a check.
+	uncheckedIdleTime = 2 * time.Second
+	// roundTripTimeout bounds the check of an idle connection.
 	roundTripTimeout = 250 * time.Millisecond
-	// unusedLimit is how long a slot may wait for the first exchange of its lease.
-	// The exchange of another entry host comes a round trip later, 20 ms or so
-	// between regions.
-	unusedLimit = 100 * time.Millisecond
+	// unusedSlotTimeout is how long a slot is kept for the first exchange of its lease. The
+	// exchange of another entry host arrives one round trip after the grant, about 20 ms between
+	// regions.
+	unusedSlotTimeout = 100 * time.Millisecond
 )
 
-// ErrSettings says that a session's settings were refused by the backend server.
+// ErrSettings is returned when the backend server rejects the settings of a session.
 const ErrSettings = errors.ConstError("session settings refused")
 
-// Lender implements lessor.Lessor over a pool of this entry host.
+// Lender implements lessor.Lessor with a pool of this entry host. The exported fields are set
+// before use.
 type Lender struct {
 	Keeper    *keeper.Keeper
 	Gate      *gate.Gate
 	Canceller exchanger.Canceller
-	// Prober, if set, finds connections gone silent.
+	// Prober, if set, detects connections that stopped responding and terminates their sessions.
 	Prober exchanger.Prober
-	// SlotWaitSeconds takes the seconds that requests waited for a slot, unless it is nil.
+	// SlotWaitSeconds, if set, observes how long requests waited for a slot, in seconds.
 	SlotWaitSeconds prometheus.Observer
 
-	// transactions counts the leases that are inside a transaction.
+	// transactions is the number of leases inside a transaction.
 	transactions atomic.Int64
 }
 
-// lease is one connection lent out.
+// lease implements lessor.Lease for one connection of the pool.
 type lease struct {
 	lender *Lender
 	demand lessor.Demand
 	conn   *keeper.Conn
-	// unused is the slot that was granted with the connection.
-	unused unused
-	// open says that the connection is inside a transaction.
-	open bool
-	// returned says that the connection was given back with an answer.
+	// unused is the slot that was granted along with the connection.
+	unused unusedSlot
+	// inTransaction reports that the connection is inside a transaction.
+	inTransaction bool
+	// returned reports that the connection was returned to the pool after an exchange.
 	returned bool
 }
 
-// Lease implements lessor.Lessor. It waits for a slot first and takes a
-// connection then: with as many busy connections as slots, few are needed.
+// Lease implements lessor.Lessor. It waits for a slot before it takes a connection, so that the
+// slots limit the number of busy connections, and few connections are needed.
 func (l *Lender) Lease(ctx context.Context, d lessor.Demand) (lessor.Lease, error) {
 	q := gate.Request{Team: d.Team, Class: classOf(d), Timeout: timeout(ctx, d.Deadline)}
-	s, err := l.acquire(ctx, q)
+	s, err := l.acquireSlot(ctx, q)
 	if err != nil {
-		return nil, notRun(refused(err))
+		return nil, notRun(markLeaving(err))
 	}
 	c := l.Keeper.TryAcquire()
-	l.Keeper.EnsureOpen(l.wanted())
-	if c = l.verified(c); c == nil {
-		s, c, err = l.await(ctx, s, q)
+	l.Keeper.EnsureOpen(l.neededConnections())
+	if c = l.validate(c); c == nil {
+		s, c, err = l.awaitConnection(ctx, s, q)
 	}
 	if err != nil {
 		return nil, notRun(err)
 	}
-	e := &lease{lender: l, demand: d, conn: c, unused: unused{slot: s}}
-	if err := e.adopt(ctx); err != nil {
+	e := &lease{lender: l, demand: d, conn: c, unused: unusedSlot{slot: s}}
+	if err := e.applySettings(ctx); err != nil {
 		e.Release(lessor.Return{})
 		return nil, notRun(err)
 	}
@@ -84,42 +85,44 @@
 	return e, nil
 }
 
-// verified returns c if it still answers. A connection that has been quiet for
-// a while may have gone silent; a request sent over it would be lost with its
-// outcome open, and a round trip beforehand costs one only rarely.
-func (l *Lender) verified(c *keeper.Conn) *keeper.Conn {
-	for c != nil && !c.LastUsed.IsZero() && time.Since(c.LastUsed) > quiet {
+// validate returns c if it still responds, or else another idle connection that does, nil if
+// there is none. A connection that has been idle for a while may be dead without any sign of it; a
+// request sent over it would be lost with an unknown outcome. The check costs a round trip, but
+// only rarely.
+func (l *Lender) validate(c *keeper.Conn) *keeper.Conn {
+	for c != nil && !c.LastUsed.IsZero() && time.Since(c.LastUsed) > uncheckedIdleTime {
 		err := exchanger.RoundTrip(c, roundTripTimeout)
 		if err == nil {
 			return c
 		}
 		l.Keeper.Release(c, false)
-		l.retire(c)
+		l.closeIdle(c)
 		c = l.Keeper.TryAcquire()
 	}
 	return c
 }
 
-// await gives the slot back while there is no connection. A slot that is kept
-// during a connect of 10 to 30 ms serves nobody; and if all connections are
-// inside transactions, their statements need the slot to come to an end.
-func (l *Lender) await(ctx context.Context, s *gate.Slot, q gate.Request) (*gate.Slot, *keeper.Conn, error) {
+// awaitConnection releases the slot, waits for a connection, and then acquires a slot again. A
+// slot held while a connection is opened, which takes 10 to 30 ms, would be wasted; and if all
+// connections are inside transactions, their statements need the slot to finish.
+func (l *Lender) awaitConnection(ctx context.Context, s *gate.Slot, q gate.Request) (*gate.Slot, *keeper.Conn, error) {
 	s.ReleaseUnused()
 	c, err := l.Keeper.Acquire(ctx)
 	if err != nil {
-		return nil, nil, limit(ctx, err)
+		return nil, nil, classifyAcquireError(ctx, err)
 	}
 	q.HoldsConnection = true
 	q.Timeout = timeout(ctx, time.Time{})
-	s, err = l.acquire(ctx, q)
+	s, err = l.acquireSlot(ctx, q)
 	if err != nil {
 		l.Keeper.Release(c, true)
-		return nil, nil, refused(err)
+		return nil, nil, markLeaving(err)
 	}
 	return s, c, nil
 }
 
-func (l *Lender) acquire(ctx context.Context, q gate.Request) (*gate.Slot, error) {
+// acquireSlot waits for a slot and observes the time that this took.
+func (l *Lender) acquireSlot(ctx context.Context, q gate.Request) (*gate.Slot, error) {
 	if l.SlotWaitSeconds == nil {
 		return l.Gate.Acquire(ctx, q)
 	}
@@ -129,14 +132,14 @@
 	return s, err
 }
 
-// wanted is how many connections the requests at hand can use at a time: one
-// for each slot, and those that are kept by transactions.
-func (l *Lender) wanted() int {
+// neededConnections returns how many connections the current requests can use concurrently: up to
+// one for each slot, and those held by transactions.
+func (l *Lender) neededConnections() int {
 	n := l.Gate.Load()
 	return min(n.Running+n.Waiting, n.Slots) + int(l.transactions.Load())
 }
 
-// Load returns what waits and runs here, for the choice between servers.
+// Load returns the number of waiting and running requests, by which callers choose a server.
 func (l *Lender) Load() gate.Load { return l.Gate.Load() }
 
 func classOf(d lessor.Demand) admitter.Class {
@@ -146,7 +149,8 @@
 	return admitter.ClassRead
 }
 
-// timeout returns how long the request may still take, zero for no bound.
+// timeout returns the time until the earlier of deadline and ctx's deadline, at least one
+// nanosecond, or zero if there is neither.
 func timeout(ctx context.Context, deadline time.Time) time.Duration {
 	if t, ok := ctx.Deadline(); ok && (deadline.IsZero() || t.Before(deadline)) {
 		deadline = t
@@ -157,9 +161,9 @@
 	return max(1, time.Until(deadline))
 }
 
-// refused marks the refusal of a leaving server as one that another server may
-// not share.
-func refused(err error) error {
+// markLeaving adds lessor.ErrUnreachable to a refusal because the server is leaving, since
+// another server may accept the request.
+func markLeaving(err error) error {
 	var r *gate.Refusal
 	if errors.As(err, &r) && r.Reason == admitter.ReasonLeaving {
 		return errors.WithType(err, lessor.ErrUnreachable)
@@ -179,7 +183,7 @@
 	}
 	s, err := e.takeSlot(ctx, x.InTransaction)
 	if err != nil {
-		return exchanger.Result{}, notRun(refused(err))
+		return exchanger.Result{}, notRun(markLeaving(err))
 	}
 	y := exchanger.Exchange{
 		Conn:        e.conn,
@@ -192,41 +196,43 @@
 		Prober:      e.lender.Prober,
 	}
 	r, err := y.Run(ctx)
-	e.lender.noteSilence(e.conn, err)
+	e.lender.handleSilence(e.conn, err)
 	if r.Status != 0 {
-		e.setOpen(r.Status != exchanger.Idle)
+		e.setInTransaction(r.Status != exchanger.Idle)
 	}
-	if err == nil && returns(&x, &r) {
-		// Before the slot, whose next holder would else find no idle connection, give
-		// the slot back and have another connection opened.
+	if err == nil && mayReturn(&x, &r) {
+		// The connection is returned before the slot is released. Otherwise the next holder of
+		// the slot would find no idle connection, release the slot and have another connection
+		// opened.
 		r.Returned = true
-		e.giveBack(lessor.Return{Clean: true, Settings: e.demand.Settings})
+		e.returnConn(lessor.Return{Clean: true, Settings: e.demand.Settings})
 	}
 	s.Release()
 	return r, err
 }
 
-// returns reports whether the connection may go back with the answer r. Without a
-// position that was asked for, the session asks for it over the same connection.
-func returns(x *lessor.Exchange, r *exchanger.Result) bool {
+// mayReturn reports whether the connection may be returned to the pool after the result r. If the
+// requested log position is missing, the session queries it over the same connection.
+func mayReturn(x *lessor.Exchange, r *exchanger.Result) bool {
 	return x.ReturnIfIdle && r.Status == exchanger.Idle && (!x.AskPosition || !r.Position.IsZero())
 }
 
-// noteSilence closes the idle connections after one has gone silent: what lost
-// track of it is likely to have lost the others of its age as well.
-func (l *Lender) noteSilence(c *keeper.Conn, err error) {
+// handleSilence closes the idle connections if err reports that c stopped responding. Whatever
+// lost the state of this connection, such as a network device, has probably lost that of others of
+// the same age as well.
+func (l *Lender) handleSilence(c *keeper.Conn, err error) {
 	if errors.Is(err, exchanger.ErrSilent) {
-		l.retire(c)
+		l.closeIdle(c)
 	}
 }
 
-// retire closes c's idle siblings and has the server end them all.
-func (l *Lender) retire(c *keeper.Conn) {
+// closeIdle closes the idle connections and terminates their sessions and that of c at the server.
+func (l *Lender) closeIdle(c *keeper.Conn) {
 	t := &terminator{lender: l, processIDs: append(l.Keeper.CloseIdle(), c.ProcessID)}
 	go t.run()
 }
 
-// terminator ends silent sessions at the backend server.
+// terminator terminates sessions at the backend server whose connections stopped responding.
 type terminator struct {
 	lender     *Lender
 	processIDs []uint32
@@ -243,47 +249,48 @@
 
 // Release implements lessor.Lease.
 func (e *lease) Release(r lessor.Return) {
-	e.unused.giveBack()
-	e.setOpen(false)
+	e.unused.release()
+	e.setInTransaction(false)
 	if !e.returned {
-		e.giveBack(r)
+		e.returnConn(r)
 	}
 }
 
-func (e *lease) giveBack(r lessor.Return) {
+// returnConn returns the connection to the pool.
+func (e *lease) returnConn(r lessor.Return) {
 	e.returned = true
 	e.conn.Replay.Finish(r.Settings, r.HiddenState)
 	e.lender.Keeper.Release(e.conn, r.Clean)
 }
 
-// setOpen notes the begin and the end of a transaction.
-func (e *lease) setOpen(open bool) {
+// setInTransaction records the begin or the end of a transaction.
+func (e *lease) setInTransaction(inside bool) {
 	switch {
-	case open && !e.open:
+	case inside && !e.inTransaction:
 		e.lender.transactions.Add(1)
 		e.lender.Gate.TransactionOpened()
-	case !open && e.open:
+	case !inside && e.inTransaction:
 		e.lender.transactions.Add(-1)
 		e.lender.Gate.TransactionClosed()
 	}
-	e.open = open
+	e.inTransaction = inside
 }
 
-// takeSlot uses the slot that came with the connection, or waits for one.
+// takeSlot returns the slot that was granted along with the connection, or waits for a new one.
 func (e *lease) takeSlot(ctx context.Context, inTransaction bool) (*gate.Slot, error) {
 	if s := e.unused.take(); s != nil {
 		return s, nil
 	}
 	q := gate.Request{Team: e.demand.Team, Class: classOf(e.demand), HoldsConnection: true, Timeout: timeout(ctx, time.Time{})}
-	if inTransaction || e.open {
+	if inTransaction || e.inTransaction {
 		q.Class = admitter.ClassTransaction
 	}
-	return e.lender.acquire(ctx, q)
+	return e.lender.acquireSlot(ctx, q)
 }
 
-// adopt gives the connection the session's settings before the session uses
-// it: a statement that ran under another caller's settings could answer wrongly.
-func (e *lease) adopt(ctx context.Context) error {
+// applySettings applies the session's settings to the connection before the session uses it: a
+// statement that runs under another caller's settings could return wrong results.
+func (e *lease) applySettings(ctx context.Context) error {
 	p := e.conn.Replay.Prepare(e.demand.Settings)
 	if p.Discard {
 		if err := e.execute(ctx, replayer.DiscardText); err != nil {
@@ -299,9 +306,9 @@
 func (e *lease) execute(ctx context.Context, sql string) error {
 	var b batcher.Batch
 	b.AddQuery(batcher.Swallow, sql)
-	x := exchanger.Exchange{Conn: e.conn, Canceller: e.lender.Canceller, Batch: &b, Output: discard{}, Prober: e.lender.Prober}
+	x := exchanger.Exchange{Conn: e.conn, Canceller: e.lender.Canceller, Batch: &b, Output: discardOutput{}, Prober: e.lender.Prober}
 	r, err := x.Run(ctx)
-	e.lender.noteSilence(e.conn, err)
+	e.lender.handleSilence(e.conn, err)
 	if err != nil {
 		return errors.WithType(errors.Annotatef(err, "adopt session settings at %s", e.conn.Address), lessor.ErrUnreachable)
 	}
@@ -311,15 +318,16 @@
 	return nil
 }
 
-// discard is the output of exchanges that no caller sees.
-type discard struct{}
+// discardOutput is the output of exchanges whose response isn't forwarded to a caller.
+type discardOutput struct{}
 
 // Frame implements exchanger.Output.
-func (discard) Frame(byte, []byte, bool, bool) error { return nil }
+func (discardOutput) Frame(byte, []byte, bool, bool) error { return nil }
 
-// limit tells a connection that the backend server refused for its limit from
-// one that couldn't be opened.
-func limit(ctx context.Context, err error) error {
+// classifyAcquireError adds lessor.ErrConnectionLimit if the backend server refused the connection
+// because of its limit, and lessor.ErrUnreachable if it couldn't be opened for another reason. It
+// adds nothing if ctx ended.
+func classifyAcquireError(ctx context.Context, err error) error {
 	if keeper.IsConnectionLimit(err) {
 		return errors.WithType(err, lessor.ErrConnectionLimit)
 	}
@@ -329,16 +337,16 @@
 	return errors.WithType(err, lessor.ErrUnreachable)
 }
 
-// failure is an error before anything was sent; it keeps its cause for
-// errors.Is and errors.As.
-type failure struct {
+// notRunError is an error that occurred before anything was sent. It matches lessor.ErrNotRun and
+// its cause.
+type notRunError struct {
 	cause error
 }
 
 // Error implements error.
-func (f *failure) Error() string { return f.cause.Error() }
+func (f *notRunError) Error() string { return f.cause.Error() }
 
-// Unwrap lets callers find the cause and ErrNotRun.
-func (f *failure) Unwrap() []error { return []error{f.cause, lessor.ErrNotRun} }
+// Unwrap returns the cause and lessor.ErrNotRun.
+func (f *notRunError) Unwrap() []error { return []error{f.cause, lessor.ErrNotRun} }
 
-func notRun(err error) error { return &failure{cause: err} }
+func notRun(err error) error { return &notRunError{cause: err} }
--- a/internal/pool/lender/lender_test.go
+++ b/internal/pool/lender/lender_test.go
@@ -15,46 +15,45 @@
 	"github.com/cuminwick/cuminwick/internal/pool/lessor"
 )
 
-// opener opens connections to nobody.
-type opener struct{}
+// pipeOpener opens connections whose other end never reads or writes.
+type pipeOpener struct{}
 
-func (opener) Open(context.Context, string, string) (*dialer.Conn, error) {
+func (pipeOpener) Open(context.Context, string, string) (*dialer.Conn, error) {
 	c, _ := net.Pipe()
 	return &dialer.Conn{Conn: c}, nil
 }
 
-// An entry host is cut off after it was granted connections to a primary and
-// before its statements came. While their slots stay taken nobody else's write
-// runs at the server, though it and its replicas are well: users notice writes
-// that stand still for as long as the cut.
+// Guards against blocked writes during a network partition: an entry host is cut off after it was
+// granted connections to a primary and before it sent statements. If their slots stayed taken, no
+// other write would run at the server for as long as the partition lasts.
 func TestUnusedSlotsOfAHostThatIsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const slots = 2
 		l := &Lender{
-			Keeper: &keeper.Keeper{Server: declarer.BackendServer{Name: "a", Connections: 16}, Opener: opener{}},
+			Keeper: &keeper.Keeper{Server: declarer.BackendServer{Name: "a", Connections: 16}, Opener: pipeOpener{}},
 			Gate:   &gate.Gate{BackendServer: "a", Queue: admitter.Queue{Slots: slots}},
 		}
 		defer l.Keeper.Close()
 		ctx, stop := context.WithTimeout(t.Context(), time.Second)
 		defer stop()
-		var cut []lessor.Lease
+		var isolated []lessor.Lease
 		for range slots {
 			e, err := l.Lease(ctx, lessor.Demand{Write: true})
 			if err != nil {
 				t.Fatal(err)
 			}
-			cut = append(cut, e)
+			isolated = append(isolated, e)
 		}
 		e, err := l.Lease(ctx, lessor.Demand{Write: true})
 		if err != nil {
-			t.Fatalf("a write waited behind unused slots: %v", err)
+			t.Fatalf("a write failed while unused slots were held: %v", err)
 		}
 		e.Release(lessor.Return{})
-		for _, e := range cut {
+		for _, e := range isolated {
 			e.Release(lessor.Return{})
 		}
 		if n := l.Gate.Load().Running; n != 0 {
-			t.Errorf("%d slots taken in the end", n)
+			t.Errorf("%d slots still taken after all leases were released", n)
 		}
 	})
 }
--- a/internal/pool/lender/unused.go
+++ b/internal/pool/lender/unused.go
@@ -7,29 +7,28 @@
 	"github.com/cuminwick/cuminwick/internal/limit/gate"
 )
 
-// unused is a slot that was granted with a connection and has run nothing yet.
+// unusedSlot is a slot that was granted along with a connection and hasn't been used yet.
 //
-// Another entry host gets to know of its lease before it sends the statement. Was
-// its zone cut off in between, the statement never comes, and the lease lasts
-// until the link is found to be dead. A server has two or three slots: kept that
-// long, a few such leases stopped all writes of a group for as long as the cut.
-// After unusedLimit the slot goes to the next in the queue, and the lease waits
-// for another one should it be used after all.
-type unused struct {
+// Another entry host is notified of its lease before it sends the first statement. If its
+// availability zone is cut off in between, the statement never arrives, and the lease lasts until
+// the link is detected as dead. A server has two or three slots, so a few such leases would block
+// all writes of a database group during the whole network partition. After unusedSlotTimeout the
+// slot goes to the next request in the queue; if the lease is used later, it waits for a new slot.
+type unusedSlot struct {
 	mu    sync.Mutex
 	slot  *gate.Slot
 	timer *time.Timer
 }
 
-// expire gives the slot back after unusedLimit, if it isn't taken before.
-func (u *unused) expire() {
+// expire releases the slot after unusedSlotTimeout unless it is taken before.
+func (u *unusedSlot) expire() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.timer = time.AfterFunc(unusedLimit, u.giveBack)
+	u.timer = time.AfterFunc(unusedSlotTimeout, u.release)
 }
 
-// take returns the slot, nil if it is gone.
-func (u *unused) take() *gate.Slot {
+// take returns the slot, or nil if it was taken or released before.
+func (u *unusedSlot) take() *gate.Slot {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.timer != nil {
@@ -40,7 +39,8 @@
 	return s
 }
 
-func (u *unused) giveBack() {
+// release gives the slot back to the gate unless it was taken.
+func (u *unusedSlot) release() {
 	if s := u.take(); s != nil {
 		s.ReleaseUnused()
 	}
