--- a/internal/pool/granter/callup.go
+++ b/internal/pool/granter/callup.go
@@ -9,62 +9,63 @@
 )
 
 const (
-	// callUpAhead is how long before the expected grant the first exchange is
-	// called up. It covers a round trip between regions and the error of the
-	// expectation.
-	callUpAhead = 40 * time.Millisecond
-	// callUpAfter is the least time to the call-up. A slot and a connection that
-	// are free are granted before, which calls the exchange up as well.
-	callUpAfter = time.Millisecond
+	// batchRequestLead is how long before the expected grant the first batch is requested. It
+	// covers a round trip between regions and the error of the estimate.
+	batchRequestLead = 40 * time.Millisecond
+	// minimumBatchRequestDelay is the minimum delay before the first batch is requested. A free
+	// slot and connection are granted sooner, and the grant also makes the forwarding host send
+	// its batch.
+	minimumBatchRequestDelay = time.Millisecond
 )
 
-// callUp asks the other host for its first exchange, once.
+// batchRequest requests the first batch of a lease from the forwarding host, once.
 //
-// A write isn't sent along with the request, since it would be lost with its
-// outcome open if this host were gone. Was it sent only once there is a slot, the
-// slot would stand idle for a round trip, longer than many statements take; callers
-// would notice by the length of the queue. So it is asked for shortly before.
-type callUp struct {
+// A write isn't sent along with the lease request, since it would be lost with an unknown outcome
+// if this host were gone. If it were sent only after a slot is granted, the slot would be idle for
+// a round trip, which is longer than many statements take, and the queue would grow noticeably. So
+// the batch is requested shortly before the grant.
+type batchRequest struct {
 	conn *messenger.Conn
 
 	mu    sync.Mutex
-	over  bool
+	ended bool
 	timer *time.Timer
 }
 
-// announce has the first exchange called up when the grant is near.
-func (s *service) announce() *callUp {
-	c := &callUp{conn: &s.conn}
-	g, ok := s.pool.(gauge)
+// scheduleBatchRequest schedules the request of the first batch for batchRequestLead before the
+// expected grant.
+func (s *service) scheduleBatchRequest() *batchRequest {
+	c := &batchRequest{conn: &s.conn}
+	g, ok := s.pool.(loadReporter)
 	if !ok {
 		return c
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.timer = time.AfterFunc(pause(g.Load()), c.run)
+	c.timer = time.AfterFunc(batchRequestDelay(g.Load()), c.run)
 	return c
 }
 
-// pause returns how long to wait with the call-up behind the queue l.
-func pause(l gate.Load) time.Duration {
+// batchRequestDelay returns how long to wait before requesting the first batch, given the queue l.
+func batchRequestDelay(l gate.Load) time.Duration {
 	w := time.Duration(l.Waiting) * l.ServiceTime / time.Duration(max(1, l.Slots))
-	return max(callUpAfter, w-callUpAhead)
+	return max(minimumBatchRequestDelay, w-batchRequestLead)
 }
 
-func (c *callUp) run() {
+func (c *batchRequest) run() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.over {
+	if !c.ended {
 		// A failure is returned by the next message.
 		_ = c.conn.Send(messenger.KindRequestBatch)
 	}
 }
 
-// end keeps the call-up from coming after the grant or the refusal.
-func (c *callUp) end() {
+// end prevents the batch from being requested after the grant or the refusal.
+func (c *batchRequest) end() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.over = true
+	c.ended = true
 	if c.timer != nil {
 		c.timer.Stop()
 	}
--- a/internal/pool/granter/callup_test.go
+++ b/internal/pool/granter/callup_test.go
@@ -14,41 +14,41 @@
 	"github.com/cuminwick/cuminwick/internal/wire/batcher"
 )
 
-// busy is a pool whose connections are granted with a token.
-type busy struct {
-	pool
+// tokenPool is a pool that grants a connection for each token.
+type tokenPool struct {
+	fakePool
 	grants chan struct{}
 }
 
-func (b *busy) Lease(ctx context.Context, _ lessor.Demand) (lessor.Lease, error) {
+func (b *tokenPool) Lease(ctx context.Context, _ lessor.Demand) (lessor.Lease, error) {
 	select {
 	case <-b.grants:
-		return &b.pool, nil
+		return &b.fakePool, nil
 	case <-ctx.Done():
-		return nil, unsent{ctx.Err()}
+		return nil, notRunError{ctx.Err()}
 	}
 }
 
-func (b *busy) Load() gate.Load { return gate.Load{Slots: 1, Running: 1} }
+func (b *tokenPool) Load() gate.Load { return gate.Load{Slots: 1, Running: 1} }
 
-// unsent marks an error as the lender does.
-type unsent struct{ error }
+// notRunError adds lessor.ErrNotRun to an error, as the lender does.
+type notRunError struct{ error }
 
-func (u unsent) Unwrap() []error { return []error{u.error, lessor.ErrNotRun} }
+func (u notRunError) Unwrap() []error { return []error{u.error, lessor.ErrNotRun} }
 
-// lent serves one lease of p and returns its other end and its result.
-func lent(t *rapid.T, p lessor.Lessor, callUp bool) (*asker, net.Conn, chan error) {
+// startLease serves one lease of p and returns the forwarding host's end and the result of serve.
+func startLease(t *rapid.T, p lessor.Lessor, batchHeld bool) (*forwardingHost, net.Conn, chan error) {
 	near, far := net.Pipe()
-	s := &service{stream: far, conn: messenger.Conn{Stream: far}, pool: p, callUp: callUp}
+	s := &service{stream: far, conn: messenger.Conn{Stream: far}, pool: p, batchHeld: batchHeld}
 	done := make(chan error, 1)
 	go func() {
 		done <- s.serve()
 		far.Close()
 	}()
-	return &asker{T: t, conn: messenger.Conn{Stream: near}}, near, done
+	return &forwardingHost{T: t, conn: messenger.Conn{Stream: near}}, near, done
 }
 
-func (a *asker) expect(want messenger.Kind) []byte {
+func (a *forwardingHost) expect(want messenger.Kind) []byte {
 	k, b, err := a.conn.Read()
 	if err != nil || k != want {
 		a.Fatalf("message %q, %v, want %q", k, err, want)
@@ -56,36 +56,36 @@
 	return b
 }
 
-// A write waits in the owner's queue with its batch beside it. If it is cancelled
-// there, or its host dies, it must vanish: a write that ran after its caller was
-// told that it did not would be made twice. One that is granted runs once.
-func TestCalledUpBatch(t *testing.T) {
-	for _, how := range []string{"granted", "cancelled", "host gone", "cancelled before call"} {
-		t.Run(how, rapid.MakeCheck(func(t *rapid.T) {
-			p := &busy{grants: make(chan struct{}, 1)}
-			a, near, done := lent(t, p, true)
-			if how == "cancelled before call" {
+// Guards against writes that run twice. The batch of a write that waits in the pool owner's queue
+// has already arrived; if the write is cancelled there, or its host fails, the batch must be
+// dropped, since the caller is told that it didn't run and may retry it. A granted write runs once.
+func TestRequestedBatch(t *testing.T) {
+	for _, scenario := range []string{"granted", "cancelled", "host failed", "cancelled before batch request"} {
+		t.Run(scenario, rapid.MakeCheck(func(t *rapid.T) {
+			p := &tokenPool{grants: make(chan struct{}, 1)}
+			a, near, done := startLease(t, p, true)
+			if scenario == "cancelled before batch request" {
 				a.cancel(1)
 			}
-			if how != "cancelled before call" {
+			if scenario != "cancelled before batch request" {
 				a.expect(messenger.KindRequestBatch)
 				a.send("echo")
 			}
-			switch how {
+			switch scenario {
 			case "granted":
 				p.grants <- struct{}{}
 				a.expect(messenger.KindLeased)
 				a.receive("echo", "")
 				a.must(a.conn.SendValue(messenger.KindRelease, messenger.Release{Clean: true}))
-			case "host gone":
+			case "host failed":
 				near.Close()
 			default:
-				if how == "cancelled" {
+				if scenario == "cancelled" {
 					a.cancel(1)
 				}
 				var f messenger.Failure
 				k, b, err := a.conn.Read()
-				for k == messenger.KindRequestBatch && how != "cancelled" {
+				for k == messenger.KindRequestBatch && scenario != "cancelled" {
 					k, b, err = a.conn.Read()
 				}
 				a.must(err)
@@ -95,36 +95,36 @@
 				}
 			}
 			<-done
-			if want := how == "granted"; len(p.sent) == 1 != want || len(p.returns) == 1 != want {
+			if want := scenario == "granted"; len(p.sent) == 1 != want || len(p.returns) == 1 != want {
 				t.Errorf("sent %q, returned %+v", p.sent, p.returns)
 			}
 		}))
 	}
 }
 
-// The connection goes back with the answer where the sender vouches for it and the
-// pool sees it idle. A sender that took a lent connection for returned would leave it
-// and its locks to nobody.
+// Guards against connections that are never released. The connection is returned with the result
+// if the sender allows it and the connection is idle afterwards. If the sender assumed this for a
+// connection that is still leased, nobody would release it and its locks.
 func TestLeaseEndsWithAnswer(t *testing.T) {
 	tests := []struct {
-		query              string
-		giveBack, returned bool
+		query                  string
+		returnIfIdle, returned bool
 	}{
-		{query: "echo", giveBack: true, returned: true},
+		{query: "echo", returnIfIdle: true, returned: true},
 		{query: "echo"},
-		{query: "open", giveBack: true},
+		{query: "open", returnIfIdle: true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.query, rapid.MakeCheck(func(t *rapid.T) {
-			p := &pool{}
-			a, near, done := lent(t, p, false)
+			p := &fakePool{}
+			a, near, done := startLease(t, p, false)
 			defer near.Close()
 			a.expect(messenger.KindLeased)
 			var b batcher.Batch
 			b.AddQuery(batcher.Pass, tt.query)
 			a.must(a.conn.SendValue(messenger.KindItems, messenger.Items{Items: []messenger.Item{{Type: batcher.Query, Raw: b.Raw(0)}}}))
-			a.must(a.conn.SendValue(messenger.KindExecute, messenger.Execute{Sequence: 1, ReturnIfIdle: tt.giveBack}))
-			a.begun(tt.query)
+			a.must(a.conn.SendValue(messenger.KindExecute, messenger.Execute{Sequence: 1, ReturnIfIdle: tt.returnIfIdle}))
+			a.expectOutput(tt.query)
 			var r messenger.Result
 			a.must(encoder.Unmarshal(a.expect(messenger.KindResult), &r))
 			if r.Returned != tt.returned {
--- a/internal/pool/granter/copy.go
+++ b/internal/pool/granter/copy.go
@@ -11,27 +11,27 @@
 	"github.com/cuminwick/cuminwick/internal/pool/messenger"
 )
 
-// input is one message of the caller during COPY FROM STDIN.
+// input is one message of the caller during COPY FROM STDIN, or the error that ends it.
 type input struct {
 	kind byte
 	raw  []byte
 	err  error
 }
 
-// inputs is the exchanger's Input. It asks the other host once, which then
-// sends all messages of the COPY; the stream's flow control bounds them.
+// inputs implements exchanger.Input. It requests the input once from the forwarding host, which
+// then sends all messages of the COPY; the flow control of the stream limits them.
 type inputs struct {
 	service *service
-	// context is that of the lease: a COPY that is cancelled is still read to
-	// its end, as the caller learns of it only then.
-	context context.Context
-	asked   bool
+	// context is that of the lease, not of the exchange: a cancelled COPY is still read to its
+	// end, since only then the caller receives the cancellation.
+	context   context.Context
+	requested bool
 }
 
 // Next implements exchanger.Input.
 func (i *inputs) Next() (byte, []byte, error) {
-	if !i.asked {
-		i.asked = true
+	if !i.requested {
+		i.requested = true
 		if err := i.service.conn.Send(messenger.KindInput); err != nil {
 			return 0, nil, err
 		}
@@ -44,27 +44,28 @@
 	}
 }
 
-func (s *service) takeInput(ctx context.Context, p []byte) error {
+// handleCopyData passes a message of type KindCopyData on to the exchange.
+func (s *service) handleCopyData(ctx context.Context, p []byte) error {
 	if len(p) == 0 {
 		return errors.Annotate(encoder.ErrMalformed, "copy data without type")
 	}
-	return s.offer(ctx, input{kind: p[0], raw: bytes.Clone(p[1:])})
+	return s.deliverInput(ctx, input{kind: p[0], raw: bytes.Clone(p[1:])})
 }
 
-// offer hands m to the exchange that reads it. One that failed reads no more;
-// what is still under way for it is dropped, as it would hold up the stream.
-func (s *service) offer(ctx context.Context, m input) error {
+// deliverInput passes m to the exchange that reads it. A failed exchange reads no more, so the
+// remaining input is dropped; otherwise it would block the stream.
+func (s *service) deliverInput(ctx context.Context, m input) error {
 	select {
 	case s.inputs <- m:
 		return nil
-	case <-s.over():
+	case <-s.exchangeDone():
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// output is the exchanger's Output.
+// output implements exchanger.Output by sending the response to the forwarding host.
 type output struct {
 	conn *messenger.Conn
 }
--- a/internal/pool/granter/granter.go
+++ b/internal/pool/granter/granter.go
@@ -1,4 +1,4 @@
-// Package granter lends the connections of this entry host's pools to other entry hosts.
+// Package granter leases connections from this entry host's pools to other entry hosts.
 package granter
 
 import (
@@ -14,12 +14,12 @@
 
 // Pools finds the pool of a backend server.
 type Pools interface {
-	// Pool returns what lends its connections here, nil if this entry host
-	// isn't among its owners.
+	// Pool returns the pool of a backend server at this entry host, nil if this entry host isn't
+	// among its owners.
 	Pool(group, server string) lessor.Lessor
 }
 
-// Granter serves forwarded leases. Pools is set before use.
+// Granter serves lease requests that other entry hosts forward. Pools is set before use.
 type Granter struct {
 	Pools Pools
 
@@ -29,15 +29,14 @@
 
 var _ listener.ForwardHandler = (*Granter)(nil)
 
-// Leave refuses new leases; those that are open go on.
+// Leave makes the Granter refuse new leases; open ones continue.
 func (g *Granter) Leave() { g.leaving.Store(true) }
 
 // OpenLeases returns how many leases other entry hosts hold or wait for.
 func (g *Granter) OpenLeases() int { return int(g.open.Load()) }
 
-// HandleForward implements listener.ForwardHandler. The request is taken on
-// before it is queued, so that the other host can tell a long queue from a
-// host that is gone.
+// HandleForward implements listener.ForwardHandler. It accepts the request before the request is
+// queued, so that the forwarding host can distinguish a long queue from a failed host.
 func (g *Granter) HandleForward(_ context.Context, f *listener.Forwarded) error {
 	g.open.Add(1)
 	defer g.open.Add(-1)
@@ -52,12 +51,12 @@
 		return err
 	}
 	s := &service{
-		stream: f.Stream,
-		conn:   messenger.Conn{Stream: f.Stream},
-		pool:   p,
-		demand: demand(&f.Forward),
-		ask:    f.AskParameters,
-		callUp: f.CallUp,
+		stream:         f.Stream,
+		conn:           messenger.Conn{Stream: f.Stream},
+		pool:           p,
+		demand:         demand(&f.Forward),
+		sendParameters: f.AskParameters,
+		batchHeld:      f.CallUp,
 	}
 	return s.serve()
 }
--- a/internal/pool/granter/granter_test.go
+++ b/internal/pool/granter/granter_test.go
@@ -27,10 +27,10 @@
 	os.Exit(m.Run())
 }
 
-// pool lends one fake connection, which echoes batches; a batch that begins
-// with "wait" ends only when it is cancelled, one with "hold" with a token. One
-// with "open" leaves a transaction open, so that its connection doesn't go back.
-type pool struct {
+// fakePool leases one fake connection, which echoes batches. A batch that begins with "wait" ends
+// only when it is cancelled, one with "hold" when it receives a token. The batch "open" leaves a
+// transaction open, so that its connection isn't returned to the pool.
+type fakePool struct {
 	tokens    chan struct{}
 	mu        sync.Mutex
 	returns   []lessor.Return
@@ -38,19 +38,19 @@
 	sent      []string
 }
 
-func (p *pool) Lease(ctx context.Context, _ lessor.Demand) (lessor.Lease, error) {
+func (p *fakePool) Lease(ctx context.Context, _ lessor.Demand) (lessor.Lease, error) {
 	return p, ctx.Err()
 }
 
-func (p *pool) Parameters() map[string]string { return nil }
+func (p *fakePool) Parameters() map[string]string { return nil }
 
-func (p *pool) Release(r lessor.Return) {
+func (p *fakePool) Release(r lessor.Return) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.returns = append(p.returns, r)
 }
 
-func (p *pool) Exchange(ctx context.Context, x lessor.Exchange) (exchanger.Result, error) {
+func (p *fakePool) Exchange(ctx context.Context, x lessor.Exchange) (exchanger.Result, error) {
 	q := strings.TrimRight(string(x.Batch.Body(0)), "\x00")
 	p.mu.Lock()
 	p.sent = append(p.sent, q)
@@ -79,14 +79,14 @@
 	return r, nil
 }
 
-// asker is the other host's end of a lease.
-type asker struct {
+// forwardingHost is the forwarding host's end of a lease.
+type forwardingHost struct {
 	*rapid.T
 	conn     messenger.Conn
 	sequence uint64
 }
 
-func (a *asker) send(q string) {
+func (a *forwardingHost) send(q string) {
 	a.sequence++
 	var b batcher.Batch
 	b.AddQuery(batcher.Pass, q)
@@ -95,12 +95,12 @@
 	a.must(a.conn.SendValue(messenger.KindExecute, messenger.Execute{Sequence: a.sequence}))
 }
 
-func (a *asker) cancel(n uint64) {
+func (a *forwardingHost) cancel(n uint64) {
 	a.must(a.conn.SendValue(messenger.KindCancel, messenger.Cancel{Sequence: n}))
 }
 
-// begun reads the output of q, so that q is in progress.
-func (a *asker) begun(q string) {
+// expectOutput reads the output of q, after which q is in progress.
+func (a *forwardingHost) expectOutput(q string) {
 	for i := range 3 {
 		if k, b, err := a.conn.Read(); err != nil || k != messenger.KindOutput || string(b[2:]) != q+strconv.Itoa(i) {
 			a.Fatalf("output %q %q to %q, %v", k, b, q, err)
@@ -108,8 +108,8 @@
 	}
 }
 
-// receive reads the answer to q, which no other answer may be mixed with.
-func (a *asker) receive(q, code string) {
+// receive reads the response to q and fails if it contains parts of another one.
+func (a *forwardingHost) receive(q, code string) {
 	for i := 0; ; i++ {
 		k, b, err := a.conn.Read()
 		a.must(err)
@@ -128,30 +128,30 @@
 	}
 }
 
-func (a *asker) must(err error) {
+func (a *forwardingHost) must(err error) {
 	if err != nil {
 		a.Fatal(err)
 	}
 }
 
-// Most requests are cancelled, many so late that their answer is on its way,
-// and hosts die at any moment. A cancel that hit the next exchange would end a
-// request that nobody cancelled, and a lease that wasn't given back would keep
-// its connection and locks for good.
+// Guards against cancels that end the wrong exchange and against leases that are never released.
+// Many cancels arrive when the response is already on its way, and would then end the next request
+// of the lease; a forwarding host can fail at any moment, and its lease would keep its connection
+// and locks forever.
 func TestCancelsAndLossesOfLeases(t *testing.T) {
 	rapid.Check(t, checkLease)
 }
 
 func checkLease(t *rapid.T) {
 	near, far := net.Pipe()
-	p := &pool{tokens: make(chan struct{}, 1)}
+	p := &fakePool{tokens: make(chan struct{}, 1)}
 	s := &service{stream: far, conn: messenger.Conn{Stream: far}, pool: p}
 	done := make(chan error, 1)
 	go func() {
 		done <- s.serve()
 		far.Close()
 	}()
-	a := &asker{T: t, conn: messenger.Conn{Stream: near}}
+	a := &forwardingHost{T: t, conn: messenger.Conn{Stream: near}}
 	if k, _, err := a.conn.Read(); err != nil || k != messenger.KindLeased {
 		t.Fatalf("message %q, %v", k, err)
 	}
@@ -176,31 +176,31 @@
 		case 3:
 			q := fmt.Sprintf("hold%d-", i)
 			a.send(q)
-			a.begun(q)
+			a.expectOutput(q)
 			a.cancel(a.sequence - 1)
-			// The pipe takes this one when the cancel before has been handled.
+			// The pipe accepts this cancel only when the previous one has been handled.
 			a.cancel(0)
 			p.tokens <- struct{}{}
 			a.receive(q, "")
 		}
 	}
-	ended := rapid.SampledFrom([]string{"release", "close", "close in exchange"}).Draw(t, "end")
-	switch ended {
+	ending := rapid.SampledFrom([]string{"release", "close", "close in exchange"}).Draw(t, "end")
+	switch ending {
 	case "release":
 		a.must(a.conn.SendValue(messenger.KindRelease, messenger.Release{Clean: true}))
 	case "close in exchange":
 		a.send("wait")
 	}
-	if ended != "release" {
+	if ending != "release" {
 		near.Close()
 	}
 	err := <-done
 	near.Close()
-	if (err == nil) != (ended == "release") {
-		t.Errorf("%s: error %v", ended, err)
+	if (err == nil) != (ending == "release") {
+		t.Errorf("%s: error %v", ending, err)
 	}
-	if len(p.returns) != 1 || p.returns[0].Clean != (ended == "release") {
-		t.Errorf("%s: returned %+v", ended, p.returns)
+	if len(p.returns) != 1 || p.returns[0].Clean != (ending == "release") {
+		t.Errorf("%s: returned %+v", ending, p.returns)
 	}
 	for _, q := range p.cancelled {
 		if !strings.HasPrefix(q, "wait") {
--- a/internal/pool/granter/service.go
+++ b/internal/pool/granter/service.go
@@ -15,27 +15,27 @@
 	"github.com/cuminwick/cuminwick/internal/wire/batcher"
 )
 
-// errGone says that the other host gave the lease up without a Release: its
-// caller disconnected, or it died.
-const errGone = errors.ConstError("entry host gave up the lease")
+// errLeaseAbandoned reports that the stream of a lease ended without a Release, because the caller
+// disconnected or the forwarding host failed.
+const errLeaseAbandoned = errors.ConstError("entry host gave up the lease")
 
-// service is one lease of another entry host.
+// service serves one lease of another entry host, the forwarding host.
 //
-// The stream is read by a goroutine of its own all the time, so that a cancel
-// or the end of the other host is seen while an exchange runs. When it ends,
-// the exchange is cancelled and the connection closed, which rolls back an
-// open transaction; without this, its locks and its place in the pool would
-// stay taken for good.
+// A separate goroutine reads the stream all the time, so that a cancel or the failure of the
+// forwarding host is detected while an exchange runs. When the stream ends, the exchange is
+// cancelled and the connection closed, which rolls back an open transaction. Otherwise the locks
+// of the transaction and its connection would never be released.
 type service struct {
 	stream io.ReadWriter
 	conn   messenger.Conn
 	pool   lessor.Lessor
 	demand lessor.Demand
-	// ask says that the other host doesn't know the server's parameters.
-	ask bool
-	// callUp says that the other host holds its first exchange back.
-	callUp bool
-	// returned says that the connection went back with an answer.
+	// sendParameters reports that the forwarding host requested the server's parameter statuses.
+	sendParameters bool
+	// batchHeld reports that the forwarding host holds back its first batch until it is requested
+	// or the lease is granted.
+	batchHeld bool
+	// returned reports that the connection was returned to the pool with a result.
 	returned bool
 
 	cancel   context.CancelCauseFunc
@@ -44,26 +44,28 @@
 	inputs   chan input
 
 	mu sync.Mutex
-	// running is the sequence number of the present exchange, and stop cancels it.
+	// running is the sequence number of the current exchange, zero if there is none, and stop
+	// cancels it.
 	running uint64
 	stop    context.CancelFunc
-	// done is closed when the last exchange that began has ended.
+	// done is closed when the exchange that was started last has ended.
 	done chan struct{}
-	// cancelled is the highest sequence number that a cancel named.
+	// cancelled is the highest sequence number for which a cancel was received.
 	cancelled uint64
 }
 
-// gauge tells of a pool's queue.
-type gauge interface {
+// loadReporter is a pool that reports the load of its queue.
+type loadReporter interface {
 	Load() gate.Load
 }
 
-// batch is one exchange to make.
+// batch is a batch to send in one exchange.
 type batch struct {
 	messenger.Execute
 	batcher.Batch
 }
 
+// serve acquires the connection and serves the lease until it ends.
 func (s *service) serve() error {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
@@ -81,26 +83,26 @@
 	return err
 }
 
-// lease waits for the connection. A cancel of the first exchange, which may
-// have been sent along with the request, ends the wait.
+// lease waits for the connection. A cancel of the first exchange, which may have been sent along
+// with the lease request, ends the wait.
 func (s *service) lease(ctx context.Context) (lessor.Lease, error) {
 	x, stop := context.WithCancel(ctx)
 	defer stop()
-	s.begin(firstSequence, stop)
-	defer s.end()
-	if s.callUp {
-		c := s.announce()
+	s.beginExchange(firstSequence, stop)
+	defer s.endExchange()
+	if s.batchHeld {
+		c := s.scheduleBatchRequest()
 		defer c.end()
 	}
 	return s.pool.Lease(x, s.demand)
 }
 
-// firstSequence numbers the first exchange of a lease.
+// firstSequence is the sequence number of the first exchange of a lease.
 const firstSequence = 1
 
-// serveLease makes exchanges until the lease is given back.
+// serveLease runs exchanges until the lease is released or abandoned.
 func (s *service) serveLease(ctx context.Context, l lessor.Lease) (lessor.Return, error) {
-	if err := s.tell(l); err != nil {
+	if err := s.sendLeased(l); err != nil {
 		return lessor.Return{}, err
 	}
 	for {
@@ -112,16 +114,16 @@
 		case r := <-s.releases:
 			return r, nil
 		case <-ctx.Done():
-			return s.ended(ctx)
+			return s.finalReturn(ctx)
 		}
 	}
 }
 
-// tell tells the other host of its lease, at once where it waits for that and
-// else along with the first answer.
-func (s *service) tell(l lessor.Lease) error {
+// sendLeased notifies the forwarding host of its lease: at once if it may be waiting for this to
+// send its batch, or along with the first part of the response if a batch has already arrived.
+func (s *service) sendLeased(l lessor.Lease) error {
 	var m messenger.Leased
-	if s.ask {
+	if s.sendParameters {
 		m.Parameters = l.Parameters()
 	}
 	b, err := encoder.Marshal(m)
@@ -134,8 +136,9 @@
 	return s.conn.Send(messenger.KindLeased, b)
 }
 
-// ended tells a lease that was given back at the same moment from one given up.
-func (s *service) ended(ctx context.Context) (lessor.Return, error) {
+// finalReturn returns the Release of a lease that was released just as its stream ended, or the
+// cause if the lease was abandoned.
+func (s *service) finalReturn(ctx context.Context) (lessor.Return, error) {
 	select {
 	case r := <-s.releases:
 		return r, nil
@@ -144,26 +147,27 @@
 	}
 }
 
+// exchange runs one exchange and sends its result.
 func (s *service) exchange(ctx context.Context, l lessor.Lease, b *batch) error {
 	x, stop := context.WithCancel(ctx)
 	defer stop()
-	s.begin(b.Sequence, stop)
-	r, err := s.pass(x, l, b, &inputs{service: s, context: ctx})
-	s.end()
+	s.beginExchange(b.Sequence, stop)
+	r, err := s.runExchange(x, l, b, &inputs{service: s, context: ctx})
+	s.endExchange()
 	s.returned = r.Returned
 	m := messenger.Result{Sequence: b.Sequence, Status: r.Status, Position: r.Position, Before: r.Before, Code: r.Code, Tag: r.Tag, Returned: s.returned}
 	if err != nil {
 		m.Failure = messenger.NewFailure(err, true)
 	}
-	if g, ok := s.pool.(gauge); ok {
+	if g, ok := s.pool.(loadReporter); ok {
 		v := g.Load()
 		m.Load = &v
 	}
 	return s.conn.SendValue(messenger.KindResult, m)
 }
 
-// pass makes the exchange, unless it was cancelled before anything was sent.
-func (s *service) pass(x context.Context, l lessor.Lease, b *batch, i *inputs) (exchanger.Result, error) {
+// runExchange sends the batch and passes on the response, unless the exchange was cancelled before.
+func (s *service) runExchange(x context.Context, l lessor.Lease, b *batch, i *inputs) (exchanger.Result, error) {
 	if x.Err() != nil {
 		return exchanger.Result{}, errors.WithType(x.Err(), lessor.ErrNotRun)
 	}
@@ -178,7 +182,8 @@
 	})
 }
 
-func (s *service) begin(n uint64, stop context.CancelFunc) {
+// beginExchange records exchange n as running and cancels it if a cancel for it has arrived before.
+func (s *service) beginExchange(n uint64, stop context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running, s.stop, s.done = n, stop, make(chan struct{})
@@ -187,22 +192,22 @@
 	}
 }
 
-func (s *service) end() {
+func (s *service) endExchange() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running, s.stop = 0, nil
 	close(s.done)
 }
 
-// over returns a channel that is closed once the last exchange has ended.
-func (s *service) over() <-chan struct{} {
+// exchangeDone returns a channel that is closed when the exchange that was started last has ended.
+func (s *service) exchangeDone() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.done
 }
 
-// cancelExchange cancels exchange n, now or when it begins. One that is over
-// is left alone: a late cancel must not hit the next exchange.
+// cancelExchange cancels exchange n now, or when it begins. It does nothing if the exchange has
+// ended: a late cancel must not affect the next exchange.
 func (s *service) cancelExchange(n uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -212,31 +217,31 @@
 	}
 }
 
-// loopRead takes messages until the stream ends.
+// loopRead handles messages until the stream ends.
 func (s *service) loopRead(ctx context.Context) {
 	var b batch
 	for {
 		k, p, err := s.conn.Read()
 		if err == nil {
-			err = s.take(ctx, &b, k, p)
+			err = s.handle(ctx, &b, k, p)
 		}
 		if err != nil {
-			s.cancel(errors.WithType(err, errGone))
+			s.cancel(errors.WithType(err, errLeaseAbandoned))
 			return
 		}
 	}
 }
 
-func (s *service) take(ctx context.Context, b *batch, k messenger.Kind, p []byte) error {
+func (s *service) handle(ctx context.Context, b *batch, k messenger.Kind, p []byte) error {
 	switch k {
 	case messenger.KindItems:
 		return addItems(b, p)
 	case messenger.KindExecute:
-		return s.takeExecute(ctx, b, p)
+		return s.handleExecute(ctx, b, p)
 	case messenger.KindCopyData:
-		return s.takeInput(ctx, p)
+		return s.handleCopyData(ctx, p)
 	case messenger.KindCopyAbort:
-		return s.offer(ctx, input{err: errGone})
+		return s.deliverInput(ctx, input{err: errLeaseAbandoned})
 	case messenger.KindCancel:
 		var c messenger.Cancel
 		if err := encoder.Unmarshal(p, &c); err != nil {
@@ -245,11 +250,12 @@
 		s.cancelExchange(c.Sequence)
 		return nil
 	case messenger.KindRelease:
-		return s.takeRelease(p)
+		return s.handleRelease(p)
 	}
 	return errors.Annotatef(encoder.ErrMalformed, "message %q", k)
 }
 
+// addItems adds the messages of a KindItems payload to the batch.
 func addItems(b *batch, p []byte) error {
 	var m messenger.Items
 	if err := encoder.Unmarshal(p, &m); err != nil {
@@ -266,7 +272,7 @@
 	return nil
 }
 
-func (s *service) takeExecute(ctx context.Context, b *batch, p []byte) error {
+func (s *service) handleExecute(ctx context.Context, b *batch, p []byte) error {
 	if err := encoder.Unmarshal(p, &b.Execute); err != nil {
 		return err
 	}
@@ -279,7 +285,7 @@
 	return nil
 }
 
-func (s *service) takeRelease(p []byte) error {
+func (s *service) handleRelease(p []byte) error {
 	var m messenger.Release
 	if err := encoder.Unmarshal(p, &m); err != nil {
 		return err
