--- a/internal/pool/messenger/messenger.go
+++ b/internal/pool/messenger/messenger.go
@@ -1,4 +1,4 @@
-// Package messenger frames the messages of a forwarded lease on its stream between two entry hosts.
+// Package messenger encodes the messages of a forwarded lease on its stream between two entry hosts.
 package messenger
 
 import (
@@ -13,18 +13,19 @@
 	"github.com/cuminwick/cuminwick/internal/peer/encoder"
 )
 
-// Kind is a message's first byte.
+// Kind is the type of a message, sent as its first byte.
 type Kind byte
 
-// Messages from the host that forwards.
+// Messages from the forwarding host.
 const (
-	// KindItems carries Items of the next batch.
+	// KindItems carries Items, which are messages of the next batch.
 	KindItems Kind = 'I'
-	// KindExecute carries an Execute, which has the batch sent.
+	// KindExecute carries an Execute, which makes the pool owner send the batch.
 	KindExecute Kind = 'X'
-	// KindCopyData carries one message of the caller during COPY FROM STDIN.
+	// KindCopyData carries one message of the caller during COPY FROM STDIN: its type byte and its
+	// body.
 	KindCopyData Kind = 'D'
-	// KindCopyAbort says that the caller went away during COPY FROM STDIN.
+	// KindCopyAbort reports that the caller disconnected during COPY FROM STDIN.
 	KindCopyAbort Kind = 'F'
 	// KindCancel carries a Cancel.
 	KindCancel Kind = 'C'
@@ -34,39 +35,41 @@
 
 // Messages from the pool owner.
 const (
-	// KindRequestBatch says that the connection will be there shortly, so that the first
-	// exchange may come. It comes before KindLeased, if at all.
+	// KindRequestBatch requests the first batch, since the connection is expected to be available
+	// shortly. It is sent before KindLeased, or not at all.
 	KindRequestBatch Kind = 'S'
-	// KindLeased carries a Leased: the connection is there.
+	// KindLeased carries a Leased: the connection is leased.
 	KindLeased Kind = 'L'
-	// KindRefused carries a Failure: there is no connection and the stream ends.
+	// KindRefused carries a Failure: the lease is refused and the stream ends.
 	KindRefused Kind = 'U'
-	// KindOutput carries a part of the backend server's answer.
+	// KindOutput carries a part of the backend server's response.
 	KindOutput Kind = 'O'
-	// KindInput asks for the caller's messages of COPY FROM STDIN.
+	// KindInput requests the caller's messages of COPY FROM STDIN.
 	KindInput Kind = 'N'
 	// KindResult carries a Result and ends an exchange.
 	KindResult Kind = 'T'
 )
 
 const (
+	// headerBytes is the size of a message header: the kind and the length of the payload.
 	headerBytes = 5
-	// MaximumBytes bounds one message. The largest ones carry a message of a
-	// caller, whose own bound is lower.
+	// MaximumBytes is the maximum payload of one message. The largest ones carry a message of a
+	// caller, whose own limit is lower.
 	MaximumBytes = 64 << 20
-	// bufferBytes is what is read and written at once.
+	// bufferBytes is the size of the read buffer and of the write buffer.
 	bufferBytes = 16 << 10
-	// keptBytes is what a conn keeps allocated between messages.
-	keptBytes = 64 << 10
-	// flushDelay is how long a part of an answer waits for more. An answer that
-	// is complete is sent at once.
+	// maximumKeptBytes is the largest payload buffer that a Conn keeps for the next message.
+	maximumKeptBytes = 64 << 10
+	// flushDelay is how long a part of a response is buffered for more to follow. A complete
+	// response is sent at once.
 	flushDelay = 2 * time.Millisecond
 )
 
-// ErrTooLarge is returned for a message above MaximumBytes.
+// ErrTooLarge is returned for a message larger than MaximumBytes.
 const ErrTooLarge = errors.ConstError("message of a forwarded lease too large")
 
-// Conn reads and writes messages. One goroutine reads; any number write.
+// Conn reads and writes messages. Read may be called by one goroutine only, the other methods by
+// any number of goroutines. Stream and Prefix are set before use.
 type Conn struct {
 	Stream io.ReadWriter
 	// Prefix is written before the first message.
@@ -75,10 +78,10 @@
 	reader *bufio.Reader
 	buffer []byte
 
-	mu      sync.Mutex
-	writer  *bufio.Writer
-	pending bool
-	err     error
+	mu           sync.Mutex
+	writer       *bufio.Writer
+	flushPending bool
+	err          error
 }
 
 // Read returns the next message. Its payload is valid until the next Read.
@@ -94,16 +97,16 @@
 	if n > MaximumBytes {
 		return 0, nil, errors.Annotatef(ErrTooLarge, "%d bytes announced", n)
 	}
-	b, err := c.body(n)
+	b, err := c.readBody(n)
 	return Kind(h[0]), b, err
 }
 
-// body reads n bytes, and takes memory for a long message only as it arrives.
-func (c *Conn) body(n int) ([]byte, error) {
-	if cap(c.buffer) > keptBytes {
+// readBody reads a payload of n bytes. Memory for a long one is allocated only as it arrives.
+func (c *Conn) readBody(n int) ([]byte, error) {
+	if cap(c.buffer) > maximumKeptBytes {
 		c.buffer = nil
 	}
-	if n > keptBytes {
+	if n > maximumKeptBytes {
 		b, err := io.ReadAll(io.LimitReader(c.reader, int64(n)))
 		if err == nil && len(b) < n {
 			err = io.ErrUnexpectedEOF
@@ -118,31 +121,32 @@
 	return b, errors.Trace(err)
 }
 
-// Put writes a message made of parts; it is sent by a later Flush, or soon.
+// Put buffers a message that consists of parts. It is sent by the next Send or Flush, or after
+// flushDelay.
 func (c *Conn) Put(k Kind, parts ...[]byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err := c.put(k, parts); err != nil {
+	if err := c.write(k, parts); err != nil {
 		return err
 	}
-	if !c.pending {
-		c.pending = true
+	if !c.flushPending {
+		c.flushPending = true
 		time.AfterFunc(flushDelay, c.runFlush)
 	}
 	return nil
 }
 
-// Send writes a message and everything before it.
+// Send sends a message that consists of parts, along with the buffered ones.
 func (c *Conn) Send(k Kind, parts ...[]byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err := c.put(k, parts); err != nil {
+	if err := c.write(k, parts); err != nil {
 		return err
 	}
 	return c.flush()
 }
 
-// SendValue encodes v and sends it.
+// SendValue sends a message with v encoded in CBOR.
 func (c *Conn) SendValue(k Kind, v any) error {
 	b, err := encoder.Marshal(v)
 	if err != nil {
@@ -151,11 +155,11 @@
 	return c.Send(k, b)
 }
 
-func (c *Conn) put(k Kind, parts [][]byte) error {
+func (c *Conn) write(k Kind, parts [][]byte) error {
 	if c.err != nil {
 		return c.err
 	}
-	if err := c.start(); err != nil {
+	if err := c.startWriter(); err != nil {
 		return err
 	}
 	n := 0
@@ -178,8 +182,8 @@
 	return c.err
 }
 
-// start makes the writer and writes the prefix into its buffer.
-func (c *Conn) start() error {
+// startWriter creates the writer before its first use and buffers Prefix. The caller holds the mutex.
+func (c *Conn) startWriter() error {
 	if c.writer != nil {
 		return c.err
 	}
@@ -189,11 +193,11 @@
 	return c.err
 }
 
-// Flush sends what was written.
+// Flush sends the buffered messages, and Prefix if it wasn't sent yet.
 func (c *Conn) Flush() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err := c.start(); err != nil {
+	if err := c.startWriter(); err != nil {
 		return err
 	}
 	return c.flush()
@@ -206,11 +210,11 @@
 	return c.err
 }
 
-// runFlush sends what has waited long enough.
+// runFlush sends the messages that were buffered for flushDelay.
 func (c *Conn) runFlush() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pending = false
+	c.flushPending = false
 	// A failure is returned by the next call.
 	_ = c.flush()
 }
