--- a/internal/pool/lessor/lessor.go
+++ b/internal/pool/lessor/lessor.go
@@ -1,4 +1,4 @@
-// Package lessor lends connections to backend servers for a request or a transaction.
+// Package lessor defines how connections to backend servers are leased for a request or a transaction.
 package lessor
 
 import (
@@ -13,78 +13,80 @@
 )
 
 const (
-	// ErrNotRun marks errors after which no byte of the request has reached a
-	// backend server.
+	// ErrNotRun marks errors with which no byte of the request has reached a backend server.
 	ErrNotRun = errors.ConstError("request not run")
-	// ErrUnreachable says that no connection to the backend server could be
-	// opened; another server, or a later attempt, may do.
+	// ErrUnreachable marks errors with which no connection to the backend server could be opened,
+	// so that a retry on another server or at a later time may succeed.
 	ErrUnreachable = errors.ConstError("backend server not reachable")
-	// ErrConnectionLimit says that the backend server refused a connection.
+	// ErrConnectionLimit marks errors with which the backend server refused a connection because
+	// its connection limit was reached.
 	ErrConnectionLimit = errors.ConstError("backend server has no connection left")
 )
 
-// Demand is what a session asks a connection for.
+// Demand describes a request for a lease: who makes it and what the connection is used for.
 type Demand struct {
 	// Session and Request identify the demand in logs.
 	Session uint64
 	Request uint64
-	// Team is whose share of a full queue is used.
+	// Team is the team whose share of a full queue the demand counts towards.
 	Team string
-	// Deadline is when the caller gives up, zero if never.
+	// Deadline is when the caller stops waiting, zero for no deadline.
 	Deadline time.Time
-	// Write tells writes from reads in logs and metrics.
+	// Write distinguishes writes from reads in the queue, in logs and in metrics.
 	Write bool
-	// Settings are the session's; the connection is brought to them before it
-	// is lent.
+	// Settings are the settings of the session. They are applied to the connection before it is
+	// leased.
 	Settings replayer.Settings
-	// Retryable says that the first exchange of the lease has no effect unless a
-	// later one commits it, so that it may be made again where it is lost.
+	// Retryable reports that the first exchange of the lease has no effect unless a later one
+	// commits it, so that it may be repeated if it is lost.
 	Retryable bool
 }
 
-// Return says in which state a connection comes back.
+// Return describes the state in which a connection is released.
 type Return struct {
-	// Clean says that it is outside a transaction with nothing unread; any
+	// Clean reports that the connection is outside a transaction and all responses were read. Any
 	// other connection is closed.
 	Clean bool
-	// Settings are those in force on it now.
+	// Settings are the settings that the connection has now.
 	Settings replayer.Settings
-	// HiddenState says that it may hold state that isn't seen, so that it is cleared
-	// before anybody else uses it.
+	// HiddenState reports that the connection may have session state that isn't tracked, so that
+	// it must be reset before another session uses it.
 	HiddenState bool
 }
 
-// Exchange is one batch for a lent connection.
+// Exchange is one batch for a leased connection.
 type Exchange struct {
-	Batch  *batcher.Batch
+	Batch *batcher.Batch
+	// Output receives the response of the backend server.
 	Output exchanger.Output
-	Input  exchanger.Input
-	// AskPosition asks for the log position after the batch.
+	// Input provides the caller's messages of COPY FROM STDIN.
+	Input exchanger.Input
+	// AskPosition requests the position of the server's log after the batch.
 	AskPosition bool
-	// AskBefore asks for it before the batch as well.
+	// AskBefore requests the position before the batch as well.
 	AskBefore bool
-	// InTransaction gives the batch precedence over new transactions.
+	// InTransaction gives the batch priority over new transactions.
 	InTransaction bool
-	// ReturnIfIdle lets the lessor take the connection back with the answer, if that
-	// leaves it idle. The sender vouches that the batch changes no settings and
-	// leaves nothing hidden, and makes no further exchange over the lease unless
-	// the answer lacks a position that was asked for.
+	// ReturnIfIdle allows the lessor to return the connection to its pool with the result if it is
+	// idle then. The sender guarantees that the batch changes no settings and leaves no hidden
+	// state, and runs no further exchange with the lease unless the result lacks a position that
+	// was requested.
 	ReturnIfIdle bool
 }
 
-// Lease is a connection lent to one session until Release.
+// Lease is a connection leased to one session until Release.
 type Lease interface {
-	// Exchange waits for a slot, sends a batch and passes on its answer. An
-	// error that wraps ErrNotRun means that nothing was sent.
+	// Exchange waits for a slot, sends a batch and passes on the response. If the error wraps
+	// ErrNotRun, nothing was sent.
 	Exchange(ctx context.Context, x Exchange) (exchanger.Result, error)
 	// Parameters returns the parameter statuses that the server reported at connect.
 	Parameters() map[string]string
-	// Release gives the connection back.
+	// Release returns the connection to its pool, or closes it if it isn't clean.
 	Release(r Return)
 }
 
-// Lessor lends connections to one backend server.
+// Lessor leases connections to one backend server.
 type Lessor interface {
-	// Lease returns a connection for d; an error wraps ErrNotRun.
+	// Lease waits for a connection for d. An error wraps ErrNotRun.
 	Lease(ctx context.Context, d Demand) (Lease, error)
 }
