--- a/internal/pool/assigner/assigner.go
+++ b/internal/pool/assigner/assigner.go
@@ -3,16 +3,16 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Host is one entry host as far as it matters here.
+// Host is an entry host with the properties that its rank depends on.
 type Host struct {
 	Name             string
 	AvailabilityZone string
 	Region           string
-	// Leaving hosts own nothing.
+	// Leaving reports that the host is shutting down; it owns no connections then.
 	Leaving bool
 }
 
-// Server is one backend server.
+// Server is a backend server with the properties that its owners depend on.
 type Server struct {
 	DatabaseGroup    string
 	Name             string
@@ -20,40 +20,41 @@
 	Region           string
 }
 
-// MaximumOwners is how many hosts in order Owners can return.
+// MaximumOwners is the maximum number of hosts that Owners can hold.
 const MaximumOwners = 4
 
-// Owners are the owner and its successors in order.
+// Owners holds the owner of a backend server's connections and its successors, in order. Only the
+// first Count elements of Hosts are set.
 type Owners struct {
 	Hosts [MaximumOwners]string
 	Count int
 }
 
-// Assigner ranks the entry hosts for each backend server by rendezvous hashing:
-// when a host comes or goes, only the servers that it gets or had move. It isn't
-// changed after Compile and may be used by many goroutines.
+// Assigner ranks the entry hosts for each backend server by rendezvous hashing: when a host joins
+// or leaves, only the servers that it gains or loses change their owner. An Assigner is immutable
+// and may be used by many goroutines.
 type Assigner struct {
-	zones   map[string][]ranked
-	regions map[string][]ranked
-	all     []ranked
+	zones   map[string][]candidate
+	regions map[string][]candidate
+	all     []candidate
 }
 
-type ranked struct {
+type candidate struct {
 	name string
 	zone string
 	hash uint64
-	// region is kept to pass over hosts of the server's region in the last step.
+	// region is used to skip hosts of the server's region in the last step of Owners.
 	region string
 }
 
-// Compile sorts the live hosts by place.
+// Compile returns an Assigner for the live hosts. Leaving hosts are left out.
 func Compile(hosts []Host) *Assigner {
-	a := &Assigner{zones: map[string][]ranked{}, regions: map[string][]ranked{}}
+	a := &Assigner{zones: map[string][]candidate{}, regions: map[string][]candidate{}}
 	for _, h := range hosts {
 		if h.Leaving {
 			continue
 		}
-		r := ranked{name: h.Name, zone: h.AvailabilityZone, region: h.Region, hash: xxhash.Sum64String(h.Name)}
+		r := candidate{name: h.Name, zone: h.AvailabilityZone, region: h.Region, hash: xxhash.Sum64String(h.Name)}
 		a.zones[r.zone] = append(a.zones[r.zone], r)
 		a.regions[r.region] = append(a.regions[r.region], r)
 		a.all = append(a.all, r)
@@ -61,33 +62,34 @@
 	return a
 }
 
-// Owners returns the owner of s and up to n-1 successors. Hosts of the server's
-// availability zone go first, then those of its region, then all others, so a
-// zone that lost its entry hosts is still served.
+// Owners returns the owner of s and up to n-1 successors, at most MaximumOwners in total. Hosts of
+// the server's availability zone come first, then those of its region, then all others, so that a
+// zone without live entry hosts is still served.
 func (a *Assigner) Owners(s Server, n int) Owners {
 	n = min(n, MaximumOwners)
 	k := xxhash.Sum64String(s.DatabaseGroup) ^ mix(xxhash.Sum64String(s.Name))
 	var o Owners
-	o.rank(a.zones[s.AvailabilityZone], k, n, func(ranked) bool { return true })
-	o.rank(a.regions[s.Region], k, n, func(r ranked) bool { return r.zone != s.AvailabilityZone })
-	o.rank(a.all, k, n, func(r ranked) bool { return r.zone != s.AvailabilityZone && r.region != s.Region })
+	o.addBest(a.zones[s.AvailabilityZone], k, n, func(candidate) bool { return true })
+	o.addBest(a.regions[s.Region], k, n, func(r candidate) bool { return r.zone != s.AvailabilityZone })
+	o.addBest(a.all, k, n, func(r candidate) bool { return r.zone != s.AvailabilityZone && r.region != s.Region })
 	return o
 }
 
-// Owner returns the owner of s, empty if there is no live host at all.
+// Owner returns the owner of s, empty if there is no live host.
 func (a *Assigner) Owner(s Server) string {
 	return a.Owners(s, 1).Hosts[0]
 }
 
-// rank adds the best of l behind those found before, until there are n.
-func (o *Owners) rank(l []ranked, key uint64, n int, fits func(ranked) bool) {
+// addBest appends the hosts of l that are eligible and have the highest weights for key, until
+// there are n owners.
+func (o *Owners) addBest(l []candidate, key uint64, n int, eligible func(candidate) bool) {
 	first := o.Count
 	if first >= n {
 		return
 	}
 	var weights [MaximumOwners]uint64
 	for _, h := range l {
-		if !fits(h) {
+		if !eligible(h) {
 			continue
 		}
 		w := mix(h.hash ^ key)
@@ -106,8 +108,8 @@
 	}
 }
 
-// better orders by weight and, should two be equal, by name, so that all hosts
-// come to the same order.
+// better orders by descending weight, and by name if two weights are equal, so that all entry hosts
+// compute the same order.
 func better(w uint64, name string, v uint64, other string) bool {
 	if w == v {
 		return name < other
@@ -115,7 +117,7 @@
 	return w > v
 }
 
-// mix spreads the bits of x (the finalizer of SplitMix64).
+// mix is the finalizer of SplitMix64, which spreads the bits of x.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/internal/pool/assigner/assigner_test.go
+++ b/internal/pool/assigner/assigner_test.go
@@ -17,7 +17,7 @@
 	os.Exit(m.Run())
 }
 
-func hostsOf(t *rapid.T) []Host {
+func drawHosts(t *rapid.T) []Host {
 	var l []Host
 	for i := range rapid.IntRange(2, 12).Draw(t, "hosts") {
 		z := rapid.IntRange(0, 3).Draw(t, "zone")
@@ -26,28 +26,28 @@
 	return l
 }
 
-// An entry host is replaced. If the owners of other backend servers changed as
-// well, many pools would be cold at once and connect all together.
-func TestOnlyTheServersOfAHostMoveWithIt(t *testing.T) {
+// Guards against many cold pools that connect all at once: when an entry host is removed, the
+// owners of other backend servers must not change.
+func TestRemovedHostMovesOnlyItsServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := hostsOf(t)
+		l := drawHosts(t)
 		i := rapid.IntRange(0, len(l)-1).Draw(t, "gone")
-		less := slices.Delete(slices.Clone(l), i, i+1)
-		all, rest := Compile(l), Compile(less)
+		remaining := slices.Delete(slices.Clone(l), i, i+1)
+		before, after := Compile(l), Compile(remaining)
 		for n := range 60 {
 			s := Server{DatabaseGroup: "g", Name: fmt.Sprint(n), AvailabilityZone: fmt.Sprint("zone-", n%4), Region: fmt.Sprint("region-", n%4/2)}
-			o := all.Owners(s, MaximumOwners)
+			o := before.Owners(s, MaximumOwners)
 			want := slices.Clone(o.Hosts[:o.Count])
 			want = slices.DeleteFunc(want, func(h string) bool { return h == l[i].Name })
-			got := rest.Owners(s, len(want))
+			got := after.Owners(s, len(want))
 			if !slices.Equal(got.Hosts[:got.Count], want) {
-				t.Fatalf("server %d: owners %v without %s, before %v", n, got.Hosts, l[i].Name, o.Hosts)
+				t.Fatalf("server %d: owners %v after the removal of %s, %v before", n, got.Hosts, l[i].Name, o.Hosts)
 			}
 		}
 	})
 }
 
-func TestPlacesInOrder(t *testing.T) {
+func TestOwnersPreferZoneThenRegion(t *testing.T) {
 	l := []Host{
 		{Name: "a", AvailabilityZone: "ost-wien", Region: "ost", Leaving: true},
 		{Name: "b", AvailabilityZone: "ost-wien", Region: "ost"},
