--- a/internal/pool/avoider/avoider.go
+++ b/internal/pool/avoider/avoider.go
@@ -1,4 +1,4 @@
-// Package avoider remembers which entry hosts failed to answer, so that requests don't wait for them again and again.
+// Package avoider tracks which entry hosts failed to respond, so that requests don't wait for them repeatedly.
 package avoider
 
 import (
@@ -6,27 +6,28 @@
 	"time"
 )
 
-// Avoider decides whether a host is worth asking. The exported fields are set
-// before use; it may be used by many goroutines.
+// Avoider decides whether a request may be sent to a host, like a circuit breaker per host. The
+// exported fields are set before use; it may be used by many goroutines.
 type Avoider struct {
-	// FirstPause is how long a host is avoided after its first failure; each
-	// further one doubles it up to MaximumPause. The one request that tries the
-	// host again keeps the others away for FirstPause too.
+	// FirstPause is how long a host is avoided after its first failure. Each further failure
+	// doubles the pause, up to MaximumPause. While one request retries the host, others avoid it
+	// for FirstPause too.
 	FirstPause   time.Duration
 	MaximumPause time.Duration
 
 	mu    sync.Mutex
-	hosts map[string]failing
+	hosts map[string]failure
 }
 
-// failing is a host that didn't answer.
-type failing struct {
+// failure is the state of a host that failed to respond.
+type failure struct {
 	failures int
-	until    time.Time
+	// until is the end of the pause.
+	until time.Time
 }
 
-// Admit reports whether a request may ask host. Of those that come after a
-// pause one is admitted: if all were, all would wait for a host that is gone.
+// Admit reports whether a request may be sent to host. Only one request is admitted after a pause:
+// if all were, all of them would wait for a host that is still down.
 func (a *Avoider) Admit(host string, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -49,7 +50,7 @@
 	return now.Before(a.hosts[host].until)
 }
 
-// Suspect reports whether host failed and hasn't answered since.
+// Suspect reports whether host failed and hasn't responded since.
 func (a *Avoider) Suspect(host string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -57,33 +58,33 @@
 	return ok
 }
 
-// RecordFailure notes that host didn't answer.
+// RecordFailure records that host failed to respond.
 func (a *Avoider) RecordFailure(host string, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.hosts == nil {
-		a.hosts = make(map[string]failing)
+		a.hosts = make(map[string]failure)
 	}
 	f := a.hosts[host]
-	// Requests that failed together count once.
+	// Requests that fail at the same time count as one failure.
 	if f.failures > 0 && now.Before(f.until.Add(-a.FirstPause)) {
 		return
 	}
-	const doublings = 4
-	f.until = now.Add(min(a.FirstPause<<min(f.failures, doublings), a.MaximumPause))
+	const maximumDoublings = 4
+	f.until = now.Add(min(a.FirstPause<<min(f.failures, maximumDoublings), a.MaximumPause))
 	f.failures++
 	a.hosts[host] = f
 }
 
-// RecordAnswer notes that host answered; nothing is held against it any more.
+// RecordAnswer records that host responded, which clears its failures.
 func (a *Avoider) RecordAnswer(host string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.hosts, host)
 }
 
-// Retain forgets all hosts that aren't live, so that one that comes back later
-// is asked at once.
+// Retain removes the failures of all hosts that aren't live, so that a host that joins again later
+// is admitted at once.
 func (a *Avoider) Retain(live map[string]bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
