--- a/internal/pool/prober/prober.go
+++ b/internal/pool/prober/prober.go
@@ -1,4 +1,4 @@
-// Package prober finds out over a new connection whether a backend server still works for an old one.
+// Package prober checks over a new connection whether a backend server still runs a statement of another session.
 package prober
 
 import (
@@ -11,25 +11,26 @@
 	"github.com/juju/errors"
 )
 
-// stateActive is how PostgreSQL calls a session that runs a statement.
+// stateActive is the state in pg_stat_activity of a session that runs a statement.
 const stateActive = "active"
 
-// Prober asks one backend server about its sessions. Each probe opens a
-// connection of its own, since an old one may have gone silent as well.
+// Prober queries and terminates sessions at one backend server. Each call opens a new connection,
+// since an existing one may be dead as well. The fields are set before use.
 type Prober struct {
 	Address  string
 	User     string
 	Password string
 	Database string
-	// ApplicationName marks the reserved connection.
+	// ApplicationName identifies the prober's connections, which count as reserved ones.
 	ApplicationName string
-	Timeout         time.Duration
-	// Dial opens the TCP connection, nil for the plain dialer.
+	// Timeout limits each call, including the connect.
+	Timeout time.Duration
+	// Dial opens the TCP connection; if nil, the default dialer of pgconn does.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Working reports whether the session with this process id runs a statement.
-// An error says only that the server couldn't be asked.
+// Working reports whether the session with this process ID runs a statement. An error means that
+// the server couldn't be queried, and says nothing about the session.
 func (p *Prober) Working(ctx context.Context, processID uint32) (bool, error) {
 	x, cancel := context.WithTimeout(ctx, p.Timeout)
 	defer cancel()
@@ -49,9 +50,9 @@
 	return string(r[0].Rows[0][0]) == stateActive, nil
 }
 
-// Terminate ends the sessions with these process ids. A connection that has
-// gone silent is still open for the server: it counts against the limit on
-// connections, may hold locks, and could commit later.
+// Terminate terminates the sessions with these process IDs. A connection that stopped responding is
+// still open at the server: it counts towards the connection limit, may hold locks, and could
+// commit later.
 func (p *Prober) Terminate(ctx context.Context, processIDs []uint32) error {
 	x, cancel := context.WithTimeout(ctx, p.Timeout)
 	defer cancel()
