--- a/internal/pool/granter/callup_test.go
+++ b/internal/pool/granter/callup_test.go
@@ -105,7 +105,7 @@
 // Guards against connections that are never released. The connection is returned with the result
 // if the sender allows it and the connection is idle afterwards. If the sender assumed this for a
 // connection that is still leased, nobody would release it and its locks.
-func TestLeaseEndsWithAnswer(t *testing.T) {
+func TestLeaseEndsWithResult(t *testing.T) {
 	tests := []struct {
 		query                  string
 		returnIfIdle, returned bool
--- a/internal/pool/keeper/keeper_test.go
+++ b/internal/pool/keeper/keeper_test.go
@@ -90,7 +90,7 @@
 	t.Helper()
 	var u *Unavailable
 	if !errors.As(err, &u) || u.RetryAfter <= 0 || u.RetryAfter > maximumPause {
-		t.Errorf("error %v carries %+v, want RetryAfter up to %v", err, u, maximumPause)
+		t.Errorf("no valid RetryAfter in %+v of error %v", u, err)
 	}
 }
 
@@ -105,7 +105,7 @@
 			t.Errorf("%d connections, errors %v", len(conns), errs)
 		}
 		if o.peakDialing != maximumDialing || k.OpenConnections() != k.Capacity() {
-			t.Errorf("%d concurrent dials, want %d; %d connections open, want %d", o.peakDialing, maximumDialing, k.OpenConnections(), k.Capacity())
+			t.Errorf("%d concurrent dials, %d connections open", o.peakDialing, k.OpenConnections())
 		}
 		k.Close()
 	})
--- a/internal/pool/lender/giveback_test.go
+++ b/internal/pool/lender/giveback_test.go
@@ -55,7 +55,7 @@
 // Guards against a connection shared by two callers, of which one would receive the other's rows.
 // A connection that is returned to the pool with its result is used by the next caller at once, so
 // it must not be inside a transaction, and its session must not return it a second time.
-func TestConnectionReturnedWithAnswer(t *testing.T) {
+func TestConnectionReturnedWithResult(t *testing.T) {
 	tests := []struct {
 		name         string
 		status       byte
--- a/internal/pool/lender/lender.go
+++ b/internal/pool/lender/lender.go
@@ -54,8 +54,8 @@
 	conn   *keeper.Conn
 	// unused is the slot that was granted along with the connection.
 	unused unusedSlot
-	// inTransaction reports that the connection is inside a transaction.
-	inTransaction bool
+	// openTransaction reports that the connection is inside a transaction.
+	openTransaction bool
 	// returned reports that the connection was returned to the pool after an exchange.
 	returned bool
 }
@@ -198,7 +198,7 @@
 	r, err := y.Run(ctx)
 	e.lender.handleSilence(e.conn, err)
 	if r.Status != 0 {
-		e.setInTransaction(r.Status != exchanger.Idle)
+		e.setOpenTransaction(r.Status != exchanger.Idle)
 	}
 	if err == nil && mayReturn(&x, &r) {
 		// The connection is returned before the slot is released. Otherwise the next holder of
@@ -250,7 +250,7 @@
 // Release implements lessor.Lease.
 func (e *lease) Release(r lessor.Return) {
 	e.unused.release()
-	e.setInTransaction(false)
+	e.setOpenTransaction(false)
 	if !e.returned {
 		e.returnConn(r)
 	}
@@ -263,17 +263,17 @@
 	e.lender.Keeper.Release(e.conn, r.Clean)
 }
 
-// setInTransaction records the begin or the end of a transaction.
-func (e *lease) setInTransaction(inside bool) {
+// setOpenTransaction records the begin or the end of a transaction.
+func (e *lease) setOpenTransaction(open bool) {
 	switch {
-	case inside && !e.inTransaction:
+	case open && !e.openTransaction:
 		e.lender.transactions.Add(1)
 		e.lender.Gate.TransactionOpened()
-	case !inside && e.inTransaction:
+	case !open && e.openTransaction:
 		e.lender.transactions.Add(-1)
 		e.lender.Gate.TransactionClosed()
 	}
-	e.inTransaction = inside
+	e.openTransaction = open
 }
 
 // takeSlot returns the slot that was granted along with the connection, or waits for a new one.
@@ -282,7 +282,7 @@
 		return s, nil
 	}
 	q := gate.Request{Team: e.demand.Team, Class: classOf(e.demand), HoldsConnection: true, Timeout: timeout(ctx, time.Time{})}
-	if inTransaction || e.inTransaction {
+	if inTransaction || e.openTransaction {
 		q.Class = admitter.ClassTransaction
 	}
 	return e.lender.acquireSlot(ctx, q)
