--- a/internal/command/runner/apply.go
+++ b/internal/command/runner/apply.go
@@ -142,8 +142,8 @@
 
 // progress shows how far an apply has got in each availability zone.
 func (r *Runner) progress(p publisher.Progress) {
-	if p.Trouble != "" {
-		_, _ = fmt.Fprintf(r.Errors, "waiting for the platform: %s\n", p.Trouble)
+	if p.PlatformError != "" {
+		_, _ = fmt.Fprintf(r.Errors, "waiting for the platform: %s\n", p.PlatformError)
 		return
 	}
 	if len(p.Zones) == 0 || p.Revision == 0 {
--- a/internal/config/adopter/adopter.go
+++ b/internal/config/adopter/adopter.go
@@ -33,9 +33,9 @@
 type State struct {
 	// Lease is how long a confirmation lasts, DefaultLease if unset.
 	Lease time.Duration
-	// Deferred says that whatever decides requests takes up InForce some time after
+	// DeferredActivation says that whatever decides requests takes up InForce some time after
 	// it has changed, and then tells Decided.
-	Deferred bool
+	DeferredActivation bool
 	// InForce is the revision that requests are decided by; it never goes down.
 	InForce declarer.Revision
 	// Target is the highest revision known to be accepted.
@@ -82,9 +82,9 @@
 	return s.Lease
 }
 
-// See takes in the head as the platform showed it in answer to a call that was
+// ObserveHead takes in the head as the platform showed it in answer to a call that was
 // sent at sent; now is the time of the answer.
-func (s *State) See(h encoder.Head, v accessor.Version, sent, now time.Duration) {
+func (s *State) ObserveHead(h encoder.Head, v accessor.Version, sent, now time.Duration) {
 	if v < s.Version {
 		return
 	}
@@ -132,9 +132,9 @@
 	s.hasConfirmed = true
 }
 
-// Learn takes in that a peer decides by r, so r has been accepted. It reports
+// ObserveAccepted takes in that a peer decides by r, so r has been accepted. It reports
 // whether this host decides by r or a later revision now.
-func (s *State) Learn(r declarer.Revision) bool {
+func (s *State) ObserveAccepted(r declarer.Revision) bool {
 	s.Target = max(s.Target, r)
 	s.moveUp()
 	return s.InForce >= r
@@ -160,15 +160,15 @@
 // because the question was sent before the peer measured what remains.
 func (s *State) Renew(c Claim, sent, now time.Duration) {
 	s.lapse(now)
-	s.Learn(c.Revision)
+	s.ObserveAccepted(c.Revision)
 	if c.Revision < s.InForce {
 		return
 	}
 	s.confirm(sent + c.Remaining - s.lease())
 }
 
-// Fetched takes in that the file of r is at hand.
-func (s *State) Fetched(r declarer.Revision) {
+// MarkFetched takes in that the file of r is at hand.
+func (s *State) MarkFetched(r declarer.Revision) {
 	if r <= s.InForce {
 		return
 	}
@@ -179,8 +179,8 @@
 	s.moveUp()
 }
 
-// Refuse takes in that the file of r can't be put in force here.
-func (s *State) Refuse(r declarer.Revision, reason string) {
+// MarkRefused takes in that the file of r can't be put in force here.
+func (s *State) MarkRefused(r declarer.Revision, reason string) {
 	s.refused = r
 	s.reason = reason
 }
@@ -248,8 +248,8 @@
 	return r, due
 }
 
-// Decided takes in that requests are decided by r from now on.
-func (s *State) Decided(r declarer.Revision) {
+// MarkActivated takes in that requests are decided by r from now on.
+func (s *State) MarkActivated(r declarer.Revision) {
 	s.decided = max(s.decided, r)
 }
 
@@ -257,34 +257,34 @@
 // that is only about to be taken up would tell its operator that it is in force
 // everywhere while callers here are still served by the one before.
 func (s *State) decides() declarer.Revision {
-	if s.Deferred {
+	if s.DeferredActivation {
 		return min(s.decided, s.InForce)
 	}
 	return s.InForce
 }
 
-// Unregister takes in that the platform doesn't hold this host's object any more.
-func (s *State) Unregister() {
+// MarkUnregistered takes in that the platform doesn't hold this host's object any more.
+func (s *State) MarkUnregistered() {
 	s.registered = false
 }
 
-// Verdict is what becomes of a message that bears a revision.
-type Verdict string
+// RevisionCheck is what becomes of a message that bears a revision.
+type RevisionCheck string
 
 // Verdicts on a message.
 const (
 	// Handle means that both sides decide by the same revision.
-	Handle Verdict = "handle"
+	Handle RevisionCheck = "handle"
 	// MoveUp means that the receiver has to move up first.
-	MoveUp Verdict = "move-up"
+	MoveUp RevisionCheck = "move-up"
 	// Outdated means that the sender has to move up and decide again; nothing was done.
-	Outdated Verdict = "outdated"
+	Outdated RevisionCheck = "outdated"
 )
 
-// Judge decides on a message that was decided under theirs, at a host that
+// CheckRevision decides on a message that was decided under theirs, at a host that
 // decides by mine. Handling it under another revision would decide one request
 // by two configurations.
-func Judge(mine, theirs declarer.Revision) Verdict {
+func CheckRevision(mine, theirs declarer.Revision) RevisionCheck {
 	switch {
 	case theirs > mine:
 		return MoveUp
--- a/internal/config/adopter/adopter_test.go
+++ b/internal/config/adopter/adopter_test.go
@@ -23,8 +23,8 @@
 func confirmed(t *testing.T) *adopter.State {
 	t.Helper()
 	s := &adopter.State{}
-	s.See(accepted(1), 1, 0, 0)
-	s.Fetched(1)
+	s.ObserveHead(accepted(1), 1, 0, 0)
+	s.MarkFetched(1)
 	report(s, 0)
 	expect(t, s, 1, adopter.Confirmed, 0)
 	return s
@@ -32,7 +32,7 @@
 
 func report(s *adopter.State, now time.Duration) {
 	r, _ := s.Report()
-	s.Reported(r, now)
+	s.MarkReported(r, now)
 }
 
 func expect(t *testing.T, s *adopter.State, r declarer.Revision, g adopter.Standing, now time.Duration) {
@@ -44,17 +44,17 @@
 
 func TestChange(t *testing.T) {
 	s := confirmed(t)
-	s.See(staged(1, 2), 2, time.Second, time.Second)
+	s.ObserveHead(staged(1, 2), 2, time.Second, time.Second)
 	expect(t, s, 1, adopter.Changing, time.Second)
 	if r := s.Wanted(); r != 2 {
 		t.Errorf("wants revision %d", r)
 	}
-	s.Fetched(2)
+	s.MarkFetched(2)
 	if r, due := s.Report(); !due || r.Ready != 2 || r.InForce != 1 {
 		t.Errorf("reports %+v, due %t", r, due)
 	}
 	report(s, time.Second)
-	s.See(accepted(2), 3, time.Second, time.Second)
+	s.ObserveHead(accepted(2), 3, time.Second, time.Second)
 	expect(t, s, 2, adopter.Confirmed, time.Second)
 	if r, due := s.Report(); !due || r.InForce != 2 {
 		t.Errorf("reports %+v, due %t", r, due)
@@ -63,10 +63,10 @@
 
 func TestWithdrawal(t *testing.T) {
 	s := confirmed(t)
-	s.See(staged(1, 2), 2, 0, 0)
-	s.Fetched(2)
+	s.ObserveHead(staged(1, 2), 2, 0, 0)
+	s.MarkFetched(2)
 	report(s, 0)
-	s.See(encoder.Head{Accepted: 1, Highest: 2}, 3, 0, 0)
+	s.ObserveHead(encoder.Head{Accepted: 1, Highest: 2}, 3, 0, 0)
 	expect(t, s, 1, adopter.Confirmed, 0)
 }
 
@@ -74,15 +74,15 @@
 // has the file already and moves up before it handles the message.
 func TestPeerIsAhead(t *testing.T) {
 	s := confirmed(t)
-	s.See(staged(1, 2), 2, 0, 0)
-	s.Fetched(2)
-	if v := adopter.Judge(s.InForce, 2); v != adopter.MoveUp {
+	s.ObserveHead(staged(1, 2), 2, 0, 0)
+	s.MarkFetched(2)
+	if v := adopter.CheckRevision(s.InForce, 2); v != adopter.MoveUp {
 		t.Errorf("verdict %s", v)
 	}
-	if !s.Learn(2) {
+	if !s.ObserveAccepted(2) {
 		t.Error("didn't move up")
 	}
-	if v := adopter.Judge(s.InForce, 1); v != adopter.Outdated {
+	if v := adopter.CheckRevision(s.InForce, 1); v != adopter.Outdated {
 		t.Errorf("verdict %s on a message of an older revision", v)
 	}
 }
@@ -93,7 +93,7 @@
 // call an old limit the present one.
 func TestLateAnswerConfirmsForShort(t *testing.T) {
 	s := confirmed(t)
-	s.See(accepted(1), 1, 0, lease-time.Second)
+	s.ObserveHead(accepted(1), 1, 0, lease-time.Second)
 	expect(t, s, 1, adopter.Confirmed, lease-time.Second)
 	expect(t, s, 1, adopter.Unconfirmed, lease)
 }
@@ -102,8 +102,8 @@
 // the staged revision, which may have been accepted meanwhile.
 func TestOvertakenAnswerIsIgnored(t *testing.T) {
 	s := confirmed(t)
-	s.See(staged(1, 2), 2, 0, 0)
-	s.See(accepted(1), 1, time.Second, time.Second)
+	s.ObserveHead(staged(1, 2), 2, 0, 0)
+	s.ObserveHead(accepted(1), 1, time.Second, time.Second)
 	expect(t, s, 1, adopter.Changing, time.Second)
 }
 
@@ -112,13 +112,13 @@
 // object; the next revision will not wait for it.
 func TestStageThatEndedWithoutAcknowledgement(t *testing.T) {
 	s := confirmed(t)
-	s.See(staged(1, 2), 2, time.Second, time.Second)
-	s.See(accepted(2), 3, 2*time.Second, 2*time.Second)
-	s.Fetched(2)
+	s.ObserveHead(staged(1, 2), 2, time.Second, time.Second)
+	s.ObserveHead(accepted(2), 3, 2*time.Second, 2*time.Second)
+	s.MarkFetched(2)
 	expect(t, s, 2, adopter.Unconfirmed, 2*time.Second)
 	report(s, 3*time.Second)
 	expect(t, s, 2, adopter.Unconfirmed, 3*time.Second)
-	s.See(accepted(2), 3, 4*time.Second, 4*time.Second)
+	s.ObserveHead(accepted(2), 3, 4*time.Second, 4*time.Second)
 	expect(t, s, 2, adopter.Confirmed, 4*time.Second)
 }
 
@@ -126,16 +126,16 @@
 // revision, of which one was staged when it was cut off.
 func TestComesBackWithOldRevision(t *testing.T) {
 	s := confirmed(t)
-	s.See(staged(1, 2), 2, 0, 0)
-	s.Fetched(2)
+	s.ObserveHead(staged(1, 2), 2, 0, 0)
+	s.MarkFetched(2)
 	report(s, 0)
 	expect(t, s, 1, adopter.Unconfirmed, time.Hour)
-	s.See(accepted(7), 30, time.Hour, time.Hour)
+	s.ObserveHead(accepted(7), 30, time.Hour, time.Hour)
 	expect(t, s, 1, adopter.Changing, time.Hour)
-	s.Fetched(7)
+	s.MarkFetched(7)
 	expect(t, s, 7, adopter.Unconfirmed, time.Hour)
 	report(s, time.Hour)
-	s.See(accepted(7), 30, time.Hour, time.Hour)
+	s.ObserveHead(accepted(7), 30, time.Hour, time.Hour)
 	expect(t, s, 7, adopter.Confirmed, time.Hour)
 }
 
@@ -143,10 +143,10 @@
 // hosts decide by. A host that followed it would bring old limits back.
 func TestLowerRevisionIsNotFollowed(t *testing.T) {
 	s := confirmed(t)
-	s.Learn(5)
-	s.Fetched(5)
-	s.See(accepted(3), 9, 0, 0)
-	s.Fetched(3)
+	s.ObserveAccepted(5)
+	s.MarkFetched(5)
+	s.ObserveHead(accepted(3), 9, 0, 0)
+	s.MarkFetched(3)
 	if s.InForce != 5 {
 		t.Errorf("went down to %d", s.InForce)
 	}
@@ -155,7 +155,7 @@
 // A zone can't reach the platform, but a confirmed peer in another zone.
 func TestPeerRenewsLease(t *testing.T) {
 	a, b := confirmed(t), confirmed(t)
-	a.See(accepted(1), 1, 10*time.Second, 10*time.Second)
+	a.ObserveHead(accepted(1), 1, 10*time.Second, 10*time.Second)
 	c, ok := a.Claim(11 * time.Second)
 	if !ok {
 		t.Fatal("no claim")
@@ -170,13 +170,13 @@
 
 func TestRefusedRevisionIsToldOnce(t *testing.T) {
 	s := confirmed(t)
-	s.See(staged(1, 2), 2, 0, 0)
-	s.Refuse(2, "unknown key")
+	s.ObserveHead(staged(1, 2), 2, 0, 0)
+	s.MarkRefused(2, "unknown key")
 	r, due := s.Report()
 	if !due || r.Refused != 2 || r.Reason == "" {
 		t.Fatalf("reports %+v, due %t", r, due)
 	}
-	s.Reported(r, 0)
+	s.MarkReported(r, 0)
 	if _, due := s.Report(); due || s.Wanted() != 0 {
 		t.Error("goes on reporting")
 	}
@@ -186,8 +186,8 @@
 // peer. It was accepted without this host, so the next one may be as well.
 func TestMovedUpWithoutAcknowledgement(t *testing.T) {
 	s := confirmed(t)
-	s.See(staged(1, 2), 2, time.Second, time.Second)
-	s.Fetched(2)
-	s.Learn(2)
+	s.ObserveHead(staged(1, 2), 2, time.Second, time.Second)
+	s.MarkFetched(2)
+	s.ObserveAccepted(2)
 	expect(t, s, 2, adopter.Unconfirmed, 2*time.Second)
 }
--- a/internal/config/adopter/relay_test.go
+++ b/internal/config/adopter/relay_test.go
@@ -28,12 +28,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := &adopter.State{}
-			s.See(accepted(1), 1, 0, 0)
+			s.ObserveHead(accepted(1), 1, 0, 0)
 			if c.registered {
-				s.ReportedThrough(adopter.Receipt{Registrar: "first", Fresh: true}, 0)
+				s.ProcessReceipt(adopter.Receipt{Registrar: "first", Fresh: true}, 0)
 			}
-			c.receipt.Asked = asked
-			s.ReportedThrough(c.receipt, c.now)
+			c.receipt.AskedAt = asked
+			s.ProcessReceipt(c.receipt, c.now)
 			if id, ok := s.Registrar(); ok != c.want || ok && id != c.receipt.Registrar {
 				t.Errorf("registered %t at %q", ok, id)
 			}
@@ -45,10 +45,10 @@
 // it as before. That entry may have been taken out for lack of the acknowledgement.
 func TestReceiptBelowAcknowledgement(t *testing.T) {
 	s := confirmed(t)
-	s.See(staged(1, 2), 2, 0, 0)
-	s.Fetched(2)
+	s.ObserveHead(staged(1, 2), 2, 0, 0)
+	s.MarkFetched(2)
 	report(s, 0)
-	s.ReportedThrough(adopter.Receipt{Registrar: "r", Report: adopter.Report{Ready: 1}, Fresh: true}, 0)
+	s.ProcessReceipt(adopter.Receipt{Registrar: "r", Report: adopter.Report{Ready: 1}, Fresh: true}, 0)
 	if id, ok := s.Registrar(); !ok || id != "" {
 		t.Errorf("registered %t at %q", ok, id)
 	}
@@ -58,11 +58,11 @@
 // the stage withdrawn before it sees the head again.
 func TestRegistrationWithoutConfirmationEnds(t *testing.T) {
 	s := &adopter.State{}
-	s.See(accepted(1), 1, 0, 0)
-	s.Fetched(1)
-	s.See(accepted(1), 1, 2*time.Second, 2*time.Second)
-	s.ReportedThrough(adopter.Receipt{Asked: time.Second, Fresh: true}, 3*time.Second)
-	s.See(accepted(1), 3, time.Second+lease, time.Second+lease)
+	s.ObserveHead(accepted(1), 1, 0, 0)
+	s.MarkFetched(1)
+	s.ObserveHead(accepted(1), 1, 2*time.Second, 2*time.Second)
+	s.ProcessReceipt(adopter.Receipt{AskedAt: time.Second, Fresh: true}, 3*time.Second)
+	s.ObserveHead(accepted(1), 3, time.Second+lease, time.Second+lease)
 	expect(t, s, 1, adopter.Unconfirmed, time.Second+lease)
 	if _, due := s.Report(); !due {
 		t.Error("doesn't register again")
@@ -74,22 +74,22 @@
 func TestSightsAge(t *testing.T) {
 	const age = 5 * time.Second
 	r, s := confirmed(t), confirmed(t)
-	r.See(accepted(1), 2, 0, 0)
+	r.ObserveHead(accepted(1), 2, 0, 0)
 	x, ok := r.Sight(1, age)
 	if !ok || x.Age != age || x.Head == nil {
 		t.Fatalf("sight %+v, %t", x, ok)
 	}
 	const asked = 7 * time.Second
-	s.SeeThrough(x, asked, asked+time.Second)
+	s.ObserveSight(x, asked, asked+time.Second)
 	expect(t, s, 1, adopter.Confirmed, asked-age+lease-1)
 	expect(t, s, 1, adopter.Unconfirmed, asked-age+lease)
 	if y, _ := s.Sight(2, asked); y.Head != nil || y.Age != age {
 		t.Errorf("passes on %+v", y)
 	}
-	s.SeeThrough(adopter.Sight{Version: 2, Age: age}, asked+1, asked+time.Second)
+	s.ObserveSight(adopter.Sight{Version: 2, Age: age}, asked+1, asked+time.Second)
 	expect(t, s, 1, adopter.Unconfirmed, asked+1-age+lease)
-	s.SeeThrough(adopter.Sight{Version: 1, Head: &encoder.Head{}, Age: 0}, asked, asked)
-	s.SeeThrough(adopter.Sight{Version: 3, Age: 0}, asked, asked)
+	s.ObserveSight(adopter.Sight{Version: 1, Head: &encoder.Head{}, Age: 0}, asked, asked)
+	s.ObserveSight(adopter.Sight{Version: 3, Age: 0}, asked, asked)
 	expect(t, s, 1, adopter.Unconfirmed, asked+1-age+lease)
 }
 
@@ -99,12 +99,12 @@
 func TestSightOfHeldQuestion(t *testing.T) {
 	const age = 5 * time.Second
 	r := confirmed(t)
-	r.See(accepted(1), 2, 0, 0)
+	r.ObserveHead(accepted(1), 2, 0, 0)
 	x, _ := r.Sight(1, age)
-	if y := x.Held(2 * time.Second); y.Age != age-2*time.Second {
+	if y := x.AsOfArrival(2 * time.Second); y.Age != age-2*time.Second {
 		t.Errorf("age %s at the question, %s at the answer 2 s later", y.Age, age)
 	}
-	if y := x.Held(age + time.Second); y.Age != 0 {
+	if y := x.AsOfArrival(age + time.Second); y.Age != 0 {
 		t.Errorf("age %s of a sight from after the question", y.Age)
 	}
 }
@@ -114,11 +114,11 @@
 func TestRegistrationIsConfirmedBySameAnswer(t *testing.T) {
 	const asked = 5 * time.Second
 	s := confirmed(t)
-	s.See(accepted(1), 1, 2*time.Second, 2*time.Second)
-	s.ReportedThrough(adopter.Receipt{Registrar: "r", Asked: asked, Fresh: true}, asked+time.Second)
+	s.ObserveHead(accepted(1), 1, 2*time.Second, 2*time.Second)
+	s.ProcessReceipt(adopter.Receipt{Registrar: "r", AskedAt: asked, Fresh: true}, asked+time.Second)
 	expect(t, s, 1, adopter.Unconfirmed, asked+time.Second)
-	s.ConfirmedSince("r", asked, time.Second)
+	s.ConfirmRegistration("r", asked, time.Second)
 	expect(t, s, 1, adopter.Unconfirmed, asked+time.Second)
-	s.SeeThrough(adopter.Sight{Version: 1, Age: time.Second}, asked, asked+time.Second)
+	s.ObserveSight(adopter.Sight{Version: 1, Age: time.Second}, asked, asked+time.Second)
 	expect(t, s, 1, adopter.Confirmed, asked+time.Second)
 }
--- a/internal/config/adopter/report.go
+++ b/internal/config/adopter/report.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Reported takes in that the host's own object holds r; now is the time of the
+// MarkReported takes in that the host's own object holds r; now is the time of the
 // platform's answer.
-func (s *State) Reported(r Report, now time.Duration) {
-	s.ReportedThrough(Receipt{Report: r, Asked: now, Fresh: true}, now)
+func (s *State) MarkReported(r Report, now time.Duration) {
+	s.ProcessReceipt(Receipt{Report: r, AskedAt: now, Fresh: true}, now)
 }
 
 // Receipt says what an object holds of a host.
@@ -14,21 +14,21 @@
 	// relay in one of its incarnations.
 	Registrar string
 	Report    Report
-	// Asked is when the host asked for it, on the host's clock.
-	Asked time.Duration
+	// AskedAt is when the host asked for it, on the host's clock.
+	AskedAt time.Duration
 	// Fresh says that the object was written after the host asked.
 	Fresh bool
 }
 
-// ReportedThrough takes in a receipt; now is the time of the answer.
+// ProcessReceipt takes in a receipt; now is the time of the answer.
 //
 // Only a fresh one registers a host: what an object held before the host asked, an
 // operator may have taken out. An answer that took longer than a lease doesn't
 // count either, nor one that shows less than what this host is known to have
 // acknowledged: an operator may have waited a lapse for just that
 // acknowledgement and have taken the host out since.
-func (s *State) ReportedThrough(x Receipt, now time.Duration) {
-	if now >= x.Asked+s.lease() || x.Report.Ready < s.acknowledged {
+func (s *State) ProcessReceipt(x Receipt, now time.Duration) {
+	if now >= x.AskedAt+s.lease() || x.Report.Ready < s.acknowledged {
 		return
 	}
 	if x.Registrar != s.registrar {
@@ -39,7 +39,7 @@
 			return
 		}
 		s.renewFrom = now
-		s.askedFrom = x.Asked
+		s.askedFrom = x.AskedAt
 	}
 	s.registered = true
 	s.registrar = x.Registrar
@@ -54,14 +54,14 @@
 	return s.registrar, s.registered
 }
 
-// ConfirmedSince takes in that registrar read the head after it had stored this
+// ConfirmRegistration takes in that registrar read the head after it had stored this
 // host's registration, for a question sent at asked; age is how old the sight in
 // the same answer is. So that sight confirms the registration.
 //
 // Both are mapped to this host's clock by the same answer, and may be moved back
 // by the same amount: what was staged before the sight shows in it, and what was
 // staged later counts this host.
-func (s *State) ConfirmedSince(registrar string, asked, age time.Duration) {
+func (s *State) ConfirmRegistration(registrar string, asked, age time.Duration) {
 	if s.registered && s.registrar == registrar && s.askedFrom == asked {
 		s.renewFrom = min(s.renewFrom, asked-age)
 	}
--- a/internal/config/adopter/sight.go
+++ b/internal/config/adopter/sight.go
@@ -38,30 +38,30 @@
 	return x, true
 }
 
-// Held returns the sight for a question that arrived at d before the sight was taken.
+// AsOfArrival returns the sight for a question that arrived at d before the sight was taken.
 //
 // The asking host counts the age back from when it asked. Were it measured at the
 // answer instead, the time that the question was held back would count twice, and a
 // relay that reaches the platform would seem not to: any news that isn't a new
 // sight, such as another host's report, has the relay make its answer anew.
-func (x Sight) Held(d time.Duration) Sight {
+func (x Sight) AsOfArrival(d time.Duration) Sight {
 	x.Age = max(x.Age-d, 0)
 	return x
 }
 
-// SeeThrough takes in a peer's sight that answered a question sent at asked.
+// ObserveSight takes in a peer's sight that answered a question sent at asked.
 //
 // The question was sent before it arrived at the peer, up to where the age counts,
 // so the call that showed the head was sent no earlier than the age before the question. The
 // lease therefore ends no later than if this host had made that call itself,
 // however long the answer took and however many hosts it came through.
-func (s *State) SeeThrough(x Sight, asked, now time.Duration) {
+func (s *State) ObserveSight(x Sight, asked, now time.Duration) {
 	switch {
 	case x.Age < 0:
 	case x.Head != nil:
-		s.See(*x.Head, x.Version, asked-x.Age, now)
+		s.ObserveHead(*x.Head, x.Version, asked-x.Age, now)
 	case x.Version == s.Version:
-		s.See(s.head, s.Version, asked-x.Age, now)
+		s.ObserveHead(s.head, s.Version, asked-x.Age, now)
 	}
 }
 
--- a/internal/config/applier/applier.go
+++ b/internal/config/applier/applier.go
@@ -10,10 +10,10 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// DefaultLapse is how long an operator waits for a host's acknowledgement
+// DefaultAcknowledgementTimeout is how long an operator waits for a host's acknowledgement
 // before it takes the host's lease to have run out. Both are durations, each on
 // its own clock: the tenth on top allows for clocks that run at different rates.
-const DefaultLapse = adopter.DefaultLease + adopter.DefaultLease/10
+const DefaultAcknowledgementTimeout = adopter.DefaultLease + adopter.DefaultLease/10
 
 // headInterval is how often a waiting operator reads the head.
 const headInterval = time.Second
@@ -87,8 +87,8 @@
 	CheckBase bool
 	// HasFile says that the file is at hand and can be put into its slot.
 	HasFile bool
-	// Lapse is how long to wait for hosts, DefaultLapse if unset.
-	Lapse time.Duration
+	// AcknowledgementTimeout is how long to wait for hosts, DefaultLapse if unset.
+	AcknowledgementTimeout time.Duration
 
 	head        encoder.Head
 	headVersion accessor.Version
@@ -148,9 +148,9 @@
 	o.reason = reason
 }
 
-// SawHead takes in the head that answered a call sent at sent; now is the time
+// ObserveHead takes in the head that answered a call sent at sent; now is the time
 // of the answer.
-func (o *Operator) SawHead(h encoder.Head, v accessor.Version, sent, now time.Duration) {
+func (o *Operator) ObserveHead(h encoder.Head, v accessor.Version, sent, now time.Duration) {
 	o.head = h
 	o.headVersion = v
 	o.headKnown = true
@@ -186,9 +186,9 @@
 	}
 }
 
-// HeadDoubtful takes in that a call for the head failed, so that a put may
+// InvalidateHead takes in that a call for the head failed, so that a put may
 // have taken effect, or may yet.
-func (o *Operator) HeadDoubtful(put bool) {
+func (o *Operator) InvalidateHead(put bool) {
 	if put {
 		o.doubtful = o.headVersion
 		o.hasDoubtful = true
@@ -196,9 +196,9 @@
 	o.headKnown = false
 }
 
-// SawBody takes in what lies in the slot: whether it is the staged file, and
+// ObserveBody takes in what lies in the slot: whether it is the staged file, and
 // the slot's version.
-func (o *Operator) SawBody(same bool, v accessor.Version) {
+func (o *Operator) ObserveBody(same bool, v accessor.Version) {
 	o.bodyStored = same
 	o.slotRead = true
 	o.slotVersion = v
@@ -210,17 +210,17 @@
 	}
 }
 
-// PutBodyAnswered takes in the answer to a put of the file.
-func (o *Operator) PutBodyAnswered(ok bool) {
+// ObserveBodyPut takes in the answer to a put of the file.
+func (o *Operator) ObserveBodyPut(ok bool) {
 	o.bodyStored = ok
 	if !ok {
 		o.slotRead = false
 	}
 }
 
-// SawHolders takes in the hosts' objects and the names in the host list, nil if
+// ObserveHolders takes in the hosts' objects and the names in the host list, nil if
 // that wasn't read; sent is when the list was asked for.
-func (o *Operator) SawHolders(l []HolderObject, hosts map[string]bool, sent time.Duration) {
+func (o *Operator) ObserveHolders(l []HolderObject, hosts map[string]bool, sent time.Duration) {
 	o.holders = l
 	o.holdersSent = sent
 	o.holdersKnown = true
@@ -231,15 +231,15 @@
 	o.listen(l, sent)
 }
 
-// HoldersDoubtful takes in that listing or retiring failed.
-func (o *Operator) HoldersDoubtful() {
+// InvalidateHolders takes in that listing or retiring failed.
+func (o *Operator) InvalidateHolders() {
 	o.holdersKnown = false
 }
 
-// Waited takes in that a wait is over: what hosts say may have changed. The
+// ObserveWait takes in that a wait is over: what hosts say may have changed. The
 // head is read again only now and then, to notice a withdrawal by another
 // operator; putting it is safe in any case.
-func (o *Operator) Waited(now time.Duration) {
+func (o *Operator) ObserveWait(now time.Duration) {
 	o.holdersKnown = false
 	if now-o.headSent >= headInterval {
 		o.headKnown = false
@@ -257,8 +257,8 @@
 }
 
 func (o *Operator) lapse() time.Duration {
-	if o.Lapse <= 0 {
-		return DefaultLapse
+	if o.AcknowledgementTimeout <= 0 {
+		return DefaultAcknowledgementTimeout
 	}
-	return o.Lapse
+	return o.AcknowledgementTimeout
 }
--- a/internal/config/applier/applier_test.go
+++ b/internal/config/applier/applier_test.go
@@ -119,8 +119,8 @@
 	a := w.apply("anna", "file1")
 	w.until(t, a, applier.Wait)
 	h := w.hosts[0]
-	h.state.See(w.head, w.version, 0, 0)
-	h.state.Refuse(1, "unknown key")
+	h.state.ObserveHead(w.head, w.version, 0, 0)
+	h.state.MarkRefused(1, "unknown key")
 	w.finish(t, a, applier.Withdrawn)
 	if w.head.Accepted != 0 {
 		t.Error("accepted a refused revision")
@@ -192,7 +192,7 @@
 	w.until(t, a, applier.Wait)
 	w.head.Staged = nil
 	w.version++
-	w.now += applier.DefaultLapse
+	w.now += applier.DefaultAcknowledgementTimeout
 	w.hosts[0].name = "renamed"
 	w.finish(t, a, applier.Withdrawn)
 	for n, h := range w.holders {
--- a/internal/config/applier/change_test.go
+++ b/internal/config/applier/change_test.go
@@ -140,7 +140,7 @@
 	if b := h.state.InForce; documents[h.files[b]] != nil && documents[h.files[r]] != nil {
 		h.made[r] = &encoder.Change{Revision: r, Base: b, Packed: differences(h.files[b], h.files[r])}
 	}
-	h.state.Fetched(r)
+	h.state.MarkFetched(r)
 }
 
 // fetchChange has h take r's file by the change in the head, or ask another host
--- a/internal/config/applier/free_test.go
+++ b/internal/config/applier/free_test.go
@@ -23,10 +23,10 @@
 // lapsedStep returns the step of an operator that has waited a lapse with the
 // objects first, and then finds the objects then; "gone" isn't in the host list.
 func lapsedStep(first, then []applier.HolderObject) applier.Step {
-	const lapse = applier.DefaultLapse
+	const lapse = applier.DefaultAcknowledgementTimeout
 	o, h := waiting(first)
-	o.SawHolders(then, map[string]bool{"live": true, "relay": true}, lapse)
-	o.SawHead(h, 1, lapse, lapse)
+	o.ObserveHolders(then, map[string]bool{"live": true, "relay": true}, lapse)
+	o.ObserveHead(h, 1, lapse, lapse)
 	return o.Next(lapse)
 }
 
@@ -34,9 +34,9 @@
 func waiting(l []applier.HolderObject) (*applier.Operator, encoder.Head) {
 	o := &applier.Operator{Mode: applier.Apply, ID: "a", HasFile: true}
 	h := encoder.Head{Accepted: 1, Highest: 2, Staged: &encoder.Entry{Revision: 2, ID: "a"}}
-	o.SawHead(h, 1, 0, 0)
-	o.SawBody(true, 1)
-	o.SawHolders(l, nil, 0)
+	o.ObserveHead(h, 1, 0, 0)
+	o.ObserveBody(true, 1)
+	o.ObserveHolders(l, nil, 0)
 	return o, h
 }
 
@@ -81,7 +81,7 @@
 	n := entry("live", 0)
 	n.Incarnation = "2"
 	o, _ := waiting(l(object(entry("relay", 2), entry("live", 2), n)))
-	if s := o.Next(applier.DefaultLapse - 1); s.Action != applier.Wait {
+	if s := o.Next(applier.DefaultAcknowledgementTimeout - 1); s.Action != applier.Wait {
 		t.Errorf("step %s", s.Action)
 	}
 }
@@ -92,7 +92,7 @@
 	x := object(entry("relay", 1), entry("live", 1))
 	x.Holder.Left = true
 	o, _ := waiting(l(x, object(entry("a", 2))))
-	s := o.Next(applier.DefaultLapse - 1)
+	s := o.Next(applier.DefaultAcknowledgementTimeout - 1)
 	if z := o.Zones(); s.Action != applier.Wait || z[0].Hosts != 2 {
 		t.Errorf("step %s, zones %+v", s.Action, z)
 	}
--- a/internal/config/applier/property_test.go
+++ b/internal/config/applier/property_test.go
@@ -161,10 +161,10 @@
 // message sends a request's message from one host to another.
 func (w *world) message(a, b *host) {
 	r := a.state.InForce
-	if adopter.Judge(b.state.InForce, r) == adopter.MoveUp && !b.state.Learn(r) {
+	if adopter.CheckRevision(b.state.InForce, r) == adopter.MoveUp && !b.state.ObserveAccepted(r) {
 		return
 	}
-	if adopter.Judge(b.state.InForce, r) == adopter.Handle && a.files[r] != b.files[r] {
+	if adopter.CheckRevision(b.state.InForce, r) == adopter.Handle && a.files[r] != b.files[r] {
 		w.fail("one request decided by %s at %s and by %s at %s", a.files[r], a.name, b.files[r], b.name)
 	}
 }
--- a/internal/config/applier/relay_test.go
+++ b/internal/config/applier/relay_test.go
@@ -41,7 +41,7 @@
 // due reports whether h has to write its own object.
 func (h *host) due(own bool, now time.Duration) bool {
 	if id, ok := h.state.Registrar(); ok && id != "" {
-		h.state.Unregister()
+		h.state.MarkUnregistered()
 		own = true
 	}
 	r, _ := h.state.Report()
@@ -53,7 +53,7 @@
 func (h *host) take(o encoder.Holder, now time.Duration) {
 	h.claims++
 	h.summary.Self = h.member()
-	h.summary.Lose()
+	h.summary.Reset()
 	if o.Left && !o.Retired {
 		h.summary.ReadBack(o.Members, now)
 	}
@@ -61,9 +61,9 @@
 
 // store takes in that h's object was written.
 func (h *host) store(r adopter.Report, sent, now time.Duration) {
-	h.summary.Stored()
+	h.summary.CompletePut()
 	h.storedAt = now
-	h.state.ReportedThrough(adopter.Receipt{Report: r, Asked: sent, Fresh: true}, now)
+	h.state.ProcessReceipt(adopter.Receipt{Report: r, AskedAt: sent, Fresh: true}, now)
 }
 
 // leave frees the object of a host that reports through another one by now.
@@ -86,7 +86,7 @@
 				return
 			}
 			h.object = ""
-			h.summary.Lose()
+			h.summary.Reset()
 			w.note("host %s/%s left its object", h.name, h.id)
 		},
 	})
@@ -110,14 +110,14 @@
 	c.serve = func() {
 		arrived = b.clock.at(w.now)
 		if !b.dead && b.object != "" {
-			b.summary.Tell(m, n, !fresh && id == b.registrar(), arrived)
+			b.summary.AddReport(m, n, !fresh && id == b.registrar(), arrived)
 		}
 	}
 	c.answer = func(lost bool) {
 		a.asking--
 		if !lost && !b.dead {
 			a.asking++
-			w.send(w.reply(a, b, question{member: m, receipt: adopter.Receipt{Asked: asked, Fresh: fresh}, known: known, arrived: arrived}))
+			w.send(w.reply(a, b, question{member: m, receipt: adopter.Receipt{AskedAt: asked, Fresh: fresh}, known: known, arrived: arrived}))
 		}
 	}
 	w.send(c)
@@ -134,7 +134,7 @@
 	w.send(&call{
 		serve: func() {
 			if !b.dead {
-				b.summary.Leave(m, n, b.clock.at(w.now))
+				b.summary.RemoveMember(m, n, b.clock.at(w.now))
 			}
 		},
 		answer: func(bool) {},
@@ -166,7 +166,7 @@
 	return &call{
 		waits: func() bool {
 			waits++
-			return waits < maximumWaits && b.object != "" && !b.summary.Answers(q.member)
+			return waits < maximumWaits && b.object != "" && !b.summary.CanAnswer(q.member)
 		},
 		serve: func() {
 			t := b.clock.at(w.now)
@@ -174,7 +174,7 @@
 			y.held, y.isHeld = b.summary.Held(q.member)
 			y.registrar = b.registrar()
 			y.confirmed = y.sight.Age <= t-b.storedAt
-			y.sight = y.sight.Held(t - q.arrived)
+			y.sight = y.sight.AsOfArrival(t - q.arrived)
 		},
 		answer: func(lost bool) {
 			a.asking--
@@ -191,19 +191,19 @@
 	x.Registrar = y.registrar
 	x.Report = adopter.Report{Ready: y.held.Ready, InForce: y.held.InForce, Refused: y.held.Refused}
 	if y.isHeld && a.relayed {
-		a.state.ReportedThrough(x, now)
+		a.state.ProcessReceipt(x, now)
 	}
 	if y.isHeld && a.relayed && y.confirmed {
-		a.state.ConfirmedSince(x.Registrar, x.Asked, y.sight.Age)
+		a.state.ConfirmRegistration(x.Registrar, x.AskedAt, y.sight.Age)
 	}
 	if id, _ := a.state.Registrar(); !y.isHeld && id == y.registrar {
-		a.state.Unregister()
+		a.state.MarkUnregistered()
 	}
 	if y.seen {
 		if y.sight.Head != nil {
 			a.hold(*y.sight.Head)
 		}
-		a.state.SeeThrough(y.sight, x.Asked, now)
+		a.state.ObserveSight(y.sight, x.AskedAt, now)
 	}
 	w.note("host %s/%s heard %+v", a.name, a.id, y)
 }
--- a/internal/config/applier/world_test.go
+++ b/internal/config/applier/world_test.go
@@ -180,7 +180,7 @@
 		h.reading--
 		if !lost {
 			h.hold(d)
-			h.state.See(d, v, sent, h.clock.at(w.now))
+			h.state.ObserveHead(d, v, sent, h.clock.at(w.now))
 			w.note("host %s/%s saw head %d", h.name, h.id, v)
 		}
 	}
@@ -218,7 +218,7 @@
 				return
 			}
 			h.files[r] = b.digest
-			h.state.Fetched(r)
+			h.state.MarkFetched(r)
 		},
 	}
 }
@@ -243,10 +243,10 @@
 func (w *world) readBack(h *host) {
 	p := w.holders[h.object]
 	h.version = p.Version
-	h.state.Unregister()
+	h.state.MarkUnregistered()
 	if p.Holder.Retired || p.Holder.Left || p.Holder.Incarnation != h.id {
 		h.object = ""
-		h.summary.Lose()
+		h.summary.Reset()
 		return
 	}
 	h.summary.ReadBack(p.Holder.Members, h.clock.at(w.now))
@@ -258,7 +258,7 @@
 	}
 	o := applier.HolderObject{Name: h.object, Version: h.version, Holder: encoder.Holder{
 		Host: h.name, Incarnation: h.id, Ready: r.Ready, InForce: r.InForce,
-		Refused: r.Refused, Reason: r.Reason, Members: h.summary.Begin(),
+		Refused: r.Refused, Reason: r.Reason, Members: h.summary.BeginPut(),
 	}}
 	sent := h.clock.at(w.now)
 	var v accessor.Version
@@ -289,7 +289,7 @@
 	w.note("%s %s: %s %s", o.Mode, o.ID, s.Action, s.Result.Outcome)
 	switch s.Action {
 	case applier.Wait:
-		o.Waited(t)
+		o.ObserveWait(t)
 	case applier.Done:
 		o.result = &s.Result
 		w.checkInForce(o)
@@ -315,22 +315,22 @@
 		var h encoder.Head
 		var v accessor.Version
 		c.serve = func() { h, v = w.head, w.version }
-		c.answer = done(func() { o.SawHead(h, v, sent, o.clock.at(w.now)) })
+		c.answer = done(func() { o.ObserveHead(h, v, sent, o.clock.at(w.now)) })
 	case applier.PutHead:
 		var ok bool
 		s.Head.Change = w.attach(o, s.Head)
 		c.serve = func() { ok = w.putHead(s.Head, s.Version) }
 		c.answer = done(func() {
 			if ok {
-				o.SawHead(s.Head, s.Version+1, sent, o.clock.at(w.now))
+				o.ObserveHead(s.Head, s.Version+1, sent, o.clock.at(w.now))
 				return
 			}
-			o.HeadDoubtful(false)
+			o.InvalidateHead(false)
 		})
 	case applier.ReadBody:
 		var b body
 		c.serve = func() { b = w.bodies[encoder.Slot(s.Revision)] }
-		c.answer = done(func() { o.SawBody(b.revision == s.Revision, b.version) })
+		c.answer = done(func() { o.ObserveBody(b.revision == s.Revision, b.version) })
 	case applier.PutBody:
 		var ok bool
 		b := body{revision: s.Revision, digest: o.Entry.Digest, version: s.Version + 1}
@@ -339,7 +339,7 @@
 				w.bodies[encoder.Slot(s.Revision)] = b
 			}
 		}
-		c.answer = done(func() { o.PutBodyAnswered(ok) })
+		c.answer = done(func() { o.ObserveBodyPut(ok) })
 	case applier.ReadHolders:
 		var l []applier.HolderObject
 		m := map[string]bool{}
@@ -352,16 +352,16 @@
 		}
 		c.answer = done(func() {
 			o.listed = l
-			o.SawHolders(l, m, sent)
+			o.ObserveHolders(l, m, sent)
 		})
 	case applier.PutHolder:
 		c.serve = func() { w.putHolder(s.Holder) }
-		c.answer = done(o.HoldersDoubtful)
+		c.answer = done(o.InvalidateHolders)
 	case applier.RetireHolder:
 		h := s.Holder
 		h.Holder.Retired = true
 		c.serve = func() { w.putHolder(h) }
-		c.answer = done(o.HoldersDoubtful)
+		c.answer = done(o.InvalidateHolders)
 	}
 	return c
 }
@@ -369,10 +369,10 @@
 func (w *world) lost(o *operator, s applier.Step) {
 	switch s.Action {
 	case applier.ReadHead, applier.PutHead:
-		o.HeadDoubtful(s.Action == applier.PutHead)
+		o.InvalidateHead(s.Action == applier.PutHead)
 	case applier.PutBody:
-		o.PutBodyAnswered(false)
+		o.ObserveBodyPut(false)
 	case applier.ReadHolders, applier.RetireHolder, applier.PutHolder:
-		o.HoldersDoubtful()
+		o.InvalidateHolders()
 	}
 }
--- a/internal/config/follower/advise.go
+++ b/internal/config/follower/advise.go
@@ -52,7 +52,7 @@
 	defer h.mu.Unlock()
 	now := h.clock.now()
 	if q.Report == nil {
-		h.summary.Hear(encoder.HostReport{Host: q.Host, Incarnation: q.Incarnation}, now)
+		h.summary.MarkActive(encoder.HostReport{Host: q.Host, Incarnation: q.Incarnation}, now)
 		return now
 	}
 	h.tell(*q.Report, now)
@@ -64,10 +64,10 @@
 func (h *Host) tell(r MemberReport, now time.Duration) {
 	switch {
 	case r.Leaves:
-		h.summary.Leave(r.Member, r.Sequence, now)
+		h.summary.RemoveMember(r.Member, r.Sequence, now)
 	case !h.relayed():
 		r.Member.ReportedAt = time.Now().UTC().Truncate(time.Millisecond)
-		h.summary.Tell(r.Member, r.Sequence, r.Registrar == h.name(), now)
+		h.summary.AddReport(r.Member, r.Sequence, r.Registrar == h.name(), now)
 	}
 }
 
@@ -80,7 +80,7 @@
 	now := h.clock.now()
 	x, seen := h.state.Sight(q.Known, now)
 	if seen {
-		held := x.Held(now - arrived)
+		held := x.AsOfArrival(now - arrived)
 		a.Sight = &held
 	}
 	if q.Report == nil {
@@ -105,9 +105,9 @@
 // answered reports whether the object holds what r says.
 func (h *Host) answered(r MemberReport) bool {
 	if r.Leaves {
-		return h.summary.Left(r.Member)
+		return h.summary.MemberRemoved(r.Member)
 	}
-	return h.summary.Answers(r.Member)
+	return h.summary.CanAnswer(r.Member)
 }
 
 // name tells this host's present object from any other one that it had or that
--- a/internal/config/follower/fetcher.go
+++ b/internal/config/follower/fetcher.go
@@ -38,11 +38,11 @@
 		err = errors.Annotatef(encoder.ErrDigest, "revision %d", r)
 	}
 	if err != nil {
-		h.state.Refuse(r, err.Error())
+		h.state.MarkRefused(r, err.Error())
 		return errors.Trace(err)
 	}
 	h.files[r] = f
-	h.state.Fetched(r)
+	h.state.MarkFetched(r)
 	h.announce()
 	h.settle()
 	return nil
--- a/internal/config/follower/follower.go
+++ b/internal/config/follower/follower.go
@@ -109,7 +109,7 @@
 	h.news = make(chan struct{})
 	h.summary.Self = encoder.HostReport{Host: h.Name, Incarnation: h.Incarnation}
 	h.state.Lease = h.Lease
-	h.state.Deferred = h.Deferred
+	h.state.DeferredActivation = h.Deferred
 	if h.Watcher == nil {
 		h.ownWatcher = true
 		h.Watcher = &watcher.Watcher{Platform: h.Platform, Backoff: h.Backoff, Random: h.Random, Clock: h.Clock, Log: h.Log}
@@ -137,7 +137,7 @@
 	h.once.Do(h.init)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.state.Decided(declarer.Revision(r))
+	h.state.MarkActivated(declarer.Revision(r))
 	signal(h.wake)
 }
 
@@ -231,7 +231,7 @@
 	h.once.Do(h.init)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	done := h.state.Learn(r)
+	done := h.state.ObserveAccepted(r)
 	h.settle()
 	if done {
 		return nil, true
--- a/internal/config/follower/member.go
+++ b/internal/config/follower/member.go
@@ -22,7 +22,7 @@
 	}
 	if err != nil {
 		h.mu.Lock()
-		h.state.Unregister()
+		h.state.MarkUnregistered()
 		h.mu.Unlock()
 		h.avoid(relay, err)
 		return errors.Annotatef(err, "report through relay %s", relay)
@@ -57,17 +57,17 @@
 		return
 	}
 	m := a.Held.Member
-	h.state.ReportedThrough(adopter.Receipt{
+	h.state.ProcessReceipt(adopter.Receipt{
 		Registrar: a.Held.Registrar,
 		Report:    adopter.Report{Ready: m.Ready, Refused: m.Refused, Reason: m.Reason, InForce: m.InForce},
-		Asked:     asked,
+		AskedAt:   asked,
 		Fresh:     fresh,
 	}, h.clock.now())
 	if a.Sight == nil {
 		return
 	}
 	if a.Held.Confirmed {
-		h.state.ConfirmedSince(a.Held.Registrar, asked, a.Sight.Age)
+		h.state.ConfirmRegistration(a.Held.Registrar, asked, a.Sight.Age)
 	}
 	h.takeSight(*a.Sight, asked)
 }
@@ -132,7 +132,7 @@
 	defer h.mu.Unlock()
 	if h.relayed() {
 		h.departed = true
-		h.state.Unregister()
+		h.state.MarkUnregistered()
 	}
 	return h.relay
 }
--- a/internal/config/follower/relay.go
+++ b/internal/config/follower/relay.go
@@ -67,7 +67,7 @@
 	}
 	delete(h.former, relay)
 	h.relay = relay
-	h.state.Unregister()
+	h.state.MarkUnregistered()
 	h.announce()
 	signal(h.wake)
 }
@@ -134,7 +134,7 @@
 		h.note(*x.Head)
 	}
 	v := h.state.Version
-	h.state.SeeThrough(x, asked, h.clock.now())
+	h.state.ObserveSight(x, asked, h.clock.now())
 	if v != h.state.Version {
 		h.announce()
 	}
--- a/internal/config/follower/reporter.go
+++ b/internal/config/follower/reporter.go
@@ -41,7 +41,7 @@
 	d := h.holder(r)
 	h.mu.Lock()
 	asked := h.clock.now()
-	d.Members = h.summary.Begin()
+	d.Members = h.summary.BeginPut()
 	h.mu.Unlock()
 	v, err := encoder.Encode(d)
 	if err != nil {
@@ -79,9 +79,9 @@
 	h.mu.Lock()
 	now := h.clock.now()
 	before := h.state.Standing(now)
-	h.state.ReportedThrough(adopter.Receipt{Report: r, Asked: asked, Fresh: true}, now)
+	h.state.ProcessReceipt(adopter.Receipt{Report: r, AskedAt: asked, Fresh: true}, now)
 	after := h.state.Standing(now)
-	fresh := h.summary.Stored()
+	fresh := h.summary.CompletePut()
 	h.storedAt = now
 	if !fresh {
 		h.announce()
@@ -113,7 +113,7 @@
 // answer may have been lost, or an operator has freed the object.
 func (h *Host) lose(ctx context.Context) {
 	h.mu.Lock()
-	h.state.Unregister()
+	h.state.MarkUnregistered()
 	h.mu.Unlock()
 	o, err := h.Platform.Get(ctx, encoder.HolderKind, h.object.Name)
 	if err != nil {
@@ -126,7 +126,7 @@
 	d, err := encoder.Decode[encoder.Holder](o)
 	if err != nil || d.Retired || d.Left || d.Host != h.Name || d.Incarnation != h.Incarnation {
 		h.object = accessor.Object{}
-		h.summary.Lose()
+		h.summary.Reset()
 		return
 	}
 	h.object = o
@@ -180,7 +180,7 @@
 	defer cancel()
 	d := h.holder(h.toReport())
 	h.mu.Lock()
-	d.Members = h.summary.Begin()
+	d.Members = h.summary.BeginPut()
 	h.mu.Unlock()
 	d.Left = len(d.Members) > 0
 	d.Retired = !d.Left
@@ -198,6 +198,6 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.object = accessor.Object{}
-	h.summary.Lose()
+	h.summary.Reset()
 	h.announce()
 }
--- a/internal/config/follower/worker.go
+++ b/internal/config/follower/worker.go
@@ -48,7 +48,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock.now()
-	h.state.See(d, o.Version, now-since(sent), now)
+	h.state.ObserveHead(d, o.Version, now-since(sent), now)
 	h.note(d)
 	h.announce()
 	h.settle()
--- a/internal/config/publisher/publisher.go
+++ b/internal/config/publisher/publisher.go
@@ -37,8 +37,8 @@
 	Platform accessor.Platform
 	// Name is shown to others as who did it.
 	Name string
-	// Lapse is how long to wait for hosts, applier.DefaultLapse if unset.
-	Lapse time.Duration
+	// AcknowledgementTimeout is how long to wait for hosts, applier.DefaultLapse if unset.
+	AcknowledgementTimeout time.Duration
 	// Progress is told of each change in how far the command has got; it may be nil.
 	Progress func(Progress)
 
@@ -60,8 +60,8 @@
 	Revision declarer.Revision `json:"revision"`
 	Accepted bool              `json:"accepted"`
 	Zones    []applier.Zone    `json:"zones,omitempty"`
-	// Trouble is what the platform answered last, empty if it answers well.
-	Trouble string `json:"trouble,omitempty"`
+	// PlatformError is what the platform answered last, empty if it answers well.
+	PlatformError string `json:"trouble,omitempty"`
 }
 
 // Options say how a file is applied.
@@ -86,12 +86,12 @@
 		return applier.Result{}, err
 	}
 	r := &run{operator: o, packed: packed, file: &f, decision: applier.Operator{
-		Mode:      applier.Apply,
-		ID:        newID(),
-		Base:      from,
-		CheckBase: check,
-		HasFile:   true,
-		Lapse:     o.Lapse,
+		Mode:                   applier.Apply,
+		ID:                     newID(),
+		Base:                   from,
+		CheckBase:              check,
+		HasFile:                true,
+		AcknowledgementTimeout: o.AcknowledgementTimeout,
 	}}
 	r.decision.Entry = encoder.Entry{
 		Operator: o.Name,
@@ -104,13 +104,13 @@
 
 // Resume goes on with what another operator has staged.
 func (o *Operator) Resume(ctx context.Context) (applier.Result, error) {
-	r := &run{operator: o, decision: applier.Operator{Mode: applier.Resume, ID: newID(), Lapse: o.Lapse}}
+	r := &run{operator: o, decision: applier.Operator{Mode: applier.Resume, ID: newID(), AcknowledgementTimeout: o.AcknowledgementTimeout}}
 	return r.run(ctx)
 }
 
 // Withdraw takes back what is staged, whoever staged it.
 func (o *Operator) Withdraw(ctx context.Context) (applier.Result, error) {
-	r := &run{operator: o, decision: applier.Operator{Mode: applier.Withdraw, ID: newID(), Lapse: o.Lapse}}
+	r := &run{operator: o, decision: applier.Operator{Mode: applier.Withdraw, ID: newID(), AcknowledgementTimeout: o.AcknowledgementTimeout}}
 	return r.run(ctx)
 }
 
@@ -167,7 +167,7 @@
 			return l, r, err
 		}
 		if o.Progress != nil {
-			o.Progress(Progress{Trouble: err.Error()})
+			o.Progress(Progress{PlatformError: err.Error()})
 		}
 		_ = scheduler.Pause(ctx, pause)
 		pause = min(2*pause, maximumTroublePause)
--- a/internal/config/publisher/publisher_test.go
+++ b/internal/config/publisher/publisher_test.go
@@ -226,7 +226,7 @@
 		if len(r.Missing) != 3 || r.Missing[0].AvailabilityZone != "z0" {
 			t.Errorf("missing %+v", r.Missing)
 		}
-		if e := time.Since(start); e < applier.DefaultLapse || e > 2*applier.DefaultLapse {
+		if e := time.Since(start); e < applier.DefaultAcknowledgementTimeout || e > 2*applier.DefaultAcknowledgementTimeout {
 			t.Errorf("accepted after %s", e)
 		}
 		d.expect(t, 1, adopter.Unconfirmed, zone...)
--- a/internal/config/publisher/run.go
+++ b/internal/config/publisher/run.go
@@ -83,7 +83,7 @@
 	}
 	r.pause = min(max(r.pause*3/2, minimumPause), m)
 	_ = scheduler.Pause(ctx, r.pause)
-	r.decision.Waited(r.now())
+	r.decision.ObserveWait(r.now())
 }
 
 // tell reports progress where it has changed.
@@ -94,7 +94,7 @@
 		Zones:    r.decision.Zones(),
 	}
 	if err != nil {
-		p.Trouble = err.Error()
+		p.PlatformError = err.Error()
 	}
 	if r.operator.Progress == nil || reflect.DeepEqual(p, r.last) {
 		return
@@ -128,10 +128,10 @@
 	t := r.now()
 	h, v, err := r.operator.head(ctx)
 	if err != nil {
-		r.decision.HeadDoubtful(false)
+		r.decision.InvalidateHead(false)
 		return err
 	}
-	r.decision.SawHead(h, v, t, r.now())
+	r.decision.ObserveHead(h, v, t, r.now())
 	return nil
 }
 
@@ -150,14 +150,14 @@
 	})
 	if errors.Is(err, accessor.ErrConflict) {
 		// Somebody else was first; the head is read again.
-		r.decision.HeadDoubtful(false)
+		r.decision.InvalidateHead(false)
 		return nil
 	}
 	if err != nil {
-		r.decision.HeadDoubtful(true)
+		r.decision.InvalidateHead(true)
 		return errors.Trace(err)
 	}
-	r.decision.SawHead(s.Head, o.Version, t, r.now())
+	r.decision.ObserveHead(s.Head, o.Version, t, r.now())
 	return nil
 }
 
@@ -167,7 +167,7 @@
 		return errors.Trace(err)
 	}
 	b, err := encoder.Decode[encoder.Body](o)
-	r.decision.SawBody(err == nil && b.Revision == s.Revision, o.Version)
+	r.decision.ObserveBody(err == nil && b.Revision == s.Revision, o.Version)
 	return nil
 }
 
@@ -179,7 +179,7 @@
 	_, err = r.operator.Platform.Put(ctx, accessor.Object{
 		Kind: encoder.BodyKind, Name: encoder.Slot(s.Revision), Version: s.Version, Writer: r.decision.ID, Value: b,
 	})
-	r.decision.PutBodyAnswered(err == nil)
+	r.decision.ObserveBodyPut(err == nil)
 	if errors.Is(err, accessor.ErrConflict) {
 		return nil
 	}
@@ -190,7 +190,7 @@
 	t := r.now()
 	l, err := r.operator.Platform.List(ctx, encoder.HolderKind)
 	if err != nil {
-		r.decision.HoldersDoubtful()
+		r.decision.InvalidateHolders()
 		return errors.Trace(err)
 	}
 	var n []applier.HolderObject
@@ -203,10 +203,10 @@
 	}
 	names, err := r.hosts(ctx, s)
 	if err != nil {
-		r.decision.HoldersDoubtful()
+		r.decision.InvalidateHolders()
 		return err
 	}
-	r.decision.SawHolders(n, names, t)
+	r.decision.ObserveHolders(n, names, t)
 	return nil
 }
 
@@ -234,7 +234,7 @@
 	_, err = r.operator.Platform.Put(ctx, accessor.Object{
 		Kind: encoder.HolderKind, Name: s.Holder.Name, Version: s.Holder.Version, Writer: r.decision.ID, Value: b,
 	})
-	r.decision.HoldersDoubtful()
+	r.decision.InvalidateHolders()
 	if errors.Is(err, accessor.ErrConflict) {
 		return nil
 	}
--- a/internal/config/sharer/relay.go
+++ b/internal/config/sharer/relay.go
@@ -29,7 +29,7 @@
 		return follower.Advice{}, errors.Trace(err)
 	}
 	if a.Advice == nil {
-		return follower.Advice{}, errors.Annotatef(ErrNobody, "relay %s gives no advice", relay)
+		return follower.Advice{}, errors.Annotatef(ErrNoPeer, "relay %s gives no advice", relay)
 	}
 	return *a.Advice, nil
 }
@@ -43,7 +43,7 @@
 	if a.Change != nil || a.Body != nil && a.Body.Revision == r {
 		return follower.Delivery{Body: a.Body, Change: a.Change}, nil
 	}
-	return follower.Delivery{}, errors.Annotatef(ErrNobody, "revision %d at relay %s", r, relay)
+	return follower.Delivery{}, errors.Annotatef(ErrNoPeer, "revision %d at relay %s", r, relay)
 }
 
 // advise answers a host that takes this one for its relay.
--- a/internal/config/sharer/relay_test.go
+++ b/internal/config/sharer/relay_test.go
@@ -117,7 +117,7 @@
 		x.way.set(true)
 		x.stop()
 		r.remove(n)
-		if _, d := r.apply(t, 2, applier.InForce); d > 2*applier.DefaultLapse {
+		if _, d := r.apply(t, 2, applier.InForce); d > 2*applier.DefaultAcknowledgementTimeout {
 			t.Errorf("in force after %s", d)
 		}
 		time.Sleep(20 * time.Second)
--- a/internal/config/sharer/sharer.go
+++ b/internal/config/sharer/sharer.go
@@ -26,8 +26,8 @@
 	askTimeout      = 2 * time.Second
 )
 
-// ErrNobody says that no peer could answer.
-const ErrNobody = errors.ConstError("no peer has it")
+// ErrNoPeer says that no peer could answer.
+const ErrNoPeer = errors.ConstError("no peer has it")
 
 // Question asks a peer for its claim, and for a revision's file unless it is zero.
 type Question struct {
@@ -73,8 +73,8 @@
 	Log   log.Interface
 }
 
-// Over asks peers through a dialer.
-func Over(d *dialer.Dialer) func(context.Context, string, Question) (Share, error) {
+// AskThrough asks peers through a dialer.
+func AskThrough(d *dialer.Dialer) func(context.Context, string, Question) (Share, error) {
 	return func(ctx context.Context, host string, q Question) (Share, error) {
 		return dialer.Call[Question, Share](ctx, d, host, peer.KindConfiguration, q)
 	}
@@ -125,7 +125,7 @@
 			return *a.Body, nil
 		}
 	}
-	return encoder.Body{}, errors.Annotatef(ErrNobody, "revision %d", r)
+	return encoder.Body{}, errors.Annotatef(ErrNoPeer, "revision %d", r)
 }
 
 // ask asks one peer. The peer's answer bears the very revision that this host
--- a/internal/config/summarizer/summarizer.go
+++ b/internal/config/summarizer/summarizer.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// Gather is how long a change waits for those of other hosts, so that one
+	// MaximumGatherDelay is how long a change waits for those of other hosts, so that one
 	// write of the object holds them all.
-	Gather = 50 * time.Millisecond
+	MaximumGatherDelay = 50 * time.Millisecond
 	// recent is how long ago a host was heard of at most to be waited for. It is
 	// above the time between two questions of a host at rest.
 	recent = 5 * time.Second
@@ -47,10 +47,10 @@
 	heard    time.Duration
 }
 
-// Tell takes in a host's report. A host that isn't registered here counts only
+// AddReport takes in a host's report. A host that isn't registered here counts only
 // once the object was written after it asked: an operator may have taken it out
 // of the object meanwhile, which this relay learns by its next put.
-func (s *State) Tell(m encoder.HostReport, sequence uint64, registered bool, now time.Duration) {
+func (s *State) AddReport(m encoder.HostReport, sequence uint64, registered bool, now time.Duration) {
 	i := s.find(m)
 	if i < 0 {
 		s.members = append(s.members, member{told: m})
@@ -69,16 +69,16 @@
 	}
 }
 
-// Hear takes in that a host was heard of, so that it is waited for.
-func (s *State) Hear(m encoder.HostReport, now time.Duration) {
+// MarkActive takes in that a host was heard of, so that it is waited for.
+func (s *State) MarkActive(m encoder.HostReport, now time.Duration) {
 	if i := s.find(m); i >= 0 {
 		s.members[i].heard = now
 	}
 }
 
-// Leave takes out a host that has stopped or is registered elsewhere. One that has
+// RemoveMember takes out a host that has stopped or is registered elsewhere. One that has
 // asked again since, by sequence, stays: it counts on being in the object.
-func (s *State) Leave(m encoder.HostReport, sequence uint64, now time.Duration) {
+func (s *State) RemoveMember(m encoder.HostReport, sequence uint64, now time.Duration) {
 	i := s.find(m)
 	if i < 0 || sequence <= s.members[i].sequence {
 		return
@@ -87,8 +87,8 @@
 	s.touch(now)
 }
 
-// Left reports whether the object as stored doesn't hold m any more.
-func (s *State) Left(m encoder.HostReport) bool {
+// MemberRemoved reports whether the object as stored doesn't hold m any more.
+func (s *State) MemberRemoved(m encoder.HostReport) bool {
 	return s.find(m) < 0 && !s.dirty && s.stored == s.started
 }
 
@@ -110,7 +110,7 @@
 	if !s.dirty {
 		return false, 0
 	}
-	w := s.dirtySince + Gather - now
+	w := s.dirtySince + MaximumGatherDelay - now
 	if w <= 0 || !s.lagging(ready, inForce, now) {
 		return true, 0
 	}
@@ -128,8 +128,8 @@
 	})
 }
 
-// Begin starts a put and returns the members that it has to hold.
-func (s *State) Begin() []encoder.HostReport {
+// BeginPut starts a put and returns the members that it has to hold.
+func (s *State) BeginPut() []encoder.HostReport {
 	s.started++
 	s.dirty = false
 	var l []encoder.HostReport
@@ -142,9 +142,9 @@
 	return l
 }
 
-// Stored takes in that the platform took the put that was begun last. It reports
+// CompletePut takes in that the platform took the put that was begun last. It reports
 // whether that put registered a host.
-func (s *State) Stored() bool {
+func (s *State) CompletePut() bool {
 	fresh := false
 	for i := range s.members {
 		x := &s.members[i]
@@ -181,9 +181,9 @@
 	s.touch(now)
 }
 
-// Lose takes in that the object isn't this relay's any more. No host is
+// Reset takes in that the object isn't this relay's any more. No host is
 // registered here until it asks again.
-func (s *State) Lose() {
+func (s *State) Reset() {
 	s.members = nil
 	s.dirty = false
 }
@@ -197,9 +197,9 @@
 	return s.members[i].held, true
 }
 
-// Answers reports whether m may be told: either its last report is held, or it
+// CanAnswer reports whether m may be told: either its last report is held, or it
 // isn't to be expected any more.
-func (s *State) Answers(m encoder.HostReport) bool {
+func (s *State) CanAnswer(m encoder.HostReport) bool {
 	h, ok := s.Held(m)
 	if !ok {
 		return s.find(m) < 0
--- a/internal/config/summarizer/summarizer_test.go
+++ b/internal/config/summarizer/summarizer_test.go
@@ -22,22 +22,22 @@
 func TestRegistrationNeedsNewPut(t *testing.T) {
 	s := &summarizer.State{}
 	a := report("a", 1)
-	s.Tell(a, 1, false, 0)
-	s.Begin()
-	s.Stored()
+	s.AddReport(a, 1, false, 0)
+	s.BeginPut()
+	s.CompletePut()
 	if _, ok := s.Held(a); !ok {
 		t.Error("not held after the put")
 	}
-	s.Begin()
-	s.Tell(a, 2, false, 0)
-	s.Stored()
+	s.BeginPut()
+	s.AddReport(a, 2, false, 0)
+	s.CompletePut()
 	if _, ok := s.Held(a); ok {
 		t.Error("held by a put that was under way when the host asked")
 	}
-	s.Begin()
+	s.BeginPut()
 	s.ReadBack(nil, 0)
-	s.Begin()
-	s.Stored()
+	s.BeginPut()
+	s.CompletePut()
 	if _, ok := s.Held(a); !ok {
 		t.Error("a host that asked was dropped with those taken out")
 	}
@@ -51,14 +51,14 @@
 // it was held, it would count on an acknowledgement that no operator sees.
 func TestHoldsOnlyWhatWasStored(t *testing.T) {
 	s := &summarizer.State{}
-	s.Tell(report("a", 1), 1, false, 0)
-	s.Begin()
-	s.Tell(report("a", 2), 2, true, 0)
-	s.Stored()
-	if h, ok := s.Held(report("a", 2)); !ok || h.Ready != 1 || s.Answers(report("a", 2)) {
+	s.AddReport(report("a", 1), 1, false, 0)
+	s.BeginPut()
+	s.AddReport(report("a", 2), 2, true, 0)
+	s.CompletePut()
+	if h, ok := s.Held(report("a", 2)); !ok || h.Ready != 1 || s.CanAnswer(report("a", 2)) {
 		t.Errorf("holds %+v, %t", h, ok)
 	}
-	s.Lose()
+	s.Reset()
 	if _, ok := s.Held(report("a", 2)); ok {
 		t.Error("held by an object that is lost")
 	}
@@ -69,13 +69,13 @@
 func TestGathersAcknowledgements(t *testing.T) {
 	s := &summarizer.State{}
 	for _, h := range []string{"a", "b", "silent"} {
-		s.Tell(report(h, 1), 1, true, 0)
+		s.AddReport(report(h, 1), 1, true, 0)
 	}
-	s.Begin()
-	s.Stored()
+	s.BeginPut()
+	s.CompletePut()
 	const at = time.Minute
-	s.Tell(report("a", 1), 2, true, at)
-	s.Tell(report("b", 1), 2, true, at)
+	s.AddReport(report("a", 1), 2, true, at)
+	s.AddReport(report("b", 1), 2, true, at)
 	for _, c := range []struct {
 		name string
 		told encoder.HostReport
@@ -84,17 +84,17 @@
 		{"first acknowledgement", report("a", 2), false},
 		{"last acknowledgement", report("b", 2), true},
 	} {
-		s.Tell(c.told, 3, true, at)
+		s.AddReport(c.told, 3, true, at)
 		if due, wait := s.Due(2, 0, true, at); due != c.due || due == (wait > 0) {
 			t.Errorf("%s: due %t, else in %s", c.name, due, wait)
 		}
 	}
-	s.Begin()
-	s.Stored()
-	if due, wait := s.Due(3, 0, true, at); due || wait != summarizer.Gather {
+	s.BeginPut()
+	s.CompletePut()
+	if due, wait := s.Due(3, 0, true, at); due || wait != summarizer.MaximumGatherDelay {
 		t.Errorf("due %t, else in %s", due, wait)
 	}
-	if due, _ := s.Due(3, 0, true, at+summarizer.Gather); !due {
+	if due, _ := s.Due(3, 0, true, at+summarizer.MaximumGatherDelay); !due {
 		t.Error("waits for ever")
 	}
 }
@@ -103,12 +103,12 @@
 func TestLateLeaveIsIgnored(t *testing.T) {
 	s := &summarizer.State{}
 	a := report("a", 1)
-	s.Tell(a, 3, true, 0)
-	s.Leave(a, 2, 0)
+	s.AddReport(a, 3, true, 0)
+	s.RemoveMember(a, 2, 0)
 	if s.Members() != 1 {
 		t.Error("a late word took the host out")
 	}
-	s.Leave(a, 4, 0)
+	s.RemoveMember(a, 4, 0)
 	if s.Members() != 0 {
 		t.Error("still there")
 	}
--- a/internal/host/assembler/assembler.go
+++ b/internal/host/assembler/assembler.go
@@ -89,7 +89,7 @@
 	if err := a.Host.Listen(); err != nil {
 		return err
 	}
-	a.sharer.Ask = sharer.Over(a.Host.PeerDialer())
+	a.sharer.Ask = sharer.AskThrough(a.Host.PeerDialer())
 	return nil
 }
 
