--- a/internal/config/publisher/benchmark_test.go
+++ b/internal/config/publisher/benchmark_test.go
@@ -51,7 +51,7 @@
 		z.all = map[string]*sharer.Sharer{}
 	}
 	s := &sharer.Sharer{Host: h, Random: h.Random, Log: h.Log, Ask: z.ask}
-	s.Zone = func() []string { return z.live(h.AvailabilityZone) }
+	s.ZoneHosts = func() []string { return z.live(h.AvailabilityZone) }
 	z.all[h.Name] = s
 	h.Relays = s
 }
--- a/internal/config/sharer/region_test.go
+++ b/internal/config/sharer/region_test.go
@@ -162,7 +162,7 @@
 	x.sharer = &sharer.Sharer{
 		Host: x.host, Random: random, Log: l, Ask: r.ask(x.host),
 		Peers: func() []string { return r.zone(zone) },
-		Zone: func() []string {
+		ZoneHosts: func() []string {
 			l := r.zone(zone)
 			if !slices.Contains(l, name) {
 				l = append(l, name)
--- a/internal/config/sharer/relay.go
+++ b/internal/config/sharer/relay.go
@@ -16,10 +16,10 @@
 
 // Relays implements follower.Relays.
 func (s *Sharer) Relays() []string {
-	if s.Zone == nil {
+	if s.ZoneHosts == nil {
 		return nil
 	}
-	return summarizer.Relays(s.Host.AvailabilityZone, s.Host.Name, s.Zone())
+	return summarizer.Relays(s.Host.AvailabilityZone, s.Host.Name, s.ZoneHosts())
 }
 
 // Consult implements follower.Relays.
--- a/internal/config/sharer/sharer.go
+++ b/internal/config/sharer/sharer.go
@@ -60,8 +60,8 @@
 	Host *follower.Host
 	// Peers returns the names of peers that are believed to be live.
 	Peers func() []string
-	// Zone returns the live hosts of this host's zone, itself included.
-	Zone func() []string
+	// ZoneHosts returns the live hosts of this host's zone, itself included.
+	ZoneHosts func() []string
 	// Ask asks one peer; see Over.
 	Ask func(ctx context.Context, host string, q Question) (Share, error)
 	// Random returns a number in [0, 1).
--- a/internal/host/assembler/assembler.go
+++ b/internal/host/assembler/assembler.go
@@ -136,7 +136,7 @@
 // shared watch, or from peers.
 func (a *Assembler) follow() {
 	a.watcher = &watcher.Watcher{Platform: a.platform, Random: mathrand.Float64, Clock: a.clock, Log: a.log}
-	a.sharer = &sharer.Sharer{Peers: a.peers, Zone: a.zone, Random: mathrand.Float64, Clock: a.clock, Log: a.log}
+	a.sharer = &sharer.Sharer{Peers: a.peers, ZoneHosts: a.zone, Random: mathrand.Float64, Clock: a.clock, Log: a.log}
 	a.Follower = &follower.Host{
 		Deferred:         true,
 		Name:             a.Settings.HostName,
