--- a/internal/host/assembler/assembler.go
+++ b/internal/host/assembler/assembler.go
@@ -89,7 +89,7 @@
 	if err := a.Host.Listen(); err != nil {
 		return err
 	}
-	a.sharer.Ask = sharer.Over(a.Host.PeerDialer())
+	a.sharer.Ask = sharer.AskThrough(a.Host.PeerDialer())
 	return nil
 }
 
@@ -136,7 +136,7 @@
 // shared watch, or from peers.
 func (a *Assembler) follow() {
 	a.watcher = &watcher.Watcher{Platform: a.platform, Random: mathrand.Float64, Clock: a.clock, Log: a.log}
-	a.sharer = &sharer.Sharer{Peers: a.peers, Zone: a.zone, Random: mathrand.Float64, Clock: a.clock, Log: a.log}
+	a.sharer = &sharer.Sharer{Peers: a.peers, ZoneHosts: a.zone, Random: mathrand.Float64, Clock: a.clock, Log: a.log}
 	a.Follower = &follower.Host{
 		Deferred:         true,
 		Name:             a.Settings.HostName,
