--- a/internal/admin/handler/request.go
+++ b/internal/admin/handler/request.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return parser.Result{}, errors.Annotate(errMalformed, err.Error())
 	}
-	return parser.ParseOver(bodyName, b, base), nil
+	return parser.ParseWithBase(bodyName, b, base), nil
 }
 
 func (q request) validate() (answer, error) {
--- a/internal/command/runner/apply.go
+++ b/internal/command/runner/apply.go
@@ -191,7 +191,7 @@
 	case x.Outcome == applier.Accepted:
 		return errors.Errorf("revision %d is accepted, but these hosts haven't told that they decide by it: %s", x.Entry.Revision, missing(x))
 	case x.Outcome == applier.Conflict:
-		return errors.Errorf("%s: revision %d by %s at %s", x.Reason, x.Entry.Revision, x.Entry.Operator, x.Entry.At.Format(time.RFC3339))
+		return errors.Errorf("%s: revision %d by %s at %s", x.Reason, x.Entry.Revision, x.Entry.Operator, x.Entry.StagedAt.Format(time.RFC3339))
 	}
 	return errors.Errorf("%s: %s", x.Outcome, x.Reason)
 }
--- a/internal/command/runner/status.go
+++ b/internal/command/runner/status.go
@@ -36,7 +36,7 @@
 	}
 	if x.Head.Staged != nil {
 		e := x.Head.Staged
-		_, _ = fmt.Fprintf(r.Errors, "revision %d is staged by %s since %s\n", e.Revision, e.Operator, e.At.Format(time.RFC3339))
+		_, _ = fmt.Fprintf(r.Errors, "revision %d is staged by %s since %s\n", e.Revision, e.Operator, e.StagedAt.Format(time.RFC3339))
 	}
 	return s.Format.show(r.Output, hostTable(x, time.Now()), x)
 }
@@ -79,7 +79,7 @@
 	t := table{head: []string{"revision", "operator", "at", "from", "note"}}
 	for _, e := range d.History {
 		t.rows = append(t.rows, []string{
-			fmt.Sprint(e.Revision), e.Operator, e.At.Format(time.RFC3339), fmt.Sprint(e.From), e.Note,
+			fmt.Sprint(e.Revision), e.Operator, e.StagedAt.Format(time.RFC3339), fmt.Sprint(e.From), e.Note,
 		})
 	}
 	return t
--- a/internal/config/applier/change_test.go
+++ b/internal/config/applier/change_test.go
@@ -41,7 +41,7 @@
 	m := map[string]*changer.Document{}
 	for i := range 6 {
 		g := []declarer.DatabaseGroup{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}
-		d, err := changer.Split(&declarer.File{DatabaseGroups: slices.Concat(g[i%4:], g[:i%4]), Limits: declarer.Limits{QueueLength: i / 2}})
+		d, err := changer.NewDocument(&declarer.File{DatabaseGroups: slices.Concat(g[i%4:], g[:i%4]), Limits: declarer.Limits{QueueLength: i / 2}})
 		if err != nil {
 			panic(err)
 		}
@@ -113,7 +113,7 @@
 
 // take has h make r's file of a change, as follower does.
 func (w *world) take(h *host, c *encoder.Change, base, r declarer.Revision) bool {
-	if !c.Leads(base, r) || h.digests[r] == "" || documents[h.files[base]] == nil {
+	if !c.Matches(base, r) || h.digests[r] == "" || documents[h.files[base]] == nil {
 		return false
 	}
 	d, err := changer.Apply(documents[h.files[base]], c.Packed, h.digests[r])
@@ -166,7 +166,7 @@
 	digest := ""
 	h.working = w.send(&call{
 		serve: func() {
-			if c = x.made[r]; !c.Leads(base, r) {
+			if c = x.made[r]; !c.Matches(base, r) {
 				c, digest = nil, x.files[r]
 			}
 		},
--- a/internal/config/applier/count.go
+++ b/internal/config/applier/count.go
@@ -40,7 +40,7 @@
 	for _, h := range o.holders {
 		l = append(l, h.Holder)
 	}
-	return encoder.Count(l)
+	return encoder.MergeHolders(l)
 }
 
 // missing returns the active hosts that don't meet f.
--- a/internal/config/applier/free.go
+++ b/internal/config/applier/free.go
@@ -22,7 +22,7 @@
 	}
 	m := map[silence]time.Duration{}
 	for _, h := range l {
-		for _, e := range h.Holder.Entries() {
+		for _, e := range h.Holder.Reports() {
 			k := silence{object: h.Name, start: start{host: e.Host, incarnation: e.Incarnation}}
 			at, ok := o.silent[k]
 			if !ok {
@@ -64,18 +64,18 @@
 // without returns the step that takes h out of the object x, false if h isn't in
 // it or may not be taken out.
 func (o *Operator) without(x HolderObject, h encoder.Holder, now time.Duration) (Step, bool) {
-	own := h.Own()
-	l := x.Holder.Entries()
-	i := slices.IndexFunc(l, own.Is)
+	own := h.OwnReport()
+	l := x.Holder.Reports()
+	i := slices.IndexFunc(l, own.SameIncarnation)
 	switch {
 	case i < 0 || !o.lapsedIn(x, l[i], now):
 		return Step{}, false
 	case !slices.ContainsFunc(l, func(m encoder.HostReport) bool { return !o.lapsedIn(x, m, now) }):
 		return Step{Action: RetireHolder, Holder: x}, true
-	case x.Holder.Own().Is(own) && !x.Holder.Left:
+	case x.Holder.OwnReport().SameIncarnation(own) && !x.Holder.Left:
 		x.Holder.Left = true
 	default:
-		x.Holder.Members = slices.DeleteFunc(slices.Clone(x.Holder.Members), own.Is)
+		x.Holder.Members = slices.DeleteFunc(slices.Clone(x.Holder.Members), own.SameIncarnation)
 	}
 	return Step{Action: PutHolder, Holder: x}, true
 }
--- a/internal/config/applier/property_test.go
+++ b/internal/config/applier/property_test.go
@@ -150,7 +150,7 @@
 	for _, h := range w.hosts {
 		listed := slices.ContainsFunc(o.listed, func(x applier.HolderObject) bool {
 			own := x.Name == h.object && x.Holder.Incarnation == h.id && !x.Holder.Retired && !x.Holder.Left
-			return own || w.relays && slices.ContainsFunc(x.Holder.Entries(), h.member().Is)
+			return own || w.relays && slices.ContainsFunc(x.Holder.Reports(), h.member().SameIncarnation)
 		})
 		if listed && !h.dead && o.result.Outcome == applier.InForce && h.state.InForce < o.Revision() {
 			w.fail("%s said in force but host %s has revision %d", o.ID, h.name, h.state.InForce)
--- a/internal/config/applier/step.go
+++ b/internal/config/applier/step.go
@@ -48,7 +48,7 @@
 func (o *Operator) giveUp() Step {
 	if o.hasDoubtful && o.doubtful == o.headVersion {
 		h := o.head
-		h.Highest = encoder.Next(o.head)
+		h.Highest = encoder.NextRevision(o.head)
 		return o.putHead(h)
 	}
 	return o.done(Result{Outcome: Withdrawn, Reason: o.reason, Entry: o.Entry})
@@ -67,7 +67,7 @@
 	e := o.Entry
 	e.ID = o.ID
 	e.From = o.head.Accepted
-	e.Revision = encoder.Next(o.head)
+	e.Revision = encoder.NextRevision(o.head)
 	h := o.head
 	h.Highest = e.Revision
 	h.Staged = &e
--- a/internal/config/changer/changer.go
+++ b/internal/config/changer/changer.go
@@ -13,9 +13,9 @@
 const (
 	// ErrMalformed says that a change can't be read, or asks for more than a file may hold.
 	ErrMalformed = errors.ConstError("change of the configuration is malformed")
-	// ErrOther says that a change doesn't lead to the file that was expected: it
+	// ErrMismatch says that a change doesn't lead to the file that was expected: it
 	// was made from another base, for another revision, or by another version.
-	ErrOther = errors.ConstError("change leads to another file")
+	ErrMismatch = errors.ConstError("change leads to another file")
 )
 
 // edits says how the lists of the next file come about.
@@ -139,7 +139,7 @@
 		return nil, err
 	}
 	if b.Digest = b.sum(); b.Digest != digest {
-		return nil, errors.Annotatef(ErrOther, "digest %s", b.Digest)
+		return nil, errors.Annotatef(ErrMismatch, "digest %s", b.Digest)
 	}
 	return b, nil
 }
--- a/internal/config/changer/changer_test.go
+++ b/internal/config/changer/changer_test.go
@@ -30,7 +30,7 @@
 }
 
 func split(t interface{ Fatal(...any) }, f declarer.File) *changer.Document {
-	d, err := changer.Split(&f)
+	d, err := changer.NewDocument(&f)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,7 +114,7 @@
 		if other.Digest == b.Digest {
 			return
 		}
-		if _, err := changer.Apply(a, c, other.Digest); !errors.Is(err, changer.ErrOther) {
+		if _, err := changer.Apply(a, c, other.Digest); !errors.Is(err, changer.ErrMismatch) {
 			t.Fatalf("took another digest: %v", err)
 		}
 	})
--- a/internal/config/changer/document.go
+++ b/internal/config/changer/document.go
@@ -36,8 +36,8 @@
 	teamsKey  = `,"teams":`
 )
 
-// Split codes f part by part. The text is the one that encoder.Pack compresses.
-func Split(f *declarer.File) (*Document, error) {
+// NewDocument codes f part by part. The text is the one that encoder.Pack compresses.
+func NewDocument(f *declarer.File) (*Document, error) {
 	g := *f
 	g.EditedFrom = 0
 	g.RoutingRules = nonEmpty(g.RoutingRules)
--- a/internal/config/encoder/encoder.go
+++ b/internal/config/encoder/encoder.go
@@ -68,8 +68,8 @@
 	From declarer.Revision `json:"from"`
 	// Digest is the digest of the file.
 	Digest string `json:"digest"`
-	// At is the operator's clock when it was staged, for people to read.
-	At time.Time `json:"at"`
+	// StagedAt is the operator's clock when it was staged, for people to read.
+	StagedAt time.Time `json:"at"`
 	// Note says more about it, for instance that it is an earlier revision again.
 	Note string `json:"note,omitempty"`
 }
@@ -153,8 +153,8 @@
 	Packed []byte `json:"packed"`
 }
 
-// Leads reports whether c makes r's file out of base's.
-func (c *Change) Leads(base, r declarer.Revision) bool {
+// Matches reports whether c makes r's file out of base's.
+func (c *Change) Matches(base, r declarer.Revision) bool {
 	return c != nil && c.Base == base && c.Revision == r
 }
 
@@ -163,9 +163,9 @@
 	return strconv.FormatUint(uint64(r%RevisionSlots), 10)
 }
 
-// Next returns the number of the next revision to be staged on h. It skips
+// NextRevision returns the number of the next revision to be staged on h. It skips
 // numbers that would overwrite the accepted revision's slot.
-func Next(h Head) declarer.Revision {
+func NextRevision(h Head) declarer.Revision {
 	r := h.Highest + 1
 	if h.Accepted != 0 && r%RevisionSlots == h.Accepted%RevisionSlots {
 		r++
@@ -256,9 +256,9 @@
 	return v, errors.Annotatef(err, "decode object %s/%s version %d", o.Kind, o.Name, o.Version)
 }
 
-// Holders decodes the objects and returns the hosts that they stand for,
+// DecodeHolders decodes the objects and returns the hosts that they stand for,
 // ordered by zone and host.
-func Holders(l []accessor.Object) ([]Holder, error) {
+func DecodeHolders(l []accessor.Object) ([]Holder, error) {
 	var n []Holder
 	for _, o := range l {
 		h, err := Decode[Holder](o)
@@ -267,7 +267,7 @@
 		}
 		n = append(n, h)
 	}
-	n = Count(n)
+	n = MergeHolders(n)
 	slices.SortFunc(n, func(a, b Holder) int {
 		return cmp.Or(cmp.Compare(a.AvailabilityZone, b.AvailabilityZone), cmp.Compare(a.Host, b.Host))
 	})
--- a/internal/config/encoder/encoder_test.go
+++ b/internal/config/encoder/encoder_test.go
@@ -94,7 +94,7 @@
 		{5, 4 + encoder.RevisionSlots, 6 + encoder.RevisionSlots},
 		{5, 5 + encoder.RevisionSlots, 6 + encoder.RevisionSlots},
 	} {
-		if r := encoder.Next(encoder.Head{Accepted: c.accepted, Highest: c.highest}); r != c.want {
+		if r := encoder.NextRevision(encoder.Head{Accepted: c.accepted, Highest: c.highest}); r != c.want {
 			t.Errorf("accepted %d, highest %d: next is %d, want %d", c.accepted, c.highest, r, c.want)
 		}
 	}
@@ -178,7 +178,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := peer.Unmarshal(b, &p); err != nil || !p.Change.Leads(1, 2) {
+	if err := peer.Unmarshal(b, &p); err != nil || !p.Change.Matches(1, 2) {
 		t.Errorf("passed on as %+v, error %v", p.Change, err)
 	}
 	if s, err := json.Marshal(h); err != nil || strings.Contains(string(s), "change") {
--- a/internal/config/encoder/report.go
+++ b/internal/config/encoder/report.go
@@ -20,13 +20,13 @@
 	ReportedAt time.Time `json:"reported-at"`
 }
 
-// Is reports whether m and o are the same start of the same host.
-func (m HostReport) Is(o HostReport) bool {
+// SameIncarnation reports whether m and o are the same start of the same host.
+func (m HostReport) SameIncarnation(o HostReport) bool {
 	return m.Host == o.Host && m.Incarnation == o.Incarnation
 }
 
-// Says reports whether m and o say the same, if not at the same time.
-func (m HostReport) Says(o HostReport) bool {
+// SameContent reports whether m and o say the same, if not at the same time.
+func (m HostReport) SameContent(o HostReport) bool {
 	m.ReportedAt = o.ReportedAt
 	return m == o
 }
@@ -47,27 +47,27 @@
 	return m
 }
 
-// Own returns what h says of its host.
-func (h Holder) Own() HostReport {
+// OwnReport returns what h says of its host.
+func (h Holder) OwnReport() HostReport {
 	return HostReport{
 		Host: h.Host, Incarnation: h.Incarnation, Ready: h.Ready, Refused: h.Refused,
 		Reason: h.Reason, InForce: h.InForce, ReportedAt: h.ReportedAt,
 	}
 }
 
-// Entries returns what one object says of each host that it stands for, each
+// Reports returns what one object says of each host that it stands for, each
 // start of a host once. A host may take over an object that has it as a member.
-func (h Holder) Entries() []HostReport {
+func (h Holder) Reports() []HostReport {
 	if h.Retired {
 		return nil
 	}
-	own := h.Own()
+	own := h.OwnReport()
 	if h.Left {
 		return slices.Clone(h.Members)
 	}
 	l := []HostReport{own}
 	for _, m := range h.Members {
-		if m.Is(own) {
+		if m.SameIncarnation(own) {
 			l[0] = own.Merge(m)
 			continue
 		}
@@ -76,12 +76,12 @@
 	return l
 }
 
-// Count returns the hosts that the objects l stand for, each start of a host
+// MergeHolders returns the hosts that the objects l stand for, each start of a host
 // once. A host that changed its relay may stand in several objects.
-func Count(l []Holder) []Holder {
+func MergeHolders(l []Holder) []Holder {
 	var n []Holder
 	for _, h := range l {
-		for _, m := range h.Entries() {
+		for _, m := range h.Reports() {
 			n = add(n, h, m)
 		}
 	}
@@ -90,11 +90,11 @@
 
 // add merges m, which the object h holds, into n.
 func add(n []Holder, h Holder, m HostReport) []Holder {
-	i := slices.IndexFunc(n, func(x Holder) bool { return x.Own().Is(m) })
+	i := slices.IndexFunc(n, func(x Holder) bool { return x.OwnReport().SameIncarnation(m) })
 	if i < 0 {
 		return append(n, holder(h, m))
 	}
-	x := holder(h, n[i].Own().Merge(m))
+	x := holder(h, n[i].OwnReport().Merge(m))
 	if m.ReportedAt.Before(n[i].ReportedAt) {
 		x.Relay = n[i].Relay
 	}
--- a/internal/config/follower/advise.go
+++ b/internal/config/follower/advise.go
@@ -63,7 +63,7 @@
 // tell takes in another host's report; the caller holds the lock.
 func (h *Host) tell(r MemberReport, now time.Duration) {
 	switch {
-	case r.Leaves:
+	case r.Leaving:
 		h.summary.Leave(r.Member, r.Sequence, now)
 	case !h.relayed():
 		r.Member.ReportedAt = time.Now().UTC().Truncate(time.Millisecond)
@@ -91,9 +91,9 @@
 	}
 	m, ok := h.summary.Held(q.Report.Member)
 	if ok && !h.relayed() {
-		a.Held = &Holding{Registrar: h.name(), Confirmed: seen && x.Age <= now-h.storedAt}
-		if !m.Says(q.Report.Member) {
-			a.Held.Member = &m
+		a.Registration = &Holding{Registrar: h.name(), Confirmed: seen && x.Age <= now-h.storedAt}
+		if !m.SameContent(q.Report.Member) {
+			a.Registration.Member = &m
 		}
 	}
 	if h.relayed() || h.answered(*q.Report) {
@@ -104,7 +104,7 @@
 
 // answered reports whether the object holds what r says.
 func (h *Host) answered(r MemberReport) bool {
-	if r.Leaves {
+	if r.Leaving {
 		return h.summary.Left(r.Member)
 	}
 	return h.summary.Answers(r.Member)
@@ -122,8 +122,8 @@
 	h.news = make(chan struct{})
 }
 
-// Await waits until this host holds r's file, or until ctx ends.
-func (h *Host) Await(ctx context.Context, r declarer.Revision) {
+// AwaitFile waits until this host holds r's file, or until ctx ends.
+func (h *Host) AwaitFile(ctx context.Context, r declarer.Revision) {
 	h.once.Do(h.init)
 	for {
 		h.mu.Lock()
--- a/internal/config/follower/consultation.go
+++ b/internal/config/follower/consultation.go
@@ -12,8 +12,8 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// ErrNotHeld says that a relay doesn't count the host that asked.
-const ErrNotHeld = errors.ConstError("relay holds no registration")
+// ErrNotRegistered says that a relay doesn't count the host that asked.
+const ErrNotRegistered = errors.ConstError("relay holds no registration")
 
 // Relays is the way to the relays of the host's zone.
 type Relays interface {
@@ -46,16 +46,16 @@
 	Registrar string `cbor:"2,keyasint,omitempty"`
 	// Sequence numbers the host's reports.
 	Sequence uint64 `cbor:"3,keyasint"`
-	// Leaves says that the host doesn't count on this relay any more.
-	Leaves bool `cbor:"4,keyasint,omitempty"`
+	// Leaving says that the host doesn't count on this relay any more.
+	Leaving bool `cbor:"4,keyasint,omitempty"`
 }
 
 // Advice answers a Consultation.
 type Advice struct {
 	// Sight is nil if the relay has seen nothing yet.
 	Sight *adopter.Sight `cbor:"1,keyasint,omitempty"`
-	// Held is nil if the relay can't say that its object holds the host.
-	Held *Holding `cbor:"2,keyasint,omitempty"`
+	// Registration is nil if the relay can't say that its object holds the host.
+	Registration *Holding `cbor:"2,keyasint,omitempty"`
 }
 
 // Holding is what a relay's object holds of a host.
--- a/internal/config/follower/fetcher.go
+++ b/internal/config/follower/fetcher.go
@@ -84,7 +84,7 @@
 	h.mu.Lock()
 	c := h.change
 	h.mu.Unlock()
-	if b.known() == 0 || !c.Leads(b.revision, r) {
+	if b.known() == 0 || !c.Matches(b.revision, r) {
 		return nil
 	}
 	f, err := b.apply(c)
@@ -126,15 +126,15 @@
 		return nil, err
 	}
 	if d.Body == nil {
-		return nil, errors.Annotatef(changer.ErrOther, "revision %d at relay %s", r, relay)
+		return nil, errors.Annotatef(changer.ErrMismatch, "revision %d at relay %s", r, relay)
 	}
 	return b.unpack(*d.Body)
 }
 
 // accept makes r's file of a change that was asked for.
 func (b base) accept(c *encoder.Change, r declarer.Revision) (*held, error) {
-	if b.known() == 0 || !c.Leads(b.revision, r) {
-		return nil, errors.Annotatef(changer.ErrOther, "from %d to %d", c.Base, c.Revision)
+	if b.known() == 0 || !c.Matches(b.revision, r) {
+		return nil, errors.Annotatef(changer.ErrMismatch, "from %d to %d", c.Base, c.Revision)
 	}
 	return b.apply(c)
 }
--- a/internal/config/follower/held.go
+++ b/internal/config/follower/held.go
@@ -51,12 +51,12 @@
 	if f.document != nil {
 		return f.document, nil
 	}
-	d, err := changer.Split(f.file)
+	d, err := changer.NewDocument(f.file)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
 	if d.Digest != f.digest {
-		return nil, errors.Annotatef(changer.ErrOther, "text of revision %d", f.revision)
+		return nil, errors.Annotatef(changer.ErrMismatch, "text of revision %d", f.revision)
 	}
 	f.document = d
 	return d, nil
@@ -118,7 +118,7 @@
 	if !ok {
 		return Delivery{}, false
 	}
-	if base != 0 && f.change.Leads(base, r) {
+	if base != 0 && f.change.Matches(base, r) {
 		return Delivery{Change: f.change}, true
 	}
 	b, err := f.whole()
--- a/internal/config/follower/member.go
+++ b/internal/config/follower/member.go
@@ -17,8 +17,8 @@
 	asked, known := h.question()
 	m := h.memberReport(relay, r)
 	a, err := h.Relays.Consult(c, relay, h.consultation(known, reportWait, &m))
-	if err == nil && a.Held == nil {
-		err = errors.Annotatef(ErrNotHeld, "relay %s", relay)
+	if err == nil && a.Registration == nil {
+		err = errors.Annotatef(ErrNotRegistered, "relay %s", relay)
 	}
 	if err != nil {
 		h.mu.Lock()
@@ -28,8 +28,8 @@
 		return errors.Annotatef(err, "report through relay %s", relay)
 	}
 	h.reportedAt = time.Now()
-	if a.Held.Member == nil {
-		a.Held.Member = &m.Member
+	if a.Registration.Member == nil {
+		a.Registration.Member = &m.Member
 	}
 	h.held(a, asked, m.Registrar == "")
 	return nil
@@ -40,7 +40,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.sequence++
-	m := MemberReport{Member: h.holder(r).Own(), Sequence: h.sequence}
+	m := MemberReport{Member: h.holder(r).OwnReport(), Sequence: h.sequence}
 	// The relay notes when it hears of this host.
 	m.Member.ReportedAt = time.Time{}
 	if id, ok := h.state.Registrar(); ok && strings.HasPrefix(id, relay+"/") {
@@ -56,9 +56,9 @@
 	if h.departed {
 		return
 	}
-	m := a.Held.Member
+	m := a.Registration.Member
 	h.state.ReportedThrough(adopter.Receipt{
-		Registrar: a.Held.Registrar,
+		Registrar: a.Registration.Registrar,
 		Report:    adopter.Report{Ready: m.Ready, Refused: m.Refused, Reason: m.Reason, InForce: m.InForce},
 		Asked:     asked,
 		Fresh:     fresh,
@@ -66,8 +66,8 @@
 	if a.Sight == nil {
 		return
 	}
-	if a.Held.Confirmed {
-		h.state.ConfirmedSince(a.Held.Registrar, asked, a.Sight.Age)
+	if a.Registration.Confirmed {
+		h.state.ConfirmedSince(a.Registration.Registrar, asked, a.Sight.Age)
 	}
 	h.takeSight(*a.Sight, asked)
 }
@@ -110,7 +110,7 @@
 	c, cancel := context.WithTimeout(WithoutWaiting(ctx), retireTimeout)
 	defer cancel()
 	m := h.memberReport(relay, h.toReport())
-	m.Registrar, m.Leaves = "", true
+	m.Registrar, m.Leaving = "", true
 	if _, err := h.Relays.Consult(c, relay, h.consultation(0, retireTimeout, &m)); err != nil {
 		h.Log.WithError(err).WithField("relay", relay).Warn("former relay not told")
 	}
--- a/internal/config/parser/parser.go
+++ b/internal/config/parser/parser.go
@@ -35,11 +35,11 @@
 
 // Parse parses data; name stands for the file in the faults.
 func Parse(name string, data []byte) Result {
-	return ParseOver(name, data, declarer.File{})
+	return ParseWithBase(name, data, declarer.File{})
 }
 
-// ParseOver parses data whose hidden verifiers are those of base.
-func ParseOver(name string, data []byte, base declarer.File) Result {
+// ParseWithBase parses data whose hidden verifiers are those of base.
+func ParseWithBase(name string, data []byte, base declarer.File) Result {
 	var r Result
 	l, f := decoder.Decode(name, data, &r.File)
 	r.File = concealer.Restore(r.File, base)
--- a/internal/config/parser/parser_test.go
+++ b/internal/config/parser/parser_test.go
@@ -75,7 +75,7 @@
 	if r := parser.Parse("x", b); len(r.Faults) != 2 {
 		t.Errorf("hidden verifiers of new roles: %v", r.Faults)
 	}
-	if d := cmp.Diff(parser.Result{File: f}, parser.ParseOver("x", b, f)); d != "" {
+	if d := cmp.Diff(parser.Result{File: f}, parser.ParseWithBase("x", b, f)); d != "" {
 		t.Errorf("a file that was read and written back differs: %s", d)
 	}
 }
--- a/internal/config/publisher/change.go
+++ b/internal/config/publisher/change.go
@@ -13,7 +13,7 @@
 	if r.file == nil || e.From == 0 {
 		return nil
 	}
-	if !r.change.Leads(e.From, e.Revision) {
+	if !r.change.Matches(e.From, e.Revision) {
 		r.change = &encoder.Change{Base: e.From, Revision: e.Revision, Packed: r.differences(ctx, e)}
 	}
 	if n := len(r.change.Packed); n == 0 || n > encoder.MaximumHeadChangeBytes || !changer.Worthwhile(n, len(r.packed)) {
@@ -36,11 +36,11 @@
 		// Another command of the same operator has read another file meanwhile.
 		return nil
 	}
-	a, err := changer.Split(&f.file)
+	a, err := changer.NewDocument(&f.file)
 	if err != nil || a.Digest != f.digest {
 		return nil
 	}
-	b, err := changer.Split(r.file)
+	b, err := changer.NewDocument(r.file)
 	if err != nil || b.Digest != e.Digest {
 		return nil
 	}
--- a/internal/config/publisher/change_test.go
+++ b/internal/config/publisher/change_test.go
@@ -34,7 +34,7 @@
 	h, err := encoder.Decode[encoder.Head](accessor.Object{Version: 1, Value: o.Value})
 	switch {
 	case err != nil || o.Kind != encoder.HeadKind:
-	case h.Change.Leads(h.Accepted, h.Highest):
+	case h.Change.Matches(h.Accepted, h.Highest):
 		p.changes.Add(1)
 	case h.Change != nil:
 		return o, context.Canceled
--- a/internal/config/publisher/publisher.go
+++ b/internal/config/publisher/publisher.go
@@ -96,7 +96,7 @@
 	r.decision.Entry = encoder.Entry{
 		Operator: o.Name,
 		Digest:   digest,
-		At:       time.Now().UTC().Truncate(time.Second),
+		StagedAt: time.Now().UTC().Truncate(time.Second),
 		Note:     p.Note,
 	}
 	return r.run(ctx)
@@ -204,7 +204,7 @@
 	if err != nil {
 		return Status{}, errors.Trace(err)
 	}
-	n, err := encoder.Holders(l)
+	n, err := encoder.DecodeHolders(l)
 	if err != nil {
 		return Status{}, err
 	}
--- a/internal/config/sharer/relay.go
+++ b/internal/config/sharer/relay.go
@@ -61,5 +61,5 @@
 	}
 	c, cancel := context.WithTimeout(ctx, min(q.Wait, bodyWait))
 	defer cancel()
-	s.Host.Await(c, q.Revision)
+	s.Host.AwaitFile(c, q.Revision)
 }
--- a/internal/config/sharer/relay_test.go
+++ b/internal/config/sharer/relay_test.go
@@ -85,11 +85,11 @@
 		Sequence:  m.reports,
 	}
 	a := m.relay.Advise(t.Context(), follower.Consultation{Wait: time.Second, Host: "g", Incarnation: "1", Report: r})
-	if a.Held == nil {
+	if a.Registration == nil {
 		t.Errorf("relay doesn't hold report %d", m.reports)
 		return
 	}
-	m.registrar = a.Held.Registrar
+	m.registrar = a.Registration.Registrar
 }
 
 // reportAfter does so after d, and closes what it returns when the relay has answered.
--- a/internal/config/summarizer/summarizer.go
+++ b/internal/config/summarizer/summarizer.go
@@ -64,7 +64,7 @@
 	if !registered && x.fresh <= s.started {
 		x.fresh = s.started + 1
 	}
-	if x.fresh > s.started || !x.isHeld || !x.told.Says(x.held) {
+	if x.fresh > s.started || !x.isHeld || !x.told.SameContent(x.held) {
 		s.touch(now)
 	}
 }
@@ -160,13 +160,13 @@
 // out by an operator and know it; those that have asked since remain to be put.
 func (s *State) ReadBack(l []encoder.HostReport, now time.Duration) {
 	s.members = slices.DeleteFunc(s.members, func(x member) bool {
-		return x.fresh <= s.stored && !slices.ContainsFunc(l, x.told.Is)
+		return x.fresh <= s.stored && !slices.ContainsFunc(l, x.told.SameIncarnation)
 	})
 	for i := range s.members {
 		s.members[i].isHeld, s.members[i].isPut = false, false
 	}
 	for _, m := range l {
-		if m.Is(s.Self) {
+		if m.SameIncarnation(s.Self) {
 			continue
 		}
 		i := s.find(m)
@@ -213,5 +213,5 @@
 }
 
 func (s *State) find(m encoder.HostReport) int {
-	return slices.IndexFunc(s.members, func(x member) bool { return x.told.Is(m) })
+	return slices.IndexFunc(s.members, func(x member) bool { return x.told.SameIncarnation(m) })
 }
