--- a/internal/config/summarizer/relay.go
+++ b/internal/config/summarizer/relay.go
@@ -16,7 +16,7 @@
 // who is live, so two may both hold themselves to be the only relay; each
 // then writes its own object, and operators merge them.
 func Relays(zone, self string, live []string) []string {
-	n := arranger.Relays
+	n := arranger.RelaysPerZone
 	if len(live) <= fewHosts {
 		n = 1
 	}
--- a/internal/host/assembler/zone.go
+++ b/internal/host/assembler/zone.go
@@ -12,7 +12,7 @@
 	v := a.Host.MemberView()
 	for _, z := range v.Zones {
 		if z.Name == a.Settings.AvailabilityZone {
-			out = z.Unheard
+			out = z.Unreachable
 		}
 	}
 	l := []string{a.Settings.HostName}
--- a/internal/member/arranger/arranger.go
+++ b/internal/member/arranger/arranger.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Relays is how many hosts of a zone speak to other zones.
-const Relays = 2
+// RelaysPerZone is how many hosts of a zone speak to other zones.
+const RelaysPerZone = 2
 
 // Ring orders names by their hash, equally on all hosts. Neighbours by name
 // often share a rack and fail together; neighbours by hash seldom do.
--- a/internal/member/declarer/declarer.go
+++ b/internal/member/declarer/declarer.go
@@ -86,9 +86,9 @@
 	Digest  uint64     `cbor:"1,keyasint"`
 	Updates []Member   `cbor:"2,keyasint,omitempty"`
 	Zones   []ZoneBeat `cbor:"3,keyasint,omitempty"`
-	// AsksReply is set towards relays of other zones, whose own heartbeats go
+	// ReplyRequested is set towards relays of other zones, whose own heartbeats go
 	// elsewhere. A reply doesn't set it.
-	AsksReply bool `cbor:"4,keyasint,omitempty"`
+	ReplyRequested bool `cbor:"4,keyasint,omitempty"`
 }
 
 // ZoneDigest sums up what a host knows of one zone's members.
@@ -127,11 +127,11 @@
 	Live int `json:"live"`
 	// Relays speak for the zone, the first one before the others.
 	Relays []string `json:"relays"`
-	// CutOff says that nothing is heard of the zone, for the time SinceHeard
+	// CutOff says that nothing is heard of the zone, for the time SinceHeartbeat
 	// (in nanoseconds as JSON). Its members stand as they were last known.
-	CutOff     bool          `json:"cut-off"`
-	SinceHeard time.Duration `json:"since-heard"`
-	// Unheard are live members of this host's own zone that it can't reach,
+	CutOff         bool          `json:"cut-off"`
+	SinceHeartbeat time.Duration `json:"since-heard"`
+	// Unreachable are live members of this host's own zone that it can't reach,
 	// while no second observer confirms that they are dead.
-	Unheard []string `json:"unheard,omitempty"`
+	Unreachable []string `json:"unheard,omitempty"`
 }
--- a/internal/member/gossiper/fleet_test.go
+++ b/internal/member/gossiper/fleet_test.go
@@ -86,7 +86,7 @@
 	}
 	f.hosts[name] = n
 	n.Start(f.now)
-	n.Hint(f.names)
+	n.SetHints(f.names)
 	f.later(tick, func() { f.tick(n) })
 	return n
 }
@@ -133,7 +133,7 @@
 		case Probe:
 			m := f.reach(n, a.To)
 			isHeard := m != nil && m.Self.Incarnation >= a.Subject.Incarnation
-			f.later(time.Second/2, func() { f.do(n, n.Observed(f.now, a.Subject, n.Self.Host, isHeard)) })
+			f.later(time.Second/2, func() { f.do(n, n.RecordObservation(f.now, a.Subject, n.Self.Host, isHeard)) })
 		case Observe:
 			f.observe(n, a)
 		}
@@ -174,7 +174,7 @@
 			panic(err)
 		}
 		to.bytes += len(b) + overhead
-		f.later(latency, func() { f.do(n, n.Synced(f.now, host, a)) })
+		f.later(latency, func() { f.do(n, n.ApplySyncAnswer(f.now, host, a)) })
 	})
 }
 
@@ -185,7 +185,7 @@
 	}
 	m := f.reach(o, a.Subject.Host)
 	isHeard := m != nil && m.Self.Incarnation >= a.Subject.Incarnation
-	f.later(time.Second/2, func() { f.do(n, n.Observed(f.now, a.Subject, a.To, isHeard)) })
+	f.later(time.Second/2, func() { f.do(n, n.RecordObservation(f.now, a.Subject, a.To, isHeard)) })
 }
 
 // mistake is an entry of a running host's view that is wrong.
--- a/internal/member/gossiper/gossiper.go
+++ b/internal/member/gossiper/gossiper.go
@@ -75,11 +75,11 @@
 const (
 	// Send sends Message to To in a datagram.
 	Send ActionKind = iota
-	// Sync calls To with SyncRequest and hands the answer to Synced.
+	// Sync calls To with SyncRequest and hands the answer to ApplySyncAnswer.
 	Sync
-	// Probe connects to Subject afresh and hands the result to Observed.
+	// Probe connects to Subject afresh and hands the result to RecordObservation.
 	Probe
-	// Observe has To probe Subject and hands the result to Observed.
+	// Observe has To probe Subject and hands the result to RecordObservation.
 	Observe
 )
 
@@ -179,7 +179,7 @@
 	m := declarer.Message{Digest: g.digest(), Updates: n.take(g.members)}
 	if regular {
 		m.Zones = n.beats(g.zones)
-		m.AsksReply = g.isZoneTarget(host)
+		m.ReplyRequested = g.isZoneTarget(host)
 	}
 	return Action{Kind: Send, To: host, Message: m}
 }
--- a/internal/member/gossiper/gossiper_test.go
+++ b/internal/member/gossiper/gossiper_test.go
@@ -67,8 +67,8 @@
 			}
 		}
 	}
-	if v := x.View(f.now); len(v.Zones[1].Unheard) != 2 {
-		t.Errorf("the deaf host misses %v, want both others of its zone", v.Zones[1].Unheard)
+	if v := x.View(f.now); len(v.Zones[1].Unreachable) != 2 {
+		t.Errorf("the deaf host misses %v, want both others of its zone", v.Zones[1].Unreachable)
 	}
 	f.cut = func(_, _ *node) bool { return false }
 	f.settle(t, 30*time.Second)
@@ -122,8 +122,8 @@
 	}
 	f.run(10 * time.Second)
 	v := f.hosts[f.names[4]].View(f.now)
-	if !slices.Equal(v.Zones[0].Unheard, f.names[:4]) {
-		t.Errorf("unheard are %v", v.Zones[0].Unheard)
+	if !slices.Equal(v.Zones[0].Unreachable, f.names[:4]) {
+		t.Errorf("unheard are %v", v.Zones[0].Unreachable)
 	}
 }
 
--- a/internal/member/gossiper/hint.go
+++ b/internal/member/gossiper/hint.go
@@ -20,8 +20,8 @@
 	hintIntervalAlone = time.Second
 )
 
-// Hint replaces the hosts that are hinted at.
-func (g *Gossiper) Hint(hosts []string) {
+// SetHints replaces the hosts that are hinted at.
+func (g *Gossiper) SetHints(hosts []string) {
 	g.hints.hosts = hosts
 }
 
--- a/internal/member/gossiper/suspicion.go
+++ b/internal/member/gossiper/suspicion.go
@@ -87,9 +87,9 @@
 	return r
 }
 
-// Observed takes the result of a Probe (observer is this host) or of an
+// RecordObservation takes the result of a Probe (observer is this host) or of an
 // Observe. An observer that couldn't be asked has no word: it isn't called.
-func (g *Gossiper) Observed(now time.Duration, subject declarer.Member, observer string, isHeard bool) []Action {
+func (g *Gossiper) RecordObservation(now time.Duration, subject declarer.Member, observer string, isHeard bool) []Action {
 	s := g.suspicions[subject.Host]
 	if s == nil || s.incarnation != subject.Incarnation {
 		return nil
--- a/internal/member/gossiper/table.go
+++ b/internal/member/gossiper/table.go
@@ -185,8 +185,8 @@
 	return l
 }
 
-// Synced takes in the answer to a Sync.
-func (g *Gossiper) Synced(now time.Duration, from string, a declarer.SyncAnswer) []Action {
+// ApplySyncAnswer takes in the answer to a Sync.
+func (g *Gossiper) ApplySyncAnswer(now time.Duration, from string, a declarer.SyncAnswer) []Action {
 	g.learnAll(now, a.Members, from)
 	g.learnZones(now, a.Zones, from)
 	g.arrange(now)
@@ -264,5 +264,5 @@
 
 func firstRelays(zone string, hosts []string) []string {
 	l := arranger.Rank(zone, hosts)
-	return l[:min(len(l), arranger.Relays)]
+	return l[:min(len(l), arranger.RelaysPerZone)]
 }
--- a/internal/member/gossiper/zone.go
+++ b/internal/member/gossiper/zone.go
@@ -51,7 +51,7 @@
 
 // reply answers a relay of another zone, so that it knows that it is heard.
 func (g *Gossiper) reply(from string, m declarer.Message) []Action {
-	if !m.AsksReply {
+	if !m.ReplyRequested {
 		return nil
 	}
 	return []Action{{Kind: Send, To: from, Message: declarer.Message{Digest: g.digest()}}}
@@ -137,11 +137,11 @@
 // age sets what changes with time.
 func (g *Gossiper) age(now time.Duration, z *declarer.Zone) {
 	if z.Name == g.Self.AvailabilityZone {
-		z.Unheard = g.unheard()
+		z.Unreachable = g.unheard()
 		return
 	}
 	if b := g.zones[z.Name]; b != nil {
-		z.SinceHeard = now - b.heard
+		z.SinceHeartbeat = now - b.heard
 	}
-	z.CutOff = z.SinceHeard > cutOffIntervals*g.ZoneInterval
+	z.CutOff = z.SinceHeartbeat > cutOffIntervals*g.ZoneInterval
 }
--- a/internal/member/keeper/hinter.go
+++ b/internal/member/keeper/hinter.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		k.Log.WithField("step", "read host list").WithField("peer", "platform").WithError(err).Debug("host list not read")
 	} else {
-		k.Hint(l)
+		k.SetHints(l)
 	}
 	if alone {
 		return hintsAlone
--- a/internal/member/keeper/keeper.go
+++ b/internal/member/keeper/keeper.go
@@ -177,8 +177,8 @@
 	return a, ok
 }
 
-// Hint takes in the platform's host list, which lags and is only a hint.
-func (k *Keeper) Hint(l []accessor.Host) {
+// SetHints takes in the platform's host list, which lags and is only a hint.
+func (k *Keeper) SetHints(l []accessor.Host) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	clear(k.addresses)
@@ -189,7 +189,7 @@
 			n = append(n, h.Name)
 		}
 	}
-	k.gossiper.Hint(n)
+	k.gossiper.SetHints(n)
 }
 
 // Leave tells the others that this host takes nothing new, so that the pools
--- a/internal/member/keeper/roster.go
+++ b/internal/member/keeper/roster.go
@@ -17,7 +17,7 @@
 func unheard(v declarer.View) []string {
 	for _, z := range v.Zones {
 		if z.Name == v.Self.AvailabilityZone {
-			return z.Unheard
+			return z.Unreachable
 		}
 	}
 	return nil
--- a/internal/member/keeper/worker.go
+++ b/internal/member/keeper/worker.go
@@ -90,7 +90,7 @@
 		return err
 	}
 	k.step(func(now time.Duration) []gossiper.Action {
-		return k.gossiper.Synced(now, host, a)
+		return k.gossiper.ApplySyncAnswer(now, host, a)
 	})
 	return nil
 }
@@ -116,7 +116,7 @@
 		return
 	}
 	k.step(func(now time.Duration) []gossiper.Action {
-		l := k.gossiper.Observed(now, m, observer, err == nil)
+		l := k.gossiper.RecordObservation(now, m, observer, err == nil)
 		if r, ok := k.gossiper.Find(m.Host); ok && err != nil && r.State == declarer.Dead {
 			k.Log.WithField("peer", m.Host).WithField("step", "observe").WithField("observer", observer).WithError(err).Warn("entry host counts as dead")
 		}
