--- a/internal/config/follower/relay.go
+++ b/internal/config/follower/relay.go
@@ -150,7 +150,7 @@
 	defer x.Cancel()
 	for {
 		select {
-		case v := <-s.Sights():
+		case v := <-s.Observations():
 			h.see(v.Object, v.Sent)
 		case <-t:
 			r := h.choose()
--- a/internal/platform/watcher/watch.go
+++ b/internal/platform/watcher/watch.go
@@ -7,13 +7,13 @@
 
 // Subscription receives what the platform says about one object.
 type Subscription struct {
-	sights chan Sight
+	sights chan Observation
 	watch  *watch
 }
 
-// Sights returns the channel of answers. A slow reader misses older answers
+// Observations returns the channel of answers. A slow reader misses older answers
 // and always gets the latest one.
-func (s *Subscription) Sights() <-chan Sight {
+func (s *Subscription) Observations() <-chan Observation {
 	return s.sights
 }
 
@@ -24,7 +24,7 @@
 }
 
 // offer replaces an unread sight by the later one.
-func (s *Subscription) offer(v Sight) {
+func (s *Subscription) offer(v Observation) {
 	select {
 	case <-s.sights:
 	default:
@@ -39,7 +39,7 @@
 
 	mu            sync.Mutex
 	subscriptions map[*Subscription]bool
-	last          Sight
+	last          Observation
 	cancel        context.CancelFunc
 	done          chan struct{}
 }
@@ -80,7 +80,7 @@
 	return len(h.subscriptions) > 0
 }
 
-func (h *watch) publish(v Sight) {
+func (h *watch) publish(v Observation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.last = v
@@ -93,7 +93,7 @@
 // or else all hosts would ask at the same moment when an outage ends.
 func (h *watch) loopWatch(ctx context.Context) {
 	defer close(h.done)
-	var v Sight
+	var v Observation
 	failures := 0
 	for ctx.Err() == nil {
 		n, err := h.watcher.call(ctx, h.key, v.Object)
--- a/internal/platform/watcher/watcher.go
+++ b/internal/platform/watcher/watcher.go
@@ -22,8 +22,8 @@
 	DefaultBurst = 20
 )
 
-// Sight is one answer of the platform about a watched object.
-type Sight struct {
+// Observation is one answer of the platform about a watched object.
+type Observation struct {
 	// Object is the object as last seen, zero if it is absent.
 	Object accessor.Object
 	// Sent is the local time before the call was sent: the platform confirmed
@@ -39,8 +39,8 @@
 	// Random returns a number in [0, 1) for the jitter; it is called by several
 	// goroutines at a time, as rand.Float64 allows.
 	Random func() float64
-	// Budget limits all calls of the watcher; a default one is made if unset.
-	Budget *rate.Limiter
+	// Limiter limits all calls of the watcher; a default one is made if unset.
+	Limiter *rate.Limiter
 	// Clock tells when something is due, timers of its own if nil.
 	Clock *scheduler.Scheduler
 	Log   log.Interface
@@ -84,7 +84,7 @@
 	if h == nil {
 		h = w.add(k)
 	}
-	s := &Subscription{sights: make(chan Sight, 1), watch: h}
+	s := &Subscription{sights: make(chan Observation, 1), watch: h}
 	h.subscribe(s)
 	return s
 }
@@ -94,8 +94,8 @@
 	if w.watches == nil {
 		w.watches = map[key]*watch{}
 	}
-	if w.Budget == nil {
-		w.Budget = rate.NewLimiter(DefaultRate, DefaultBurst)
+	if w.Limiter == nil {
+		w.Limiter = rate.NewLimiter(DefaultRate, DefaultBurst)
 	}
 	h := &watch{watcher: w, key: k, subscriptions: map[*Subscription]bool{}}
 	w.watches[k] = h
@@ -137,9 +137,9 @@
 }
 
 // call makes one waiting call within the budget. An absent object is a good answer.
-func (w *Watcher) call(ctx context.Context, k key, last accessor.Object) (Sight, error) {
-	if err := w.Budget.Wait(ctx); err != nil {
-		return Sight{}, errors.Trace(err)
+func (w *Watcher) call(ctx context.Context, k key, last accessor.Object) (Observation, error) {
+	if err := w.Limiter.Wait(ctx); err != nil {
+		return Observation{}, errors.Trace(err)
 	}
 	t := time.Now()
 	o, err := w.Platform.Watch(ctx, k.kind, k.name, last.Version)
@@ -149,5 +149,5 @@
 	case errors.Is(err, accessor.ErrNotFound):
 		o, err = accessor.Object{}, nil
 	}
-	return Sight{Object: o, Sent: t}, err
+	return Observation{Object: o, Sent: t}, err
 }
--- a/internal/platform/watcher/watcher_test.go
+++ b/internal/platform/watcher/watcher_test.go
@@ -44,12 +44,12 @@
 			t.Fatal(err)
 		}
 		for _, u := range l {
-			if v := <-u.Sights(); v.Object.Version != 1 {
+			if v := <-u.Observations(); v.Object.Version != 1 {
 				t.Errorf("got %+v", v)
 			}
 		}
 		late := w.Subscribe("k", "n")
-		if v := <-late.Sights(); v.Object.Version != 1 {
+		if v := <-late.Observations(); v.Object.Version != 1 {
 			t.Errorf("late subscriber got %+v", v)
 		}
 		for _, u := range append(l, late) {
@@ -83,7 +83,7 @@
 			t.Error("outage isn't noticed")
 		}
 		s.SetOutage(false)
-		v := <-u.Sights()
+		v := <-u.Observations()
 		if v.Object.Version != 0 {
 			t.Errorf("got %+v", v)
 		}
--- a/internal/proxy/assembler/assembler.go
+++ b/internal/proxy/assembler/assembler.go
@@ -44,7 +44,7 @@
 	Load   func() (platform.Settings, error)
 
 	store *platform.Store
-	feeds *platform.Feeds
+	feeds *platform.FeedClient
 	// sent is called with each answer to another host.
 	sent func(declarer.Transfer)
 }
@@ -77,8 +77,8 @@
 		PositionAge: h.Board.PositionAge, GroupsWithoutPrimary: h.Board.GroupsWithoutPrimary,
 	})
 	x := &reporter.Transfers{Log: h.Log, Metrics: m}
-	a.store.Called, a.store.Received = m.PlatformCall, x.Received
-	a.feeds.Received = x.Received
+	a.store.OnCall, a.store.OnReceive = m.PlatformCall, x.Received
+	a.feeds.OnReceive = x.Received
 	a.sent = x.Sent
 	h.Counter = m
 	h.Reporter = &reporter.Reporter{Lines: e, Metrics: m, Sample: sample}
@@ -142,9 +142,9 @@
 	store := platform.NewStore(s.StoreAddress)
 	a.store = store
 	reportInvalid := func(err error) { l.WithError(err).Warn("invalid object skipped") }
-	a.feeds = &platform.Feeds{}
+	a.feeds = &platform.FeedClient{}
 	f := &feeder{store: store, remote: a.feeds, sent: func(t declarer.Transfer) { a.sent(t) }, servers: make(map[string]*platform.FeedServer), now: steady.Now}
-	a.feeds.Known = f.lastValue
+	a.feeds.LastValue = f.lastValue
 	h := &runner.Host{
 		Name:              s.HostName,
 		CallerAddress:     s.CallerAddress,
@@ -158,9 +158,9 @@
 		ParseStatus:       platform.ParseStatus,
 		DialLink:          platform.DialLink,
 		NewBorrower:       func(c net.Conn) lender.Borrower { return platform.NewBorrower(c) },
-		Relayer:           &relayer.Relayer{ReadRequest: platform.ReadVia, Dial: platform.DialRaw, Reply: platform.RefuseVia, Feed: f.serve, Log: l},
+		Relayer:           &relayer.Relayer{ReadRequest: platform.ReadHostRequest, Dial: platform.DialRaw, Reply: platform.WriteHostReply, Feed: f.serve, Log: l},
 		Self:              declarer.Host{Name: s.HostName, Address: s.HostAddress(), AvailabilityZone: s.AvailabilityZone, Bandwidth: s.Bandwidth},
-		PromotionPlatform: &platform.Orderer{Store: store, Commander: platform.NewCommander(s.CommandAddress)},
+		PromotionPlatform: &platform.PromotionClient{Store: store, Commander: platform.NewCommander(s.CommandAddress)},
 		NewCaller:         func(c net.Conn) executor.Caller { return platform.NewCaller(c) },
 		Log:               l,
 	}
--- a/internal/proxy/assembler/feeder.go
+++ b/internal/proxy/assembler/feeder.go
@@ -26,15 +26,15 @@
 // attach sets the sources that the host follows.
 func (f *feeder) attach(h *runner.Host, reportInvalid func(error)) {
 	f.host = h
-	h.Configurations = &platform.Source[*declarer.Configuration]{Reader: f.reader(platform.KindConfiguration, h.ConfigurationTiming()), Parse: platform.ParseConfiguration, Faulty: reportInvalid, Keep: true}
-	h.Servers = &platform.Source[declarer.Server]{Reader: f.reader(platform.KindServers, h.ServersTiming()), Parse: platform.ParseServer, Faulty: reportInvalid}
-	h.Hosts = &platform.Source[declarer.Host]{Reader: f.reader(platform.KindHosts, h.HostsTiming()), Parse: platform.ParseHost, Faulty: reportInvalid}
+	h.Configurations = &platform.Source[*declarer.Configuration]{Reader: f.reader(platform.KindConfiguration, h.ConfigurationTiming()), Parse: platform.ParseConfiguration, OnInvalid: reportInvalid, KeepLastValid: true}
+	h.Servers = &platform.Source[declarer.Server]{Reader: f.reader(platform.KindServers, h.ServersTiming()), Parse: platform.ParseServer, OnInvalid: reportInvalid}
+	h.Hosts = &platform.Source[declarer.Host]{Reader: f.reader(platform.KindHosts, h.HostsTiming()), Parse: platform.ParseHost, OnInvalid: reportInvalid}
 }
 
 // reader returns the reader of a kind of object.
 func (f *feeder) reader(kind string, p runner.ReadTiming) cachesyncer.Reader {
 	m := &cachesyncer.Mirror{Store: &platform.Reader{Store: f.store, Kind: kind}, Now: f.now, TTL: p.Lifetime, MinimumPause: p.MinimumPause, MaximumPause: p.MaximumPause}
-	f.servers[kind] = &platform.FeedServer{Kind: kind, Mirror: m, Sent: f.sent}
+	f.servers[kind] = &platform.FeedServer{Kind: kind, Mirror: m, OnSend: f.sent}
 	return &cachesyncer.Selector{Kind: kind, Mirror: m, Remote: f.remote, Host: f.host.UpstreamHost, Failed: f.host.UpstreamFailed}
 }
 
--- a/internal/proxy/assembler/growth_test.go
+++ b/internal/proxy/assembler/growth_test.go
@@ -102,9 +102,9 @@
 	store.Dial = m.machine.Dial
 	began := time.Now()
 	now := func() time.Duration { return time.Since(began) }
-	feeds := &platform.Feeds{Dial: m.machine.Dial}
+	feeds := &platform.FeedClient{Dial: m.machine.Dial}
 	m.feeder = &feeder{store: store, remote: feeds, servers: make(map[string]*platform.FeedServer), now: now}
-	feeds.Known = m.feeder.lastValue
+	feeds.LastValue = m.feeder.lastValue
 	m.host = &runner.Host{
 		Name: name, FirstStart: true, Registrar: &platform.Registrar{Store: store},
 		Board:   &blackboard.Board{Zone: zone, Region: region, Regions: regions, Now: now},
@@ -140,7 +140,7 @@
 
 func (s *feedService) run() {
 	defer s.conn.Close()
-	kind, _, err := platform.ReadVia(s.conn, time.Now().Add(time.Second))
+	kind, _, err := platform.ReadHostRequest(s.conn, time.Now().Add(time.Second))
 	if err == nil {
 		s.member.feeder.serve(s.conn, kind)
 	}
