--- a/internal/platform/requester/requester.go
+++ b/internal/platform/requester/requester.go
@@ -1,4 +1,4 @@
-// Package requester is the client of the platform's object service over HTTP and JSON.
+// Package requester implements the client of the platform's object service over HTTP and JSON.
 package requester
 
 import (
@@ -20,25 +20,25 @@
 
 // Defaults of a Client.
 const (
-	// DefaultTimeout bounds each call but a watch up to the beginning of its answer, and the
-	// wait for the next part of an answer.
+	// DefaultTimeout bounds the wait for the beginning of the answer to each call except a watch,
+	// and the wait for each further part of an answer.
 	DefaultTimeout = 5 * time.Second
 	// DefaultWait is how long the service may hold one watch.
 	DefaultWait = 4 * time.Second
 )
 
-// maximumAnswerBytes bounds what one answer may take up in memory.
+// maximumAnswerBytes bounds the body of an answer, and so the memory that it takes.
 const maximumAnswerBytes = 64 << 20
 
-// Client is an accessor.Platform over HTTP.
+// Client is an accessor.Platform over HTTP. Its fields are set before use.
 type Client struct {
 	// Address is the platform's URL, or its host and port for plain HTTP.
 	Address string
 	// Token is sent as a bearer token unless empty.
 	Token string
-	// HTTP carries the calls, http.DefaultClient if unset.
+	// HTTP makes the calls, http.DefaultClient if unset.
 	HTTP *http.Client
-	// Timeout is as DefaultTimeout, which it is if unset.
+	// Timeout has the meaning of DefaultTimeout, which is used if it is unset.
 	Timeout time.Duration
 	// Wait is how long the service may hold one watch, DefaultWait if unset.
 	Wait time.Duration
@@ -55,7 +55,8 @@
 	return o, errors.Annotatef(err, "get object %s/%s from platform %s", kind, name, c.Address)
 }
 
-// Put stores o if the stored version equals o.Version.
+// Put stores o if the stored version equals o.Version, and returns accessor.ErrConflict otherwise. It
+// returns accessor.ErrTooLarge without a call if the value is too large.
 func (c *Client) Put(ctx context.Context, o accessor.Object) (accessor.Object, error) {
 	if len(o.Value) > accessor.MaximumValueBytes {
 		return o, errors.Annotatef(accessor.ErrTooLarge, "put object %s/%s of %d bytes", o.Kind, o.Name, len(o.Value))
@@ -76,15 +77,15 @@
 	return l, errors.Annotatef(err, "list objects %s of platform %s", kind, c.Address)
 }
 
-// Watch waits until the object's version is above after, or returns
-// accessor.ErrUnchanged or accessor.ErrNotFound once the service ends the wait.
+// Watch waits until the object's version is above after. If the service ends the wait first, it returns
+// accessor.ErrUnchanged or accessor.ErrNotFound.
 func (c *Client) Watch(ctx context.Context, kind, name string, after accessor.Version) (accessor.Object, error) {
 	d := c.Wait
 	if d <= 0 {
 		d = DefaultWait
 	}
-	// A watch on a silent connection would last for ever: the service answers
-	// within d, so a call that takes longer than that and a timeout is dead.
+	// The service answers within d, so a call that takes longer than d and the timeout has failed.
+	// Without a bound a watch on a dead connection would never end.
 	ctx, cancel := c.bound(ctx, d)
 	defer cancel()
 	q := url.Values{
@@ -106,9 +107,10 @@
 	return l, errors.Annotatef(err, "get host list of platform %s", c.Address)
 }
 
-// call makes one HTTP call and decodes the answer into a.
-func (c *Client) call(ctx context.Context, method, path string, question, a any) error {
-	b, err := body(question)
+// call makes one HTTP call with the JSON of request, unless it is nil, as its body, and decodes the
+// answer into a.
+func (c *Client) call(ctx context.Context, method, path string, request, a any) error {
+	b, err := encodeBody(request)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -127,7 +129,7 @@
 	watchdog.Progress(ctx)
 	l := io.LimitReader(watchdog.Reader{Context: ctx, Source: p.Body}, maximumAnswerBytes)
 	if p.StatusCode != http.StatusOK {
-		return failure(p.StatusCode, l)
+		return statusError(p.StatusCode, l)
 	}
 	return errors.Annotate(json.NewDecoder(l).Decode(a), "decode answer")
 }
@@ -154,12 +156,13 @@
 	return c.Timeout
 }
 
-// bound returns the context of a call that the service may hold for wait.
+// bound returns the context of a call whose answer the service may delay by wait.
 func (c *Client) bound(ctx context.Context, wait time.Duration) (context.Context, context.CancelFunc) {
 	return watchdog.With(ctx, wait+c.timeout(), c.timeout())
 }
 
-func body(v any) (io.Reader, error) {
+// encodeBody returns the JSON of v, an empty body if v is nil.
+func encodeBody(v any) (io.Reader, error) {
 	if v == nil {
 		return http.NoBody, nil
 	}
@@ -167,8 +170,8 @@
 	return bytes.NewReader(b), err
 }
 
-// failure returns the error for an HTTP status.
-func failure(status int, r io.Reader) error {
+// statusError returns the error for an HTTP status other than 200. r is the body of the answer.
+func statusError(status int, r io.Reader) error {
 	switch status {
 	case http.StatusNoContent:
 		return accessor.ErrUnchanged
@@ -179,7 +182,7 @@
 	case http.StatusRequestEntityTooLarge:
 		return accessor.ErrTooLarge
 	}
-	// The text is only for the log, a truncated one does.
+	// The text is only for the log, so it may be truncated.
 	t, _ := io.ReadAll(io.LimitReader(r, 512))
 	return errors.Errorf("status %d: %s", status, bytes.TrimSpace(t))
 }
--- a/internal/platform/requester/requester_test.go
+++ b/internal/platform/requester/requester_test.go
@@ -93,8 +93,9 @@
 	}
 }
 
-// The connection breaks after the service has made the change. The writer sees
-// an error although its value is stored, and finds its own id when it reads back.
+// The connection breaks after the service has made the change, so that the writer gets an error although
+// its value is stored. Guards against a writer that can't recognize its own change when it reads the
+// object, and against ErrConflict, which would mean that nothing was changed.
 func TestLostAnswer(t *testing.T) {
 	ctx := t.Context()
 	s, c := start(t)
@@ -109,7 +110,8 @@
 	}
 }
 
-// The whole service fails, as in a platform outage, and comes back with its data.
+// The whole service fails and recovers with its data. Guards against an outage that is reported as an
+// absent object, and against an error that doesn't contain the service's address.
 func TestOutage(t *testing.T) {
 	ctx := t.Context()
 	s, c := start(t)
@@ -119,7 +121,7 @@
 		t.Fatalf("get during an outage: %v", err)
 	}
 	if !strings.Contains(err.Error(), c.Address) {
-		t.Errorf("error doesn't name the peer: %v", err)
+		t.Errorf("error doesn't contain the address: %v", err)
 	}
 	s.SetOutage(false)
 	if _, err := c.Get(ctx, "k", "n"); !errors.Is(err, accessor.ErrNotFound) {
--- a/internal/platform/requester/slow_test.go
+++ b/internal/platform/requester/slow_test.go
@@ -13,7 +13,7 @@
 	"github.com/cuminwick/cuminwick/internal/platform/requester"
 )
 
-// slowService is a platform over a slow link: it answers a quarter of an object a second.
+// slowService is a platform over a slow link. It sends 16 kB of an object of 64 kB per second.
 type slowService struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -50,8 +50,8 @@
 
 func (s *slowService) run(h *http.Server) { _ = h.Serve(s) }
 
-// An object takes longer over a slow link than a call may last. Given up and asked for again,
-// it would never arrive, and fill the link.
+// The transfer of an object over a slow link takes longer than the timeout. Guards against ending and
+// repeating such a call: the object would never arrive, and the calls would saturate the link.
 func TestCallGoesOnWhileItsAnswerArrives(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &slowService{conns: make(chan net.Conn), done: make(chan struct{})}
