--- a/internal/platform/watcher/backoff.go
+++ b/internal/platform/watcher/backoff.go
@@ -4,20 +4,23 @@
 
 // Defaults of a Backoff.
 const (
+	// DefaultMinimum is the default upper bound of the first pause.
 	DefaultMinimum = 100 * time.Millisecond
+	// DefaultMaximum is the default upper bound of every pause.
 	DefaultMaximum = 5 * time.Second
 )
 
-// Backoff spaces retries by full jitter.
+// Backoff computes the pauses between retries: exponential backoff with full jitter.
 type Backoff struct {
-	// Minimum bounds the first pause, DefaultMinimum if unset.
+	// Minimum is the upper bound of the first pause, DefaultMinimum if unset. The bound doubles with
+	// each failure.
 	Minimum time.Duration
-	// Maximum bounds every pause, DefaultMaximum if unset.
+	// Maximum is the upper bound of every pause, DefaultMaximum if unset.
 	Maximum time.Duration
 }
 
-// Next returns the pause after the given number of failures in a row, for a
-// random number in [0, 1).
+// Next returns the pause after the given number of consecutive failures, for a random number in
+// [0, 1).
 func (b Backoff) Next(failures int, random float64) time.Duration {
 	d := b.Minimum
 	if d <= 0 {
--- a/internal/platform/watcher/watch.go
+++ b/internal/platform/watcher/watch.go
@@ -5,43 +5,45 @@
 	"sync"
 )
 
-// Subscription receives what the platform says about one object.
+// Subscription receives the observations of one object.
 type Subscription struct {
-	sights chan Observation
-	watch  *watch
+	observations chan Observation
+	watch        *watch
 }
 
-// Observations returns the channel of answers. A slow reader misses older answers
-// and always gets the latest one.
+// Observations returns the channel of observations. A slow reader misses older ones, but always gets
+// the latest one.
 func (s *Subscription) Observations() <-chan Observation {
-	return s.sights
+	return s.observations
 }
 
-// Close ends the subscription.
+// Close ends the subscription, and the watch if this was its last subscription.
 func (s *Subscription) Close() {
 	s.watch.unsubscribe(s)
-	s.watch.watcher.drop(s.watch)
+	s.watch.watcher.removeUnused(s.watch)
 }
 
-// offer replaces an unread sight by the later one.
-func (s *Subscription) offer(v Observation) {
+// deliver sends an observation. It replaces an earlier one that hasn't been received.
+func (s *Subscription) deliver(v Observation) {
 	select {
-	case <-s.sights:
+	case <-s.observations:
 	default:
 	}
-	s.sights <- v
+	s.observations <- v
 }
 
-// watch is one object with its subscribers.
+// watch watches one object for its subscriptions.
 type watch struct {
 	watcher *Watcher
 	key     key
 
 	mu            sync.Mutex
 	subscriptions map[*Subscription]bool
-	last          Observation
-	cancel        context.CancelFunc
-	done          chan struct{}
+	// last is the latest observation, zero before the first one.
+	last Observation
+	// cancel ends the loop, done is closed at its end. Both are nil until the loop is started.
+	cancel context.CancelFunc
+	done   chan struct{}
 }
 
 func (h *watch) start(ctx context.Context) {
@@ -64,7 +66,7 @@
 	defer h.mu.Unlock()
 	h.subscriptions[s] = true
 	if !h.last.Sent.IsZero() {
-		s.offer(h.last)
+		s.deliver(h.last)
 	}
 }
 
@@ -74,7 +76,7 @@
 	delete(h.subscriptions, s)
 }
 
-func (h *watch) used() bool {
+func (h *watch) inUse() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.subscriptions) > 0
@@ -85,12 +87,12 @@
 	defer h.mu.Unlock()
 	h.last = v
 	for s := range h.subscriptions {
-		s.offer(v)
+		s.deliver(v)
 	}
 }
 
-// loopWatch asks again and again; after a failure it waits with full jitter,
-// or else all hosts would ask at the same moment when an outage ends.
+// loopWatch repeats the watch until ctx ends. After a failure it pauses with full jitter, as all hosts
+// would otherwise call at the same moment when an outage ends.
 func (h *watch) loopWatch(ctx context.Context) {
 	defer close(h.done)
 	var v Observation
@@ -100,7 +102,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		h.watcher.note(err)
+		h.watcher.recordResult(err)
 		if err == nil {
 			v = n
 			failures = 0
--- a/internal/platform/watcher/watcher.go
+++ b/internal/platform/watcher/watcher.go
@@ -1,4 +1,4 @@
-// Package watcher shares one waiting watch per object among many subscribers.
+// Package watcher shares one watch per object of the platform among many subscribers.
 package watcher
 
 import (
@@ -16,38 +16,42 @@
 
 // Defaults of a Watcher.
 const (
-	// DefaultRate is how many calls a second a watcher may make.
+	// DefaultRate is how many calls per second a watcher may make.
 	DefaultRate = rate.Limit(20)
 	// DefaultBurst is how many calls a watcher may make at once.
 	DefaultBurst = 20
 )
 
-// Observation is one answer of the platform about a watched object.
+// Observation is the state of a watched object according to one answer of the platform.
 type Observation struct {
-	// Object is the object as last seen, zero if it is absent.
+	// Object is the object, zero if it is absent.
 	Object accessor.Object
-	// Sent is the local time before the call was sent: the platform confirmed
-	// the object at some time after it.
+	// Sent is the local time before the call was sent. The platform had the object in this state at
+	// some time after it.
 	Sent time.Time
 }
 
-// Watcher watches objects for its subscribers, one waiting call per object.
+// Watcher watches objects for its subscribers, with one long poll per object. Its exported fields are
+// set before use.
 type Watcher struct {
 	Platform accessor.Platform
-	// Backoff spaces calls after failures.
+	// Backoff computes the pauses after failures.
 	Backoff Backoff
-	// Random returns a number in [0, 1) for the jitter; it is called by several
-	// goroutines at a time, as rand.Float64 allows.
+	// Random returns a number in [0, 1) for the jitter. It must be safe for concurrent use, as
+	// rand.Float64 is.
 	Random func() float64
-	// Limiter limits all calls of the watcher; a default one is made if unset.
+	// Limiter limits the rate of all calls of the watcher. If it is unset, one with DefaultRate and
+	// DefaultBurst is created.
 	Limiter *rate.Limiter
-	// Clock tells when something is due, timers of its own if nil.
+	// Clock provides the timers of the pauses. If it is nil, ordinary timers are used.
 	Clock *scheduler.Scheduler
 	Log   log.Interface
 
 	mu      sync.Mutex
 	watches map[key]*watch
-	ctx     context.Context
+	// ctx is that of Run, nil before Run.
+	ctx context.Context
+	// failing is when the present series of failures began, zero if the last call succeeded.
 	failing time.Time
 }
 
@@ -55,7 +59,7 @@
 	kind, name string
 }
 
-// Run lets the subscriptions live until ctx ends.
+// Run watches the subscribed objects until ctx ends.
 func (w *Watcher) Run(ctx context.Context) error {
 	w.mu.Lock()
 	w.ctx = ctx
@@ -74,8 +78,8 @@
 	return nil
 }
 
-// Subscribe returns a subscription to one object, which is watched while
-// anybody subscribes to it. The subscription must be closed.
+// Subscribe returns a subscription to one object. The object is watched as long as it has
+// subscriptions, so each must be closed.
 func (w *Watcher) Subscribe(kind, name string) *Subscription {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -84,12 +88,12 @@
 	if h == nil {
 		h = w.add(k)
 	}
-	s := &Subscription{sights: make(chan Observation, 1), watch: h}
+	s := &Subscription{observations: make(chan Observation, 1), watch: h}
 	h.subscribe(s)
 	return s
 }
 
-// add makes a new watch; the caller holds the lock.
+// add adds a watch. The caller holds the mutex.
 func (w *Watcher) add(k key) *watch {
 	if w.watches == nil {
 		w.watches = map[key]*watch{}
@@ -105,10 +109,10 @@
 	return h
 }
 
-// drop ends the watch of k once nobody subscribes to it.
-func (w *Watcher) drop(h *watch) {
+// removeUnused ends a watch if it has no subscriptions.
+func (w *Watcher) removeUnused(h *watch) {
 	w.mu.Lock()
-	if w.watches[h.key] != h || h.used() {
+	if w.watches[h.key] != h || h.inUse() {
 		w.mu.Unlock()
 		return
 	}
@@ -117,14 +121,15 @@
 	h.stop()
 }
 
-// FailingSince returns when the platform stopped answering, zero if it answers.
+// FailingSince returns when the present series of failed calls began, zero if the last call succeeded.
 func (w *Watcher) FailingSince() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.failing
 }
 
-func (w *Watcher) note(err error) {
+// recordResult records the result of a call for FailingSince.
+func (w *Watcher) recordResult(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err == nil {
@@ -136,7 +141,7 @@
 	}
 }
 
-// call makes one waiting call within the budget. An absent object is a good answer.
+// call makes one long poll when the limiter allows it. An absent object isn't an error.
 func (w *Watcher) call(ctx context.Context, k key, last accessor.Object) (Observation, error) {
 	if err := w.Limiter.Wait(ctx); err != nil {
 		return Observation{}, errors.Trace(err)
--- a/internal/platform/watcher/watcher_test.go
+++ b/internal/platform/watcher/watcher_test.go
@@ -37,7 +37,7 @@
 		}
 		synctest.Wait()
 		if n := s.Calls().Watch; n != 1 {
-			t.Errorf("%d waiting watches, want 1", n)
+			t.Errorf("%d watches, want 1", n)
 		}
 		o := accessor.Object{Kind: "k", Name: "n", Value: []byte("1")}
 		if _, err := s.Put(t.Context(), o); err != nil {
@@ -64,9 +64,9 @@
 	})
 }
 
-// The platform is down for ten minutes and every host asks again and again.
-// The service would be buried in calls when it comes back; an operator would
-// see its call counts jump. The pauses between calls keep them few.
+// The platform is down for ten minutes and every host repeats its calls. Guards against too many calls,
+// which would overload the service when it recovers and raise its call counts. The pauses between
+// calls keep them few.
 func TestOutageKeepsCallsFew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &storekeeper.Store{}
@@ -80,7 +80,7 @@
 			t.Errorf("%d calls in ten minutes of outage", n)
 		}
 		if w.FailingSince().IsZero() {
-			t.Error("outage isn't noticed")
+			t.Error("outage isn't reported")
 		}
 		s.SetOutage(false)
 		v := <-u.Observations()
@@ -88,7 +88,7 @@
 			t.Errorf("got %+v", v)
 		}
 		if !w.FailingSince().IsZero() {
-			t.Error("end of the outage isn't noticed")
+			t.Error("end of the outage isn't reported")
 		}
 	})
 }
