--- a/internal/caller/server/acknowledgement.go
+++ b/internal/caller/server/acknowledgement.go
@@ -14,89 +14,88 @@
 	"github.com/cuminwick/cuminwick/internal/wire/batcher"
 )
 
-// answered judges an exchange whose answer is complete.
-func (a *attempt) answered(x context.Context, r exchanger.Result) (*failure, bool) {
+// exchangeAnswered handles an exchange whose answer is complete.
+func (a *attempt) exchangeAnswered(x context.Context, r exchanger.Result) (*failure, bool) {
 	s := a.session
 	if a.readOnlyRefusal(r) && s.out.rewind() {
-		return a.elsewhere(r)
+		return a.retryElsewhere(r)
 	}
 	s.errored = r.Code != ""
 	if r.Status != 0 {
 		s.status = r.Status
 	}
-	if s.begun != nil && r.Status != 0 {
-		return a.begunAnswered(x, r)
+	if s.deferredBegin != nil && r.Status != 0 {
+		return a.firstStatementAnswered(x, r)
 	}
 	if s.keyed != nil && s.keyed.wrapped && a.end != batcher.Flush {
 		return a.finishKeyed(x, r)
 	}
-	a.takeChanges(r)
+	a.applyChanges(r)
 	if r.Status != exchanger.Idle {
-		s.out.release()
+		s.out.releaseHeld()
 		return nil, false
 	}
 	return a.acknowledge(x, r)
 }
 
-// begunAnswered judges the answer to the first statement of a transaction.
-func (a *attempt) begunAnswered(x context.Context, r exchanger.Result) (*failure, bool) {
+// firstStatementAnswered handles the answer to the first statement of a transaction.
+func (a *attempt) firstStatementAnswered(x context.Context, r exchanger.Result) (*failure, bool) {
 	s := a.session
-	s.begun = nil
-	a.takeChanges(r)
+	s.deferredBegin = nil
+	a.applyChanges(r)
 	if r.Status != exchanger.Idle {
-		s.out.release()
+		s.out.releaseHeld()
 		return nil, false
 	}
 	if r.Code == "" || a.commits() {
 		// The same batch ended the transaction.
 		return a.acknowledge(x, r)
 	}
-	// BEGIN itself was cancelled or stood in a text that didn't parse, so there
-	// is no transaction to go on with.
-	s.out.release()
-	s.giveBack(true)
+	// BEGIN itself was cancelled or was part of a text that the server couldn't parse, so no
+	// transaction is open.
+	s.out.releaseHeld()
+	s.releaseConnection(true)
 	s.status = exchanger.Failed
 	return nil, false
 }
 
-// acknowledge waits until what was committed or shown lasts, and releases the answer.
+// acknowledge waits until a majority holds what was committed or read, and sends the held answer.
 func (a *attempt) acknowledge(x context.Context, r exchanger.Result) (*failure, bool) {
 	s := a.session
 	if s.keyed != nil && a.commits() && settler.AnswerOf(r.Code, false) == settler.AnswerLost {
-		// The server doesn't know whether the commit lasts, but the key's row tells.
+		// The server can't tell whether the commit took effect, but the row of the key can.
 		return a.commitLost(x, errors.Errorf("SQLSTATE %s to COMMIT", r.Code))
 	}
 	if r.Position.IsZero() {
-		r.Position = a.position(x)
+		r.Position = a.askPosition(x)
 	}
 	s.Director.Observe(s.group, s.choice.Server, r.Position)
-	if r.Code != "" && !a.commits() || !a.mustHold(r.Position) {
-		s.moveMark(r.Position)
-		s.out.release()
-		s.note(a.outcome(r), nil)
+	if r.Code != "" && !a.commits() || !a.mustAwaitMajority(r.Position) {
+		s.raiseMark(r.Position)
+		s.out.releaseHeld()
+		s.recordOutcome(a.outcome(r), nil)
 		return nil, false
 	}
 	if r.Position.IsZero() {
 		return a.unacknowledged(x, errNoPosition)
 	}
 	if !s.pinned {
-		s.giveBack(true)
+		s.releaseConnection(true)
 	}
-	y, stop := committed(x)
+	y, stop := withoutCancel(x)
 	defer stop()
 	if err := s.Director.Acknowledge(y, s.group, r.Position); err != nil {
 		return a.unacknowledged(y, err)
 	}
-	s.moveMark(r.Position)
-	s.out.release()
-	s.note(a.outcome(r), nil)
+	s.raiseMark(r.Position)
+	s.out.releaseHeld()
+	s.recordOutcome(a.outcome(r), nil)
 	return nil, false
 }
 
-// committed returns x without its caller's cancel, up to the same deadline: a
-// cancel that comes after the commit can't undo it, and to end the wait would
-// only leave the caller without the outcome.
-func committed(x context.Context) (context.Context, context.CancelFunc) {
+// withoutCancel returns x without the caller's cancel, with the same deadline. A cancel after the
+// commit can't undo it, and would only end the wait before the outcome is known.
+func withoutCancel(x context.Context) (context.Context, context.CancelFunc) {
 	y := context.WithoutCancel(x)
 	if t, ok := x.Deadline(); ok {
 		return context.WithDeadline(y, t)
@@ -104,18 +103,19 @@
 	return y, func() {}
 }
 
-// mustHold reports whether the answer waits until a majority holds m: what may
-// have written always, a read if it may have shown what only one server holds.
-func (a *attempt) mustHold(m marker.Mark) bool {
+// mustAwaitMajority reports whether the answer waits until a majority holds m. It does after
+// anything that may have written, and after a read that may have returned data that only one server
+// holds.
+func (a *attempt) mustAwaitMajority(m marker.Mark) bool {
 	c := &a.session.choice
-	if c.Primary && !a.reads() {
+	if c.Primary && !a.readsOnly() {
 		return true
 	}
 	return !c.AgeUnknown && !m.IsZero() && m.Term != c.SafeTerm
 }
 
-// outcome tells what became of a request whose answer is complete. A request
-// that failed took no effect, unless its text committed some of it before.
+// outcome returns the outcome of a request whose answer is complete. A request that failed took no
+// effect, unless it is a text of several statements with a COMMIT, which may have committed a part.
 func (a *attempt) outcome(r exchanger.Result) recorder.Outcome {
 	if r.Code == "" {
 		return recorder.Ran
@@ -123,27 +123,27 @@
 	if settler.AnswerOf(r.Code, false) == settler.AnswerLost {
 		return recorder.Unknown
 	}
-	if a.commits() && len(a.plan.parts) > 0 && len(a.plan.parts[0].statement.Parts) > 1 {
+	if a.commits() && len(a.plan.executed) > 0 && len(a.plan.executed[0].statement.Parts) > 1 {
 		return recorder.Unknown
 	}
 	return recorder.NotRun
 }
 
-// unacknowledged answers a commit that the primary made and no majority has
-// confirmed in time.
+// unacknowledged answers a commit or a read that no majority confirmed in time, or that another
+// primary superseded.
 func (a *attempt) unacknowledged(x context.Context, err error) (*failure, bool) {
 	s := a.session
 	superseded := errors.Is(err, driver.ErrSuperseded)
 	switch {
 	case s.keyed != nil && (superseded || x.Err() == nil):
 		return a.settle(x, err)
-	case superseded && a.single() && s.out.rewind():
-		s.giveBack(false)
+	case superseded && a.standalone() && s.out.rewind():
+		s.releaseConnection(false)
 		return notRun(codeSerialization, "the commit was superseded by another primary", err), true
 	case superseded:
 		return notRun(codeSerialization, "the commit was superseded by another primary; the transaction did not run", err), false
-	case a.reads():
-		// A function that it called may have written, so it isn't told as not run.
+	case a.readsOnly():
+		// A function that the read called may have written, so the outcome isn't not-run.
 		f := unknown("request not answered: what it read isn't confirmed by a majority", err)
 		f.code = codeCancelled
 		return f, false
@@ -155,24 +155,24 @@
 	return f, false
 }
 
-// single reports whether the plan is a request of its own, outside a
-// transaction block, so that it can be repeated as a whole.
-func (a *attempt) single() bool {
+// standalone reports whether the plan is a request outside a transaction block, which can be
+// repeated as a whole.
+func (a *attempt) standalone() bool {
 	return a.fresh && !a.controlsTransaction()
 }
 
-// reads reports whether the plan can't have written.
-func (a *attempt) reads() bool {
-	for _, d := range a.plan.parts {
+// readsOnly reports whether the plan contains no write, as far as its statements show.
+func (a *attempt) readsOnly() bool {
+	for _, d := range a.plan.executed {
 		if d.statement.Writes {
 			return false
 		}
 	}
-	return !a.write && a.session.begun == nil
+	return !a.write && a.session.deferredBegin == nil
 }
 
-// position asks for the log position where it wasn't asked for along with the batch.
-func (a *attempt) position(x context.Context) marker.Mark {
+// askPosition queries the log position if it wasn't queried along with the batch.
+func (a *attempt) askPosition(x context.Context) marker.Mark {
 	s := a.session
 	var b batcher.Batch
 	r, err := s.lease.Exchange(context.WithoutCancel(x), lessor.Exchange{Batch: &b, Output: &s.out, Input: s, AskPosition: true, InTransaction: true})
@@ -182,6 +182,6 @@
 	return r.Position
 }
 
-// errNoPosition says that a commit can't be waited for. To answer it as done
-// without the wait could acknowledge what a superseded primary has written.
+// errNoPosition is returned if a commit can't be waited for because its log position is unknown. A
+// success without the wait could acknowledge what a superseded primary has written.
 const errNoPosition = errors.ConstError("the primary's log position isn't known")
--- a/internal/caller/server/attempt.go
+++ b/internal/caller/server/attempt.go
@@ -13,56 +13,58 @@
 	"github.com/cuminwick/cuminwick/internal/wire/batcher"
 )
 
-// attempt is one try of a plan at a backend server.
+// attempt is the state of the attempts to run a plan at a backend server.
 type attempt struct {
 	session *Session
 	plan    *plan
-	end     byte
-	number  int
+	// end is the type of the message that ends the batch, Sync or Flush.
+	end byte
+	// number is the number of the current attempt, counted from zero.
+	number int
 
-	// fresh says that the connection was taken for this attempt, so that
-	// nothing of an open transaction is on it.
+	// fresh says that the connection was leased for this attempt, so that no transaction is open
+	// on it.
 	fresh bool
-	// avoid names a server that refused the request as read-only.
+	// avoid is the name of the server at which an earlier attempt failed, empty for none.
 	avoid string
-	// index is the read index of an earlier try that ran ahead of it.
-	index    marker.Mark
-	hasIndex bool
-	// write says that the request has shown itself to be a write.
+	// readIndex is the read index of an earlier speculative attempt.
+	readIndex    marker.Mark
+	hasReadIndex bool
+	// write says that a server refused the request as a write in a read-only transaction.
 	write bool
 }
 
-// run tries once and reports whether another try is safe and makes sense.
+// run makes one attempt and reports whether another attempt is safe and useful.
 func (a *attempt) run(x context.Context) (*failure, bool) {
 	s := a.session
-	if f, again := a.take(x); f != nil {
-		return f, again
+	if f, retry := a.acquire(x); f != nil {
+		return f, retry
 	}
 	if s.keyed != nil && !s.keyed.reserved {
-		if f, again := a.reserve(x); f != nil || s.lease == nil {
-			return f, again
+		if f, retry := a.reserve(x); f != nil || s.lease == nil {
+			return f, retry
 		}
 	}
 	if s.choice.AgeUnknown && a.fresh {
 		s.notice("no majority can be reached; the age of the data is unknown, but it holds this session's own writes")
 	}
-	s.out.begin(a.holds())
+	s.out.beginAnswer(a.holdsAnswer())
 	if a.fresh && s.choice.Speculation != nil {
-		s.out.gate = &gate{context: x, ahead: s.choice.Speculation}
+		s.out.gate = &gate{context: x, speculation: s.choice.Speculation}
 	}
 	r, err := s.lease.Exchange(x, a.exchange())
 	if err != nil {
 		s.out.dropGated()
-		return a.failed(x, r, err)
+		return a.exchangeFailed(x, r, err)
 	}
-	if f, again := a.confirm(x, r); f != nil {
-		return f, again
+	if f, retry := a.confirm(x, r); f != nil {
+		return f, retry
 	}
-	return a.answered(x, r)
+	return a.exchangeAnswered(x, r)
 }
 
-// take makes sure that the session holds a connection.
-func (a *attempt) take(x context.Context) (*failure, bool) {
+// acquire leases a connection unless the session holds one.
+func (a *attempt) acquire(x context.Context) (*failure, bool) {
 	s := a.session
 	a.fresh = s.lease == nil
 	if !a.fresh {
@@ -78,12 +80,12 @@
 		return a.refused(x, err), errors.Is(err, lessor.ErrUnreachable)
 	}
 	s.lease = l
-	s.leased = s.replay.Settings()
+	s.leaseSettings = s.replay.Settings()
 	s.choice = c
 	return nil, false
 }
 
-// refused describes an error before anything was sent.
+// refused returns the failure of a request that failed before anything was sent.
 func (a *attempt) refused(x context.Context, err error) *failure {
 	if x.Err() == nil {
 		return describe(err)
@@ -126,12 +128,12 @@
 			q.HasMaximumAge = true
 		}
 	}
-	if b := s.begun; b != nil {
+	if b := s.deferredBegin; b != nil {
 		q.Write = !b.readOnly
 	}
 	q.Write = q.Write || s.keyed != nil
-	q.MaySpeculate = a.repeatable(&q)
-	q.ReadIndex, q.HasReadIndex = a.index, a.hasIndex
+	q.MaySpeculate = a.maySpeculate(&q)
+	q.ReadIndex, q.HasReadIndex = a.readIndex, a.hasReadIndex
 	return q
 }
 
@@ -145,16 +147,16 @@
 		Deadline:  t,
 		Write:     c.Primary,
 		Settings:  s.replay.Settings(),
-		Retryable: s.keyed != nil && !s.keyed.reserved || s.begun != nil && !a.commits(),
+		Retryable: s.keyed != nil && !s.keyed.reserved || s.deferredBegin != nil && !a.commits(),
 	}
 }
 
-// exchange builds the batch, with the BEGIN that the caller sent before.
+// exchange returns the exchange of the plan's batch, preceded by the caller's deferred BEGIN.
 func (a *attempt) exchange() lessor.Exchange {
 	s := a.session
 	b := &a.plan.batch
-	if s.begun != nil && a.fresh {
-		b = b.Begun(s.begun.sql)
+	if s.deferredBegin != nil && a.fresh {
+		b = b.Begun(s.deferredBegin.sql)
 	}
 	return lessor.Exchange{
 		Batch:         b,
@@ -163,13 +165,14 @@
 		AskPosition:   a.asksPosition(),
 		AskBefore:     s.out.gate != nil,
 		InTransaction: !a.fresh || s.keyed != nil,
-		ReturnIfIdle:  a.leavesNothing(),
+		ReturnIfIdle:  a.leavesNoState(),
 	}
 }
 
-// holds reports whether the answer's CommandComplete waits for the majority:
-// whatever may commit, and reads, of which only the answer's position tells.
-func (a *attempt) holds() bool {
+// holdsAnswer reports whether the answer is held from its CommandComplete on until it is known
+// whether it must wait for the majority. That applies to whatever may commit, and to reads, for
+// which only the log position in the answer shows whether they must wait.
+func (a *attempt) holdsAnswer() bool {
 	s := a.session
 	if a.end == batcher.Flush {
 		return false
@@ -177,12 +180,12 @@
 	if s.keyed != nil && s.keyed.wrapped {
 		return true
 	}
-	return s.status == exchanger.Idle && s.begun == nil || a.commits()
+	return s.status == exchanger.Idle && s.deferredBegin == nil || a.commits()
 }
 
-// commits reports whether the plan holds a COMMIT.
+// commits reports whether the plan contains a COMMIT.
 func (a *attempt) commits() bool {
-	for _, d := range a.plan.parts {
+	for _, d := range a.plan.executed {
 		for i := range d.statement.Parts {
 			if d.statement.Parts[i].Kind == classifier.KindCommit {
 				return true
@@ -195,22 +198,22 @@
 	return false
 }
 
-// asksPosition reports whether the log position can be asked for along with
-// the batch; a server in COPY FROM STDIN would mistake the question for data.
+// asksPosition reports whether the log position can be queried along with the batch. A server in
+// COPY FROM STDIN would take the query for data.
 func (a *attempt) asksPosition() bool {
 	s := a.session
 	if a.end == batcher.Flush {
 		return false
 	}
-	for _, d := range a.plan.parts {
-		if d.statement.Kind == classifier.KindUnparsed || copies(&d.statement) {
+	for _, d := range a.plan.executed {
+		if d.statement.Kind == classifier.KindUnparsed || copiesIn(&d.statement) {
 			return false
 		}
 	}
-	return s.status == exchanger.Idle && s.begun == nil || a.commits()
+	return s.status == exchanger.Idle && s.deferredBegin == nil || a.commits()
 }
 
-func copies(c *classifier.Statement) bool {
+func copiesIn(c *classifier.Statement) bool {
 	if c.Kind == classifier.KindCopyIn {
 		return true
 	}
@@ -222,20 +225,20 @@
 	return false
 }
 
-// readOnlyRefusal reports whether a server refused a write that nothing was
-// done of: a replica, or a primary that was fenced meanwhile.
+// readOnlyRefusal reports whether a replica, or a primary that was fenced in the meantime, refused a
+// write before any of it took effect.
 func (a *attempt) readOnlyRefusal(r exchanger.Result) bool {
 	s := a.session
 	if r.Code != codeReadOnly || !a.fresh {
 		return false
 	}
-	return s.begun == nil || !s.begun.readOnly
+	return s.deferredBegin == nil || !s.deferredBegin.readOnly
 }
 
-// elsewhere gives the connection back and asks for another try.
-func (a *attempt) elsewhere(r exchanger.Result) (*failure, bool) {
+// retryElsewhere releases the connection and asks for another attempt at another server.
+func (a *attempt) retryElsewhere(r exchanger.Result) (*failure, bool) {
 	s := a.session
-	a.letGo(r.Status == exchanger.Idle)
+	a.releaseForRetry(r.Status == exchanger.Idle)
 	a.restartKeyed()
 	a.avoid = s.choice.Server
 	a.write = true
--- a/internal/caller/server/changes.go
+++ b/internal/caller/server/changes.go
@@ -11,27 +11,27 @@
 	"github.com/cuminwick/cuminwick/internal/statement/classifier"
 )
 
-// Settings that cuminwick itself looks at.
+// Settings that the entry host evaluates itself.
 const (
-	// applicationName isn't replayed from the startup message: each caller has
-	// its own, and setting it anew for every request would cost a round trip.
-	// Routing rules see it all the same.
+	// applicationName is not replayed from the startup message: it differs between callers, so
+	// that setting it would cost a round trip for every request. Routing rules match it
+	// nevertheless.
 	applicationName  = "application_name"
 	statementTimeout = "statement_timeout"
 )
 
-// codeSyntax is the SQLSTATE of a text that the server didn't understand.
+// codeSyntax is the SQLSTATE of a text that the server couldn't parse.
 const codeSyntax = "42601"
 
-// notSettings are startup parameters that aren't run-time settings.
-var notSettings = []string{"user", "database", "replication", "options", applicationName}
+// nonSettings are startup parameters that aren't run-time settings.
+var nonSettings = []string{"user", "database", "replication", "options", applicationName}
 
 // startupSettings returns the settings among the startup parameters.
 func startupSettings(p map[string]string) replayer.Settings {
 	var l replayer.Settings
 	for n, v := range p {
 		k := strings.ToLower(n)
-		if slices.Contains(notSettings, k) || strings.HasPrefix(k, classifier.OwnPrefix) {
+		if slices.Contains(nonSettings, k) || strings.HasPrefix(k, classifier.OwnPrefix) {
 			continue
 		}
 		l = append(l, replayer.Setting{Name: k, SQLValue: classifier.Quote(v)})
@@ -40,38 +40,38 @@
 	return l
 }
 
-// takeChanges takes over what an answered plan has changed of the session's state.
-func (a *attempt) takeChanges(r exchanger.Result) {
+// applyChanges updates the session's state after a plan has been answered.
+func (a *attempt) applyChanges(r exchanger.Result) {
 	s := a.session
 	if r.Code == "" {
 		s.replay.Begin()
-		a.takeParts()
+		a.applyParts()
 	}
-	a.takePins(r)
+	a.applyPins(r)
 	if r.Status == exchanger.Idle {
 		s.replay.End(r.Code == "" && r.Tag != "ROLLBACK")
 	}
 }
 
-func (a *attempt) takeParts() {
-	for _, d := range a.plan.parts {
+func (a *attempt) applyParts() {
+	for _, d := range a.plan.executed {
 		for _, p := range d.statement.Parts {
 			a.session.replay.Apply(p)
 		}
 	}
 }
 
-// takePins notes why the connection can't go back to the pool, or not as it is.
-// A text that the server didn't understand had no effect.
-func (a *attempt) takePins(r exchanger.Result) {
+// applyPins records whether the connection is pinned to the session or has hidden state. A text that
+// the server couldn't parse had no effect.
+func (a *attempt) applyPins(r exchanger.Result) {
 	s := a.session
-	for _, d := range a.plan.parts {
+	for _, d := range a.plan.executed {
 		c := &d.statement
 		if c.Pin == classifier.PinUnparsed && r.Code == codeSyntax {
 			continue
 		}
 		s.pinned = s.pinned || c.Pin != classifier.PinNone
-		s.hidden = s.hidden || c.HiddenState || c.Pin != classifier.PinNone || r.Code != "" && len(c.Parts) > 1
+		s.hiddenState = s.hiddenState || c.HiddenState || c.Pin != classifier.PinNone || r.Code != "" && len(c.Parts) > 1
 	}
 }
 
@@ -83,7 +83,8 @@
 	return s.Greeting.Parameters[applicationName]
 }
 
-// statementTimeout returns the caller's own statement_timeout, zero if none.
+// statementTimeout returns the statement_timeout that the caller has set, zero if none or
+// unreadable.
 func (s *Session) statementTimeout() time.Duration {
 	v, _ := s.replay.Settings().Get(statementTimeout)
 	if v == "" {
--- a/internal/caller/server/counters.go
+++ b/internal/caller/server/counters.go
@@ -7,18 +7,18 @@
 	"github.com/cuminwick/cuminwick/internal/outcome/recorder"
 )
 
-// Counters takes what becomes of callers' requests. Its methods are called from
-// many goroutines and don't wait.
+// Counters counts callers' requests and cancels. Its methods are called from several goroutines and
+// must not block.
 type Counters interface {
-	// Ended counts a request that was answered, took after its arrival.
-	Ended(o recorder.Outcome, took time.Duration)
-	// Cancelled counts a caller's cancel; inProgress says that it had a request to hit.
+	// Ended counts a request with its outcome and the time from its arrival to its answer.
+	Ended(o recorder.Outcome, elapsed time.Duration)
+	// Cancelled counts a cancel request. inProgress says that the session had a request in progress.
 	Cancelled(inProgress bool)
 }
 
-// ended counts the present request, which ended with f if that isn't nil. One
-// whose outcome wasn't noted, as a statement inside a transaction, ran.
-func (s *Session) ended(f *failure, took time.Duration) {
+// countRequest counts the current request, which ended with f if f isn't nil. A request without a
+// recorded outcome, such as a statement inside a transaction, counts as run.
+func (s *Session) countRequest(f *failure, elapsed time.Duration) {
 	if s.Counters == nil {
 		return
 	}
@@ -26,19 +26,19 @@
 	switch {
 	case f != nil:
 		o = f.outcome
-	case s.last.request == s.request:
-		o = s.last.outcome
+	case s.lastOutcome.request == s.request:
+		o = s.lastOutcome.outcome
 	case s.errored:
 		o = recorder.NotRun
 	}
-	s.Counters.Ended(o, took)
+	s.Counters.Ended(o, elapsed)
 }
 
 func (s *Session) requestID() string {
-	return s.numbered(s.request)
+	return s.requestIDOf(s.request)
 }
 
-// numbered returns the name of the session's request n.
-func (s *Session) numbered(n uint64) string {
+// requestIDOf returns the ID of the session's nth request.
+func (s *Session) requestIDOf(n uint64) string {
 	return s.Host + "-" + strconv.FormatUint(s.ID, 10) + "-" + strconv.FormatUint(n, 10)
 }
--- a/internal/caller/server/deadline.go
+++ b/internal/caller/server/deadline.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// requestContext ends with the caller's cancel, its disconnection or the request's
-// timeout. One context of the standard library for the cancel and another one
-// inside it for the deadline would be twice as many objects for each request.
+// requestContext ends when the caller cancels the request or disconnects, or at the request's
+// timeout. Nested contexts of the standard library, one for the cancel and one for the deadline,
+// would allocate twice as many objects for each request.
 type requestContext struct {
 	context.Context
 
@@ -25,7 +25,7 @@
 	c.cancel(context.DeadlineExceeded)
 }
 
-// startRequest makes the context of the request that begins.
+// startRequest returns the context of a new request and makes it the one that Cancel cancels.
 func (s *Session) startRequest() *requestContext {
 	t := s.timeout()
 	c := &requestContext{deadline: time.Now().Add(t)}
@@ -33,14 +33,14 @@
 	c.timer = time.AfterFunc(t, c.expire)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cancel = c.cancel
+	s.cancelRequest = c.cancel
 	return c
 }
 
-// endRequest ends what startRequest made.
+// endRequest releases the context of a request.
 func (s *Session) endRequest(c *requestContext) {
 	s.mu.Lock()
-	s.cancel = nil
+	s.cancelRequest = nil
 	s.mu.Unlock()
 	c.timer.Stop()
 	c.cancel(nil)
--- a/internal/caller/server/director.go
+++ b/internal/caller/server/director.go
@@ -10,11 +10,12 @@
 	"github.com/cuminwick/cuminwick/internal/pool/lessor"
 )
 
-// Query is what a request that holds no connection asks the director for.
+// Query describes a request that needs a connection, for the director's choice of a backend server.
 type Query struct {
-	Session         uint64
-	Request         uint64
-	Group           string
+	Session uint64
+	Request uint64
+	Group   string
+	// Role, ApplicationName and Tag are matched by routing rules.
 	Role            string
 	ApplicationName string
 	Tag             string
@@ -22,80 +23,82 @@
 	Write bool
 	// ReplicaSafe says that a replica may serve the request.
 	ReplicaSafe bool
-	// Mark is the session's mark; HasMark tells a session that has none yet
-	// from one that brought or gathered one.
+	// Mark is the session's mark, the log position up to which its reads must see all writes.
+	// HasMark is false while the session has none, neither from its caller nor from its own
+	// requests.
 	Mark    marker.Mark
 	HasMark bool
-	// MaximumAge is the age that the statement's comment allows.
+	// MaximumAge is the maximum age of the data that the session or the statement's comment allows.
 	MaximumAge    time.Duration
 	HasMaximumAge bool
-	// Avoid names a backend server that refused an earlier attempt.
+	// Avoid is the name of the backend server at which an earlier attempt failed, empty for none.
 	Avoid string
-	// Attempt counts from zero.
+	// Attempt is the number of the attempt, counted from zero.
 	Attempt int
-	// MaySpeculate says that the request may be answered ahead of its read index
-	// and be run again where that turns out to be wrong.
+	// MaySpeculate says that the request may run as a speculative read: its answer can be withheld
+	// until its read index is known, and the request run again if the answer doesn't cover it.
 	MaySpeculate bool
-	// ReadIndex is the read index of an attempt of this request that ran ahead.
+	// ReadIndex is the read index of an earlier speculative attempt of this request.
 	ReadIndex    marker.Mark
 	HasReadIndex bool
 }
 
-// Speculation tells whether the answer to a read that ran ahead of its read index may
-// be shown.
+// Speculation checks the answer to a speculative read, a read that runs before its read index is
+// known.
 type Speculation interface {
-	// Confirm waits for the read index. before is the server's log position
-	// before the read, zero if it isn't known.
+	// Confirm waits for the read index and reports whether the answer covers it. before is the
+	// server's log position before the read, zero if it isn't known.
 	Confirm(ctx context.Context, before marker.Mark) Confirmation
 }
 
-// Confirmation is the word on an answer that was taken ahead of its read index.
+// Confirmation is the result of the check of a speculative read.
 type Confirmation struct {
-	// Covered says that the answer may be shown.
+	// Covered says that the answer covers the read index, so that it may be sent to the caller.
 	Covered bool
-	// ReadIndex is the read index, if there is one.
+	// ReadIndex is the read index, if it became known.
 	ReadIndex    marker.Mark
 	HasReadIndex bool
 }
 
-// Choice is where a request runs.
+// Choice is the backend server that a request runs at.
 type Choice struct {
 	Server string
 	Lessor lessor.Lessor
-	// Primary says that the server is the group's primary, whose writes need
-	// to be acknowledged.
+	// Primary says that the server is the group's primary, whose commits must be acknowledged by
+	// a majority.
 	Primary bool
-	// SafeTerm is the term at which the server's answers to reads show only what
-	// a majority holds; an answer under another one, or all if it is zero, waits
-	// for the majority as a commit does.
+	// SafeTerm is the term under which the server's answers to reads contain only what a majority
+	// holds. An answer under another term, or any answer if SafeTerm is zero, waits for the
+	// majority as a commit does.
 	SafeTerm marker.Term
-	// AgeUnknown says that nobody can tell how old the data is.
+	// AgeUnknown says that the age of the server's data can't be determined.
 	AgeUnknown bool
-	// Team is the caller's team, whose share of a full queue the request uses.
+	// Team is the caller's team, to whose share of a full queue the request counts.
 	Team string
-	// Speculation isn't nil if the answer must be confirmed before it is shown.
+	// Speculation is set for a speculative read, whose answer must be confirmed before it is sent
+	// to the caller; nil otherwise.
 	Speculation Speculation
 }
 
 // Director decides where requests run and when commits are acknowledged.
 type Director interface {
-	// Choose waits, within ctx, until some backend server may serve q.
+	// Choose waits until a backend server may serve q, at most until ctx ends.
 	Choose(ctx context.Context, q Query) (Choice, error)
-	// Acknowledge returns when a majority of the group holds the commit at m.
-	// After driver.ErrSuperseded the commit did not run and never will; after
-	// any other error its outcome is open.
+	// Acknowledge waits until a majority of the group holds the commit at m. An error that wraps
+	// driver.ErrSuperseded means that the commit did not take effect and never will; after any
+	// other error its outcome is unknown.
 	Acknowledge(ctx context.Context, group string, m marker.Mark) error
-	// LookUp tells what a majority holds of an idempotency key.
+	// LookUp returns what a majority holds of an idempotency key.
 	LookUp(ctx context.Context, group string, a recorder.Attempt) (inquirer.Answer, error)
-	// Settle makes the outcome of an attempt final after its connection was
-	// lost; it returns recorder.Unknown if that can't be done within ctx.
+	// Settle makes the outcome of an attempt final after its connection was lost. It returns
+	// recorder.Unknown if that isn't possible before ctx ends.
 	Settle(ctx context.Context, group string, a recorder.Attempt) (recorder.Outcome, error)
-	// CreateTable makes the group's outcome table.
+	// CreateTable creates the group's outcome table.
 	CreateTable(ctx context.Context, group string) error
-	// Observe notes the log position that a server was seen at.
+	// Observe reports the log position of a server.
 	Observe(group, server string, m marker.Mark)
 	// Groups returns the names of the configured database groups.
 	Groups() []string
-	// Exists reports whether the group is configured and the role may reach it.
+	// Exists reports whether the group is configured and the role may use it.
 	Exists(group, role string) bool
 }
--- a/internal/caller/server/failure.go
+++ b/internal/caller/server/failure.go
@@ -14,7 +14,7 @@
 	"github.com/cuminwick/cuminwick/internal/session/replayer"
 )
 
-// SQLSTATEs that cuminwick answers with.
+// SQLSTATEs of the errors that the entry host answers with.
 const (
 	codeProtocol          = "08P01"
 	codeConnectionFailure = "08006"
@@ -39,34 +39,34 @@
 	severityFatal = "FATAL"
 )
 
-// failure is an error with everything that its answer says.
+// failure is an error with the contents of its error response.
 type failure struct {
 	severity string
 	code     string
 	message  string
 	hint     string
 	outcome  recorder.Outcome
-	// reason is why a queue refused the request, empty if none did.
+	// reason is the reason for which a queue refused the request, empty if none did.
 	reason string
-	// key is the idempotency key of the request, empty if none.
+	// key is the request's idempotency key, empty for none.
 	key   string
 	cause error
 }
 
-// retrier is an error that knows when trying again makes sense.
-type retrier interface {
+// retryHintError is an error that states after which time a retry is useful.
+type retryHintError interface {
 	error
 	RetryAfterHint() time.Duration
 }
 
-// coder is an error that has a SQLSTATE of its own.
-type coder interface {
+// sqlStateError is an error with a SQLSTATE of its own.
+type sqlStateError interface {
 	error
 	SQLState() string
 }
 
-// reasoner is an error of a request that a queue refused.
-type reasoner interface {
+// refusalError is the error of a request that a queue refused.
+type refusalError interface {
 	error
 	RefusalReason() string
 }
@@ -79,7 +79,7 @@
 	return f.message
 }
 
-// response returns the message for the caller.
+// response returns the error response for the caller.
 func (f *failure) response(request string) *pgproto3.ErrorResponse {
 	s := f.severity
 	if s == "" {
@@ -106,17 +106,17 @@
 	return d
 }
 
-// notRun returns a failure of a request of which nothing took effect.
+// notRun returns the failure of a request of which nothing took effect.
 func notRun(code, message string, cause error) *failure {
 	return &failure{code: code, message: message, outcome: recorder.NotRun, cause: cause}
 }
 
-// unknown returns a failure of a request whose effect is open.
+// unknown returns the failure of a request whose outcome is unknown.
 func unknown(message string, cause error) *failure {
 	return &failure{code: codeUnknownCompletion, message: message, outcome: recorder.Unknown, cause: cause}
 }
 
-// describe turns the error of a request that did not run into its answer.
+// describe returns the failure of a request that did not run because of err.
 func describe(err error) *failure {
 	var f *failure
 	if errors.As(err, &f) {
@@ -124,17 +124,17 @@
 	}
 	f = notRun(codeFor(err), "request not run: "+errors.Cause(err).Error(), err)
 	f.hint = hint(err)
-	var q reasoner
+	var q refusalError
 	if errors.As(err, &q) {
 		f.reason = q.RefusalReason()
 	}
 	return f
 }
 
-// hint tells the caller when to come back, if err knows. Part of a millisecond
-// counts as a whole one, else the caller could be told to come back at once.
+// hint returns the time after which the caller should retry, empty if err doesn't state one. It is
+// rounded up to whole milliseconds, since zero would ask for an immediate retry.
 func hint(err error) string {
-	var r retrier
+	var r retryHintError
 	if !errors.As(err, &r) || r.RetryAfterHint() <= 0 {
 		return ""
 	}
@@ -143,7 +143,7 @@
 }
 
 func codeFor(err error) string {
-	var c coder
+	var c sqlStateError
 	if errors.As(err, &c) {
 		return c.SQLState()
 	}
--- a/internal/caller/server/giveback.go
+++ b/internal/caller/server/giveback.go
@@ -7,48 +7,48 @@
 	"github.com/cuminwick/cuminwick/internal/wire/batcher"
 )
 
-// leavesNothing reports whether the connection can go back with the answer, before
-// the session has judged it: after a request of its own, or the COMMIT of a
-// transaction, that leaves the settings with which the connection was lent and
-// nothing hidden.
+// leavesNoState reports whether the lessor may take the connection back with the answer, before the
+// session has handled it. This applies to a request outside a transaction, and to the COMMIT of a
+// transaction, if the connection keeps the settings with which it was leased and has no hidden
+// state.
 //
-// Was a request let through that changes a setting or leaves state, the next caller
-// on the connection would run under it.
-func (a *attempt) leavesNothing() bool {
+// If it were true for a request that changes a setting or leaves state, the next caller on the
+// connection would run with that state.
+func (a *attempt) leavesNoState() bool {
 	s := a.session
-	if s.pinned || s.hidden || s.flushed || a.end != batcher.Sync || !a.asksPosition() {
+	if s.pinned || s.hiddenState || s.flushed || a.end != batcher.Sync || !a.asksPosition() {
 		return false
 	}
 	if !a.fresh {
-		return a.endsPlainly() && slices.Equal(s.replay.Settings(), s.leased)
+		return a.commitsOnly() && slices.Equal(s.replay.Settings(), s.leaseSettings)
 	}
-	return s.keyed == nil && s.begun == nil && a.plain()
+	return s.keyed == nil && s.deferredBegin == nil && a.accessesDataOnly()
 }
 
-// plain reports whether the plan reads or writes data only.
-func (a *attempt) plain() bool {
-	for _, d := range a.plan.parts {
-		switch only(&d.statement) {
+// accessesDataOnly reports whether the plan only reads or writes data or shows settings.
+func (a *attempt) accessesDataOnly() bool {
+	for _, d := range a.plan.executed {
+		switch statelessKind(&d.statement) {
 		case classifier.KindRead, classifier.KindWrite, classifier.KindShow:
 		default:
 			return false
 		}
 	}
-	return len(a.plan.parts) > 0
+	return len(a.plan.executed) > 0
 }
 
-// endsPlainly reports whether the plan is a COMMIT that opens no next transaction.
-func (a *attempt) endsPlainly() bool {
-	if len(a.plan.parts) != 1 {
+// commitsOnly reports whether the plan is a single COMMIT without AND CHAIN.
+func (a *attempt) commitsOnly() bool {
+	if len(a.plan.executed) != 1 {
 		return false
 	}
-	c := &a.plan.parts[0].statement
-	return only(c) == classifier.KindCommit && !c.Parts[0].Chain
+	c := &a.plan.executed[0].statement
+	return statelessKind(c) == classifier.KindCommit && !c.Parts[0].Chain
 }
 
-// only returns the kind of c if it is a single statement without a trace on the
+// statelessKind returns the kind of a text that is a single statement and leaves no state on the
 // connection, else KindUnparsed.
-func only(c *classifier.Statement) classifier.Kind {
+func statelessKind(c *classifier.Statement) classifier.Kind {
 	if c.Pin != classifier.PinNone || c.HiddenState || len(c.Parts) != 1 {
 		return classifier.KindUnparsed
 	}
--- a/internal/caller/server/giveback_test.go
+++ b/internal/caller/server/giveback_test.go
@@ -8,12 +8,12 @@
 	"github.com/cuminwick/cuminwick/internal/wire/batcher"
 )
 
-// A connection that goes back with a setting, a lock or an open transaction on it
-// meets the next caller, who reads and writes under what another one left.
-func TestLeavesNothing(t *testing.T) {
+// A connection that is returned with a changed setting, a lock or an open transaction would serve
+// the next caller with that state.
+func TestLeavesNoState(t *testing.T) {
 	tests := []struct {
 		texts []string
-		// open says that the plan goes on with a transaction.
+		// open says that a transaction is open before the plan.
 		open bool
 		want bool
 	}{
@@ -51,14 +51,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			a.plan.parts = append(a.plan.parts, &prepared{statement: c})
+			a.plan.executed = append(a.plan.executed, &prepared{statement: c})
 		}
-		if got := a.leavesNothing(); got != tt.want {
+		if got := a.leavesNoState(); got != tt.want {
 			t.Errorf("%q, open %t: %t, want %t", tt.texts, tt.open, got, tt.want)
 		}
-		s.hidden = true
-		if a.leavesNothing() {
-			t.Errorf("%q goes back with hidden state", tt.texts)
+		s.hiddenState = true
+		if a.leavesNoState() {
+			t.Errorf("%q: connection with hidden state is returned", tt.texts)
 		}
 	}
 }
--- a/internal/caller/server/inbound.go
+++ b/internal/caller/server/inbound.go
@@ -8,32 +8,34 @@
 )
 
 const (
-	// handoverBytes is the size at which copy data is handed over.
-	handoverBytes = 32 << 10
-	// parkedBytes is what a session without a request keeps of its buffers.
-	parkedBytes = 2 << 10
-	// terminate ends a caller's connection.
+	// copyBatchBytes is the size above which a batch of COPY data is passed to the session.
+	copyBatchBytes = 32 << 10
+	// idleBufferBytes is the size up to which a session without a request keeps its buffers.
+	idleBufferBytes = 2 << 10
+	// terminate is the message with which a caller ends its connection.
 	terminate byte = 'X'
-	// functionCall is the protocol's old call interface, which isn't served.
+	// functionCall is the message of the obsolete function call protocol, which isn't supported.
 	functionCall byte = 'F'
 )
 
-// ErrBatchTooLarge is returned when a caller sends more than the limit without a Sync.
+// ErrBatchTooLarge is returned if the messages up to the next Sync or Flush exceed the limit.
 const ErrBatchTooLarge = errors.ConstError("messages up to the next sync too large")
 
 // inbound reads a caller's messages ahead of the session that handles them.
 //
-// Two batches go round between reader and session. The reader always waits
-// for the caller's next message, so that a caller who disconnects while its
-// request is queued or running is noticed at once.
+// Two batches circulate between reader and session. The reader always waits for the caller's next
+// message, so that a disconnect is detected immediately, even while a request is queued or running.
 type inbound struct {
 	reader       framer.Reader
 	maximumBytes int
-	full         chan *batcher.Batch
-	empty        chan *batcher.Batch
-	// lost is called once with the error that ended reading.
-	lost func(error)
-	err  error
+	// full passes batches from the reader to the session. It is closed when reading ends.
+	full chan *batcher.Batch
+	// empty returns batches to the reader. The session closes it when it ends.
+	empty chan *batcher.Batch
+	// onError is called once, with the error that ended reading.
+	onError func(error)
+	// err is the error that ended reading. It is valid after full is closed.
+	err error
 }
 
 func (i *inbound) start() {
@@ -44,14 +46,14 @@
 	go i.run()
 }
 
-// run ends when the caller's connection does; full is closed then.
+// run reads until the caller's connection or the session ends, then closes full.
 func (i *inbound) run() {
 	defer close(i.full)
 	for b := range i.empty {
-		b.Reset(parkedBytes)
+		b.Reset(idleBufferBytes)
 		if err := i.fill(b); err != nil {
 			i.err = err
-			i.lost(err)
+			i.onError(err)
 			return
 		}
 		i.full <- b
@@ -65,8 +67,8 @@
 			return errors.Annotate(err, "read from caller")
 		}
 		b.Add(f.Type, batcher.Pass, f.Raw)
-		i.reader.Shrink(parkedBytes)
-		if endsHandover(f.Type) || f.Type == batcher.CopyData && b.Bytes() > handoverBytes {
+		i.reader.Shrink(idleBufferBytes)
+		if endsBatch(f.Type) || f.Type == batcher.CopyData && b.Bytes() > copyBatchBytes {
 			return nil
 		}
 		if b.Bytes() > i.maximumBytes {
@@ -75,7 +77,7 @@
 	}
 }
 
-// drain takes what the reader still hands over, so that it can end.
+// drain receives and drops the remaining batches, so that the reader can end.
 func (i *inbound) drain() {
 	for {
 		if _, ok := <-i.full; !ok {
@@ -84,7 +86,7 @@
 	}
 }
 
-func endsHandover(t byte) bool {
+func endsBatch(t byte) bool {
 	switch t {
 	case batcher.Parse, batcher.Bind, batcher.Describe, batcher.Execute, batcher.Close, batcher.CopyData:
 		return false
--- a/internal/caller/server/keyed.go
+++ b/internal/caller/server/keyed.go
@@ -16,54 +16,54 @@
 )
 
 const (
-	// codeAlreadyRan is cuminwick's own SQLSTATE for a transaction whose key
-	// says that it has run before.
+	// codeAlreadyRan is a SQLSTATE defined by cuminwick, for a transaction that has run before under
+	// the same idempotency key.
 	codeAlreadyRan = "CW001"
-	// codeSerialization tells a driver that the transaction may be run again.
+	// codeSerialization is the SQLSTATE after which drivers may retry the transaction.
 	codeSerialization = "40001"
 )
 
 const (
 	rollbackSQL = "ROLLBACK"
 	commitSQL   = "COMMIT"
-	// rollbackTimeout bounds the wait for a slot and the answer to a ROLLBACK,
-	// after which the connection is closed instead.
+	// rollbackTimeout bounds the wait for a slot and for the answer to a ROLLBACK. The connection is
+	// closed after it.
 	rollbackTimeout = 250 * time.Millisecond
 )
 
-// keyed is the state of a request or transaction with an idempotency key.
-type keyed struct {
-	// attempt is the row that shares the fate of the transaction.
+// keyedRequest is the state of a request or transaction with an idempotency key.
+type keyedRequest struct {
+	// attempt identifies the key's row in the outcome table, which is inserted in the transaction.
 	attempt recorder.Attempt
-	// reserved says that the row is inserted in the open transaction.
+	// reserved says that the row has been inserted in the open transaction.
 	reserved bool
-	// wrapped says that the transaction was opened here around one request.
+	// wrapped says that the session opened the transaction itself, around a single request.
 	wrapped bool
-	// begun is the caller's own BEGIN, for another try.
-	begun *beginning
+	// deferredBegin is the caller's own BEGIN, which another attempt needs; nil if wrapped.
+	deferredBegin *deferredBegin
 }
 
-// keyOf returns the key of a plan that starts on a fresh connection, empty if
-// it has none. A key given by SET belongs to the next write or transaction.
-func (a *attempt) keyOf() string {
+// idempotencyKey returns the key of a plan that starts on a fresh connection, empty for none. A key
+// that was set by SET applies to the next write or transaction.
+func (a *attempt) idempotencyKey() string {
 	s := a.session
-	for _, d := range a.plan.parts {
+	for _, d := range a.plan.executed {
 		if k := d.statement.IdempotencyKey; k != "" {
 			return k
 		}
 	}
-	if s.begun != nil && s.begun.key != "" {
-		return s.begun.key
+	if s.deferredBegin != nil && s.deferredBegin.key != "" {
+		return s.deferredBegin.key
 	}
-	if s.begun != nil || a.writes() {
-		return s.key
+	if s.deferredBegin != nil || a.writes() {
+		return s.idempotencyKey
 	}
 	return ""
 }
 
-// writes reports whether the plan shows itself to be a write.
+// writes reports whether the plan contains a write or was refused as one.
 func (a *attempt) writes() bool {
-	for _, d := range a.plan.parts {
+	for _, d := range a.plan.executed {
 		if d.statement.Writes {
 			return true
 		}
@@ -71,29 +71,29 @@
 	return a.write
 }
 
-// startKeyed sets the state of a keyed request before its first attempt.
+// startKeyed initializes the state of a request with an idempotency key before its first attempt.
 func (a *attempt) startKeyed() *failure {
 	s := a.session
 	if s.lease != nil {
 		return nil
 	}
-	k := a.keyOf()
+	k := a.idempotencyKey()
 	if k == "" {
 		return nil
 	}
 	if err := recorder.CheckKey(k); err != nil {
 		return notRun(codeInvalidParameter, "idempotency key refused: "+errors.Cause(err).Error(), err)
 	}
-	if s.begun == nil && a.controlsTransaction() {
+	if s.deferredBegin == nil && a.controlsTransaction() {
 		return notRun(codeFeature, "a request with an idempotency key can't control transactions in the same batch", nil)
 	}
-	s.keyed = &keyed{attempt: recorder.First(k), wrapped: s.begun == nil, begun: s.begun}
+	s.keyed = &keyedRequest{attempt: recorder.First(k), wrapped: s.deferredBegin == nil, deferredBegin: s.deferredBegin}
 	return nil
 }
 
 // controlsTransaction reports whether the plan begins or ends a transaction.
 func (a *attempt) controlsTransaction() bool {
-	for _, d := range a.plan.parts {
+	for _, d := range a.plan.executed {
 		for _, p := range d.statement.Parts {
 			switch p.Kind {
 			case classifier.KindBegin, classifier.KindCommit, classifier.KindRollback:
@@ -104,71 +104,72 @@
 	return false
 }
 
-// reserve opens the transaction with the key's row in it, so that whatever
-// becomes of the transaction becomes of the row.
+// reserve opens the transaction and inserts the key's row in it, so that the row commits or rolls
+// back with the transaction.
 func (a *attempt) reserve(x context.Context) (*failure, bool) {
 	s := a.session
 	b := "BEGIN"
-	if s.begun != nil {
-		b = s.begun.sql
+	if s.deferredBegin != nil {
+		b = s.deferredBegin.sql
 	}
 	r, err := s.execute(x, false, b, s.keyed.attempt.Reserve())
 	if err != nil {
-		return a.reserveLost(x, err)
+		return a.reserveFailed(x, err)
 	}
 	switch r.Code {
 	case "":
 		s.keyed.reserved = true
-		s.begun = nil
+		s.deferredBegin = nil
 		s.status = exchanger.InTransaction
 		return nil, false
 	case recorder.UniqueViolation:
-		a.abandon(x)
-		return a.repeated(x)
+		a.rollBack(x)
+		return a.answerTakenKey(x)
 	case recorder.UndefinedTable:
-		a.abandon(x)
+		a.rollBack(x)
 		if err := s.Director.CreateTable(x, s.group); err != nil {
 			return a.refused(x, err), false
 		}
 		return notRun(codeCannotConnect, "outcome table made", nil), true
 	case codeReadOnly:
-		return a.elsewhere(r)
+		return a.retryElsewhere(r)
 	default:
-		a.abandon(x)
+		a.rollBack(x)
 		return notRun(r.Code, "the idempotency key could not be recorded", nil), false
 	}
 }
 
-// reserveLost judges a connection lost before the request itself was sent:
-// without a COMMIT nothing of it can take effect.
-func (a *attempt) reserveLost(x context.Context, err error) (*failure, bool) {
+// reserveFailed handles an error before the request itself was sent. Nothing of the request can have
+// taken effect, since no COMMIT was sent.
+func (a *attempt) reserveFailed(x context.Context, err error) (*failure, bool) {
 	s := a.session
 	if errors.Is(err, lessor.ErrNotRun) && !errors.Is(err, exchanger.ErrNotSent) {
-		// The lease's refusal may come with its first exchange.
-		a.letGo(true)
+		// A lessor may report the refusal of a lease as late as its first exchange.
+		a.releaseForRetry(true)
 		a.avoid = s.choice.Server
 		return a.refused(x, err), errors.Is(err, lessor.ErrUnreachable)
 	}
-	a.letGo(false)
+	a.releaseForRetry(false)
 	return a.refused(x, err), true
 }
 
-// abandon rolls the transaction back and returns the connection.
+// rollBack rolls the transaction back and releases the connection.
 //
-// It goes on after the caller's cancel, since a new connection costs more than
-// a ROLLBACK, but not for long: the caller waits for its answer meanwhile.
-func (a *attempt) abandon(x context.Context) {
+// It continues after the caller's cancel, since a new connection is more expensive than a ROLLBACK,
+// but only for rollbackTimeout, since the caller waits for the answer.
+func (a *attempt) rollBack(x context.Context) {
 	s := a.session
 	y, stop := context.WithTimeout(context.WithoutCancel(x), rollbackTimeout)
 	defer stop()
 	r, err := s.execute(y, true, rollbackSQL)
-	s.giveBack(err == nil && r.Status == exchanger.Idle)
+	s.releaseConnection(err == nil && r.Status == exchanger.Idle)
 }
 
-// repeated answers a request whose key is taken: it isn't run again.
-func (a *attempt) repeated(x context.Context) (*failure, bool) {
+// answerTakenKey answers a request whose key is already in use. The request isn't run again if an
+// earlier attempt ran.
+func (a *attempt) answerTakenKey(x context.Context) (*failure, bool) {
 	s := a.session
-	y, stop := s.settling(x)
+	y, stop := s.settleContext(x)
 	defer stop()
 	w, err := s.Director.LookUp(y, s.group, s.keyed.attempt)
 	if err != nil {
@@ -183,13 +184,13 @@
 	return a.alreadyRan(w.Tag), false
 }
 
-// alreadyRan gives a repeat the recorded outcome.
+// alreadyRan answers a repeated request with the recorded outcome.
 func (a *attempt) alreadyRan(tag string) *failure {
 	s := a.session
 	k := s.keyed
 	if !k.wrapped || tag == "" {
 		s.status = a.failedStatus()
-		s.begun = nil
+		s.deferredBegin = nil
 		return &failure{code: codeAlreadyRan, message: "the request with this idempotency key has run before", outcome: recorder.Ran, key: k.attempt.Key}
 	}
 	s.notice("the request with this idempotency key has run before, it wasn't run again")
@@ -202,12 +203,12 @@
 		}
 	}
 	s.status = exchanger.Idle
-	s.note(recorder.Ran, nil)
+	s.recordOutcome(recorder.Ran, nil)
 	return nil
 }
 
-// failedStatus is the transaction state after an error that ended the
-// transaction here: one that the caller has begun waits for its ROLLBACK.
+// failedStatus returns the transaction state after an error that ended the transaction. A
+// transaction that the caller began is failed until its ROLLBACK.
 func (a *attempt) failedStatus() byte {
 	if a.session.keyed.wrapped {
 		return exchanger.Idle
@@ -215,14 +216,14 @@
 	return exchanger.Failed
 }
 
-// finishKeyed commits a request that was wrapped into a transaction.
+// finishKeyed commits a request that was wrapped in a transaction, or rolls it back after an error.
 func (a *attempt) finishKeyed(x context.Context, r exchanger.Result) (*failure, bool) {
 	s := a.session
 	if r.Code != "" || r.Status == exchanger.Failed {
-		a.abandon(x)
+		a.rollBack(x)
 		s.status = exchanger.Idle
-		s.out.release()
-		s.note(recorder.NotRun, nil)
+		s.out.releaseHeld()
+		s.recordOutcome(recorder.NotRun, nil)
 		return nil, false
 	}
 	c, err := s.execute(x, true, s.keyed.attempt.RecordTag(r.Tag), commitSQL)
@@ -233,37 +234,37 @@
 		return a.commitLost(x, errors.Errorf("SQLSTATE %s to COMMIT", c.Code))
 	}
 	if c.Code != "" || c.Tag == rollbackSQL {
-		a.abandon(x)
+		a.rollBack(x)
 		s.status = exchanger.Idle
 		return rolledBack(x), false
 	}
 	s.status = exchanger.Idle
-	a.takeChanges(exchanger.Result{Status: exchanger.Idle, Tag: r.Tag})
+	a.applyChanges(exchanger.Result{Status: exchanger.Idle, Tag: r.Tag})
 	return a.acknowledge(x, c)
 }
 
-// commitLost settles a request whose COMMIT may or may not have arrived.
+// commitLost handles a COMMIT whose outcome is unknown, or that wasn't sent.
 func (a *attempt) commitLost(x context.Context, err error) (*failure, bool) {
 	s := a.session
 	if errors.Is(err, lessor.ErrNotRun) {
-		a.abandon(x)
+		a.rollBack(x)
 		s.status = a.failedStatus()
 		return a.refused(x, err), false
 	}
-	s.giveBack(false)
+	s.releaseConnection(false)
 	s.status = exchanger.Idle
 	return a.settle(x, err)
 }
 
-// settle makes the outcome of a keyed request final after its connection was
-// lost, and answers or repeats it accordingly.
+// settle makes the outcome of a keyed request final after its connection was lost, and answers or
+// repeats the request accordingly. Without a key the outcome is unknown.
 func (a *attempt) settle(x context.Context, cause error) (*failure, bool) {
 	s := a.session
 	k := s.keyed
 	if k == nil {
 		return unknown("the connection was lost before the backend server answered; whether the request ran isn't known", cause), false
 	}
-	y, stop := s.settling(x)
+	y, stop := s.settleContext(x)
 	defer stop()
 	o, err := s.Director.Settle(y, s.group, k.attempt)
 	switch {
@@ -278,9 +279,9 @@
 	return nil, false
 }
 
-// rolledBack tells of a request that the server rolled back at its commit. Where its
-// caller has cancelled, that is why: drivers run again what ends with codeSerialization,
-// which a caller that cancelled didn't ask for.
+// rolledBack returns the failure of a request that the server rolled back at its commit. If the
+// caller has cancelled the request, the failure is the cancel: drivers retry after
+// codeSerialization, which a caller that cancelled doesn't want.
 func rolledBack(x context.Context) *failure {
 	if x.Err() != nil {
 		return notRun(codeCancelled, "canceling statement due to user request: "+cause(x), x.Err())
@@ -288,26 +289,25 @@
 	return notRun(codeSerialization, "the request was rolled back at its commit", nil)
 }
 
-// settling returns x without the caller's cancel, up to the same deadline, for as
-// long as the session lasts.
+// settleContext returns x without the caller's cancel, with the same deadline. It ends with the
+// session, as a caller that has disconnected needs no answer.
 //
-// Most callers cancel, many of them while the server is still asked whether it
-// works on a connection that has gone silent. To ask for the key's row under the
-// context that has been cancelled fails at once and leaves the caller with
-// "unknown", though a round trip would tell. A caller that has left needs no answer.
-func (s *Session) settling(x context.Context) (context.Context, context.CancelFunc) {
-	y, stop := committed(x)
+// Callers often cancel while the server is still being asked whether it works on a connection that
+// has gone silent. A look-up of the key's row with the cancelled context would fail at once, and
+// the caller would receive the outcome "unknown", although one round trip can determine it.
+func (s *Session) settleContext(x context.Context) (context.Context, context.CancelFunc) {
+	y, stop := withoutCancel(x)
 	z, cancel := context.WithCancel(y)
-	ended := context.AfterFunc(s.ctx, cancel)
+	detach := context.AfterFunc(s.ctx, cancel)
 	return z, func() {
-		ended()
+		detach()
 		cancel()
 		stop()
 	}
 }
 
-// settledNotRun repeats a request that was wrapped here under the next
-// attempt; a transaction is its caller's to repeat.
+// settledNotRun starts the next attempt of a request that was wrapped in a transaction. A
+// transaction that the caller began must be repeated by the caller.
 func (a *attempt) settledNotRun(cause error) (*failure, bool) {
 	s := a.session
 	k := s.keyed
@@ -321,36 +321,35 @@
 	return f, false
 }
 
-// settledRan answers a request of which only the answer was lost.
+// settledRan answers a request that ran, but whose answer was lost.
 func (a *attempt) settledRan() {
 	s := a.session
 	if s.keyed.wrapped {
-		s.out.release()
+		s.out.releaseHeld()
 	} else {
 		s.out.rewind()
 		for i := range a.plan.batch.Items {
 			_ = s.answerItem(&a.plan.batch, i, localAnswer{tag: commitSQL})
 		}
 	}
-	s.note(recorder.Ran, nil)
+	s.recordOutcome(recorder.Ran, nil)
 }
 
-// execute runs texts on the session's connection, unseen by the caller. They
-// are one request, so that after an error, a cancel among them, none of the
-// rest runs.
+// execute runs texts on the session's connection without passing the answer to the caller. They are
+// sent as one query, so that after an error or a cancel none of the remaining texts run.
 func (s *Session) execute(x context.Context, inTransaction bool, texts ...string) (exchanger.Result, error) {
 	var b batcher.Batch
 	b.AddQuery(batcher.Swallow, strings.Join(texts, "; "))
 	return s.lease.Exchange(x, lessor.Exchange{
 		Batch:         &b,
-		Output:        unseen{},
+		Output:        discardOutput{},
 		AskPosition:   texts[len(texts)-1] == commitSQL,
 		InTransaction: inTransaction,
 	})
 }
 
-// unseen is the output of what the caller didn't send.
-type unseen struct{}
+// discardOutput discards the answer to messages that the caller didn't send.
+type discardOutput struct{}
 
 // Frame implements exchanger.Output.
-func (unseen) Frame(byte, []byte, bool, bool) error { return nil }
+func (discardOutput) Frame(byte, []byte, bool, bool) error { return nil }
--- a/internal/caller/server/keyed_test.go
+++ b/internal/caller/server/keyed_test.go
@@ -7,9 +7,9 @@
 	"github.com/cuminwick/cuminwick/internal/outcome/recorder"
 )
 
-// A caller cancels a request with a key while it commits, and the server rolls it
-// back. Told that it met another transaction, the caller's driver would send the
-// request again that its user has given up.
+// A caller cancels a request with an idempotency key during its commit, and the server rolls the
+// request back. After a serialization failure, the caller's driver would retry the request that was
+// cancelled.
 func TestRolledBackAtCommit(t *testing.T) {
 	cancelled, cancel := context.WithCancelCause(t.Context())
 	cancel(errCancelled)
@@ -17,12 +17,12 @@
 		x    context.Context
 		code string
 	}{
-		"cancelled by its caller": {cancelled, codeCancelled},
-		"by the server":           {t.Context(), codeSerialization},
+		"cancelled by the caller":   {cancelled, codeCancelled},
+		"rolled back by the server": {t.Context(), codeSerialization},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if f := rolledBack(c.x); f.code != c.code || f.outcome != recorder.NotRun {
-				t.Errorf("told %s with %s", f.outcome, f.code)
+				t.Errorf("outcome %s with SQLSTATE %s, want %s", f.outcome, f.code, c.code)
 			}
 		})
 	}
--- a/internal/caller/server/local.go
+++ b/internal/caller/server/local.go
@@ -13,37 +13,37 @@
 	"github.com/cuminwick/cuminwick/internal/wire/batcher"
 )
 
-// textOID is PostgreSQL's type id of text.
+// textOID is the OID of PostgreSQL's type text.
 const textOID = 25
 
-// localAnswer is the answer to a statement that no backend server sees.
+// localAnswer is the answer to a statement that isn't sent to a backend server.
 type localAnswer struct {
-	// column and value are the only row, no row without a column.
+	// column and value are the only row. Without a column there is no row.
 	column string
 	value  string
 	tag    string
-	// act is done when the statement is executed.
+	// act runs when the statement is executed, nil for nothing.
 	act func() *failure
 }
 
-// answerHere returns the answer to a plan that is answered without a backend server.
-func (s *Session) answerHere(p *plan) (localAnswer, bool) {
-	d := single(p)
+// findLocalAnswer returns the answer to a plan that doesn't need a backend server.
+func (s *Session) findLocalAnswer(p *plan) (localAnswer, bool) {
+	d := onlyStatement(p)
 	if d == nil || len(d.statement.Parts) > 1 {
 		return localAnswer{}, false
 	}
 	c := &d.statement
 	switch {
 	case c.Own:
-		return s.answerOwn(part(c)), true
-	case len(p.parts) == 0:
+		return s.answerOwnSetting(onlyPart(c)), true
+	case len(p.executed) == 0:
 		return localAnswer{}, false
 	case dropsStatements(c) && !s.pinned && s.lease == nil:
-		return s.answerDrop(c), true
+		return s.answerDropStatements(c), true
 	case s.lease != nil:
 		return localAnswer{}, false
 	case c.Kind == classifier.KindBegin && s.status == exchanger.Idle:
-		return s.answerBegin(c.IdempotencyKey, part(c)), true
+		return s.answerBegin(c.IdempotencyKey, onlyPart(c)), true
 	case c.Kind == classifier.KindCommit || c.Kind == classifier.KindRollback:
 		return s.answerEnd(c)
 	default:
@@ -51,10 +51,10 @@
 	}
 }
 
-// single returns the only statement that a plan is about.
-func single(p *plan) *prepared {
+// onlyStatement returns the statement of a plan that consists of a single one, else nil.
+func onlyStatement(p *plan) *prepared {
 	all := p.all()
-	if len(all) == 0 || len(p.parts) > 1 {
+	if len(all) == 0 || len(p.executed) > 1 {
 		return nil
 	}
 	for _, d := range all {
@@ -65,23 +65,23 @@
 	return all[0]
 }
 
-// part returns a statement's only part.
-func part(c *classifier.Statement) classifier.Part {
+// onlyPart returns the only part of a statement.
+func onlyPart(c *classifier.Statement) classifier.Part {
 	if len(c.Parts) == 0 {
 		return classifier.Part{Kind: c.Kind}
 	}
 	return c.Parts[0]
 }
 
-// dropsStatements reports whether c drops all prepared statements, which
-// belong to the session here and not to a connection.
+// dropsStatements reports whether c drops all prepared statements. Prepared statements belong to the
+// session and not to a connection.
 func dropsStatements(c *classifier.Statement) bool {
-	p := part(c)
+	p := onlyPart(c)
 	return c.Kind == classifier.KindDeallocate && p.Name == "" || c.Kind == classifier.KindDiscard && strings.EqualFold(p.Name, "all")
 }
 
-func (s *Session) answerDrop(c *classifier.Statement) localAnswer {
-	p := part(c)
+func (s *Session) answerDropStatements(c *classifier.Statement) localAnswer {
+	p := onlyPart(c)
 	if c.Kind == classifier.KindDeallocate {
 		return localAnswer{tag: "DEALLOCATE ALL", act: func() *failure {
 			s.replay.Apply(p)
@@ -96,11 +96,11 @@
 		return notRun(codeActiveTransaction, "DISCARD ALL cannot run inside a transaction block", nil)
 	}
 	s.replay.Apply(p)
-	s.key = ""
+	s.idempotencyKey = ""
 	return nil
 }
 
-func (s *Session) answerOwn(p classifier.Part) localAnswer {
+func (s *Session) answerOwnSetting(p classifier.Part) localAnswer {
 	n := strings.ToLower(p.Name)
 	switch p.Kind {
 	case classifier.KindShow:
@@ -121,7 +121,7 @@
 		}
 		return t
 	case classifier.SettingIdempotencyKey:
-		return s.key
+		return s.idempotencyKey
 	case classifier.SettingTag:
 		return s.tag
 	case classifier.SettingMaximumAge:
@@ -129,10 +129,10 @@
 	case classifier.SettingServer:
 		return s.choice.Server
 	case classifier.SettingLastOutcome:
-		if s.last.request == 0 {
+		if s.lastOutcome.request == 0 {
 			return ""
 		}
-		return string(s.last.outcome) + " " + s.numbered(s.last.request)
+		return string(s.lastOutcome.outcome) + " " + s.requestIDOf(s.lastOutcome.request)
 	default:
 		return ""
 	}
@@ -144,12 +144,12 @@
 		if value == "" {
 			return nil
 		}
-		if err := s.takeMark(value); err != nil {
+		if err := s.restoreMark(value); err != nil {
 			return describe(err)
 		}
 		return nil
 	case classifier.SettingIdempotencyKey:
-		return s.setKey(value)
+		return s.setIdempotencyKey(value)
 	case classifier.SettingTag:
 		s.tag = value
 		return nil
@@ -160,13 +160,13 @@
 	}
 }
 
-func (s *Session) setKey(key string) *failure {
+func (s *Session) setIdempotencyKey(key string) *failure {
 	if key != "" {
 		if err := recorder.CheckKey(key); err != nil {
 			return notRun(codeInvalidParameter, "idempotency key refused: "+err.Error(), err)
 		}
 	}
-	s.key = key
+	s.idempotencyKey = key
 	return nil
 }
 
@@ -182,12 +182,12 @@
 	return nil
 }
 
-// answerBegin remembers a BEGIN until the first statement decides where the
-// transaction runs; a caller that pauses after BEGIN holds no connection.
+// answerBegin stores a BEGIN until the first statement decides where the transaction runs. A caller
+// that pauses after BEGIN therefore holds no connection.
 func (s *Session) answerBegin(key string, p classifier.Part) localAnswer {
-	b := &beginning{key: key, readOnly: p.Access == classifier.AccessReadOnly, sql: beginSQL(p)}
+	b := &deferredBegin{key: key, readOnly: p.Access == classifier.AccessReadOnly, sql: beginSQL(p)}
 	return localAnswer{tag: "BEGIN", act: func() *failure {
-		s.begun = b
+		s.deferredBegin = b
 		s.status = exchanger.InTransaction
 		return nil
 	}}
@@ -210,10 +210,9 @@
 	return q
 }
 
-// answerEnd ends a transaction that no backend server has begun, or one that
-// was lost with its connection.
+// answerEnd ends a transaction that hasn't begun at a backend server, or whose connection was lost.
 func (s *Session) answerEnd(c *classifier.Statement) (localAnswer, bool) {
-	if s.begun == nil && s.status != exchanger.Failed {
+	if s.deferredBegin == nil && s.status != exchanger.Failed {
 		return localAnswer{}, false
 	}
 	tag := "COMMIT"
@@ -221,13 +220,13 @@
 		tag = "ROLLBACK"
 	}
 	return localAnswer{tag: tag, act: func() *failure {
-		s.begun = nil
+		s.deferredBegin = nil
 		s.status = exchanger.Idle
 		return nil
 	}}, true
 }
 
-// answerLocally answers each message of a plan.
+// answerLocally answers each message of a plan with a.
 func (s *Session) answerLocally(p *plan, a localAnswer, t byte) error {
 	for i := range p.batch.Items {
 		if p.batch.Items[i].Answer == batcher.Swallow {
@@ -238,7 +237,7 @@
 		}
 	}
 	if t != batcher.Flush {
-		s.ready()
+		s.readyForQuery()
 	}
 	return nil
 }
--- a/internal/caller/server/loss.go
+++ b/internal/caller/server/loss.go
@@ -11,70 +11,70 @@
 	"github.com/cuminwick/cuminwick/internal/pool/lessor"
 )
 
-// failed judges an exchange whose answer didn't come to its end.
-func (a *attempt) failed(x context.Context, r exchanger.Result, err error) (*failure, bool) {
+// exchangeFailed handles an exchange whose answer is incomplete.
+func (a *attempt) exchangeFailed(x context.Context, r exchanger.Result, err error) (*failure, bool) {
 	s := a.session
 	notSent := errors.Is(err, exchanger.ErrNotSent) || errors.Is(err, lessor.ErrNotRun)
 	if s.out.err != nil {
-		a.callerGone(r)
+		a.callerDisconnected(r)
 		return nil, false
 	}
-	a.letGo(false)
+	a.releaseForRetry(false)
 	if a.fresh && notSent {
 		a.restartKeyed()
 		a.avoid = s.choice.Server
-		return a.refused(x, err), mayDoElsewhere(err)
+		return a.refused(x, err), retryableElsewhere(err)
 	}
 	if errors.Is(err, lessor.ErrNotRun) {
-		// The transaction ends with the answer, see Session.abort.
+		// The transaction ends with the answer, see Session.abortTransaction.
 		return a.refused(x, err), false
 	}
-	return a.lost(x, err)
+	return a.connectionLost(x, err)
 }
 
-// letGo gives the connection back before another try. The caller's BEGIN is kept if
-// it was sent along in this attempt: without it, the next try would run the first
-// statement of the transaction by itself, and a ROLLBACK couldn't undo it.
-func (a *attempt) letGo(clean bool) {
-	b := a.session.begun
-	a.session.giveBack(clean)
+// releaseForRetry releases the connection before another attempt. It keeps the caller's BEGIN if
+// that was sent in this attempt. Without it, the next attempt would run the transaction's first
+// statement outside a transaction, and a ROLLBACK could not undo it.
+func (a *attempt) releaseForRetry(clean bool) {
+	b := a.session.deferredBegin
+	a.session.releaseConnection(clean)
 	if a.fresh {
-		a.session.begun = b
+		a.session.deferredBegin = b
 	}
 }
 
-// mayDoElsewhere reports whether a request that did not run is worth another
-// try at once. A refusal by a full queue isn't: trying again would add to it.
-func mayDoElsewhere(err error) bool {
+// retryableElsewhere reports whether another attempt should be made at once after a request did not
+// run. After a refusal by a full queue it should not, since the retry would add to the load.
+func retryableElsewhere(err error) bool {
 	return errors.Is(err, exchanger.ErrNotSent) || errors.Is(err, lessor.ErrUnreachable)
 }
 
-// restartKeyed makes the next try reserve the key's row anew.
+// restartKeyed resets a keyed request, so that the next attempt inserts the key's row again.
 func (a *attempt) restartKeyed() {
 	s := a.session
 	if s.keyed == nil {
 		return
 	}
 	s.keyed.reserved = false
-	s.begun = s.keyed.begun
+	s.deferredBegin = s.keyed.deferredBegin
 	s.status = exchanger.Idle
-	if s.begun != nil {
+	if s.deferredBegin != nil {
 		s.status = exchanger.InTransaction
 	}
 }
 
-// lost judges a connection that was lost in the middle of an exchange.
-func (a *attempt) lost(x context.Context, err error) (*failure, bool) {
+// connectionLost handles a connection that was lost during an exchange.
+func (a *attempt) connectionLost(x context.Context, err error) (*failure, bool) {
 	s := a.session
 	s.pinned = false
-	if a.harmless() && s.out.rewind() {
+	if a.safeToRepeat() && s.out.rewind() {
 		a.restartKeyed()
 		return notRun(codeConnectionFailure, "the connection to the backend server was lost", err), true
 	}
 	s.replay.End(false)
 	e := settler.Evidence{Sent: true, CommitSent: a.mayHaveCommitted(), Answer: settler.AnswerLost}
-	open := a.openTransaction()
-	s.begun = nil
+	open := a.inOpenTransaction()
+	s.deferredBegin = nil
 	s.status = exchanger.Idle
 	if open {
 		s.status = exchanger.Failed
@@ -85,19 +85,18 @@
 	return a.settle(x, err)
 }
 
-// mayHaveCommitted reports whether the lost exchange held what could commit:
-// at a primary, a COMMIT or a statement outside a transaction. A request that
-// is wrapped for its key commits in an exchange of its own.
+// mayHaveCommitted reports whether the lost exchange may have committed: at a primary, with a
+// COMMIT or a statement outside a transaction. A request that was wrapped in a transaction for its
+// key commits in a separate exchange.
 func (a *attempt) mayHaveCommitted() bool {
 	s := a.session
 	wrapped := s.keyed != nil && s.keyed.wrapped
-	return s.choice.Primary && !wrapped && !a.openTransaction()
+	return s.choice.Primary && !wrapped && !a.inOpenTransaction()
 }
 
-// harmless reports whether the lost exchange can be repeated: it executed
-// nothing, or only began a transaction that nobody commits any more, or ran at
-// a replica, which can't write.
-func (a *attempt) harmless() bool {
+// safeToRepeat reports whether the lost exchange can be repeated: it executed nothing, only began a
+// transaction that can't be committed after the loss, or ran at a replica, which can't write.
+func (a *attempt) safeToRepeat() bool {
 	s := a.session
 	if s.keyed != nil && s.keyed.wrapped {
 		return true
@@ -105,23 +104,23 @@
 	if !a.fresh {
 		return false
 	}
-	return len(a.plan.parts) == 0 || s.begun != nil && !a.commits() || !s.choice.Primary
+	return len(a.plan.executed) == 0 || s.deferredBegin != nil && !a.commits() || !s.choice.Primary
 }
 
-// openTransaction reports whether the lost exchange was inside a transaction
-// that it didn't try to commit.
-func (a *attempt) openTransaction() bool {
+// inOpenTransaction reports whether the lost exchange was inside a transaction and did not try to
+// commit it.
+func (a *attempt) inOpenTransaction() bool {
 	s := a.session
 	if s.keyed != nil && s.keyed.wrapped {
 		return false
 	}
-	return (s.status != exchanger.Idle || s.begun != nil) && !a.commits()
+	return (s.status != exchanger.Idle || s.deferredBegin != nil) && !a.commits()
 }
 
-// callerGone ends a request whose caller can't be answered any more.
-func (a *attempt) callerGone(r exchanger.Result) {
+// callerDisconnected ends a request whose answer can't be written to the caller.
+func (a *attempt) callerDisconnected(r exchanger.Result) {
 	s := a.session
 	clean := r.Status == exchanger.Idle
-	s.giveBack(clean)
-	s.note(recorder.Unknown, nil)
+	s.releaseConnection(clean)
+	s.recordOutcome(recorder.Unknown, nil)
 }
--- a/internal/caller/server/outbound.go
+++ b/internal/caller/server/outbound.go
@@ -14,73 +14,78 @@
 )
 
 const (
-	// outboundBytes is collected before it is written to the caller.
+	// outboundBytes is the size of the write buffer.
 	outboundBytes = 32 << 10
-	// maximumHeldBytes bounds what is kept back until a commit is acknowledged.
+	// maximumHeldBytes bounds the messages that are held until a commit is acknowledged.
 	maximumHeldBytes = 1 << 20
 )
 
-// buffers lends write buffers, so that a parked session holds none.
+// buffers holds write buffers, so that an idle session needs none.
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, outboundBytes+1024); return &b }}
 
-// outbound collects what goes to a caller and writes it in large parts.
+// outbound buffers the messages to a caller and writes them in large parts.
 //
-// Until the first part is written, the answer to a request can be taken back
-// with rewind, and the request run elsewhere without the caller noticing.
+// Until the first part of an answer is written, rewind can take the answer back, and the request
+// can be run at another server without the caller noticing.
 type outbound struct {
 	conn         net.Conn
 	writeTimeout time.Duration
-	// hold keeps back everything from the first CommandComplete on.
+	// hold says that the messages from the first CommandComplete on are held.
 	hold bool
 
-	// gate, if set, keeps the first part back until its read index is known.
+	// gate withholds the answer until its read index is known, nil for none.
 	gate *gate
 
-	// parsed counts the ParseComplete messages of the answer.
-	parsed int
+	// parseCompletes counts the ParseComplete messages of the answer.
+	parseCompletes int
 
+	// buffer is the write buffer, nil while nothing is buffered.
 	buffer *[]byte
-	// scratch is where short messages are made.
+	// scratch is the memory in which short messages are encoded.
 	scratch [16]byte
-	mark    int
+	// answerStart is the position in buffer at which the current answer starts.
+	answerStart int
+	// written says that a part of the current answer was written to the connection.
 	written bool
+	// holding says that messages are being held, in held.
 	holding bool
 	held    []byte
-	err     error
+	// err is the first error. Nothing is written after it.
+	err error
 }
 
-// begin starts the answer to a request.
-func (o *outbound) begin(hold bool) {
+// beginAnswer starts the answer to a request.
+func (o *outbound) beginAnswer(hold bool) {
 	o.hold = hold
-	o.parsed = 0
+	o.parseCompletes = 0
 	o.written = false
 	o.gate = nil
 	o.holding = false
 	o.held = o.held[:0]
-	o.mark = 0
+	o.answerStart = 0
 	if o.buffer != nil {
-		o.mark = len(*o.buffer)
+		o.answerStart = len(*o.buffer)
 	}
 }
 
-// rewind takes back the answer since begin and reports whether that was possible.
+// rewind takes back the answer since beginAnswer and reports whether that was possible.
 func (o *outbound) rewind() bool {
 	if o.written {
 		return false
 	}
 	o.gate = nil
 	o.holding = false
-	o.parsed = 0
+	o.parseCompletes = 0
 	o.held = o.held[:0]
 	if o.buffer != nil {
-		*o.buffer = (*o.buffer)[:o.mark]
+		*o.buffer = (*o.buffer)[:o.answerStart]
 	}
 	return true
 }
 
-// dropGated takes back an answer that ended early before its read index was known.
+// dropGated takes back an answer that ended before the gate allowed it.
 func (o *outbound) dropGated() {
-	if o.gate != nil && !o.gate.word.Covered {
+	if o.gate != nil && !o.gate.confirmation.Covered {
 		o.rewind()
 	}
 }
@@ -88,7 +93,7 @@
 // Frame implements exchanger.Output.
 func (o *outbound) Frame(t byte, p []byte, _, _ bool) error {
 	if t == follower.ParseComplete {
-		o.parsed++
+		o.parseCompletes++
 	}
 	if o.hold && t == follower.CommandComplete {
 		o.holding = true
@@ -97,29 +102,29 @@
 		o.held = append(o.held, p...)
 		return o.err
 	}
-	o.release()
+	o.releaseHeld()
 	return o.write(p)
 }
 
-// release sends on what was held back.
-func (o *outbound) release() {
+// releaseHeld writes the held messages.
+func (o *outbound) releaseHeld() {
 	if len(o.held) > 0 {
 		_ = o.write(o.held)
 	}
 	o.dropHeld()
 }
 
-// dropHeld forgets what was held back.
+// dropHeld discards the held messages.
 func (o *outbound) dropHeld() {
 	o.holding = false
 	o.hold = false
 	o.held = o.held[:0]
-	if cap(o.held) > parkedBytes {
+	if cap(o.held) > idleBufferBytes {
 		o.held = nil
 	}
 }
 
-// send appends an encoded message.
+// send encodes and writes a message.
 func (o *outbound) send(m pgproto3.BackendMessage) {
 	p, err := m.Encode(nil)
 	if err != nil {
@@ -129,8 +134,8 @@
 	_ = o.write(p)
 }
 
-// raw appends a message of type t with the body.
-func (o *outbound) raw(t byte, body ...byte) {
+// sendRaw writes a message of type t with the given body.
+func (o *outbound) sendRaw(t byte, body ...byte) {
 	m := append(o.scratch[:0], t, 0, 0, 0, 0)
 	m = append(m, body...)
 	binary.BigEndian.PutUint32(m[1:], uint32(len(body)+4))
@@ -144,11 +149,11 @@
 	if o.buffer == nil {
 		o.buffer = buffers.Get().(*[]byte)
 		*o.buffer = (*o.buffer)[:0]
-		o.mark = 0
+		o.answerStart = 0
 	}
 	if len(*o.buffer)+len(p) > outboundBytes {
 		if o.gate != nil && !o.gate.open(marker.Mark{}) {
-			// The answer won't be shown, so what comes of it needs no room.
+			// The answer won't be sent, so the rest of it needn't be buffered.
 			return o.err
 		}
 		o.flushBuffer()
@@ -161,7 +166,7 @@
 	return o.err
 }
 
-// flush writes all and gives the buffer back.
+// flush writes the buffer to the connection and returns the buffer to the pool.
 func (o *outbound) flush() error {
 	if o.buffer == nil {
 		return o.err
@@ -177,11 +182,11 @@
 		o.writeConn(*o.buffer)
 		*o.buffer = (*o.buffer)[:0]
 	}
-	o.mark = 0
+	o.answerStart = 0
 }
 
-// writeConn ends the connection of a caller that doesn't read, so that it
-// can't hold a backend server's connection for good.
+// writeConn writes p with a deadline, so that a caller that doesn't read can't hold a connection to
+// a backend server forever.
 func (o *outbound) writeConn(p []byte) {
 	if o.err != nil {
 		return
--- a/internal/caller/server/prepared.go
+++ b/internal/caller/server/prepared.go
@@ -18,19 +18,19 @@
 	ErrTooManyPortals   = errors.ConstError("too many portals in a transaction")
 )
 
-// maximumPortals bounds the portals that a caller has open at a time.
+// maximumPortals bounds the open portals of a session.
 const maximumPortals = 1000
 
-// prepared is a statement that the caller executes or has parsed under a name
-// of its own. At backend servers, where sessions share connections, it has a
-// name made from its text and types, so that equal statements are prepared once.
+// prepared is a statement that the caller executes or has parsed. On backend servers, whose
+// connections are shared by sessions, it has a name derived from its text and parameter types, so
+// that equal statements are prepared once.
 type prepared struct {
 	replayer.Prepared
 	// statement is the classification of the text.
 	statement classifier.Statement
 }
 
-// tail returns the Parse message after the name: text and parameter types.
+// tail returns the part of the Parse message after the name: text and parameter types.
 func (p *prepared) tail() []byte {
 	b := make([]byte, 0, len(p.Text)+3+4*len(p.Types))
 	b = append(b, p.Text...)
@@ -42,37 +42,38 @@
 	return b
 }
 
-// statements are the prepared statements and portals of one session.
+// statements holds the prepared statements and portals of one session.
 type statements struct {
 	classifier *classifier.Classifier
 	replay     *replayer.Session
-	// portals tells from which statement a portal was bound.
+	// portals holds the statement of each open portal, by portal name.
 	portals map[string]*prepared
 }
 
-// plan is a batch that is ready for any backend server's connection.
+// plan is a batch that can be sent on any connection to a backend server.
 type plan struct {
 	batch batcher.Batch
-	// parts are the statements that the batch executes.
-	parts []*prepared
+	// executed are the statements that the batch executes.
+	executed []*prepared
 	// parsed are statements that the batch only parses or describes.
 	parsed []*prepared
 	// defined are the names that the caller's Parse messages define, in order.
 	defined []string
 }
 
-// namesBytes is about what shared names of statements add to the messages.
-const namesBytes = 128
+// sharedNameBytes is the approximate number of bytes by which the shared names of statements
+// lengthen a batch.
+const sharedNameBytes = 128
 
-// newPlan returns an empty plan with room for what comes of b.
+// newPlan returns an empty plan with room for the messages of b.
 func newPlan(b *batcher.Batch) *plan {
 	p := &plan{}
-	p.batch.Grow(len(b.Items)+1, b.Bytes()+namesBytes)
+	p.batch.Grow(len(b.Items)+1, b.Bytes()+sharedNameBytes)
 	return p
 }
 
-// split separates the first string of a message body from the rest.
-func split(b []byte) (string, []byte, error) {
+// cutString returns the first string of a message body and the rest of the body.
+func cutString(b []byte) (string, []byte, error) {
 	n := bytes.IndexByte(b, 0)
 	if n < 0 {
 		return "", nil, ErrMalformed
@@ -80,13 +81,14 @@
 	return string(b[:n]), b[n+1:], nil
 }
 
-// define reads a Parse message and keeps its statement.
+// define reads a Parse message and stores its statement. It returns the caller's name for the
+// statement.
 func (s *statements) define(body []byte) (string, *prepared, error) {
-	n, t, err := split(body)
+	n, t, err := cutString(body)
 	if err != nil {
 		return "", nil, errors.Annotate(err, "read parse message")
 	}
-	q, types, err := split(t)
+	q, types, err := cutString(t)
 	if err != nil || len(types) < 2 || len(types) != 2+4*int(binary.BigEndian.Uint16(types)) {
 		return "", nil, errors.Annotate(ErrMalformed, "read parse message")
 	}
@@ -117,8 +119,8 @@
 	return &prepared{Prepared: p, statement: c}, nil
 }
 
-// open notes the portal that is bound from d.
-func (s *statements) open(portal string, d *prepared) error {
+// openPortal stores the statement from which a portal is bound.
+func (s *statements) openPortal(portal string, d *prepared) error {
 	if _, ok := s.portals[portal]; !ok && len(s.portals) >= maximumPortals {
 		return errors.Annotatef(ErrTooManyPortals, "bind %q, limit %d", portal, maximumPortals)
 	}
@@ -129,31 +131,30 @@
 	return nil
 }
 
-// endPortals forgets the portals, which end with their transaction. Without
-// this, a caller that binds a new name each time would have the host remember
-// them all.
-func (s *statements) endPortals() {
+// closePortals removes the portals, which end with their transaction. Otherwise the portals of a
+// caller that binds a new name each time would accumulate.
+func (s *statements) closePortals() {
 	clear(s.portals)
 }
 
-// forget takes back definitions that a backend server has not confirmed.
+// forget removes definitions that a backend server has not confirmed.
 func (s *statements) forget(names []string) {
 	for _, n := range names {
 		s.replay.CloseStatement(n)
 	}
 }
 
-// planner turns a caller's messages into a plan.
+// planner converts a caller's messages to a plan.
 type planner struct {
 	statements *statements
 	plan       *plan
-	// ensured holds the shared names that this batch has parsed already.
-	ensured map[replayer.StatementID]struct{}
-	// unnamedParsed says that the unnamed statement was parsed in this batch.
+	// parsedIDs holds the statements that this batch already parses.
+	parsedIDs map[replayer.StatementID]struct{}
+	// unnamedParsed says that this batch already parses the unnamed statement.
 	unnamedParsed bool
 }
 
-// add takes the caller's message of item i of b.
+// add adds the caller's message of item i of b.
 func (p *planner) add(b *batcher.Batch, i int) error {
 	t := b.Items[i].Type
 	switch t {
@@ -189,25 +190,25 @@
 	return nil
 }
 
-// ensure parses d in this batch once; the pool leaves the message out where
-// the connection already knows the statement.
+// ensure adds a Parse of d unless the batch has one. The pool omits the message if the statement is
+// already prepared on the connection.
 func (p *planner) ensure(d *prepared, a batcher.Answer) {
-	if _, ok := p.ensured[d.ID]; ok {
+	if _, ok := p.parsedIDs[d.ID]; ok {
 		if a == batcher.Pass {
 			p.plan.batch.AddParse(batcher.Inject, string(d.ID), nil)
 		}
 		return
 	}
-	if p.ensured == nil {
-		p.ensured = make(map[replayer.StatementID]struct{})
+	if p.parsedIDs == nil {
+		p.parsedIDs = make(map[replayer.StatementID]struct{})
 	}
-	p.ensured[d.ID] = struct{}{}
+	p.parsedIDs[d.ID] = struct{}{}
 	p.plan.batch.AddParse(a, string(d.ID), d.tail())
 }
 
-// refer makes sure that the statement so named is known at the connection and
-// returns the name it has there.
-func (p *planner) refer(name string) (*prepared, string, error) {
+// resolve ensures that the named statement is prepared on the connection, and returns it with its
+// name there.
+func (p *planner) resolve(name string) (*prepared, string, error) {
 	d, err := p.statements.find(name)
 	if err != nil {
 		return nil, "", err
@@ -224,19 +225,19 @@
 }
 
 func (p *planner) bind(body []byte) error {
-	portal, rest, err := split(body)
+	portal, rest, err := cutString(body)
 	if err != nil {
 		return errors.Annotate(err, "read bind message")
 	}
-	name, tail, err := split(rest)
+	name, tail, err := cutString(rest)
 	if err != nil {
 		return errors.Annotate(err, "read bind message")
 	}
-	d, shared, err := p.refer(name)
+	d, shared, err := p.resolve(name)
 	if err != nil {
 		return err
 	}
-	if err := p.statements.open(portal, d); err != nil {
+	if err := p.statements.openPortal(portal, d); err != nil {
 		return err
 	}
 	p.plan.batch.AddBody(batcher.Bind, batcher.Pass, []byte(portal), []byte{0}, []byte(shared), []byte{0}, tail)
@@ -247,7 +248,7 @@
 	if len(body) < 2 {
 		return errors.Annotate(ErrMalformed, "read describe message")
 	}
-	name, _, err := split(body[1:])
+	name, _, err := cutString(body[1:])
 	if err != nil {
 		return errors.Annotate(err, "read describe message")
 	}
@@ -258,7 +259,7 @@
 		p.plan.batch.AddBody(batcher.Describe, batcher.Pass, body)
 		return nil
 	}
-	d, shared, err := p.refer(name)
+	d, shared, err := p.resolve(name)
 	if err != nil {
 		return err
 	}
@@ -268,24 +269,24 @@
 }
 
 func (p *planner) execute(raw, body []byte) error {
-	portal, _, err := split(body)
+	portal, _, err := cutString(body)
 	if err != nil {
 		return errors.Annotate(err, "read execute message")
 	}
 	if d := p.statements.portals[portal]; d != nil {
-		p.plan.parts = append(p.plan.parts, d)
+		p.plan.executed = append(p.plan.executed, d)
 	}
 	p.plan.batch.Add(batcher.Execute, batcher.Pass, raw)
 	return nil
 }
 
-// close answers the close of a statement itself: at backend servers the
-// statement stays prepared for other sessions.
+// close answers the Close of a statement without the backend server, where the statement stays
+// prepared for other sessions.
 func (p *planner) close(raw, body []byte) error {
 	if len(body) < 2 {
 		return errors.Annotate(ErrMalformed, "read close message")
 	}
-	name, _, err := split(body[1:])
+	name, _, err := cutString(body[1:])
 	if err != nil {
 		return errors.Annotate(err, "read close message")
 	}
--- a/internal/caller/server/request.go
+++ b/internal/caller/server/request.go
@@ -19,7 +19,7 @@
 // simple handles one simple query.
 func (s *Session) simple(body []byte) error {
 	s.request++
-	q, _, err := split(body)
+	q, _, err := cutString(body)
 	if err != nil {
 		return s.refuse(describe(errors.Annotate(err, "read query message")))
 	}
@@ -29,18 +29,19 @@
 	}
 	if c.Kind == classifier.KindEmpty {
 		s.out.send(&pgproto3.EmptyQueryResponse{})
-		s.ready()
+		s.readyForQuery()
 		return nil
 	}
-	p := &plan{parts: []*prepared{{statement: c}}}
+	p := &plan{executed: []*prepared{{statement: c}}}
 	p.batch.AddQuery(batcher.Pass, q)
 	return s.perform(p, batcher.Sync)
 }
 
-// extended handles the messages of the extended protocol up to a Sync or Flush.
+// extended handles the pending messages of the extended protocol; t is the type of the message that
+// ends them, Sync or Flush.
 func (s *Session) extended(t byte) error {
-	defer s.pending.Reset(parkedBytes)
-	if t == batcher.Sync && s.skip {
+	defer s.pending.Reset(idleBufferBytes)
+	if t == batcher.Sync && s.skipToSync {
 		return s.endSkip()
 	}
 	if !s.flushed {
@@ -54,13 +55,13 @@
 		}
 	}
 	if s.syncOnly(t) {
-		s.ready()
+		s.readyForQuery()
 		return nil
 	}
 	return s.perform(p, t)
 }
 
-// syncOnly reports whether the messages are a lone Sync that no backend server waits for.
+// syncOnly reports whether the messages are a single Sync that no backend server waits for.
 func (s *Session) syncOnly(t byte) bool {
 	return t == batcher.Sync && len(s.pending.Items) == 1 && !s.flushed
 }
@@ -68,32 +69,33 @@
 // refuse answers a request that isn't sent to a backend server.
 func (s *Session) refuse(f *failure) error {
 	s.report(f)
-	s.ended(f, 0)
-	s.ready()
+	s.countRequest(f, 0)
+	s.readyForQuery()
 	return nil
 }
 
-// refuseExtended also skips to the Sync where the error came at a Flush.
+// refuseExtended answers a request that isn't sent to a backend server. After an error at a Flush,
+// the messages up to the next Sync are skipped.
 func (s *Session) refuseExtended(f *failure, t byte) error {
 	if t == batcher.Sync && !s.flushed {
 		return s.refuse(f)
 	}
 	s.report(f)
-	s.ended(f, 0)
-	s.skip = true
+	s.countRequest(f, 0)
+	s.skipToSync = true
 	if t == batcher.Sync {
 		return s.endSkip()
 	}
 	return nil
 }
 
-// endSkip ends a pipeline that failed at a Flush.
+// endSkip ends the skipping of messages at a Sync, after an error at a Flush.
 func (s *Session) endSkip() error {
-	s.skip = false
-	s.pending.Reset(parkedBytes)
+	s.skipToSync = false
+	s.pending.Reset(idleBufferBytes)
 	if !s.flushed || s.lease == nil {
 		s.flushed = false
-		s.ready()
+		s.readyForQuery()
 		return nil
 	}
 	p := &plan{}
@@ -101,28 +103,28 @@
 	return s.perform(p, batcher.Sync)
 }
 
-// perform runs a plan here or at a backend server and answers the caller.
+// perform runs a plan locally or at a backend server and answers the caller.
 func (s *Session) perform(p *plan, t byte) error {
 	if f := s.check(p); f != nil {
 		return s.refuseExtended(f, t)
 	}
-	if a, ok := s.answerHere(p); ok {
+	if a, ok := s.findLocalAnswer(p); ok {
 		return s.answerLocally(p, a, t)
 	}
 	s.errored = false
 	var w scheduler.Stopwatch
 	w.Elapsed()
 	x := s.startRequest()
-	f := s.attempts(x, p, t)
+	f := s.runAttempts(x, p, t)
 	s.endRequest(x)
 	if f != nil {
 		s.report(f)
 	}
-	s.ended(f, w.Elapsed())
+	s.countRequest(f, w.Elapsed())
 	if f != nil && s.lease == nil && endsTransaction(p) {
 		s.status = exchanger.Idle
 	}
-	s.settleDefinitions(p, f != nil || s.errored)
+	s.forgetFailedParses(p, f != nil || s.errored)
 	s.afterRequest(f, t)
 	if s.out.err != nil {
 		return s.out.err
@@ -130,14 +132,14 @@
 	return nil
 }
 
-// check refuses what can't be served without being silently wrong.
+// check refuses statements that can't be served, or whose results could be wrong without an error.
 func (s *Session) check(p *plan) *failure {
 	for _, d := range p.all() {
 		if r := d.statement.Refusal; r != classifier.RefusalNone {
 			return notRun(codeFeature, "statement refused: "+r.String(), nil)
 		}
 	}
-	if s.status == exchanger.Idle && !s.pinned && asksSequence(p) {
+	if s.status == exchanger.Idle && !s.pinned && dependsOnSequenceState(p) {
 		return notRun(codeFeature, "currval and lastval are only served within the transaction that used the sequence", nil)
 	}
 	if s.status == exchanger.Failed && s.lease == nil && !endsTransaction(p) {
@@ -146,10 +148,10 @@
 	return nil
 }
 
-// asksSequence reports whether the answer would depend on what the connection
-// last did with a sequence, which may have been another caller's request.
-func asksSequence(p *plan) bool {
-	for _, d := range p.parts {
+// dependsOnSequenceState reports whether the answer depends on the connection's last use of a
+// sequence, which may belong to the request of another caller.
+func dependsOnSequenceState(p *plan) bool {
+	for _, d := range p.executed {
 		if d.statement.SequenceState {
 			return true
 		}
@@ -157,17 +159,17 @@
 	return false
 }
 
-// all returns the statements that a plan executes or looks at.
+// all returns the statements that a plan executes, parses or describes.
 func (p *plan) all() []*prepared {
-	return append(p.parts[:len(p.parts):len(p.parts)], p.parsed...)
+	return append(p.executed[:len(p.executed):len(p.executed)], p.parsed...)
 }
 
 // endsTransaction reports whether the plan is a single COMMIT or ROLLBACK.
 func endsTransaction(p *plan) bool {
-	if len(p.parts) != 1 {
+	if len(p.executed) != 1 {
 		return false
 	}
-	k := p.parts[0].statement.Kind
+	k := p.executed[0].statement.Kind
 	return k == classifier.KindCommit || k == classifier.KindRollback
 }
 
@@ -179,16 +181,16 @@
 	return t
 }
 
-// attempts runs a plan at backend servers until it is done, can't be repeated,
-// or the request's time is over.
-func (s *Session) attempts(x context.Context, p *plan, t byte) *failure {
+// runAttempts runs a plan at backend servers until it is done, can't be repeated, or the request's
+// context ends.
+func (s *Session) runAttempts(x context.Context, p *plan, t byte) *failure {
 	a := attempt{session: s, plan: p, end: t}
 	if f := a.startKeyed(); f != nil {
 		return f
 	}
 	for {
-		f, again := a.run(x)
-		if !again {
+		f, retry := a.run(x)
+		if !retry {
 			return f
 		}
 		if x.Err() != nil {
@@ -199,91 +201,93 @@
 	}
 }
 
-// settleDefinitions forgets statements whose Parse didn't succeed.
-func (s *Session) settleDefinitions(p *plan, failed bool) {
-	n := s.out.parsed
+// forgetFailedParses removes the statements whose Parse did not succeed.
+func (s *Session) forgetFailedParses(p *plan, failed bool) {
+	n := s.out.parseCompletes
 	if !failed || n >= len(p.defined) {
 		return
 	}
 	s.statements.forget(p.defined[n:])
 }
 
-// afterRequest releases the connection at a transaction's end and tells the caller.
+// afterRequest releases the connection at the end of a transaction and sends ReadyForQuery.
 func (s *Session) afterRequest(f *failure, t byte) {
 	s.flushed = t == batcher.Flush && s.lease != nil
 	if t == batcher.Flush {
-		// A server that has answered with an error skips to the Sync as well.
-		s.skip = f != nil || s.errored
+		// After an error, the server skips the messages up to the Sync as well.
+		s.skipToSync = f != nil || s.errored
 		return
 	}
 	if s.lease != nil && s.status == exchanger.Idle && !s.pinned {
-		s.giveBack(true)
+		s.releaseConnection(true)
 	}
 	if s.keyed != nil && s.status == exchanger.Idle {
 		s.endKeyed(f)
 	}
-	s.ready()
+	s.readyForQuery()
 }
 
-// endKeyed forgets the key once its request is over; one that did not run may
-// be sent again under the same SET.
+// endKeyed removes the idempotency key once its request is done. The key that was set by SET is kept
+// for a request that did not run, which may be sent again.
 func (s *Session) endKeyed(f *failure) {
 	if f == nil || f.outcome != recorder.NotRun {
-		s.key = ""
+		s.idempotencyKey = ""
 	}
 	s.keyed = nil
 }
 
-// giveBack returns the connection to its pool.
-func (s *Session) giveBack(clean bool) {
+// releaseConnection returns the connection to its pool. clean says that it is outside a transaction
+// with nothing unread.
+func (s *Session) releaseConnection(clean bool) {
 	if s.lease == nil {
 		return
 	}
-	s.lease.Release(lessor.Return{Clean: clean, Settings: s.replay.Settings(), HiddenState: s.hidden})
+	s.lease.Release(lessor.Return{Clean: clean, Settings: s.replay.Settings(), HiddenState: s.hiddenState})
 	s.lease = nil
-	s.hidden = false
-	s.begun = nil
+	s.hiddenState = false
+	s.deferredBegin = nil
 }
 
-// report sends an error with its outcome and notes it.
+// report sends the caller an error with its outcome, and records the outcome.
 func (s *Session) report(f *failure) {
-	s.abort()
+	s.abortTransaction()
 	s.out.dropHeld()
 	s.out.send(f.response(s.requestID()))
-	s.note(f.outcome, f)
+	s.recordOutcome(f.outcome, f)
 }
 
-// abort ends the transaction in which an error was answered, as a server does
-// by itself. Otherwise a caller that takes the transaction for failed would
-// commit with its next one what it was told did not run.
-func (s *Session) abort() {
+// abortTransaction ends the transaction in which an error was answered, as PostgreSQL does.
+// Otherwise, a caller that assumes that the transaction failed would commit, with its next
+// transaction, statements that were reported as not run.
+func (s *Session) abortTransaction() {
 	if s.status != exchanger.InTransaction {
 		return
 	}
-	s.giveBack(false)
-	s.begun = nil
+	s.releaseConnection(false)
+	s.deferredBegin = nil
 	s.pinned = false
 	s.replay.End(false)
 	s.status = exchanger.Failed
 }
 
-// note keeps and logs the outcome of a request.
-func (s *Session) note(o recorder.Outcome, f *failure) {
-	s.last = lastOutcome{request: s.request, outcome: o}
+// recordOutcome stores the outcome of the current request and logs a failure.
+func (s *Session) recordOutcome(o recorder.Outcome, f *failure) {
+	s.lastOutcome = lastOutcome{request: s.request, outcome: o}
 	if f == nil {
 		return
 	}
 	s.Log.WithField("session", s.ID).WithField("request", s.requestID()).WithField("outcome", string(o)).WithField("sqlstate", f.code).WithError(f).Warn("request failed")
 }
 
-// moveMark takes over a position that the session has seen and that lasts.
-func (s *Session) moveMark(m marker.Mark) {
+// raiseMark raises the session's mark to a position that the session has observed and that is
+// durable.
+func (s *Session) raiseMark(m marker.Mark) {
 	if !m.IsZero() {
 		s.marks.Raise(s.group, m)
 	}
 }
 
-// cause returns why a request's context ended, for the caller.
+// cause returns the reason for which a request's context ended, for a message to the caller.
 func cause(x context.Context) string {
 	switch c := context.Cause(x); {
 	case errors.Is(c, errCancelled):
--- a/internal/caller/server/session.go
+++ b/internal/caller/server/session.go
@@ -1,4 +1,4 @@
-// Package server serves one caller's session over the PostgreSQL protocol.
+// Package server serves the session of one caller over the PostgreSQL protocol.
 package server
 
 import (
@@ -24,29 +24,30 @@
 )
 
 const (
-	// inboundBytes is read ahead from a caller.
+	// inboundBytes is the size of the read buffer of a caller's connection.
 	inboundBytes = 4 << 10
-	idleMessage  = "the entry host is stopping, please reconnect"
+	// stoppingMessage is sent to callers whose sessions end because the host stops.
+	stoppingMessage = "the entry host is stopping, please reconnect"
 )
 
-// ErrStopping ends sessions at a planned stop.
+// ErrStopping is the reason of sessions that end at a planned stop of the entry host.
 const ErrStopping = errors.ConstError("entry host stopping")
 
-// errCancelled is the cause of a request's end when the caller cancelled it.
+// errCancelled is the cause of a request's context after the caller cancelled the request.
 const errCancelled = errors.ConstError("cancelled by caller")
 
-// errDisconnected is the cause when the caller's connection ended.
+// errDisconnected is the cause of a session's context after the caller's connection ended.
 const errDisconnected = errors.ConstError("caller disconnected")
 
-// Marks turns a session's marks into a token and back, usually a signer.Signer.
+// Marks converts a session's marks to a signed token and back, usually a signer.Signer.
 type Marks interface {
-	// Sign returns the token for marks.
+	// Sign returns the token of the marks.
 	Sign(marks []tracker.GroupMark) (string, error)
-	// Restore checks a token and raises in t its marks of groups.
+	// Restore checks the token and raises the marks of the groups in t to those in the token.
 	Restore(token string, groups []string, t *tracker.Tracker) error
 }
 
-// Session serves one caller. The exported fields are set before Run.
+// Session serves one caller. The exported fields are set before Prepare.
 type Session struct {
 	Greeting   greeter.Greeting
 	Key        greeter.CancelKey
@@ -54,18 +55,22 @@
 	Classifier *classifier.Classifier
 	Marks      Marks
 	Log        log.Interface
-	// ID numbers the session at its entry host, Host names that.
-	ID                  uint64
-	Host                string
+	// ID is the number of the session, unique at its entry host. Host is the name of the entry host.
+	ID   uint64
+	Host string
+	// MaximumMessageBytes bounds one message, and the messages up to the next Sync or Flush.
 	MaximumMessageBytes int
-	WriteTimeout        time.Duration
-	// RequestTimeout ends a request whose caller declared no timeout.
+	// WriteTimeout bounds one write to the caller.
+	WriteTimeout time.Duration
+	// RequestTimeout bounds the time of each request. A statement_timeout of the caller's can only
+	// shorten it.
 	RequestTimeout time.Duration
-	// IdleInTransactionTimeout ends a transaction whose caller sends nothing; zero is never.
+	// IdleInTransactionTimeout ends a session whose caller sends nothing while it holds a connection
+	// that isn't pinned; zero disables it.
 	IdleInTransactionTimeout time.Duration
-	// Counters may be nil.
+	// Counters counts requests and cancels, nil for none.
 	Counters Counters
-	// ServerParameters are reported to the caller at the start.
+	// ServerParameters are reported to the caller at the start as parameter statuses.
 	ServerParameters map[string]string
 
 	in         inbound
@@ -73,64 +78,76 @@
 	statements statements
 	replay     replayer.Session
 
-	ctx    context.Context
-	end    context.CancelCauseFunc
-	drain  chan struct{}
-	once   sync.Once
-	mu     sync.Mutex
-	cancel context.CancelCauseFunc
-
-	group   string
-	role    string
+	ctx           context.Context
+	cancelSession context.CancelCauseFunc
+	// drain is closed by Drain.
+	drain     chan struct{}
+	drainOnce sync.Once
+	// mu guards cancelRequest.
+	mu sync.Mutex
+	// cancelRequest cancels the request in progress, nil between requests.
+	cancelRequest context.CancelCauseFunc
+
+	group string
+	role  string
+	// request is the number of the current request.
 	request uint64
 	marks   tracker.Tracker
-	sent    marker.Mark
-	key     string
-	// tag and maximumAge stand in for those of a statement's comment.
-	tag        string
-	maximumAge string
-	last       lastOutcome
-
-	current *batcher.Batch
-	at      int
+	// reportedMark is the mark that was last reported to the caller.
+	reportedMark marker.Mark
+	// idempotencyKey is the key that the caller set for the next write or transaction.
+	idempotencyKey string
+	// tag and maximumAge are the caller's settings. They apply to statements whose comment has none.
+	tag         string
+	maximumAge  string
+	lastOutcome lastOutcome
+
+	// current holds the messages being handled, and nextItem is the index of the next one.
+	current  *batcher.Batch
+	nextItem int
+	// pending collects messages of the extended protocol until a Sync or Flush.
 	pending batcher.Batch
 
 	lease lessor.Lease
-	// leased are the settings that the lease was asked for with.
-	leased replayer.Settings
-	choice Choice
-	status byte
-	begun  *beginning
-	keyed  *keyed
+	// leaseSettings are the settings with which the lease was requested.
+	leaseSettings replayer.Settings
+	choice        Choice
+	// status is the transaction state, as in ReadyForQuery.
+	status        byte
+	deferredBegin *deferredBegin
+	keyed         *keyedRequest
+	// pinned says that the session keeps its connection until either of them ends.
 	pinned bool
-	// hidden says that the connection may hold state that isn't tracked, so
-	// that it is cleared before anybody else uses it.
-	hidden  bool
-	skip    bool
+	// hiddenState says that the connection may have state that isn't tracked, so that it must be
+	// cleared before another session uses it.
+	hiddenState bool
+	// skipToSync says that messages up to the next Sync are skipped after an error.
+	skipToSync bool
+	// flushed says that the last batch ended in a Flush and its connection awaits further messages.
 	flushed bool
 	// errored says that the server answered the last batch with an error.
 	errored bool
 }
 
-// lastOutcome is what SHOW cuminwick.last_outcome answers.
+// lastOutcome is the outcome that SHOW cuminwick.last_outcome returns.
 type lastOutcome struct {
-	// request is zero if there was none.
+	// request is the number of the request, zero if there was none.
 	request uint64
 	outcome recorder.Outcome
 }
 
-// beginning is a BEGIN that the caller has sent and no backend server has seen:
-// the first statement decides where the transaction runs.
-type beginning struct {
+// deferredBegin is a BEGIN of the caller that hasn't been sent to a backend server yet, since the
+// first statement decides where the transaction runs.
+type deferredBegin struct {
 	sql      string
 	readOnly bool
 	// key is the idempotency key in the BEGIN's comment.
 	key string
 }
 
-// Prepare makes the session ready for Run, Cancel and Drain.
+// Prepare initializes the session. It must be called before Run, Cancel and Drain.
 func (s *Session) Prepare(ctx context.Context) {
-	s.ctx, s.end = context.WithCancelCause(ctx)
+	s.ctx, s.cancelSession = context.WithCancelCause(ctx)
 	s.drain = make(chan struct{})
 	s.status = exchanger.Idle
 	s.group = s.Greeting.Parameters["database"]
@@ -147,33 +164,33 @@
 func (s *Session) Cancel() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.cancel != nil {
-		s.cancel(errCancelled)
+	if s.cancelRequest != nil {
+		s.cancelRequest(errCancelled)
 	}
 	if s.Counters != nil {
-		s.Counters.Cancelled(s.cancel != nil)
+		s.Counters.Cancelled(s.cancelRequest != nil)
 	}
 }
 
-// Drain ends the session at the next moment without a request or transaction.
+// Drain ends the session as soon as it has no request or transaction in progress.
 func (s *Session) Drain() {
-	s.once.Do(func() { close(s.drain) })
+	s.drainOnce.Do(func() { close(s.drain) })
 }
 
-// Close ends the session at once.
+// Close ends the session immediately.
 func (s *Session) Close() {
-	s.end(ErrStopping)
+	s.cancelSession(ErrStopping)
 	s.Greeting.Conn.Close()
 }
 
-// Run serves the caller until it leaves or the session is drained.
+// Run serves the caller until it disconnects or the session is drained.
 func (s *Session) Run() error {
 	defer s.finish()
 	if err := s.start(); err != nil {
 		return err
 	}
 	for {
-		err := s.next()
+		err := s.receive()
 		if err != nil {
 			return err
 		}
@@ -183,14 +200,14 @@
 	}
 }
 
-// lost is called by the reader when the caller's connection ends: whatever is
-// queued or runs for it counts as cancelled.
-func (s *Session) lost(error) {
-	s.end(errDisconnected)
+// disconnected is called by the reader when the caller's connection ends. It cancels what is queued
+// or running for the caller.
+func (s *Session) disconnected(error) {
+	s.cancelSession(errDisconnected)
 }
 
-// next waits for the caller's next messages.
-func (s *Session) next() error {
+// receive waits for the caller's next messages.
+func (s *Session) receive() error {
 	if s.current != nil {
 		s.in.empty <- s.current
 		s.current = nil
@@ -199,9 +216,9 @@
 	defer stop()
 	select {
 	case b, ok := <-s.in.full:
-		return s.received(b, ok)
+		return s.takeBatch(b, ok)
 	case <-s.drainable():
-		s.fatal(&failure{severity: severityFatal, code: codeShutdown, message: idleMessage, outcome: recorder.NotRun})
+		s.fatal(&failure{severity: severityFatal, code: codeShutdown, message: stoppingMessage, outcome: recorder.NotRun})
 		return ErrStopping
 	case <-idle:
 		s.fatal(&failure{severity: severityFatal, code: "25P03", message: "transaction ended: caller sent nothing within the idle-in-transaction timeout", outcome: recorder.NotRun})
@@ -209,12 +226,12 @@
 	}
 }
 
-func (s *Session) received(b *batcher.Batch, ok bool) error {
+func (s *Session) takeBatch(b *batcher.Batch, ok bool) error {
 	if !ok {
 		return s.readError()
 	}
 	s.current = b
-	s.at = 0
+	s.nextItem = 0
 	return nil
 }
 
@@ -229,7 +246,7 @@
 	return err
 }
 
-// drainable returns a channel that is closed when the session may be ended now.
+// drainable returns the drain channel if the session may end now, else nil.
 func (s *Session) drainable() <-chan struct{} {
 	if s.status != exchanger.Idle || s.flushed || s.pending.Bytes() > 0 || s.pinned {
 		return nil
@@ -237,7 +254,8 @@
 	return s.drain
 }
 
-// idleTimer bounds how long a caller may hold a connection without using it.
+// idleTimer limits how long a caller may hold a connection without using it. It returns a nil
+// channel if there is no limit.
 func (s *Session) idleTimer() (<-chan time.Time, func()) {
 	if s.lease == nil || s.IdleInTransactionTimeout == 0 || s.pinned {
 		return nil, func() {}
@@ -246,9 +264,9 @@
 	return t.C, func() { t.Stop() }
 }
 
-// Next implements exchanger.Input: it returns the caller's next message.
+// Next implements exchanger.Input. It returns the caller's next message.
 func (s *Session) Next() (byte, []byte, error) {
-	for s.current == nil || s.at >= len(s.current.Items) {
+	for s.current == nil || s.nextItem >= len(s.current.Items) {
 		if s.current != nil {
 			s.in.empty <- s.current
 			s.current = nil
@@ -261,27 +279,27 @@
 			return 0, nil, s.in.err
 		}
 		s.current = b
-		s.at = 0
+		s.nextItem = 0
 	}
-	i := s.at
-	s.at++
+	i := s.nextItem
+	s.nextItem++
 	return s.current.Items[i].Type, s.current.Raw(i), nil
 }
 
-// handle works on the messages that next received.
+// handle handles the received messages.
 func (s *Session) handle() error {
-	for s.current != nil && s.at < len(s.current.Items) {
-		i := s.at
-		s.at++
-		if err := s.message(s.current.Items[i].Type, i); err != nil {
+	for s.current != nil && s.nextItem < len(s.current.Items) {
+		i := s.nextItem
+		s.nextItem++
+		if err := s.handleMessage(s.current.Items[i].Type, i); err != nil {
 			return err
 		}
 	}
 	return s.out.flush()
 }
 
-func (s *Session) message(t byte, i int) error {
-	if s.skip && t != batcher.Sync && t != terminate {
+func (s *Session) handleMessage(t byte, i int) error {
+	if s.skipToSync && t != batcher.Sync && t != terminate {
 		return nil
 	}
 	switch t {
@@ -293,7 +311,7 @@
 		s.pending.Add(t, batcher.Pass, s.current.Raw(i))
 		return s.extended(t)
 	case batcher.CopyData, batcher.CopyDone, batcher.CopyFail:
-		// Late data of a COPY that has failed already is ignored, as servers do.
+		// Late data of a COPY that has failed is ignored, as PostgreSQL does.
 		return nil
 	case terminate:
 		return errDisconnected
@@ -315,31 +333,31 @@
 	return nil
 }
 
-// fatal tells the caller why its connection ends.
+// fatal sends the caller the reason for which its connection ends.
 func (s *Session) fatal(f *failure) {
 	f.severity = severityFatal
 	s.out.send(f.response(s.requestID()))
 	_ = s.out.flush()
 }
 
-// notice tells the caller something that is no error.
+// notice sends the caller a notice.
 func (s *Session) notice(message string) {
 	s.out.send(&pgproto3.NoticeResponse{Severity: "NOTICE", SeverityUnlocalized: "NOTICE", Code: "00000", Message: message})
 }
 
-// ready ends the answer to a request.
-func (s *Session) ready() {
+// readyForQuery ends the answer to a request with ReadyForQuery.
+func (s *Session) readyForQuery() {
 	if s.status == exchanger.Idle {
-		s.statements.endPortals()
+		s.statements.closePortals()
 		s.reportMark()
 	}
-	s.out.raw('Z', s.status)
+	s.out.sendRaw('Z', s.status)
 }
 
-// finish releases what the session holds; a transaction in progress is ended
-// by closing its connection, which rolls it back.
+// finish releases the session's resources. A transaction in progress is rolled back, since its
+// connection is closed.
 func (s *Session) finish() {
-	s.end(errDisconnected)
+	s.cancelSession(errDisconnected)
 	if s.lease != nil {
 		s.lease.Release(lessor.Return{})
 		s.lease = nil
--- a/internal/caller/server/welcome.go
+++ b/internal/caller/server/welcome.go
@@ -10,7 +10,8 @@
 	"github.com/cuminwick/cuminwick/internal/wire/framer"
 )
 
-// start welcomes the caller, who has authenticated by now.
+// start reads the session mark of the startup message, completes the startup and starts the reader.
+// The caller has been authenticated before.
 func (s *Session) start() error {
 	s.in = inbound{
 		reader: framer.Reader{
@@ -18,13 +19,13 @@
 			MaximumBytes: s.MaximumMessageBytes,
 		},
 		maximumBytes: s.MaximumMessageBytes,
-		lost:         s.lost,
+		onError:      s.disconnected,
 	}
-	if err := s.startMark(); err != nil {
+	if err := s.restoreStartupMark(); err != nil {
 		s.fatal(describe(err))
 		return err
 	}
-	s.welcome()
+	s.completeStartup()
 	if err := s.out.flush(); err != nil {
 		return err
 	}
@@ -32,22 +33,22 @@
 	return nil
 }
 
-func (s *Session) startMark() error {
+func (s *Session) restoreStartupMark() error {
 	t := s.Greeting.Parameters[classifier.SettingMark]
 	if t == "" {
 		return nil
 	}
-	return s.takeMark(t)
+	return s.restoreMark(t)
 }
 
-func (s *Session) takeMark(token string) error {
+func (s *Session) restoreMark(token string) error {
 	if err := s.Marks.Restore(token, s.Director.Groups(), &s.marks); err != nil {
 		return notRun(codeInvalidParameter, "the session mark is refused: "+errors.Cause(err).Error(), err)
 	}
 	return nil
 }
 
-func (s *Session) welcome() {
+func (s *Session) completeStartup() {
 	s.out.send(&pgproto3.AuthenticationOk{})
 	for n, v := range s.ServerParameters {
 		if w, ok := s.Greeting.Parameters[n]; ok {
@@ -58,13 +59,14 @@
 	k := make([]byte, 0, 4)
 	k = append(k, byte(s.Key.SecretKey>>24), byte(s.Key.SecretKey>>16), byte(s.Key.SecretKey>>8), byte(s.Key.SecretKey))
 	s.out.send(&pgproto3.BackendKeyData{ProcessID: s.Key.ProcessID, SecretKey: k})
-	s.ready()
+	s.readyForQuery()
 }
 
-// reportMark gives the caller the mark to bring along when it roams.
+// reportMark sends the caller its session mark, which it presents when it connects to another entry
+// host.
 func (s *Session) reportMark() {
 	m, ok := s.marks.Get(s.group)
-	if !ok || m == s.sent {
+	if !ok || m == s.reportedMark {
 		return
 	}
 	t, err := s.Marks.Sign(s.marks.Marks)
@@ -72,6 +74,6 @@
 		s.Log.WithError(err).WithField("step", "sign mark").WithField("session", s.ID).Error("mark not reported")
 		return
 	}
-	s.sent = m
+	s.reportedMark = m
 	s.out.send(&pgproto3.ParameterStatus{Name: classifier.SettingMark, Value: t})
 }
