--- a/internal/caller/server/ahead_test.go
+++ b/internal/caller/server/ahead_test.go
@@ -41,7 +41,7 @@
 			r := exchanger.Result{Status: exchanger.Idle, Before: tt.before, Position: tt.position}
 			f, retry := a.confirm(t.Context(), r)
 			if f == nil || retry != tt.retry {
-				t.Errorf("retry %t, want %t: %v", retry, tt.retry, f)
+				t.Errorf("retry %t, failure %v", retry, f)
 			}
 		})
 	}
--- a/internal/caller/server/begun_test.go
+++ b/internal/caller/server/begun_test.go
@@ -50,7 +50,7 @@
 		err    error
 	}{
 		{name: "not sent", err: exchanger.ErrNotSent},
-		{name: "connection lost", err: exchanger.ErrLost},
+		{name: "lost", err: exchanger.ErrLost},
 		{name: "lease refused at the exchange", err: errors.WithType(lessor.ErrNotRun, lessor.ErrUnreachable)},
 		{name: "fenced primary", result: exchanger.Result{Status: exchanger.Failed, Code: codeReadOnly}},
 	}
--- a/internal/caller/server/fuzz_test.go
+++ b/internal/caller/server/fuzz_test.go
@@ -94,7 +94,7 @@
 			t.Errorf("error without a SQLSTATE of its own: %v", err)
 		}
 		if len(s.portals) > maximumPortals {
-			t.Errorf("%d portals, limit %d", len(s.portals), maximumPortals)
+			t.Errorf("%d open portals, more than the limit", len(s.portals))
 		}
 		var answers []int
 		for i, m := range p.batch.Items {
--- a/internal/caller/server/keyed.go
+++ b/internal/caller/server/keyed.go
@@ -43,9 +43,9 @@
 	deferredBegin *deferredBegin
 }
 
-// idempotencyKey returns the key of a plan that starts on a fresh connection, empty for none. A key
+// requestKey returns the key of a plan that starts on a fresh connection, empty for none. A key
 // that was set by SET applies to the next write or transaction.
-func (a *attempt) idempotencyKey() string {
+func (a *attempt) requestKey() string {
 	s := a.session
 	for _, d := range a.plan.executed {
 		if k := d.statement.IdempotencyKey; k != "" {
@@ -77,7 +77,7 @@
 	if s.lease != nil {
 		return nil
 	}
-	k := a.idempotencyKey()
+	k := a.requestKey()
 	if k == "" {
 		return nil
 	}
--- a/internal/caller/server/keyed_test.go
+++ b/internal/caller/server/keyed_test.go
@@ -22,7 +22,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if f := rolledBack(c.x); f.code != c.code || f.outcome != recorder.NotRun {
-				t.Errorf("outcome %s with SQLSTATE %s, want %s", f.outcome, f.code, c.code)
+				t.Errorf("outcome %s with SQLSTATE %s", f.outcome, f.code)
 			}
 		})
 	}
