--- a/internal/bench/runner/deployed.go
+++ b/internal/bench/runner/deployed.go
@@ -141,7 +141,7 @@
 
 // fixed gives every entry host the same configuration.
 func fixed(_ string, f *declarer.File) host.Source {
-	return host.Fixed{Revision: 1, File: f}
+	return host.FixedSource{Revision: 1, File: f}
 }
 
 func (d *Deployed) locateHost(h *host.Host) {
--- a/internal/bench/runner/race_test.go
+++ b/internal/bench/runner/race_test.go
@@ -21,7 +21,7 @@
 // configuration now and then, and tells nobody what it decides by.
 type poller struct {
 	store   *storekeeper.Store
-	current atomic.Pointer[host.Fixed]
+	current atomic.Pointer[host.FixedSource]
 	changed chan struct{}
 }
 
@@ -40,7 +40,7 @@
 		if err != nil {
 			continue
 		}
-		p.current.Store(&host.Fixed{Revision: uint64(h.Accepted), File: &f})
+		p.current.Store(&host.FixedSource{Revision: uint64(h.Accepted), File: &f})
 		p.tell()
 	}
 	return ctx.Err()
@@ -76,7 +76,7 @@
 		s := &poller{store: d.store, changed: make(chan struct{}, 1)}
 		// With the defaults that operators' files have, so that no group changes.
 		x := defaulter.Fill(*f)
-		s.current.Store(&host.Fixed{File: &x})
+		s.current.Store(&host.FixedSource{File: &x})
 		return s
 	}
 	o, err := r.Measure(t.Context())
--- a/internal/host/assembler/assembler.go
+++ b/internal/host/assembler/assembler.go
@@ -43,8 +43,8 @@
 	Host *runner.Host
 	// Follower keeps the host at the configuration in force.
 	Follower *follower.Host
-	// Lines writes the log lines; it must run beside the host and outlast it.
-	Lines *encoder.Encoder
+	// LogEncoder writes the log lines; it must run beside the host and outlast it.
+	LogEncoder *encoder.Encoder
 
 	log      log.Interface
 	platform *requester.Client
@@ -55,12 +55,12 @@
 
 // Assemble builds the host and opens its addresses.
 func (a *Assembler) Assemble() error {
-	a.Lines = lines(a.Settings.Log, a.LogOutput)
+	a.LogEncoder = lines(a.Settings.Log, a.LogOutput)
 	l, err := log.ParseLevel(string(a.Settings.Log.Level))
 	if err != nil {
 		return errors.Annotate(err, "set log level")
 	}
-	a.log = &log.Logger{Handler: a.Lines, Level: l}
+	a.log = &log.Logger{Handler: a.LogEncoder, Level: l}
 	m, err := marks(a.Settings)
 	if err != nil {
 		return err
@@ -71,17 +71,17 @@
 	a.clock = new(scheduler.Scheduler)
 	a.follow()
 	a.Host = &runner.Host{
-		Settings: a.Settings,
-		Platform: a.platform,
-		Source:   a.Follower,
-		Control:  a.control,
-		Marks:    m,
-		Lines:    a.Lines,
-		Clock:    a.clock,
-		Log:      a.log,
-		Gossip:   true,
-		Routes:   []listener.Route{a.sharer.Route()},
-		Parts:    []runner.Part{a.watcher, a.sharer},
+		Settings:   a.Settings,
+		Platform:   a.platform,
+		Source:     a.Follower,
+		Control:    a.control,
+		Marks:      m,
+		LogEncoder: a.LogEncoder,
+		Clock:      a.clock,
+		Log:        a.log,
+		Gossip:     true,
+		Routes:     []listener.Route{a.sharer.Route()},
+		Components: []runner.Component{a.watcher, a.sharer},
 	}
 	if err := a.secure(); err != nil {
 		return err
@@ -194,7 +194,7 @@
 // in progress.
 func (a *Assembler) Run(ctx context.Context, drain <-chan struct{}) error {
 	x, stop := context.WithCancel(context.WithoutCancel(ctx))
-	w := &writer{lines: a.Lines, ended: make(chan error, 1)}
+	w := &writer{lines: a.LogEncoder, ended: make(chan error, 1)}
 	go w.run(x)
 	a.log.WithFields(log.Fields{
 		"host":           a.Settings.HostName,
--- a/internal/host/assembler/certificates.go
+++ b/internal/host/assembler/certificates.go
@@ -38,7 +38,7 @@
 		return err
 	}
 	a.Host.Securer = &securer.Securer{Certificate: p.Certificate, Authority: p.Authority}
-	a.Host.Parts = append(a.Host.Parts, c)
+	a.Host.Components = append(a.Host.Components, c)
 	return nil
 }
 
--- a/internal/host/deployer/deployer.go
+++ b/internal/host/deployer/deployer.go
@@ -242,16 +242,16 @@
 	p.EntryHost = name
 	c := new(scheduler.Scheduler)
 	h := &runner.Host{
-		Settings: settings(name, p),
-		Platform: d.platform(p),
-		Source:   d.source(name, p, c),
-		Clock:    c,
-		Marks:    d.Marks,
-		Driver:   d.Driver,
+		Settings:       settings(name, p),
+		Platform:       d.platform(p),
+		Source:         d.source(name, p, c),
+		Clock:          c,
+		Marks:          d.Marks,
+		DriverSettings: d.Driver,
 
-		OwnerPatience: d.OwnerPatience,
-		Lines:         d.Lines,
-		Log:           d.Log,
+		MinimumPeerTimeout: d.OwnerPatience,
+		LogEncoder:         d.Lines,
+		Log:                d.Log,
 
 		PrimaryReads: d.PrimaryReads,
 	}
--- a/internal/host/deployer/lifecycle.go
+++ b/internal/host/deployer/lifecycle.go
@@ -62,7 +62,7 @@
 	d.ends[i].planned = true
 	h := d.Hosts[i]
 	l := &loss{roster: d.Roster, name: h.Settings.HostName, address: h.PeerAddress()}
-	h.Vanish()
+	h.ClosePeerSocket()
 	time.AfterFunc(lossDetection, l.run)
 	d.ends[i].kill()
 }
--- a/internal/host/deployer/pools_test.go
+++ b/internal/host/deployer/pools_test.go
@@ -43,7 +43,7 @@
 		Service:       "db",
 		Server:        deployer.Pattern{Slots: 2, Connections: 16},
 		Platform:      new(storekeeper.Store),
-		Source:        func(_ string, f *file.File) runner.Source { return runner.Fixed{Revision: 1, File: f} },
+		Source:        func(_ string, f *file.File) runner.Source { return runner.FixedSource{Revision: 1, File: f} },
 		Marks:         &signer.Signer{Deployment: "test", Keys: []signer.Key{{ID: 1, Secret: []byte("0123456789abcdef")}}},
 		Driver:        patient(),
 		Log:           &log.Logger{Handler: discard.New(), Level: log.InfoLevel},
--- a/internal/host/runner/ascender.go
+++ b/internal/host/runner/ascender.go
@@ -11,8 +11,8 @@
 	"github.com/cuminwick/cuminwick/internal/state/blackboard"
 )
 
-// Observer is a Source that can be told that a peer is at a revision.
-type Observer interface {
+// RevisionObserver is a Source that can be told that a peer is at a revision.
+type RevisionObserver interface {
 	// Observe returns once the source is at revision r or a later one.
 	Observe(ctx context.Context, r uint64) error
 }
@@ -21,7 +21,7 @@
 // is handled. Otherwise one request could be decided by two configurations.
 type ascender struct {
 	host     *Host
-	observer Observer
+	observer RevisionObserver
 }
 
 // ascendTimeout bounds the wait, after which the message is refused.
--- a/internal/host/runner/fixed.go
+++ b/internal/host/runner/fixed.go
@@ -6,20 +6,20 @@
 	file "github.com/cuminwick/cuminwick/internal/config/declarer"
 )
 
-// Fixed is a Source whose configuration doesn't change.
-type Fixed struct {
+// FixedSource is a Source whose configuration doesn't change.
+type FixedSource struct {
 	Revision uint64
 	File     *file.File
 }
 
 // Run implements Source.
-func (f Fixed) Run(ctx context.Context) error {
+func (f FixedSource) Run(ctx context.Context) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
 
 // Current implements Source.
-func (f Fixed) Current() (uint64, *file.File) { return f.Revision, f.File }
+func (f FixedSource) Current() (uint64, *file.File) { return f.Revision, f.File }
 
 // Changed implements Source.
-func (f Fixed) Changed() <-chan struct{} { return nil }
+func (f FixedSource) Changed() <-chan struct{} { return nil }
--- a/internal/host/runner/meter.go
+++ b/internal/host/runner/meter.go
@@ -99,10 +99,10 @@
 
 func (m *meter) read() {
 	m.host.collector.CallerConnections.Set(float64(m.host.listener.Count()))
-	if m.host.Lines == nil {
+	if m.host.LogEncoder == nil {
 		return
 	}
-	n := m.host.Lines.Dropped()
+	n := m.host.LogEncoder.Dropped()
 	m.host.collector.LogLinesDropped.Add(float64(n - m.dropped))
 	m.dropped = n
 }
--- a/internal/host/runner/peers.go
+++ b/internal/host/runner/peers.go
@@ -124,11 +124,11 @@
 		Links:          p.links,
 		Self:           p.self,
 		Locate:         h.Members.Locate,
-		ConnectTimeout: max(min(h.Settings.Limits.ConnectTimeout, maximumPeerConnect), h.OwnerPatience),
+		ConnectTimeout: max(min(h.Settings.Limits.ConnectTimeout, maximumPeerConnect), h.MinimumPeerTimeout),
 		PeerStreams:    h.Settings.Limits.PeerStreams,
 	}
 	p.avoider.FirstPause, p.avoider.MaximumPause = firstAvoidance, maximumAvoidance
-	p.forwarder = &forwarder.Forwarder{Peers: p.dialer, Avoider: &p.avoider, Forwards: h.collector.PeerForwards, MinimumTimeout: h.OwnerPatience}
+	p.forwarder = &forwarder.Forwarder{Peers: p.dialer, Avoider: &p.avoider, Forwards: h.collector.PeerForwards, MinimumTimeout: h.MinimumPeerTimeout}
 	p.control = &relayer.Dialer{Dialer: p.dialer}
 	p.cancels = &cancels.Forwarder{
 		Self:    h.Settings.HostName,
@@ -154,7 +154,7 @@
 	p.listener.Routes = append(p.listener.Routes, n.Routes()...)
 	p.assembleWitness()
 	p.dialer.Serve = p.listener.Serve
-	if o, ok := h.Source.(Observer); ok {
+	if o, ok := h.Source.(RevisionObserver); ok {
 		a := &ascender{host: h, observer: o}
 		p.dialer.Heard = a.heard
 		p.listener.Heard = a.heard
@@ -267,9 +267,9 @@
 	return h.peers.links.Traffic()
 }
 
-// Vanish closes the socket for peers without a word, as the death of the
+// ClosePeerSocket closes the socket for peers without a word, as the death of the
 // process does; Run must be ended afterwards.
-func (h *Host) Vanish() {
+func (h *Host) ClosePeerSocket() {
 	if h.peers != nil {
 		_ = h.peers.transport.Conn.Close()
 	}
--- a/internal/host/runner/reconciler.go
+++ b/internal/host/runner/reconciler.go
@@ -81,7 +81,7 @@
 		// Hosts may have come or gone between the start of a group and now.
 		r.host.peers.reconsider()
 	}
-	if d, ok := r.host.Source.(Decider); ok {
+	if d, ok := r.host.Source.(RevisionTracker); ok {
 		d.Decided(n)
 	}
 	r.host.collector.Revision.Set(float64(n))
--- a/internal/host/runner/runner.go
+++ b/internal/host/runner/runner.go
@@ -39,8 +39,8 @@
 // ErrNotReady is what the readiness check answers before there is a configuration.
 const ErrNotReady = errors.ConstError("no configuration in force")
 
-// Decider is a Source that is told which revision this host decides by already.
-type Decider interface {
+// RevisionTracker is a Source that is told which revision this host decides by already.
+type RevisionTracker interface {
 	// Decided takes in that requests are decided by revision r from now on.
 	Decided(r uint64)
 }
@@ -55,8 +55,8 @@
 	Changed() <-chan struct{}
 }
 
-// Part is something that runs beside the host.
-type Part interface {
+// Component is something that runs beside the host.
+type Component interface {
 	Run(ctx context.Context) error
 }
 
@@ -74,12 +74,12 @@
 	// ListenPacket opens UDP sockets for peers, net.ListenUDP if nil.
 	ListenPacket func(a *net.UDPAddr) (net.PacketConn, error)
 	Marks        server.Marks
-	Lines        *encoder.Encoder
-	// Driver holds the intervals and thresholds of failover, driver.Defaults if zero.
-	Driver driver.Settings
-	// OwnerPatience is the least time that another entry host is given to be
+	LogEncoder   *encoder.Encoder
+	// DriverSettings holds the intervals and thresholds of failover, driver.Defaults if zero.
+	DriverSettings driver.Settings
+	// MinimumPeerTimeout is the least time that another entry host is given to be
 	// connected to and to take a request on, a second at most if zero.
-	OwnerPatience time.Duration
+	MinimumPeerTimeout time.Duration
 	// Clock is the timer service of all parts; Listen makes one if it is nil.
 	// The host runs it.
 	Clock *scheduler.Scheduler
@@ -94,8 +94,8 @@
 
 	// Routes serve further kinds of request of other entry hosts.
 	Routes []peerlistener.Route
-	// Parts run beside the host, once it listens and until it stops.
-	Parts []Part
+	// Components run beside the host, once it listens and until it stops.
+	Components []Component
 	// Authenticator proves who callers are; without it all are trusted.
 	Authenticator listener.Authenticator
 	// CallerTLS offers TLS to callers, if it is set.
@@ -166,8 +166,8 @@
 }
 
 func (h *Host) assemble(n net.Listener) {
-	if h.Driver == (driver.Settings{}) {
-		h.Driver = driver.Defaults()
+	if h.DriverSettings == (driver.Settings{}) {
+		h.DriverSettings = driver.Defaults()
 	}
 	if h.Clock == nil {
 		h.Clock = new(scheduler.Scheduler)
@@ -185,8 +185,8 @@
 		Configuration:    h.runtime,
 		Metrics:          director.Resolve(h.collector),
 	}
-	if h.Lines != nil {
-		h.director.Decisions = h.Lines
+	if h.LogEncoder != nil {
+		h.director.Decisions = h.LogEncoder
 	}
 	h.reconciler = &reconciler{host: h, dialer: h.dialer()}
 	h.listener = &listener.Listener{
@@ -236,7 +236,7 @@
 	if h.peers != nil {
 		g.Go(companion{ctx: y, step: h.peers.run}.run)
 	}
-	for _, p := range h.Parts {
+	for _, p := range h.Components {
 		g.Go(companion{ctx: y, step: p.Run}.run)
 	}
 	w := &drainer{host: h, ctx: y, stop: cancel, drain: drain}
