--- a/internal/admin/handler/answer.go
+++ b/internal/admin/handler/answer.go
@@ -85,8 +85,8 @@
 		return answer{http.StatusUnprocessableEntity, Failure{Error: decoder.ErrFaults.Error(), Faults: f}}
 	case errors.As(err, &d):
 		return answer{http.StatusForbidden, Failure{Error: errForbidden.Error(), Forbidden: d.changes}}
-	case errors.Is(err, authenticator.ErrTooMany):
-		return answer{http.StatusTooManyRequests, Failure{Error: authenticator.ErrTooMany.Error()}}
+	case errors.Is(err, authenticator.ErrTooManyFailures):
+		return answer{http.StatusTooManyRequests, Failure{Error: authenticator.ErrTooManyFailures.Error()}}
 	case errors.Is(err, errUnauthorized):
 		return answer{http.StatusUnauthorized, Failure{Error: errUnauthorized.Error()}}
 	case errors.Is(err, errForbidden):
--- a/internal/admin/handler/handler.go
+++ b/internal/admin/handler/handler.go
@@ -38,7 +38,7 @@
 	// Host is the entry host that answers; it may be nil.
 	Host HostControl
 	// Failures bounds wrong tokens, unless it is nil.
-	Failures *authenticator.Failures
+	Failures *authenticator.FailureLimiter
 	// Timeout is how long a change may take, DefaultTimeout if unset.
 	Timeout time.Duration
 	Log     log.Interface
@@ -120,7 +120,7 @@
 // authenticate finds the token of a request.
 func (h *Handler) authenticate(r *http.Request, now time.Time) (authorizer.Token, error) {
 	if h.Failures != nil && !h.Failures.Allow(r.RemoteAddr, now) {
-		return authorizer.Token{}, errors.Annotatef(authenticator.ErrTooMany, "peer %s", r.RemoteAddr)
+		return authorizer.Token{}, errors.Annotatef(authenticator.ErrTooManyFailures, "peer %s", r.RemoteAddr)
 	}
 	l, err := h.load(now)
 	if err != nil {
@@ -134,7 +134,7 @@
 		}
 	}
 	if h.Failures != nil {
-		h.Failures.Fail(r.RemoteAddr, now)
+		h.Failures.RecordFailure(r.RemoteAddr, now)
 	}
 	return authorizer.Token{}, errors.Annotatef(errUnauthorized, "peer %s", r.RemoteAddr)
 }
--- a/internal/admin/handler/handler_test.go
+++ b/internal/admin/handler/handler_test.go
@@ -72,7 +72,7 @@
 		TokensFile: name,
 		Status:     f.Status,
 		Host:       control{},
-		Failures:   &authenticator.Failures{PerMinute: 3},
+		Failures:   &authenticator.FailureLimiter{PerMinute: 3},
 		Log:        &log.Logger{Handler: handlers.New(&b)},
 	}
 	return h, &b
--- a/internal/caller/authenticator/authenticator.go
+++ b/internal/caller/authenticator/authenticator.go
@@ -21,8 +21,8 @@
 const (
 	// ErrRejected says that the password, the role or the message was wrong.
 	ErrRejected = errors.ConstError("password authentication failed")
-	// ErrTooMany says that too many logins from this address have failed of late.
-	ErrTooMany = errors.ConstError("too many failed logins")
+	// ErrTooManyFailures says that too many logins from this address have failed of late.
+	ErrTooManyFailures = errors.ConstError("too many failed logins")
 )
 
 // Conversation carries the messages of one caller's login.
@@ -42,7 +42,7 @@
 // Authenticator checks logins.
 type Authenticator struct {
 	// Failures bounds failed logins, unless it is nil.
-	Failures *Failures
+	Failures *FailureLimiter
 	// Secret makes up verifiers for roles that don't exist, the same ones each
 	// time; without it they could be told from roles that do.
 	Secret []byte
@@ -52,7 +52,7 @@
 // all messages but the last, AuthenticationOk, or an error to the caller.
 func (a *Authenticator) Authenticate(c Conversation, f *declarer.File, role, address string, now time.Time) (Identity, error) {
 	if a.Failures != nil && !a.Failures.Allow(address, now) {
-		return Identity{}, errors.Annotatef(ErrTooMany, "authenticate role %q of caller %s", role, address)
+		return Identity{}, errors.Annotatef(ErrTooManyFailures, "authenticate role %q of caller %s", role, address)
 	}
 	d, v, found := find(f, role)
 	if !found {
@@ -61,7 +61,7 @@
 	ok, err := converse(c, v)
 	if err != nil || !ok || !found {
 		if a.Failures != nil {
-			a.Failures.Fail(address, now)
+			a.Failures.RecordFailure(address, now)
 		}
 		if err == nil {
 			err = ErrRejected
--- a/internal/caller/authenticator/authenticator_test.go
+++ b/internal/caller/authenticator/authenticator_test.go
@@ -72,7 +72,7 @@
 	if _, err := b.ReceiveStartupMessage(); err != nil {
 		t.Fatal(err)
 	}
-	i, err := a.Authenticate(authenticator.Wire{Conn: n}, f, role, n.RemoteAddr().String(), time.Now())
+	i, err := a.Authenticate(authenticator.Connection{Conn: n}, f, role, n.RemoteAddr().String(), time.Now())
 	if err != nil {
 		b.Send(&pgproto3.ErrorResponse{Severity: "FATAL", Code: "28P01", Message: errors.Cause(err).Error()})
 		b.Flush()
@@ -112,13 +112,13 @@
 // Somebody tries passwords one after the other. After a few failures the
 // address is refused before anything is computed, until time has passed.
 func TestFailedLoginsAreBounded(t *testing.T) {
-	f := &authenticator.Failures{PerMinute: 3}
+	f := &authenticator.FailureLimiter{PerMinute: 3}
 	now := time.Unix(1000, 0)
 	for i := range 3 {
 		if !f.Allow(fmt.Sprintf("10.0.0.1:%d", i), now) {
 			t.Fatalf("refused after %d failures", i)
 		}
-		f.Fail(fmt.Sprintf("10.0.0.1:%d", i), now)
+		f.RecordFailure(fmt.Sprintf("10.0.0.1:%d", i), now)
 	}
 	if f.Allow("10.0.0.1:9", now) {
 		t.Error("allowed after too many failures")
@@ -142,7 +142,7 @@
 			y.Close()
 		}()
 		a := &authenticator.Authenticator{}
-		_, err := a.Authenticate(authenticator.Wire{Conn: x}, nil, "u", "10.0.0.1:1", time.Now())
+		_, err := a.Authenticate(authenticator.Connection{Conn: x}, nil, "u", "10.0.0.1:1", time.Now())
 		if !errors.Is(err, authenticator.ErrRejected) {
 			t.Errorf("%q: %v", b, err)
 		}
--- a/internal/caller/authenticator/failures.go
+++ b/internal/caller/authenticator/failures.go
@@ -12,8 +12,8 @@
 // maximumAddresses bounds the memory for addresses with failed logins.
 const maximumAddresses = 4096
 
-// Failures bounds the failed logins of each address. It reads no clock.
-type Failures struct {
+// FailureLimiter bounds the failed logins of each address. It reads no clock.
+type FailureLimiter struct {
 	// PerMinute is how many logins may fail in a minute, none are refused if zero.
 	PerMinute int
 
@@ -22,7 +22,7 @@
 }
 
 // Allow reports whether the address may try to log in at now.
-func (f *Failures) Allow(address string, now time.Time) bool {
+func (f *FailureLimiter) Allow(address string, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.PerMinute <= 0 || f.addresses == nil {
@@ -32,8 +32,8 @@
 	return !ok || l.TokensAt(now) >= 1
 }
 
-// Fail counts a failed login of the address at now.
-func (f *Failures) Fail(address string, now time.Time) {
+// RecordFailure counts a failed login of the address at now.
+func (f *FailureLimiter) RecordFailure(address string, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.PerMinute <= 0 {
--- a/internal/caller/authenticator/wire.go
+++ b/internal/caller/authenticator/wire.go
@@ -15,14 +15,14 @@
 // maximumMessageBytes bounds what a caller that isn't known yet may make us hold.
 const maximumMessageBytes = 4096
 
-// Wire is the conversation over a caller's connection. It reads no byte beyond
+// Connection is the conversation over a caller's connection. It reads no byte beyond
 // the messages that it returns; whoever uses it sets a deadline on the connection.
-type Wire struct {
+type Connection struct {
 	Conn net.Conn
 }
 
 // Send sends m at once.
-func (w Wire) Send(m pgproto3.BackendMessage) error {
+func (w Connection) Send(m pgproto3.BackendMessage) error {
 	b, err := m.Encode(nil)
 	if err != nil {
 		return errors.Trace(err)
@@ -32,7 +32,7 @@
 }
 
 // ReceiveSASL returns the body of the next message, which must be a SASL one.
-func (w Wire) ReceiveSASL() ([]byte, error) {
+func (w Connection) ReceiveSASL() ([]byte, error) {
 	var h [5]byte
 	if _, err := io.ReadFull(w.Conn, h[:]); err != nil {
 		return nil, errors.Trace(err)
--- a/internal/caller/greeter/fuzz_test.go
+++ b/internal/caller/greeter/fuzz_test.go
@@ -22,7 +22,7 @@
 func (s *scripted) Write(p []byte) (int, error) { return s.answers.Write(p) }
 func (s *scripted) RemoteAddr() net.Addr        { return &net.TCPAddr{} }
 
-func greet(b []byte) (Greeting, *scripted, error) {
+func greet(b []byte) (Startup, *scripted, error) {
 	s := &scripted{sent: *bytes.NewReader(b)}
 	g, err := Greet(s, nil)
 	return g, s, err
@@ -84,11 +84,11 @@
 		for n, v := range g.Parameters {
 			e = append(e, n+"\x00"+v+"\x00"...)
 		}
-		for _, n := range g.Unknown {
+		for _, n := range g.UnknownOptions {
 			e = append(e, n+"\x00\x00"...)
 		}
-		a, _, err := greet(startup(3<<16|uint32(g.Minor), string(e)+"\x00"))
-		if err != nil || !maps.Equal(a.Parameters, g.Parameters) || len(a.Unknown) != len(g.Unknown) {
+		a, _, err := greet(startup(3<<16|uint32(g.MinorVersion), string(e)+"\x00"))
+		if err != nil || !maps.Equal(a.Parameters, g.Parameters) || len(a.UnknownOptions) != len(g.UnknownOptions) {
 			t.Errorf("%q read again as %q, %v", g.Parameters, a.Parameters, err)
 		}
 	})
--- a/internal/caller/greeter/greeter.go
+++ b/internal/caller/greeter/greeter.go
@@ -37,26 +37,26 @@
 	SecretKey uint32
 }
 
-// Greeting is how a caller's connection begins.
-type Greeting struct {
+// Startup is how a caller's connection begins.
+type Startup struct {
 	// Conn is the connection, encrypted if the caller asked and could be served.
 	Conn net.Conn
 	// Parameters are the startup parameters, nil for a cancel request.
 	Parameters map[string]string
 	// Cancel is set for a cancel request.
 	Cancel *CancelKey
-	// Unknown lists protocol options that aren't supported.
-	Unknown []string
-	// Minor is the minor protocol version that the caller asked for.
-	Minor uint16
+	// UnknownOptions lists protocol options that aren't supported.
+	UnknownOptions []string
+	// MinorVersion is the minor protocol version that the caller asked for.
+	MinorVersion uint16
 }
 
 // Greet reads the startup message from n; t may be nil, then TLS is declined.
-func Greet(n net.Conn, t *tls.Config) (Greeting, error) {
+func Greet(n net.Conn, t *tls.Config) (Startup, error) {
 	for range maximumRequests {
 		c, b, err := readStartup(n)
 		if err != nil {
-			return Greeting{Conn: n}, errors.Annotatef(err, "greet caller %s", n.RemoteAddr())
+			return Startup{Conn: n}, errors.Annotatef(err, "greet caller %s", n.RemoteAddr())
 		}
 		switch {
 		case c == codeTLS && t != nil:
@@ -68,13 +68,13 @@
 		case c>>16 == majorThree:
 			return startGreeting(n, b, uint16(c))
 		default:
-			return Greeting{Conn: n}, errors.Annotatef(ErrVersion, "version %d.%d", c>>16, c&0xffff)
+			return Startup{Conn: n}, errors.Annotatef(ErrVersion, "version %d.%d", c>>16, c&0xffff)
 		}
 		if err != nil {
-			return Greeting{Conn: n}, errors.Annotatef(err, "answer encryption request of caller %s", n.RemoteAddr())
+			return Startup{Conn: n}, errors.Annotatef(err, "answer encryption request of caller %s", n.RemoteAddr())
 		}
 	}
-	return Greeting{Conn: n}, errors.Annotate(ErrStartup, "too many encryption requests")
+	return Startup{Conn: n}, errors.Annotate(ErrStartup, "too many encryption requests")
 }
 
 func readStartup(n net.Conn) (uint32, []byte, error) {
@@ -101,19 +101,19 @@
 	return c, errors.Trace(c.Handshake())
 }
 
-func cancelGreeting(n net.Conn, b []byte) (Greeting, error) {
+func cancelGreeting(n net.Conn, b []byte) (Startup, error) {
 	if len(b) != 8 {
-		return Greeting{Conn: n}, errors.Annotatef(ErrStartup, "cancel key of %d bytes", len(b))
+		return Startup{Conn: n}, errors.Annotatef(ErrStartup, "cancel key of %d bytes", len(b))
 	}
 	k := CancelKey{
 		ProcessID: binary.BigEndian.Uint32(b),
 		SecretKey: binary.BigEndian.Uint32(b[4:]),
 	}
-	return Greeting{Conn: n, Cancel: &k}, nil
+	return Startup{Conn: n, Cancel: &k}, nil
 }
 
-func startGreeting(n net.Conn, b []byte, minor uint16) (Greeting, error) {
-	g := Greeting{Conn: n, Parameters: make(map[string]string), Minor: minor}
+func startGreeting(n net.Conn, b []byte, minor uint16) (Startup, error) {
+	g := Startup{Conn: n, Parameters: make(map[string]string), MinorVersion: minor}
 	if len(b) == 0 || b[len(b)-1] != 0 {
 		return g, errors.Annotate(ErrStartup, "parameters not terminated")
 	}
@@ -133,9 +133,9 @@
 	return g, nil
 }
 
-func (g *Greeting) add(name, value string) {
+func (g *Startup) add(name, value string) {
 	if strings.HasPrefix(name, "_pq_.") {
-		g.Unknown = append(g.Unknown, name)
+		g.UnknownOptions = append(g.UnknownOptions, name)
 		return
 	}
 	g.Parameters[name] = value
--- a/internal/caller/listener/connection.go
+++ b/internal/caller/listener/connection.go
@@ -79,7 +79,7 @@
 		return err
 	}
 	k := l.key()
-	s, err := l.Sessions.Session(g, k)
+	s, err := l.SessionFactory.NewSession(g, k)
 	if err != nil {
 		return c.reject(g, codeCatalog, err.Error(), err)
 	}
@@ -91,7 +91,7 @@
 }
 
 // admit authenticates the caller and refuses what can't be served.
-func (c *connection) admit(ctx context.Context, g greeter.Greeting) error {
+func (c *connection) admit(ctx context.Context, g greeter.Startup) error {
 	l := c.listener
 	if l.draining.Load() {
 		return c.reject(g, codeShutdown, "the entry host is stopping", server.ErrStopping)
@@ -106,8 +106,8 @@
 		return err
 	}
 	err := c.authenticate(ctx, g)
-	if l.Logins != nil {
-		l.Logins(err)
+	if l.OnLogin != nil {
+		l.OnLogin(err)
 	}
 	if err != nil {
 		return c.reject(g, codePassword, "password authentication failed for user \""+g.Parameters["user"]+"\"", err)
@@ -115,7 +115,7 @@
 	return nil
 }
 
-func (c *connection) authenticate(ctx context.Context, g greeter.Greeting) error {
+func (c *connection) authenticate(ctx context.Context, g greeter.Startup) error {
 	if c.listener.Authenticator == nil {
 		return nil
 	}
@@ -129,11 +129,11 @@
 )
 
 // negotiate tells a caller that asked for a newer minor version which one is served.
-func (c *connection) negotiate(g greeter.Greeting) error {
-	if g.Minor == 0 && len(g.Unknown) == 0 {
+func (c *connection) negotiate(g greeter.Startup) error {
+	if g.MinorVersion == 0 && len(g.UnknownOptions) == 0 {
 		return nil
 	}
-	m := pgproto3.NegotiateProtocolVersion{NewestMinorProtocol: 3 << 16, UnrecognizedOptions: g.Unknown}
+	m := pgproto3.NegotiateProtocolVersion{NewestMinorProtocol: 3 << 16, UnrecognizedOptions: g.UnknownOptions}
 	p, err := m.Encode(nil)
 	if err != nil {
 		return errors.Annotate(err, "encode negotiation")
@@ -157,7 +157,7 @@
 	}
 }
 
-func (c *connection) reject(g greeter.Greeting, code, message string, cause error) error {
+func (c *connection) reject(g greeter.Startup, code, message string, cause error) error {
 	m := pgproto3.ErrorResponse{
 		Severity:            "FATAL",
 		SeverityUnlocalized: "FATAL",
--- a/internal/caller/listener/listener.go
+++ b/internal/caller/listener/listener.go
@@ -31,21 +31,21 @@
 	ForwardCancel(ctx context.Context, k greeter.CancelKey)
 }
 
-// Sessions makes a session for an authenticated caller.
-type Sessions interface {
-	Session(g greeter.Greeting, k greeter.CancelKey) (*server.Session, error)
+// SessionFactory makes a session for an authenticated caller.
+type SessionFactory interface {
+	NewSession(g greeter.Startup, k greeter.CancelKey) (*server.Session, error)
 }
 
 // Listener accepts callers. The exported fields are set before Run.
 type Listener struct {
-	Network net.Listener
-	TLS     func() *tls.Config
+	NetListener net.Listener
+	TLS         func() *tls.Config
 	// Authenticator is nil where every caller is trusted.
 	Authenticator Authenticator
-	// Logins, if set, is told how each login ended.
-	Logins           func(err error)
+	// OnLogin, if set, is told how each login ended.
+	OnLogin          func(err error)
 	Canceller        Canceller
-	Sessions         Sessions
+	SessionFactory   SessionFactory
 	HandshakeTimeout time.Duration
 	// MaximumConnections bounds callers and handshakes together.
 	MaximumConnections int
@@ -66,10 +66,10 @@
 	l.mu.Lock()
 	l.sessions = make(map[greeter.CancelKey]*server.Session)
 	l.mu.Unlock()
-	stop := context.AfterFunc(ctx, func() { l.Network.Close() })
+	stop := context.AfterFunc(ctx, func() { l.NetListener.Close() })
 	defer stop()
 	for {
-		n, err := l.Network.Accept()
+		n, err := l.NetListener.Accept()
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 			return nil
 		}
@@ -88,8 +88,8 @@
 // acceptPause keeps a host that has run out of file descriptors from spinning.
 const acceptPause = 10 * time.Millisecond
 
-// Open returns how many callers are connected.
-func (l *Listener) Open() int {
+// ConnectionCount returns how many callers are connected.
+func (l *Listener) ConnectionCount() int {
 	return int(l.open.Load())
 }
 
@@ -109,7 +109,7 @@
 // It returns when all have ended or ctx does; then the rest are closed.
 func (l *Listener) Drain(ctx context.Context) int {
 	l.draining.Store(true)
-	l.Network.Close()
+	l.NetListener.Close()
 	for _, s := range l.all() {
 		s.Drain()
 	}
@@ -149,8 +149,8 @@
 	return r
 }
 
-// Count returns how many callers are connected.
-func (l *Listener) Count() int {
+// SessionCount returns how many callers are connected.
+func (l *Listener) SessionCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.sessions)
--- a/internal/caller/server/session.go
+++ b/internal/caller/server/session.go
@@ -49,7 +49,7 @@
 
 // Session serves one caller. The exported fields are set before Prepare.
 type Session struct {
-	Greeting   greeter.Greeting
+	Startup    greeter.Startup
 	Key        greeter.CancelKey
 	Director   Director
 	Classifier *classifier.Classifier
@@ -150,13 +150,13 @@
 	s.ctx, s.cancelSession = context.WithCancelCause(ctx)
 	s.drain = make(chan struct{})
 	s.status = exchanger.Idle
-	s.group = s.Greeting.Parameters["database"]
-	s.role = s.Greeting.Parameters["user"]
+	s.group = s.Startup.Parameters["database"]
+	s.role = s.Startup.Parameters["user"]
 	if s.group == "" {
 		s.group = s.role
 	}
-	s.out = outbound{conn: s.Greeting.Conn, writeTimeout: s.WriteTimeout}
-	s.replay.Startup = startupSettings(s.Greeting.Parameters)
+	s.out = outbound{conn: s.Startup.Conn, writeTimeout: s.WriteTimeout}
+	s.replay.Startup = startupSettings(s.Startup.Parameters)
 	s.statements = statements{classifier: s.Classifier, replay: &s.replay}
 }
 
@@ -180,7 +180,7 @@
 // Close ends the session immediately.
 func (s *Session) Close() {
 	s.cancelSession(ErrStopping)
-	s.Greeting.Conn.Close()
+	s.Startup.Conn.Close()
 }
 
 // Run serves the caller until it disconnects or the session is drained.
@@ -363,7 +363,7 @@
 		s.lease = nil
 	}
 	_ = s.out.flush()
-	s.Greeting.Conn.Close()
+	s.Startup.Conn.Close()
 	if s.in.empty == nil {
 		return
 	}
--- a/internal/host/assembler/assembler.go
+++ b/internal/host/assembler/assembler.go
@@ -174,7 +174,7 @@
 	if _, err := rand.Read(k); err != nil {
 		return errors.Annotate(err, "make secret")
 	}
-	f := &authenticator.Failures{PerMinute: a.Settings.Limits.FailedLogins}
+	f := &authenticator.FailureLimiter{PerMinute: a.Settings.Limits.FailedLogins}
 	a.Host.Authenticator = &gatekeeper{
 		source:        a.Follower,
 		authenticator: authenticator.Authenticator{Failures: f, Secret: k},
@@ -184,7 +184,7 @@
 		TokensFile: a.Settings.Administration.TokensFile,
 		Status:     a.Follower.Status,
 		Host:       a.Host,
-		Failures:   &authenticator.Failures{PerMinute: a.Settings.Limits.FailedLogins},
+		Failures:   &authenticator.FailureLimiter{PerMinute: a.Settings.Limits.FailedLogins},
 		Log:        a.log,
 	}
 	return a.secureListeners()
--- a/internal/host/assembler/gatekeeper.go
+++ b/internal/host/assembler/gatekeeper.go
@@ -25,7 +25,7 @@
 	if f == nil {
 		return errors.Annotate(runner.ErrNotReady, "authenticate caller")
 	}
-	_, err := g.authenticator.Authenticate(authenticator.Wire{Conn: n}, f, parameters["user"], n.RemoteAddr().String(), time.Now())
+	_, err := g.authenticator.Authenticate(authenticator.Connection{Conn: n}, f, parameters["user"], n.RemoteAddr().String(), time.Now())
 	return err
 }
 
--- a/internal/host/runner/meter.go
+++ b/internal/host/runner/meter.go
@@ -75,7 +75,7 @@
 func (m *meter) login(err error) {
 	r := loginAccepted
 	switch {
-	case errors.Is(err, authenticator.ErrTooMany):
+	case errors.Is(err, authenticator.ErrTooManyFailures):
 		r = loginLimited
 	case err != nil:
 		r = loginRefused
@@ -98,7 +98,7 @@
 }
 
 func (m *meter) read() {
-	m.host.collector.CallerConnections.Set(float64(m.host.listener.Count()))
+	m.host.collector.CallerConnections.Set(float64(m.host.listener.SessionCount()))
 	if m.host.Lines == nil {
 		return
 	}
--- a/internal/host/runner/runner.go
+++ b/internal/host/runner/runner.go
@@ -152,7 +152,7 @@
 
 // Address returns the address that callers connect to.
 func (h *Host) Address() string {
-	return h.listener.Network.Addr().String()
+	return h.listener.NetListener.Addr().String()
 }
 
 // AdministrationAddress returns the address of metrics and health checks.
@@ -190,10 +190,10 @@
 	}
 	h.reconciler = &reconciler{host: h, dialer: h.dialer()}
 	h.listener = &listener.Listener{
-		Network:            n,
-		Sessions:           h,
+		NetListener:        n,
+		SessionFactory:     h,
 		Authenticator:      h.Authenticator,
-		Logins:             h.meter.login,
+		OnLogin:            h.meter.login,
 		TLS:                h.CallerTLS,
 		HandshakeTimeout:   h.Settings.Limits.HandshakeTimeout,
 		MaximumConnections: h.Settings.Limits.CallerConnections,
@@ -257,8 +257,8 @@
 	return nil
 }
 
-// Session implements listener.Sessions.
-func (h *Host) Session(g greeter.Greeting, k greeter.CancelKey) (*server.Session, error) {
+// NewSession implements listener.SessionFactory.
+func (h *Host) NewSession(g greeter.Startup, k greeter.CancelKey) (*server.Session, error) {
 	d := g.Parameters["database"]
 	if d == "" {
 		d = g.Parameters["user"]
@@ -268,7 +268,7 @@
 	}
 	l := h.limits()
 	return &server.Session{
-		Greeting:                 g,
+		Startup:                  g,
 		Key:                      k,
 		Director:                 h.director,
 		Classifier:               h.classifier,
