--- a/internal/caller/greeter/fuzz_test.go
+++ b/internal/caller/greeter/fuzz_test.go
@@ -22,7 +22,7 @@
 func (s *scripted) Write(p []byte) (int, error) { return s.answers.Write(p) }
 func (s *scripted) RemoteAddr() net.Addr        { return &net.TCPAddr{} }
 
-func greet(b []byte) (Startup, *scripted, error) {
+func greet(b []byte) (StartupRequest, *scripted, error) {
 	s := &scripted{sent: *bytes.NewReader(b)}
 	g, err := Greet(s, nil)
 	return g, s, err
--- a/internal/caller/greeter/greeter.go
+++ b/internal/caller/greeter/greeter.go
@@ -37,8 +37,8 @@
 	SecretKey uint32
 }
 
-// Startup is how a caller's connection begins.
-type Startup struct {
+// StartupRequest is how a caller's connection begins.
+type StartupRequest struct {
 	// Conn is the connection, encrypted if the caller asked and could be served.
 	Conn net.Conn
 	// Parameters are the startup parameters, nil for a cancel request.
@@ -52,11 +52,11 @@
 }
 
 // Greet reads the startup message from n; t may be nil, then TLS is declined.
-func Greet(n net.Conn, t *tls.Config) (Startup, error) {
+func Greet(n net.Conn, t *tls.Config) (StartupRequest, error) {
 	for range maximumRequests {
 		c, b, err := readStartup(n)
 		if err != nil {
-			return Startup{Conn: n}, errors.Annotatef(err, "greet caller %s", n.RemoteAddr())
+			return StartupRequest{Conn: n}, errors.Annotatef(err, "greet caller %s", n.RemoteAddr())
 		}
 		switch {
 		case c == codeTLS && t != nil:
@@ -68,13 +68,13 @@
 		case c>>16 == majorThree:
 			return startGreeting(n, b, uint16(c))
 		default:
-			return Startup{Conn: n}, errors.Annotatef(ErrVersion, "version %d.%d", c>>16, c&0xffff)
+			return StartupRequest{Conn: n}, errors.Annotatef(ErrVersion, "version %d.%d", c>>16, c&0xffff)
 		}
 		if err != nil {
-			return Startup{Conn: n}, errors.Annotatef(err, "answer encryption request of caller %s", n.RemoteAddr())
+			return StartupRequest{Conn: n}, errors.Annotatef(err, "answer encryption request of caller %s", n.RemoteAddr())
 		}
 	}
-	return Startup{Conn: n}, errors.Annotate(ErrStartup, "too many encryption requests")
+	return StartupRequest{Conn: n}, errors.Annotate(ErrStartup, "too many encryption requests")
 }
 
 func readStartup(n net.Conn) (uint32, []byte, error) {
@@ -101,19 +101,19 @@
 	return c, errors.Trace(c.Handshake())
 }
 
-func cancelGreeting(n net.Conn, b []byte) (Startup, error) {
+func cancelGreeting(n net.Conn, b []byte) (StartupRequest, error) {
 	if len(b) != 8 {
-		return Startup{Conn: n}, errors.Annotatef(ErrStartup, "cancel key of %d bytes", len(b))
+		return StartupRequest{Conn: n}, errors.Annotatef(ErrStartup, "cancel key of %d bytes", len(b))
 	}
 	k := CancelKey{
 		ProcessID: binary.BigEndian.Uint32(b),
 		SecretKey: binary.BigEndian.Uint32(b[4:]),
 	}
-	return Startup{Conn: n, Cancel: &k}, nil
+	return StartupRequest{Conn: n, Cancel: &k}, nil
 }
 
-func startGreeting(n net.Conn, b []byte, minor uint16) (Startup, error) {
-	g := Startup{Conn: n, Parameters: make(map[string]string), MinorVersion: minor}
+func startGreeting(n net.Conn, b []byte, minor uint16) (StartupRequest, error) {
+	g := StartupRequest{Conn: n, Parameters: make(map[string]string), MinorVersion: minor}
 	if len(b) == 0 || b[len(b)-1] != 0 {
 		return g, errors.Annotate(ErrStartup, "parameters not terminated")
 	}
@@ -133,7 +133,7 @@
 	return g, nil
 }
 
-func (g *Startup) add(name, value string) {
+func (g *StartupRequest) add(name, value string) {
 	if strings.HasPrefix(name, "_pq_.") {
 		g.UnknownOptions = append(g.UnknownOptions, name)
 		return
--- a/internal/caller/listener/connection.go
+++ b/internal/caller/listener/connection.go
@@ -91,7 +91,7 @@
 }
 
 // admit authenticates the caller and refuses what can't be served.
-func (c *connection) admit(ctx context.Context, g greeter.Startup) error {
+func (c *connection) admit(ctx context.Context, g greeter.StartupRequest) error {
 	l := c.listener
 	if l.draining.Load() {
 		return c.reject(g, codeShutdown, "the entry host is stopping", server.ErrStopping)
@@ -115,7 +115,7 @@
 	return nil
 }
 
-func (c *connection) authenticate(ctx context.Context, g greeter.Startup) error {
+func (c *connection) authenticate(ctx context.Context, g greeter.StartupRequest) error {
 	if c.listener.Authenticator == nil {
 		return nil
 	}
@@ -129,7 +129,7 @@
 )
 
 // negotiate tells a caller that asked for a newer minor version which one is served.
-func (c *connection) negotiate(g greeter.Startup) error {
+func (c *connection) negotiate(g greeter.StartupRequest) error {
 	if g.MinorVersion == 0 && len(g.UnknownOptions) == 0 {
 		return nil
 	}
@@ -157,7 +157,7 @@
 	}
 }
 
-func (c *connection) reject(g greeter.Startup, code, message string, cause error) error {
+func (c *connection) reject(g greeter.StartupRequest, code, message string, cause error) error {
 	m := pgproto3.ErrorResponse{
 		Severity:            "FATAL",
 		SeverityUnlocalized: "FATAL",
--- a/internal/caller/listener/listener.go
+++ b/internal/caller/listener/listener.go
@@ -33,7 +33,7 @@
 
 // SessionFactory makes a session for an authenticated caller.
 type SessionFactory interface {
-	NewSession(g greeter.Startup, k greeter.CancelKey) (*server.Session, error)
+	NewSession(g greeter.StartupRequest, k greeter.CancelKey) (*server.Session, error)
 }
 
 // Listener accepts callers. The exported fields are set before Run.
--- a/internal/caller/server/changes.go
+++ b/internal/caller/server/changes.go
@@ -80,7 +80,7 @@
 	if v, ok := s.replay.Settings().Get(applicationName); ok {
 		return strings.Trim(v, "'")
 	}
-	return s.Startup.Parameters[applicationName]
+	return s.StartupRequest.Parameters[applicationName]
 }
 
 // statementTimeout returns the statement_timeout that the caller has set, zero if none or
--- a/internal/caller/server/session.go
+++ b/internal/caller/server/session.go
@@ -49,12 +49,12 @@
 
 // Session serves one caller. The exported fields are set before Prepare.
 type Session struct {
-	Startup    greeter.Startup
-	Key        greeter.CancelKey
-	Director   Director
-	Classifier *classifier.Classifier
-	Marks      Marks
-	Log        log.Interface
+	StartupRequest greeter.StartupRequest
+	Key            greeter.CancelKey
+	Director       Director
+	Classifier     *classifier.Classifier
+	Marks          Marks
+	Log            log.Interface
 	// ID is the number of the session, unique at its entry host. Host is the name of the entry host.
 	ID   uint64
 	Host string
@@ -150,13 +150,13 @@
 	s.ctx, s.cancelSession = context.WithCancelCause(ctx)
 	s.drain = make(chan struct{})
 	s.status = exchanger.Idle
-	s.group = s.Startup.Parameters["database"]
-	s.role = s.Startup.Parameters["user"]
+	s.group = s.StartupRequest.Parameters["database"]
+	s.role = s.StartupRequest.Parameters["user"]
 	if s.group == "" {
 		s.group = s.role
 	}
-	s.out = outbound{conn: s.Startup.Conn, writeTimeout: s.WriteTimeout}
-	s.replay.Startup = startupSettings(s.Startup.Parameters)
+	s.out = outbound{conn: s.StartupRequest.Conn, writeTimeout: s.WriteTimeout}
+	s.replay.Startup = startupSettings(s.StartupRequest.Parameters)
 	s.statements = statements{classifier: s.Classifier, replay: &s.replay}
 }
 
@@ -180,7 +180,7 @@
 // Close ends the session immediately.
 func (s *Session) Close() {
 	s.cancelSession(ErrStopping)
-	s.Startup.Conn.Close()
+	s.StartupRequest.Conn.Close()
 }
 
 // Run serves the caller until it disconnects or the session is drained.
@@ -363,7 +363,7 @@
 		s.lease = nil
 	}
 	_ = s.out.flush()
-	s.Startup.Conn.Close()
+	s.StartupRequest.Conn.Close()
 	if s.in.empty == nil {
 		return
 	}
--- a/internal/caller/server/welcome.go
+++ b/internal/caller/server/welcome.go
@@ -15,7 +15,7 @@
 func (s *Session) start() error {
 	s.in = inbound{
 		reader: framer.Reader{
-			Source:       bufio.NewReaderSize(s.Startup.Conn, inboundBytes),
+			Source:       bufio.NewReaderSize(s.StartupRequest.Conn, inboundBytes),
 			MaximumBytes: s.MaximumMessageBytes,
 		},
 		maximumBytes: s.MaximumMessageBytes,
@@ -34,7 +34,7 @@
 }
 
 func (s *Session) restoreStartupMark() error {
-	t := s.Startup.Parameters[classifier.SettingMark]
+	t := s.StartupRequest.Parameters[classifier.SettingMark]
 	if t == "" {
 		return nil
 	}
@@ -51,7 +51,7 @@
 func (s *Session) completeStartup() {
 	s.out.send(&pgproto3.AuthenticationOk{})
 	for n, v := range s.ServerParameters {
-		if w, ok := s.Startup.Parameters[n]; ok {
+		if w, ok := s.StartupRequest.Parameters[n]; ok {
 			v = w
 		}
 		s.out.send(&pgproto3.ParameterStatus{Name: n, Value: v})
--- a/internal/host/runner/runner.go
+++ b/internal/host/runner/runner.go
@@ -258,7 +258,7 @@
 }
 
 // NewSession implements listener.SessionFactory.
-func (h *Host) NewSession(g greeter.Startup, k greeter.CancelKey) (*server.Session, error) {
+func (h *Host) NewSession(g greeter.StartupRequest, k greeter.CancelKey) (*server.Session, error) {
 	d := g.Parameters["database"]
 	if d == "" {
 		d = g.Parameters["user"]
@@ -268,7 +268,7 @@
 	}
 	l := h.limits()
 	return &server.Session{
-		Startup:                  g,
+		StartupRequest:           g,
 		Key:                      k,
 		Director:                 h.director,
 		Classifier:               h.classifier,
