--- a/internal/caller/listener/connection.go
+++ b/internal/caller/listener/connection.go
@@ -16,20 +16,20 @@
 	"github.com/cuminwick/cuminwick/internal/wire/framer"
 )
 
-// SQLSTATEs of refused connections.
+// SQLSTATEs of refused connections, named after PostgreSQL's condition names.
 const (
-	codeTooMany  = "53300"
-	codeProtocol = "08P01"
-	codeFeature  = "0A000"
-	codePassword = "28P01"
-	codeCatalog  = "3D000"
-	codeShutdown = "57P03"
+	codeTooManyConnections  = "53300"
+	codeProtocolViolation   = "08P01"
+	codeFeatureNotSupported = "0A000"
+	codeInvalidPassword     = "28P01"
+	codeInvalidCatalogName  = "3D000"
+	codeCannotConnectNow    = "57P03"
 )
 
-// rejectTimeout bounds the writing of a refusal.
+// rejectTimeout bounds the write of a refusal.
 const rejectTimeout = time.Second
 
-// connection is one caller's connection from accept to its end.
+// connection serves one caller's connection from its acceptance to its end.
 type connection struct {
 	listener *Listener
 	conn     net.Conn
@@ -37,25 +37,24 @@
 
 func (c *connection) run(ctx context.Context) {
 	l := c.listener
-	defer l.group.Done()
-	defer l.open.Add(-1)
+	defer l.connectionGroup.Done()
+	defer l.openConnections.Add(-1)
 	defer c.conn.Close()
 	err := c.serve(ctx)
 	if err == nil {
 		return
 	}
 	g := l.Log.WithError(err).WithField("peer", c.conn.RemoteAddr().String())
-	if disconnected(err) {
+	if closedByHost(err) {
 		g.Warn("caller disconnected")
 		return
 	}
 	g.Debug("caller left")
 }
 
-// disconnected reports whether it was the host that ended the connection, for
-// something the caller did. Who connects and leaves without a word, as a
-// health check does, is not counted.
-func disconnected(err error) bool {
+// closedByHost reports whether the host ended the connection because of something that the caller
+// did. It is false for a caller that merely disconnects, as a health check does.
+func closedByHost(err error) bool {
 	for _, e := range []error{errRefused, server.ErrMalformed, server.ErrBatchTooLarge, framer.ErrTooLarge, framer.ErrLength, os.ErrDeadlineExceeded} {
 		if errors.Is(err, e) {
 			return !errors.Is(err, io.EOF)
@@ -67,42 +66,42 @@
 func (c *connection) serve(ctx context.Context) error {
 	l := c.listener
 	c.conn.SetDeadline(time.Now().Add(l.HandshakeTimeout))
-	g, err := greeter.Greet(c.conn, c.tls())
+	g, err := greeter.Greet(c.conn, c.tlsConfig())
 	if err != nil {
-		return c.reject(g, codeProtocol, errors.Cause(err).Error(), err)
+		return c.reject(g, codeProtocolViolation, errors.Cause(err).Error(), err)
 	}
 	if g.Cancel != nil {
-		c.cancel(ctx, *g.Cancel)
+		c.serveCancel(ctx, *g.Cancel)
 		return nil
 	}
 	if err := c.admit(ctx, g); err != nil {
 		return err
 	}
-	k := l.key()
+	k := l.newKey()
 	s, err := l.SessionFactory.NewSession(g, k)
 	if err != nil {
-		return c.reject(g, codeCatalog, err.Error(), err)
+		return c.reject(g, codeInvalidCatalogName, err.Error(), err)
 	}
 	c.conn.SetDeadline(time.Time{})
 	s.Prepare(ctx)
-	l.add(k, s)
-	defer l.remove(k)
+	l.addSession(k, s)
+	defer l.removeSession(k)
 	return s.Run()
 }
 
-// admit authenticates the caller and refuses what can't be served.
+// admit authenticates the caller. It rejects a connection that this host can't serve.
 func (c *connection) admit(ctx context.Context, g greeter.StartupRequest) error {
 	l := c.listener
 	if l.draining.Load() {
-		return c.reject(g, codeShutdown, "the entry host is stopping", server.ErrStopping)
+		return c.reject(g, codeCannotConnectNow, "the entry host is stopping", server.ErrStopping)
 	}
-	if int(l.open.Load()) > l.MaximumConnections {
-		return c.reject(g, codeTooMany, "too many callers are connected to this entry host", errTooMany)
+	if int(l.openConnections.Load()) > l.MaximumConnections {
+		return c.reject(g, codeTooManyConnections, "too many callers are connected to this entry host", errTooManyCallers)
 	}
 	if v := g.Parameters["replication"]; v != "" && v != "false" && v != "off" {
-		return c.reject(g, codeFeature, "replication connections aren't served", errFeature)
+		return c.reject(g, codeFeatureNotSupported, "replication connections aren't served", errReplication)
 	}
-	if err := c.negotiate(g); err != nil {
+	if err := c.negotiateVersion(g); err != nil {
 		return err
 	}
 	err := c.authenticate(ctx, g)
@@ -110,7 +109,7 @@
 		l.OnLogin(err)
 	}
 	if err != nil {
-		return c.reject(g, codePassword, "password authentication failed for user \""+g.Parameters["user"]+"\"", err)
+		return c.reject(g, codeInvalidPassword, "password authentication failed for user \""+g.Parameters["user"]+"\"", err)
 	}
 	return nil
 }
@@ -123,13 +122,14 @@
 }
 
 const (
-	errTooMany = errors.ConstError("too many callers")
-	errFeature = errors.ConstError("replication asked for")
-	errRefused = errors.ConstError("caller refused")
+	errTooManyCallers = errors.ConstError("too many callers")
+	errReplication    = errors.ConstError("replication asked for")
+	errRefused        = errors.ConstError("caller refused")
 )
 
-// negotiate tells a caller that asked for a newer minor version which one is served.
-func (c *connection) negotiate(g greeter.StartupRequest) error {
+// negotiateVersion answers a caller that requested a newer minor version or unsupported options with
+// the minor version that is served.
+func (c *connection) negotiateVersion(g greeter.StartupRequest) error {
 	if g.MinorVersion == 0 && len(g.UnknownOptions) == 0 {
 		return nil
 	}
@@ -142,21 +142,23 @@
 	return errors.Annotate(err, "negotiate protocol version")
 }
 
-func (c *connection) tls() *tls.Config {
+func (c *connection) tlsConfig() *tls.Config {
 	if c.listener.TLS == nil {
 		return nil
 	}
 	return c.listener.TLS()
 }
 
-// cancel answers a cancel request, which never has an answer in words.
-func (c *connection) cancel(ctx context.Context, k greeter.CancelKey) {
+// serveCancel serves a cancel request: it cancels the request of a session of this host, or else
+// forwards the key to the host that holds the session. The protocol has no answer to a cancel request.
+func (c *connection) serveCancel(ctx context.Context, k greeter.CancelKey) {
 	l := c.listener
 	if !l.Cancel(k) && l.Canceller != nil {
 		l.Canceller.ForwardCancel(ctx, k)
 	}
 }
 
+// reject sends the caller a fatal error and returns cause with the type errRefused.
 func (c *connection) reject(g greeter.StartupRequest, code, message string, cause error) error {
 	m := pgproto3.ErrorResponse{
 		Severity:            "FATAL",
@@ -166,8 +168,8 @@
 		Detail:              "outcome=not-run",
 	}
 	if p, err := m.Encode(nil); err == nil && g.Conn != nil {
-		// The handshake's time may be up, and the caller may be gone; the cause
-		// is reported in any case.
+		// The handshake's deadline may have passed, and the caller may have disconnected. The
+		// cause is returned in any case.
 		g.Conn.SetWriteDeadline(time.Now().Add(rejectTimeout))
 		_, _ = g.Conn.Write(p)
 	}
--- a/internal/caller/listener/listener.go
+++ b/internal/caller/listener/listener.go
@@ -1,4 +1,4 @@
-// Package listener accepts callers' connections and keeps their sessions.
+// Package listener accepts callers' connections and holds their sessions.
 package listener
 
 import (
@@ -19,46 +19,54 @@
 	"github.com/cuminwick/cuminwick/internal/cancel/matcher"
 )
 
-// Authenticator proves who a caller is before its session starts.
+// Authenticator authenticates a caller before its session starts.
 type Authenticator interface {
-	// Authenticate talks to the caller on n and returns an error that the
-	// caller has been told nothing of yet.
+	// Authenticate exchanges the authentication messages with the caller over n, except for the last
+	// one. If it returns an error, the caller hasn't received an error message yet.
 	Authenticate(ctx context.Context, n net.Conn, parameters map[string]string) error
 }
 
-// Canceller passes a cancel request on to the entry host that holds the session.
+// Canceller forwards cancel requests for sessions of other entry hosts.
 type Canceller interface {
+	// ForwardCancel forwards the key to the entry host that holds the session.
 	ForwardCancel(ctx context.Context, k greeter.CancelKey)
 }
 
-// SessionFactory makes a session for an authenticated caller.
+// SessionFactory creates the sessions of authenticated callers.
 type SessionFactory interface {
+	// NewSession returns a session that isn't prepared yet. Its error is sent to the caller as an
+	// unknown database.
 	NewSession(g greeter.StartupRequest, k greeter.CancelKey) (*server.Session, error)
 }
 
-// Listener accepts callers. The exported fields are set before Run.
+// Listener accepts callers' connections and serves them. The exported fields are set before Run.
 type Listener struct {
 	NetListener net.Listener
-	TLS         func() *tls.Config
-	// Authenticator is nil where every caller is trusted.
+	// TLS returns the configuration for a new connection. If TLS or its result is nil, callers can't
+	// encrypt their connections.
+	TLS func() *tls.Config
+	// Authenticator is nil if all callers are trusted.
 	Authenticator Authenticator
-	// OnLogin, if set, is told how each login ended.
-	OnLogin          func(err error)
+	// OnLogin, if set, is called with the result of each login, nil for a success.
+	OnLogin func(err error)
+	// Canceller is nil for an entry host without peers.
 	Canceller        Canceller
 	SessionFactory   SessionFactory
 	HandshakeTimeout time.Duration
-	// MaximumConnections bounds callers and handshakes together.
+	// MaximumConnections bounds the connected callers, including those in the handshake.
 	MaximumConnections int
-	// HostID is put into cancel keys, so that any entry host can find this one.
+	// HostID is part of the cancel keys, so that any entry host can forward a cancel request to this
+	// one.
 	HostID matcher.HostID
 	Log    log.Interface
 
 	mu       sync.Mutex
 	sessions map[greeter.CancelKey]*server.Session
-	next     atomic.Uint32
-	open     atomic.Int64
-	group    sync.WaitGroup
-	draining atomic.Bool
+	// lastSession is the number of the last session, which is part of its cancel key.
+	lastSession     atomic.Uint32
+	openConnections atomic.Int64
+	connectionGroup sync.WaitGroup
+	draining        atomic.Bool
 }
 
 // Run accepts callers until ctx ends or the network listener is closed.
@@ -79,21 +87,23 @@
 			continue
 		}
 		c := &connection{listener: l, conn: n}
-		l.group.Add(1)
-		l.open.Add(1)
+		l.connectionGroup.Add(1)
+		l.openConnections.Add(1)
 		go c.run(ctx)
 	}
 }
 
-// acceptPause keeps a host that has run out of file descriptors from spinning.
+// acceptPause is the pause after a failed accept. Without it, a host that has run out of file
+// descriptors would retry in a busy loop.
 const acceptPause = 10 * time.Millisecond
 
-// ConnectionCount returns how many callers are connected.
+// ConnectionCount returns the number of connected callers, including those in the handshake.
 func (l *Listener) ConnectionCount() int {
-	return int(l.open.Load())
+	return int(l.openConnections.Load())
 }
 
-// Cancel cancels the request of the session with this key, if it is held here.
+// Cancel cancels the request of the session with this key. It reports whether this host holds the
+// session.
 func (l *Listener) Cancel(k greeter.CancelKey) bool {
 	l.mu.Lock()
 	s := l.sessions[k]
@@ -105,30 +115,31 @@
 	return true
 }
 
-// Drain refuses new callers and lets each session end at its next idle moment.
-// It returns when all have ended or ctx does; then the rest are closed.
+// Drain refuses new callers and ends each session as soon as it is idle. It returns when all
+// connections have ended. When ctx ends before that, it closes the remaining sessions and returns
+// their number.
 func (l *Listener) Drain(ctx context.Context) int {
 	l.draining.Store(true)
 	l.NetListener.Close()
-	for _, s := range l.all() {
+	for _, s := range l.allSessions() {
 		s.Drain()
 	}
 	done := make(chan struct{})
-	w := &waiter{group: &l.group, done: done}
+	w := &waiter{group: &l.connectionGroup, done: done}
 	go w.run()
 	select {
 	case <-done:
 		return 0
 	case <-ctx.Done():
 	}
-	rest := l.all()
+	rest := l.allSessions()
 	for _, s := range rest {
 		s.Close()
 	}
 	return len(rest)
 }
 
-// waiter turns the end of all connections into a closed channel.
+// waiter closes done when all connections have ended.
 type waiter struct {
 	group *sync.WaitGroup
 	done  chan struct{}
@@ -139,7 +150,7 @@
 	close(w.done)
 }
 
-func (l *Listener) all() []*server.Session {
+func (l *Listener) allSessions() []*server.Session {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := make([]*server.Session, 0, len(l.sessions))
@@ -149,24 +160,25 @@
 	return r
 }
 
-// SessionCount returns how many callers are connected.
+// SessionCount returns the number of sessions, without connections in the handshake.
 func (l *Listener) SessionCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.sessions)
 }
 
-// key makes the cancel key of a new session. Two sessions of this host never
-// share one, as the key is looked up whole and has a random part.
-func (l *Listener) key() greeter.CancelKey {
+// newKey returns the cancel key of a new session. Two sessions of this host never share a key: the
+// key is looked up as a whole, and part of it is random.
+func (l *Listener) newKey() greeter.CancelKey {
 	var b [4]byte
 	// crypto/rand.Read never fails.
 	_, _ = rand.Read(b[:])
-	k := matcher.NewKey(l.HostID, l.next.Add(1), binary.BigEndian.Uint32(b[:]))
+	k := matcher.NewKey(l.HostID, l.lastSession.Add(1), binary.BigEndian.Uint32(b[:]))
 	return greeter.CancelKey{ProcessID: k.ProcessID, SecretKey: k.Secret}
 }
 
-func (l *Listener) add(k greeter.CancelKey, s *server.Session) {
+// addSession adds a session. If the host is draining already, it drains the session.
+func (l *Listener) addSession(k greeter.CancelKey, s *server.Session) {
 	l.mu.Lock()
 	l.sessions[k] = s
 	l.mu.Unlock()
@@ -175,7 +187,7 @@
 	}
 }
 
-func (l *Listener) remove(k greeter.CancelKey) {
+func (l *Listener) removeSession(k greeter.CancelKey) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.sessions, k)
