--- a/internal/caller/authenticator/authenticator.go
+++ b/internal/caller/authenticator/authenticator.go
@@ -1,4 +1,4 @@
-// Package authenticator checks who a caller is, by SCRAM-SHA-256 against the verifiers of the applied file.
+// Package authenticator authenticates callers with SCRAM-SHA-256 against the verifiers in the configuration.
 package authenticator
 
 import (
@@ -16,49 +16,50 @@
 // Mechanism is the only SASL mechanism that is offered.
 const Mechanism = "SCRAM-SHA-256"
 
-// Errors of authentication. A caller is told no more than that it was rejected,
-// so that it can't find out which roles exist.
+// Errors of authentication. The caller only learns that it was rejected, so that it can't find out
+// which roles exist.
 const (
-	// ErrRejected says that the password, the role or the message was wrong.
+	// ErrRejected is returned for a wrong password, an unknown role or an invalid message.
 	ErrRejected = errors.ConstError("password authentication failed")
-	// ErrTooManyFailures says that too many logins from this address have failed of late.
+	// ErrTooManyFailures is returned without a check of the password if too many recent logins from
+	// the address have failed.
 	ErrTooManyFailures = errors.ConstError("too many failed logins")
 )
 
-// Conversation carries the messages of one caller's login.
+// Conversation sends and receives the messages of one caller's login, usually a Connection.
 type Conversation interface {
-	// Send sends m at once.
+	// Send sends m immediately.
 	Send(m pgproto3.BackendMessage) error
 	// ReceiveSASL returns the body of the next SASL message.
 	ReceiveSASL() ([]byte, error)
 }
 
-// Identity is who a caller has shown to be.
+// Identity is the role of an authenticated caller, and the team that the role belongs to.
 type Identity struct {
 	Team string
 	Role string
 }
 
-// Authenticator checks logins.
+// Authenticator authenticates callers. The exported fields are set before use.
 type Authenticator struct {
-	// Failures bounds failed logins, unless it is nil.
+	// Failures limits failed logins; nil disables the limit.
 	Failures *FailureLimiter
-	// Secret makes up verifiers for roles that don't exist, the same ones each
-	// time; without it they could be told from roles that do.
+	// Secret is the key from which the credentials of unknown roles are derived. A caller that
+	// doesn't know it can't distinguish their salts from those of roles that exist.
 	Secret []byte
 }
 
-// Authenticate conducts the login of a caller that claims to be role. It sends
-// all messages but the last, AuthenticationOk, or an error to the caller.
+// Authenticate checks that the caller knows the password of the role. It sends the caller all
+// messages except for the last one, which is AuthenticationOk or an error.
 func (a *Authenticator) Authenticate(c Conversation, f *declarer.File, role, address string, now time.Time) (Identity, error) {
 	if a.Failures != nil && !a.Failures.Allow(address, now) {
 		return Identity{}, errors.Annotatef(ErrTooManyFailures, "authenticate role %q of caller %s", role, address)
 	}
-	d, v, found := find(f, role)
+	d, v, found := findRole(f, role)
 	if !found {
-		v = a.madeUp(role)
+		v = a.fakeCredentials(role)
 	}
-	ok, err := converse(c, v)
+	ok, err := runSCRAM(c, v)
 	if err != nil || !ok || !found {
 		if a.Failures != nil {
 			a.Failures.RecordFailure(address, now)
@@ -71,9 +72,8 @@
 	return d, nil
 }
 
-// converse exchanges the SCRAM messages and reports whether the caller knows
-// the password.
-func converse(c Conversation, v scram.StoredCredentials) (bool, error) {
+// runSCRAM exchanges the SCRAM messages and reports whether the caller knows the password.
+func runSCRAM(c Conversation, v scram.StoredCredentials) (bool, error) {
 	s, err := scram.SHA256.NewServer(func(string) (scram.StoredCredentials, error) { return v, nil })
 	if err != nil {
 		return false, errors.Annotate(err, "prepare SCRAM")
@@ -120,8 +120,9 @@
 	return string(m.Data), nil
 }
 
-// find returns the identity and credentials of role.
-func find(f *declarer.File, role string) (Identity, scram.StoredCredentials, bool) {
+// findRole returns the identity and the credentials of the role. It returns false for a role that
+// doesn't exist or whose verifier is invalid.
+func findRole(f *declarer.File, role string) (Identity, scram.StoredCredentials, bool) {
 	if f == nil {
 		return Identity{}, scram.StoredCredentials{}, false
 	}
@@ -136,11 +137,12 @@
 	return Identity{}, scram.StoredCredentials{}, false
 }
 
-// defaultIterations is what PostgreSQL uses for new verifiers.
+// defaultIterations is the iteration count that PostgreSQL uses for new verifiers.
 const defaultIterations = 4096
 
-// madeUp returns credentials of a role that doesn't exist; no password fits them.
-func (a *Authenticator) madeUp(role string) scram.StoredCredentials {
+// fakeCredentials returns the credentials of a role that doesn't exist, which no password matches. They are
+// the same ones each time, like those of a role that exists.
+func (a *Authenticator) fakeCredentials(role string) scram.StoredCredentials {
 	return scram.StoredCredentials{
 		KeyFactors: scram.KeyFactors{Salt: string(a.derive("salt", role)[:16]), Iters: defaultIterations},
 		StoredKey:  a.derive("stored-key", role),
@@ -148,9 +150,9 @@
 	}
 }
 
-func (a *Authenticator) derive(use, role string) []byte {
+func (a *Authenticator) derive(label, role string) []byte {
 	h := hmac.New(sha256.New, a.Secret)
-	// A hash never fails to be written to.
-	_, _ = h.Write([]byte(use + "\x00" + role))
+	// Write of a hash never fails.
+	_, _ = h.Write([]byte(label + "\x00" + role))
 	return h.Sum(nil)
 }
--- a/internal/caller/authenticator/authenticator_test.go
+++ b/internal/caller/authenticator/authenticator_test.go
@@ -17,7 +17,7 @@
 	"github.com/cuminwick/cuminwick/internal/config/declarer"
 )
 
-// verifier makes what PostgreSQL would store for the password.
+// verifier returns the verifier that PostgreSQL would store for the password.
 func verifier(t *testing.T, password string) string {
 	t.Helper()
 	c, err := scram.SHA256.NewClient("", password, "")
@@ -40,7 +40,7 @@
 	}}}
 }
 
-// login lets PostgreSQL's usual Go client log in and returns both sides' verdicts.
+// login logs in with pgconn. It returns the results of the server and of the client.
 func login(t *testing.T, a *authenticator.Authenticator, f *declarer.File, role, password string) (authenticator.Identity, error, error) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -98,9 +98,9 @@
 		{"empty password", "officer", "", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			i, err, other := login(t, a, f, c.role, c.password)
-			if c.ok != (err == nil) || c.ok != (other == nil) {
-				t.Fatalf("server says %v, caller says %v", err, other)
+			i, err, clientErr := login(t, a, f, c.role, c.password)
+			if c.ok != (err == nil) || c.ok != (clientErr == nil) {
+				t.Fatalf("server returned %v, client returned %v", err, clientErr)
 			}
 			if c.ok && (i.Team != "kalkul" || i.Role != c.role) {
 				t.Errorf("identity %+v", i)
@@ -109,8 +109,8 @@
 	}
 }
 
-// Somebody tries passwords one after the other. After a few failures the
-// address is refused before anything is computed, until time has passed.
+// Guards against password guessing: a client tries one password after the other. After a few failures
+// its address must be refused, but only for some time.
 func TestFailedLoginsAreBounded(t *testing.T) {
 	f := &authenticator.FailureLimiter{PerMinute: 3}
 	now := time.Unix(1000, 0)
@@ -124,19 +124,20 @@
 		t.Error("allowed after too many failures")
 	}
 	if !f.Allow("10.0.0.2:9", now) {
-		t.Error("another address is refused")
+		t.Error("another address was refused")
 	}
 	if !f.Allow("10.0.0.1:9", now.Add(21*time.Second)) {
-		t.Error("refused for good")
+		t.Error("still refused after 21 s")
 	}
 }
 
-// A caller sends garbage instead of a SASL message, or claims a huge one.
+// Guards against callers that send an invalid message instead of a SASL response, or announce a huge
+// one, which would occupy memory or fail without ErrRejected.
 func TestGarbageIsRejected(t *testing.T) {
 	for _, b := range []string{"Q\x00\x00\x00\x04", "p\x7f\xff\xff\xff", "p\x00\x00\x00\x06xx", "p\x00\x00\x00\x00"} {
 		x, y := net.Pipe()
 		go func() {
-			// The mechanisms come first.
+			// The server sends the mechanisms first.
 			y.Read(make([]byte, 512))
 			y.Write([]byte(b))
 			y.Close()
--- a/internal/caller/authenticator/failures.go
+++ b/internal/caller/authenticator/failures.go
@@ -9,26 +9,27 @@
 	"golang.org/x/time/rate"
 )
 
-// maximumAddresses bounds the memory for addresses with failed logins.
+// maximumAddresses is the number of addresses whose failed logins are counted. It bounds the memory.
 const maximumAddresses = 4096
 
-// FailureLimiter bounds the failed logins of each address. It reads no clock.
+// FailureLimiter limits the failed logins of each address. It reads no clock; the methods are given
+// the time.
 type FailureLimiter struct {
-	// PerMinute is how many logins may fail in a minute, none are refused if zero.
+	// PerMinute is the number of logins that may fail in a minute; zero disables the limit.
 	PerMinute int
 
 	mu        sync.Mutex
 	addresses *lru.Cache[string, *rate.Limiter]
 }
 
-// Allow reports whether the address may try to log in at now.
+// Allow reports whether the address may attempt a login at now.
 func (f *FailureLimiter) Allow(address string, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.PerMinute <= 0 || f.addresses == nil {
 		return true
 	}
-	l, ok := f.addresses.Get(host(address))
+	l, ok := f.addresses.Get(withoutPort(address))
 	return !ok || l.TokensAt(now) >= 1
 }
 
@@ -40,10 +41,10 @@
 		return
 	}
 	if f.addresses == nil {
-		// It fails only for a size that isn't positive.
+		// New only fails for a size that isn't positive.
 		f.addresses, _ = lru.New[string, *rate.Limiter](maximumAddresses)
 	}
-	h := host(address)
+	h := withoutPort(address)
 	l, ok := f.addresses.Get(h)
 	if !ok {
 		l = rate.NewLimiter(rate.Limit(float64(f.PerMinute)/60), f.PerMinute)
@@ -52,8 +53,8 @@
 	l.AllowN(now, 1)
 }
 
-// host drops the port, which differs with each connection.
-func host(address string) string {
+// withoutPort removes the port, which differs between the connections of a caller.
+func withoutPort(address string) string {
 	h, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return address
--- a/internal/caller/authenticator/verifier.go
+++ b/internal/caller/authenticator/verifier.go
@@ -9,10 +9,10 @@
 	"github.com/xdg-go/scram"
 )
 
-// errVerifier never shows the verifier itself.
+// errVerifier never contains the verifier itself.
 const errVerifier = errors.ConstError("verifier isn't in PostgreSQL's form")
 
-// parseVerifier reads SCRAM-SHA-256$iterations:salt$stored-key:server-key.
+// parseVerifier parses a verifier of the form SCRAM-SHA-256$iterations:salt$stored-key:server-key.
 func parseVerifier(s string) (scram.StoredCredentials, error) {
 	var c scram.StoredCredentials
 	p := strings.FieldsFunc(s, func(r rune) bool { return r == '$' || r == ':' })
--- a/internal/caller/authenticator/wire.go
+++ b/internal/caller/authenticator/wire.go
@@ -9,19 +9,19 @@
 	"github.com/juju/errors"
 )
 
-// saslType is the type byte of all messages that answer an authentication request.
-const saslType = 'p'
+// saslMessageType is the type byte of all messages that respond to an authentication request.
+const saslMessageType = 'p'
 
-// maximumMessageBytes bounds what a caller that isn't known yet may make us hold.
+// maximumMessageBytes bounds the memory that a caller can occupy before it is authenticated.
 const maximumMessageBytes = 4096
 
-// Connection is the conversation over a caller's connection. It reads no byte beyond
-// the messages that it returns; whoever uses it sets a deadline on the connection.
+// Connection implements Conversation over a caller's connection. It doesn't read beyond the messages
+// that it returns. The user of it sets the deadline of Conn.
 type Connection struct {
 	Conn net.Conn
 }
 
-// Send sends m at once.
+// Send sends m immediately.
 func (w Connection) Send(m pgproto3.BackendMessage) error {
 	b, err := m.Encode(nil)
 	if err != nil {
@@ -31,14 +31,14 @@
 	return errors.Trace(err)
 }
 
-// ReceiveSASL returns the body of the next message, which must be a SASL one.
+// ReceiveSASL returns the body of the next message, which must be a SASL response.
 func (w Connection) ReceiveSASL() ([]byte, error) {
 	var h [5]byte
 	if _, err := io.ReadFull(w.Conn, h[:]); err != nil {
 		return nil, errors.Trace(err)
 	}
 	n := binary.BigEndian.Uint32(h[1:])
-	if h[0] != saslType || n < 4 || n > maximumMessageBytes {
+	if h[0] != saslMessageType || n < 4 || n > maximumMessageBytes {
 		return nil, errors.Annotatef(ErrRejected, "message %q of %d bytes instead of a SASL response", h[0], n)
 	}
 	b := make([]byte, n-4)
