--- a/internal/caller/authenticator/authenticator.go
+++ b/internal/caller/authenticator/authenticator.go
@@ -140,8 +140,8 @@
 // defaultIterations is the iteration count that PostgreSQL uses for new verifiers.
 const defaultIterations = 4096
 
-// fakeCredentials returns the credentials of a role that doesn't exist, which no password matches. They are
-// the same ones each time, like those of a role that exists.
+// fakeCredentials returns the credentials of a role that doesn't exist, which no password matches.
+// They are the same ones each time, like those of a role that exists.
 func (a *Authenticator) fakeCredentials(role string) scram.StoredCredentials {
 	return scram.StoredCredentials{
 		KeyFactors: scram.KeyFactors{Salt: string(a.derive("salt", role)[:16]), Iters: defaultIterations},
