--- a/internal/settings/defaulter/defaulter.go
+++ b/internal/settings/defaulter/defaulter.go
@@ -1,4 +1,4 @@
-// Package defaulter fills the settings that a file leaves out.
+// Package defaulter sets the defaults of an entry host's settings.
 package defaulter
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/cuminwick/cuminwick/internal/settings/declarer"
 )
 
-// Default returns settings with every key that has a default set to it.
+// Default returns settings with all defaults set. Keys without a default are zero.
 func Default() declarer.Settings {
 	return declarer.Settings{
 		Platform: declarer.Platform{Timeout: 2 * time.Second},
@@ -42,7 +42,8 @@
 	}
 }
 
-// Derive fills what follows from other settings; now is the time of the start.
+// Derive sets the settings that are left out and whose default follows from other settings or from
+// now, the time of the start.
 func Derive(s *declarer.Settings, now time.Time) {
 	if s.Incarnation == 0 {
 		s.Incarnation = uint64(now.UnixMilli())
