--- a/internal/caller/greeter/fuzz_test.go
+++ b/internal/caller/greeter/fuzz_test.go
@@ -49,7 +49,7 @@
 		{"no terminator", startup(3<<16, "user\x00a"), ErrStartup},
 		{"no value", startup(3<<16, "user\x00\x00"), ErrStartup},
 		{"no name", startup(3<<16, "user\x00a\x00\x00b\x00\x00"), ErrStartup},
-		{"truncated", startup(3<<16, "user\x00a\x00\x00")[:12], io.ErrUnexpectedEOF},
+		{"truncated message", startup(3<<16, "user\x00a\x00\x00")[:12], io.ErrUnexpectedEOF},
 		{"endless encryption requests", bytes.Repeat(startup(codeSSLRequest, ""), 9), ErrStartup},
 	} {
 		t.Run(c.name, func(t *testing.T) {
