--- a/internal/settings/decoder/checker.go
+++ b/internal/settings/decoder/checker.go
@@ -8,12 +8,13 @@
 	"strings"
 )
 
-// rule is one entry of a check tag, for instance oneof=a|b.
+// rule is one entry of a check tag, for example oneof=a|b.
 type rule struct {
 	name     string
 	argument string
 }
 
+// rules returns the rules in the check tag of f.
 func rules(f reflect.StructField) []rule {
 	t := f.Tag.Get("check")
 	if t == "" {
@@ -27,12 +28,12 @@
 	return l
 }
 
-// check applies the rules of each field of struct v; l is the line of the struct.
-func (d *decoder) check(v reflect.Value, key string, l int) {
+// checkStruct applies the rules of all fields of struct v. l is the line of the struct.
+func (d *decoder) checkStruct(v reflect.Value, key string, l int) {
 	t := v.Type()
 	for i := range t.NumField() {
 		f := t.Field(i)
-		k := tag(f)
+		k := yamlName(f)
 		if k == "" {
 			continue
 		}
@@ -40,73 +41,75 @@
 		at, present := d.lines[p]
 		switch {
 		case f.Type.Kind() == reflect.Struct:
-			d.checkStructure(f, v.Field(i), p, l)
+			d.checkStructField(f, v.Field(i), p, l)
 		case present:
-			d.apply(f, v.Field(i), p, at)
+			d.checkValue(f, v.Field(i), p, at)
 		default:
-			d.missing(f, p, l)
+			d.checkMissing(f, p, l)
 		}
 	}
 }
 
-// checkStructure checks a field that is a struct itself; l is the line of the
-// struct around it. The fields of one that is present are checked already.
-func (d *decoder) checkStructure(f reflect.StructField, v reflect.Value, key string, l int) {
+// checkStructField checks a field that is a struct itself. l is the line of the enclosing struct. If
+// the file sets the field, decodeStruct has already checked the fields inside it.
+func (d *decoder) checkStructField(f reflect.StructField, v reflect.Value, key string, l int) {
 	at, present := d.lines[key]
 	if !present {
 		at = l
-		d.check(v, key, l)
+		d.checkStruct(v, key, l)
 	}
 	for _, r := range rules(f) {
-		d.together(r, key, at)
+		d.checkPair(r, key, at)
 	}
 }
 
-// together checks how many of the keys that r names are set.
-func (d *decoder) together(r rule, key string, l int) {
+// checkPair checks how many of the two keys in the argument of r are set, for the rules both and one.
+func (d *decoder) checkPair(r rule, key string, l int) {
 	a, b, _ := strings.Cut(r.argument, "|")
 	_, x := d.lines[join(key, a)]
 	_, y := d.lines[join(key, b)]
 	switch {
 	case r.name == "both" && x != y:
-		d.add(l, key, "one of "+a+" and "+b, "both or neither")
+		d.addFault(l, key, "one of "+a+" and "+b, "both or neither")
 	case r.name == "one" && x && y:
-		d.add(l, key, "both "+a+" and "+b, "exactly one of them")
+		d.addFault(l, key, "both "+a+" and "+b, "exactly one of them")
 	case r.name == "one" && !x && !y:
-		d.add(l, key, "neither "+a+" nor "+b, "exactly one of them")
+		d.addFault(l, key, "neither "+a+" nor "+b, "exactly one of them")
 	}
 }
 
-func (d *decoder) missing(f reflect.StructField, key string, l int) {
+// checkMissing reports a key that the file leaves out although it is required.
+func (d *decoder) checkMissing(f reflect.StructField, key string, l int) {
 	for _, r := range rules(f) {
 		if r.name == "required" {
-			d.add(l, key, "nothing", kindOf(f.Type))
+			d.addFault(l, key, "nothing", requiredType(f.Type))
 		}
 	}
 }
 
-func kindOf(t reflect.Type) string {
+// requiredType describes the value that a required key of Go type t takes.
+func requiredType(t reflect.Type) string {
 	if t.Kind() == reflect.Slice {
 		return "a list of at least one entry"
 	}
-	return expected(t)
+	return expectedType(t)
 }
 
-// apply checks a value that the file sets. Where a value was of the wrong type,
-// the field kept its default and that fault has been reported already.
-func (d *decoder) apply(f reflect.StructField, v reflect.Value, key string, l int) {
-	if d.reported(key) {
+// checkValue checks a value that the file sets. A value of the wrong type isn't checked: its fault has
+// already been reported, and the field has kept its default.
+func (d *decoder) checkValue(f reflect.StructField, v reflect.Value, key string, l int) {
+	if d.hasFault(key) {
 		return
 	}
 	for _, r := range rules(f) {
-		if e := r.expects(v); e != "" {
-			d.add(l, key, quote(v), e)
+		if e := r.check(v); e != "" {
+			d.addFault(l, key, formatValue(v), e)
 		}
 	}
 }
 
-// reported tells whether key or an entry below it already has a fault.
-func (d *decoder) reported(key string) bool {
+// hasFault reports whether key or an entry below it already has a fault.
+func (d *decoder) hasFault(key string) bool {
 	for _, f := range d.faults {
 		if strings.HasPrefix(f.Key, key) {
 			return true
@@ -115,50 +118,51 @@
 	return false
 }
 
-// expects returns what r expects of v, empty if v meets it.
-func (r rule) expects(v reflect.Value) string {
+// check returns a description of the value that r expects, empty if v complies with r.
+func (r rule) check(v reflect.Value) string {
 	if v.Kind() == reflect.Slice && r.name != "required" {
-		return r.expectsEach(v)
+		return r.checkEach(v)
 	}
 	switch r.name {
 	case "required":
-		return required(v)
+		return checkRequired(v)
 	case "positive":
-		return positive(v)
+		return checkPositive(v)
 	case "address":
-		return address(v.String())
+		return checkAddress(v.String())
 	case "url":
-		return base(v.String())
+		return checkURL(v.String())
 	case "oneof":
-		return oneOf(v.String(), r.argument)
+		return checkOneOf(v.String(), r.argument)
 	}
 	return "a check that exists instead of " + r.name
 }
 
-func (r rule) expectsEach(v reflect.Value) string {
+// checkEach checks all entries of the list v and returns the first description that isn't empty.
+func (r rule) checkEach(v reflect.Value) string {
 	for i := range v.Len() {
-		if e := r.expects(v.Index(i)); e != "" {
+		if e := r.check(v.Index(i)); e != "" {
 			return "in each entry " + e
 		}
 	}
 	return ""
 }
 
-func required(v reflect.Value) string {
+func checkRequired(v reflect.Value) string {
 	if v.IsZero() || (v.Kind() == reflect.Slice && v.Len() == 0) {
-		return kindOf(v.Type()) + " that isn't empty"
+		return requiredType(v.Type()) + " that isn't empty"
 	}
 	return ""
 }
 
-func positive(v reflect.Value) string {
+func checkPositive(v reflect.Value) string {
 	if v.Int() <= 0 {
-		return expected(v.Type()) + ", above zero"
+		return expectedType(v.Type()) + ", above zero"
 	}
 	return ""
 }
 
-func address(s string) string {
+func checkAddress(s string) string {
 	const e = "an address such as 10.0.0.1:5432"
 	if s == "" {
 		return ""
@@ -173,7 +177,7 @@
 	return ""
 }
 
-func base(s string) string {
+func checkURL(s string) string {
 	u, err := url.Parse(s)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
 		return "a URL such as http://10.0.0.9:8500"
@@ -181,7 +185,7 @@
 	return ""
 }
 
-func oneOf(s, choices string) string {
+func checkOneOf(s, choices string) string {
 	for c := range strings.SplitSeq(choices, "|") {
 		if s == c {
 			return ""
@@ -190,7 +194,8 @@
 	return "one of " + strings.ReplaceAll(choices, "|", ", ")
 }
 
-func quote(v reflect.Value) string {
+// formatValue returns v as it appears as the found value of a fault.
+func formatValue(v reflect.Value) string {
 	switch {
 	case v.Kind() == reflect.String:
 		return strconv.Quote(v.String())
--- a/internal/settings/decoder/decoder.go
+++ b/internal/settings/decoder/decoder.go
@@ -1,4 +1,4 @@
-// Package decoder reads a YAML file into structs and reports all its faults at once.
+// Package decoder decodes a YAML file into structs and reports all its faults at once.
 package decoder
 
 import (
@@ -13,12 +13,12 @@
 	"github.com/juju/errors"
 )
 
-// Decode reads data into the struct that v points to; keys that the file
-// leaves out keep their value. The returned faults are ordered by line.
+// Decode decodes data into the struct that v points to. Fields whose keys the file leaves out keep
+// their values. file is the name of the file in the faults, which are ordered by line.
 //
-// Fields are named by their yaml tag. The check tag holds rules, separated by
-// commas: required, positive, address (host:port), url, oneof=a|b; on a
-// structure both=a|b asks for both keys or neither, and one=a|b for exactly one.
+// The yaml tag of a field is its key. The check tag holds rules, separated by commas: required,
+// positive, address (host:port), url, oneof=a|b. On a struct, both=a|b requires both keys or neither,
+// and one=a|b exactly one of them.
 func Decode(file string, data []byte, v any) (Lines, Faults) {
 	d := decoder{file: file, lines: Lines{}}
 	d.decode(data, reflect.ValueOf(v).Elem())
@@ -26,7 +26,8 @@
 	return d.lines, d.faults
 }
 
-// Lines holds the line of each key that a file sets, by the key's whole path.
+// Lines holds the line of each key that a file sets. The map's keys are whole paths, for example
+// limits.drain-timeout.
 type Lines map[string]int
 
 type decoder struct {
@@ -38,36 +39,36 @@
 func (d *decoder) decode(data []byte, v reflect.Value) {
 	f, err := parser.ParseBytes(data, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
-		d.syntax(err)
+		d.addSyntaxError(err)
 		return
 	}
 	if len(f.Docs) > 1 {
-		d.add(line(f.Docs[1]), "(file)", "several documents", "one YAML document")
+		d.addFault(line(f.Docs[1]), "(file)", "several documents", "one YAML document")
 		return
 	}
 	if len(f.Docs) == 0 || f.Docs[0].Body == nil {
-		d.structure(nil, v, "", 1)
+		d.decodeStruct(nil, v, "", 1)
 		return
 	}
-	d.structure(f.Docs[0].Body, v, "", 1)
+	d.decodeStruct(f.Docs[0].Body, v, "", 1)
 }
 
-// syntaxError is what the YAML library returns for a file that it can't parse.
+// syntaxError is implemented by the YAML library's errors for a file that it can't parse.
 type syntaxError interface {
 	GetToken() *token.Token
 	GetMessage() string
 }
 
-func (d *decoder) syntax(err error) {
+func (d *decoder) addSyntaxError(err error) {
 	var s syntaxError
 	if !errors.As(err, &s) || s.GetToken() == nil {
-		d.add(1, "(file)", err.Error(), "YAML")
+		d.addFault(1, "(file)", err.Error(), "YAML")
 		return
 	}
-	d.add(s.GetToken().Position.Line, "(file)", s.GetMessage(), "YAML")
+	d.addFault(s.GetToken().Position.Line, "(file)", s.GetMessage(), "YAML")
 }
 
-func (d *decoder) add(l int, key, found, expected string) {
+func (d *decoder) addFault(l int, key, found, expected string) {
 	d.faults = append(d.faults, Fault{File: d.file, Line: l, Key: key, Found: found, Expected: expected})
 }
 
@@ -78,81 +79,83 @@
 	return n.GetToken().Position.Line
 }
 
-// value decodes n into v according to v's type.
-func (d *decoder) value(n ast.Node, v reflect.Value, key string) {
-	n = plain(n)
+// decodeValue decodes n into v, depending on v's type.
+func (d *decoder) decodeValue(n ast.Node, v reflect.Value, key string) {
+	n = unwrap(n)
 	switch {
 	case isScalar(v.Type()):
-		d.scalar(n, v, key)
+		d.decodeScalar(n, v, key)
 	case v.Kind() == reflect.Struct:
-		d.structure(n, v, key, line(n))
+		d.decodeStruct(n, v, key, line(n))
 	case v.Kind() == reflect.Slice:
-		d.sequence(n, v, key)
+		d.decodeSlice(n, v, key)
 	default:
-		d.add(line(n), key, "a key of unsupported type "+v.Type().String(), "a struct, list or scalar")
+		d.addFault(line(n), key, "a key of unsupported type "+v.Type().String(), "a struct, list or scalar")
 	}
 }
 
-// plain strips an anchor or tag.
-func plain(n ast.Node) ast.Node {
+// unwrap returns the value of a node with an anchor or a tag, and other nodes as they are.
+func unwrap(n ast.Node) ast.Node {
 	switch x := n.(type) {
 	case *ast.AnchorNode:
-		return plain(x.Value)
+		return unwrap(x.Value)
 	case *ast.TagNode:
-		return plain(x.Value)
+		return unwrap(x.Value)
 	}
 	return n
 }
 
-func (d *decoder) sequence(n ast.Node, v reflect.Value, key string) {
+func (d *decoder) decodeSlice(n ast.Node, v reflect.Value, key string) {
 	s, ok := n.(*ast.SequenceNode)
 	if !ok {
-		d.add(line(n), key, describe(n), "a list")
+		d.addFault(line(n), key, describe(n), "a list")
 		return
 	}
 	for i, x := range s.Values {
 		e := reflect.New(v.Type().Elem()).Elem()
-		d.value(x, e, fmt.Sprintf("%s[%d]", key, i))
+		d.decodeValue(x, e, fmt.Sprintf("%s[%d]", key, i))
 		v.Set(reflect.Append(v, e))
 	}
 }
 
-// structure decodes a mapping into struct v; l is the line to blame for missing keys.
-func (d *decoder) structure(n ast.Node, v reflect.Value, key string, l int) {
-	m, ok := mapping(n)
+// decodeStruct decodes a mapping into struct v. l is the line at which missing keys are reported.
+func (d *decoder) decodeStruct(n ast.Node, v reflect.Value, key string, l int) {
+	m, ok := mappingEntries(n)
 	if !ok {
-		d.add(l, name(key), describe(n), "a mapping of keys")
+		d.addFault(l, displayName(key), describe(n), "a mapping of keys")
 		return
 	}
 	for _, x := range m {
-		d.member(x, v, key)
+		d.decodeField(x, v, key)
 	}
-	d.check(v, key, l)
+	d.checkStruct(v, key, l)
 }
 
-// member decodes one key of a mapping into its field of v.
-func (d *decoder) member(n *ast.MappingValueNode, v reflect.Value, key string) {
+// decodeField decodes one entry of a mapping into the field of v that has its key.
+func (d *decoder) decodeField(n *ast.MappingValueNode, v reflect.Value, key string) {
 	k := n.Key.GetToken().Value
 	l := line(n.Key)
 	p := join(key, k)
 	if first, ok := d.lines[p]; ok {
-		d.add(l, p, fmt.Sprintf("the key again, first set on line %d", first), "each key once")
+		d.addFault(l, p, fmt.Sprintf("the key again, first set on line %d", first), "each key once")
 		return
 	}
 	d.lines[p] = l
 	f, ok := field(v, k)
 	if !ok {
-		d.add(l, p, "an unknown key", "one of "+strings.Join(known(v.Type()), ", "))
+		d.addFault(l, p, "an unknown key", "one of "+strings.Join(knownKeys(v.Type()), ", "))
 		return
 	}
-	if plain(n.Value).Type() == ast.NullType {
-		d.add(l, p, "no value", "a value, or the key left out")
+	if unwrap(n.Value).Type() == ast.NullType {
+		d.addFault(l, p, "no value", "a value, or the key left out")
 		return
 	}
-	d.value(n.Value, f, p)
+	d.decodeValue(n.Value, f, p)
 }
 
-func mapping(n ast.Node) ([]*ast.MappingValueNode, bool) {
+// mappingEntries returns the entries of a mapping, none for an empty file. It returns false for other
+// nodes.
+func mappingEntries(n ast.Node) ([]*ast.MappingValueNode, bool) {
 	switch x := n.(type) {
 	case nil:
 		return nil, true
@@ -164,13 +167,15 @@
 	return nil, false
 }
 
-func name(key string) string {
+// displayName returns the key as it appears in a fault.
+func displayName(key string) string {
 	if key == "" {
 		return "(file)"
 	}
 	return key
 }
 
+// join returns the path of the key k below key.
 func join(key, k string) string {
 	if key == "" {
 		return k
@@ -178,19 +183,19 @@
 	return key + "." + k
 }
 
-// field returns the field of struct v whose yaml tag is k.
+// field returns the field of struct v whose key is k.
 func field(v reflect.Value, k string) (reflect.Value, bool) {
 	t := v.Type()
 	for i := range t.NumField() {
-		if tag(t.Field(i)) == k {
+		if yamlName(t.Field(i)) == k {
 			return v.Field(i), true
 		}
 	}
 	return reflect.Value{}, false
 }
 
-// tag returns the yaml name of a field, empty for a field that no key sets.
-func tag(f reflect.StructField) string {
+// yamlName returns the key of a field, empty for a field that no key sets.
+func yamlName(f reflect.StructField) string {
 	n, _, _ := strings.Cut(f.Tag.Get("yaml"), ",")
 	if n == "-" {
 		return ""
@@ -198,10 +203,11 @@
 	return n
 }
 
-func known(t reflect.Type) []string {
+// knownKeys returns the keys of struct type t.
+func knownKeys(t reflect.Type) []string {
 	var l []string
 	for i := range t.NumField() {
-		if n := tag(t.Field(i)); n != "" {
+		if n := yamlName(t.Field(i)); n != "" {
 			l = append(l, n)
 		}
 	}
--- a/internal/settings/decoder/fault.go
+++ b/internal/settings/decoder/fault.go
@@ -7,28 +7,28 @@
 	"github.com/juju/errors"
 )
 
-// ErrFaults is the cause of every error that lists faults of a file.
+// ErrFaults is the error that errors.Is finds in every Faults.
 const ErrFaults = errors.ConstError("file has faults")
 
-// Fault is one thing wrong in a file.
+// Fault describes one invalid or missing value in a file.
 type Fault struct {
 	File string `json:"file"`
-	// Line counts from one.
+	// Line is the line number, counted from one.
 	Line int `json:"line"`
-	// Key is the path of the key, for instance limits.drain-timeout.
+	// Key is the path of the key, for example limits.drain-timeout.
 	Key string `json:"key"`
-	// Found describes what stands there.
+	// Found describes the value in the file.
 	Found string `json:"found"`
-	// Expected describes what should stand there.
+	// Expected describes a valid value.
 	Expected string `json:"expected"`
 }
 
-// String returns the fault in one line, in the form that editors jump to.
+// String returns the fault as one line that starts with file and line, so that editors can jump to it.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s:%d: %s: found %s, expected %s", f.File, f.Line, f.Key, f.Found, f.Expected)
 }
 
-// Faults is the error that reports all faults of a file at once.
+// Faults is an error that reports all faults of a file.
 type Faults []Fault
 
 // Error returns one line for each fault.
@@ -40,7 +40,7 @@
 	return strings.Join(l, "\n")
 }
 
-// Is reports that faults have the cause ErrFaults.
+// Is reports whether target is ErrFaults.
 func (f Faults) Is(target error) bool {
 	return target == ErrFaults
 }
--- a/internal/settings/decoder/scalar.go
+++ b/internal/settings/decoder/scalar.go
@@ -18,19 +18,19 @@
 	return false
 }
 
-func (d *decoder) scalar(n ast.Node, v reflect.Value, key string) {
+func (d *decoder) decodeScalar(n ast.Node, v reflect.Value, key string) {
 	s, ok := n.(ast.ScalarNode)
 	if !ok {
-		d.add(line(n), key, describe(n), expected(v.Type()))
+		d.addFault(line(n), key, describe(n), expectedType(v.Type()))
 		return
 	}
-	if !set(v, s) {
-		d.add(line(n), key, describe(n), expected(v.Type()))
+	if !setScalar(v, s) {
+		d.addFault(line(n), key, describe(n), expectedType(v.Type()))
 	}
 }
 
-// set stores a scalar in v and reports whether it was of the right type.
-func set(v reflect.Value, n ast.ScalarNode) bool {
+// setScalar sets v to a scalar. It reports false if the scalar's type doesn't fit v.
+func setScalar(v reflect.Value, n ast.ScalarNode) bool {
 	switch {
 	case v.Type() == durationType:
 		return setDuration(v, n)
@@ -112,8 +112,8 @@
 	return false
 }
 
-// expected names the type that a key of Go type t takes.
-func expected(t reflect.Type) string {
+// expectedType describes the value that a key of Go type t takes.
+func expectedType(t reflect.Type) string {
 	switch {
 	case t == durationType:
 		return "a duration such as 500ms, 30s or 5m"
@@ -129,7 +129,7 @@
 	return "a whole number"
 }
 
-// describe names what stands in the file.
+// describe describes a node of the file.
 func describe(n ast.Node) string {
 	switch x := n.(type) {
 	case nil:
