--- a/internal/settings/declarer/declarer.go
+++ b/internal/settings/declarer/declarer.go
@@ -93,7 +93,8 @@
 	// ID is stored in each signed token and selects the key that verifies it.
 	ID   string `yaml:"id" check:"required"`
 	File string `yaml:"file" check:"required"`
-	// Key is the content of File, set by the loader. The settings file has no key for it.
+	// Key is the content of File without surrounding white space, set by the loader. The settings file
+	// has no key for it.
 	Key []byte `yaml:"-"`
 }
 
--- a/internal/settings/loader/loader.go
+++ b/internal/settings/loader/loader.go
@@ -15,12 +15,12 @@
 	"github.com/cuminwick/cuminwick/internal/settings/defaulter"
 )
 
-// MinimumKeyBytes is the shortest mark-signing key that is accepted.
+// MinimumKeyBytes is the minimum length of a mark key, without surrounding white space.
 const MinimumKeyBytes = 16
 
-// Load reads the settings in file; its error is of type decoder.Faults where
-// the file is at fault, and lists all of them. Relative file names are taken
-// from the directory of the settings file; now is the time of the start.
+// Load reads the settings from file. If the settings are invalid, the error is of type decoder.Faults,
+// which lists all faults of the file, or if there are none, those of the secrets that it names. Relative
+// file names are relative to the directory of the settings file. now is the time of the start.
 func Load(file string, now time.Time) (declarer.Settings, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -31,7 +31,7 @@
 	if len(f) > 0 {
 		return declarer.Settings{}, f
 	}
-	resolve(&s, filepath.Dir(file))
+	resolvePaths(&s, filepath.Dir(file))
 	r := secretReader{file: file, lines: l}
 	r.read(&s)
 	if len(r.faults) > 0 {
@@ -41,8 +41,8 @@
 	return s, nil
 }
 
-// resolve makes the named files relative to the settings file's directory.
-func resolve(s *declarer.Settings, dir string) {
+// resolvePaths joins the relative file names in s to dir, the directory of the settings file.
+func resolvePaths(s *declarer.Settings, dir string) {
 	l := []*string{
 		&s.Callers.CertificateFile, &s.Callers.KeyFile,
 		&s.Peers.AuthorityFile, &s.Peers.CertificateFile, &s.Peers.KeyFile,
@@ -59,7 +59,7 @@
 	}
 }
 
-// secretReader reads the password and the keys; their values stay out of faults.
+// secretReader reads the backend password and the mark keys. Their values never appear in faults.
 type secretReader struct {
 	file   string
 	lines  decoder.Lines
@@ -67,35 +67,36 @@
 }
 
 func (r *secretReader) read(s *declarer.Settings) {
-	p, bad := password(&s.Backend)
-	if bad != "" {
-		r.add("backend", bad, "a password that can be read")
+	p, problem := readPassword(&s.Backend)
+	if problem != "" {
+		r.addFault("backend", problem, "a password that can be read")
 	}
 	s.Backend.Password = p
 	for i := range s.MarkKeys {
-		r.key(&s.MarkKeys[i], fmt.Sprintf("mark-keys[%d].file", i))
+		r.readMarkKey(&s.MarkKeys[i], fmt.Sprintf("mark-keys[%d].file", i))
 	}
 }
 
-func (r *secretReader) key(k *declarer.MarkKey, key string) {
+func (r *secretReader) readMarkKey(k *declarer.MarkKey, key string) {
 	b, err := os.ReadFile(k.File)
 	b = bytes.TrimSpace(b)
 	switch {
 	case err != nil:
-		r.add(key, err.Error(), "a file that can be read")
+		r.addFault(key, err.Error(), "a file that can be read")
 	case len(b) < MinimumKeyBytes:
-		r.add(key, "a short key", fmt.Sprintf("%d bytes or more", MinimumKeyBytes))
+		r.addFault(key, "a short key", fmt.Sprintf("%d bytes or more", MinimumKeyBytes))
 	}
 	k.Key = b
 }
 
-func (r *secretReader) add(key, found, expected string) {
+func (r *secretReader) addFault(key, found, expected string) {
 	f := decoder.Fault{File: r.file, Line: r.lines[key], Key: key, Found: found, Expected: expected}
 	r.faults = append(r.faults, f)
 }
 
-// password returns the backend password, or what is wrong with where it should be.
-func password(b *declarer.Backend) (value, bad string) {
+// readPassword returns the password for backend servers, or a description of the problem with its
+// source.
+func readPassword(b *declarer.Backend) (value, problem string) {
 	if b.PasswordEnvironment != "" {
 		v := os.Getenv(b.PasswordEnvironment)
 		if v == "" {
--- a/internal/settings/loader/loader_test.go
+++ b/internal/settings/loader/loader_test.go
@@ -21,6 +21,8 @@
 
 var start = time.Date(2026, 12, 3, 8, 0, 0, 0, time.UTC)
 
+// Guards against settings files with several faults of which only the first is reported, so that an
+// operator has to correct them one start at a time. Golden files hold the faults of each file.
 func TestFaultsAreAllReported(t *testing.T) {
 	l, err := filepath.Glob("testdata/*.yaml")
 	if err != nil || len(l) == 0 {
@@ -53,6 +55,8 @@
 	}
 }
 
+// Guards against an example file that can't be loaded, and against secrets and derived settings that
+// are left unset.
 func TestExampleFile(t *testing.T) {
 	d := t.TempDir()
 	b, err := os.ReadFile("../../../settings.example.yaml")
@@ -73,22 +77,22 @@
 		t.Fatal(err)
 	}
 	if s.Backend.Password != "secret" || string(s.MarkKeys[0].Key) != "0123456789abcdef" {
-		t.Error("secrets weren't read from the files that the settings name")
+		t.Error("secrets aren't the contents of the files that the settings name")
 	}
 	if s.Incarnation != uint64(start.UnixMilli()) || s.Peers.AdvertisedAddress != s.Peers.Address {
-		t.Error("incarnation or advertised address wasn't derived")
+		t.Error("incarnation or advertised address isn't derived")
 	}
 }
 
-// The example shows each default in a comment; a reader would be misled by one
-// that the code doesn't have.
+// Guards against defaults in the example file that differ from those in the code. The example shows
+// each default of the log and the limits in a comment.
 func TestExampleShowsDefaults(t *testing.T) {
 	b, err := os.ReadFile("../../../settings.example.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, tail, _ := strings.Cut(string(b), "# log:")
-	u := regexp.MustCompile(`(?m)^# `).ReplaceAllString("# log:"+tail, "")
+	_, defaults, _ := strings.Cut(string(b), "# log:")
+	u := regexp.MustCompile(`(?m)^# `).ReplaceAllString("# log:"+defaults, "")
 	var s declarer.Settings
 	decoder.Decode("example", []byte(u), &s)
 	w := defaulter.Default()
