--- a/internal/certificate/reloader/reloader.go
+++ b/internal/certificate/reloader/reloader.go
@@ -1,4 +1,4 @@
-// Package reloader serves certificates from files and takes up new ones without a restart.
+// Package reloader loads certificates from files and replaces them without a restart.
 package reloader
 
 import (
@@ -10,42 +10,43 @@
 	"github.com/juju/errors"
 )
 
-// Reloader holds the certificate of one pair of files, and the authority that
-// the other side's certificate must be from.
+// Reloader holds a certificate with its key, and the certificate authority that verifies the other
+// side's certificate. The exported fields are set before Load.
 type Reloader struct {
 	CertificateFile string
 	KeyFile         string
-	// AuthorityFile is read too if it is set.
+	// AuthorityFile is optional.
 	AuthorityFile string
 
-	state atomic.Pointer[state]
+	loaded atomic.Pointer[contents]
 }
 
-// state is one reading of the files.
-type state struct {
+// contents holds the contents of the files at one Load.
+type contents struct {
 	certificate tls.Certificate
 	authority   *x509.CertPool
 }
 
-// Load reads the files. Where that fails the certificate before it stays in
-// use: a half-written file must not turn callers away.
+// Load reads the files. If it fails, the previous certificate and authority stay in use, because a
+// partly written file must not make handshakes fail.
 func (r *Reloader) Load() error {
 	c, err := tls.LoadX509KeyPair(r.CertificateFile, r.KeyFile)
 	if err != nil {
 		return errors.Annotatef(err, "load certificate %s", r.CertificateFile)
 	}
-	s := &state{certificate: c}
+	s := &contents{certificate: c}
 	if r.AuthorityFile != "" {
-		s.authority, err = pool(r.AuthorityFile)
+		s.authority, err = loadAuthority(r.AuthorityFile)
 	}
 	if err != nil {
 		return err
 	}
-	r.state.Store(s)
+	r.loaded.Store(s)
 	return nil
 }
 
-func pool(file string) (*x509.CertPool, error) {
+// loadAuthority reads a file of PEM certificates.
+func loadAuthority(file string) (*x509.CertPool, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return nil, errors.Annotate(err, "load authority")
@@ -57,22 +58,23 @@
 	return p, nil
 }
 
-// Certificate returns the present certificate.
+// Certificate returns the current certificate. Load must have succeeded once.
 func (r *Reloader) Certificate() *tls.Certificate {
-	return &r.state.Load().certificate
+	return &r.loaded.Load().certificate
 }
 
-// Authority returns the present authority, nil if there is no AuthorityFile.
+// Authority returns the current authority, nil if AuthorityFile is empty. Load must have succeeded
+// once.
 func (r *Reloader) Authority() *x509.CertPool {
-	return r.state.Load().authority
+	return r.loaded.Load().authority
 }
 
-// Config returns a server's configuration for clients without certificates;
-// handshakes after a Load use what it read. Load must have succeeded once.
+// Config returns the TLS configuration of a server whose clients have no certificates. Each handshake
+// uses the certificate of the last successful Load, of which there must have been one.
 func (r *Reloader) Config() *tls.Config {
-	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: r.get}
+	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: r.getCertificate}
 }
 
-func (r *Reloader) get(*tls.ClientHelloInfo) (*tls.Certificate, error) {
+func (r *Reloader) getCertificate(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 	return r.Certificate(), nil
 }
--- a/internal/certificate/reloader/reloader_test.go
+++ b/internal/certificate/reloader/reloader_test.go
@@ -9,7 +9,8 @@
 	"github.com/cuminwick/cuminwick/internal/peer/certifier"
 )
 
-func issue(t *testing.T, dir, name string) {
+// writeCertificate writes the files of a new authority and of a certificate with this name to dir.
+func writeCertificate(t *testing.T, dir, name string) {
 	t.Helper()
 	a, err := certifier.New("authority", time.Now(), time.Hour)
 	if err != nil {
@@ -24,7 +25,8 @@
 	}
 }
 
-func name(t *testing.T, r *Reloader) string {
+// servedName returns the common name of the certificate that r serves.
+func servedName(t *testing.T, r *Reloader) string {
 	t.Helper()
 	c, err := r.Config().GetCertificate(nil)
 	if err != nil {
@@ -33,8 +35,8 @@
 	return c.Leaf.Subject.CommonName
 }
 
-// An operator replaces a certificate and the file is only half written when it
-// is read. Callers must go on with the certificate before it.
+// Guards against failing handshakes while an operator replaces a certificate. The file is read when it
+// is only partly written. The previous certificate must stay in use until a complete one is loaded.
 func TestBrokenFileKeepsCertificate(t *testing.T) {
 	d := t.TempDir()
 	r := &Reloader{
@@ -42,7 +44,7 @@
 		KeyFile:         filepath.Join(d, certifier.KeyFile),
 		AuthorityFile:   filepath.Join(d, certifier.AuthorityFile),
 	}
-	issue(t, d, "first")
+	writeCertificate(t, d, "first")
 	if err := r.Load(); err != nil {
 		t.Fatal(err)
 	}
@@ -50,16 +52,16 @@
 		t.Fatal(err)
 	}
 	if err := r.Load(); err == nil {
-		t.Error("a broken file was loaded")
+		t.Error("Load accepted a broken file")
 	}
-	if n := name(t, r); n != "first" || r.Authority() == nil {
+	if n := servedName(t, r); n != "first" || r.Authority() == nil {
 		t.Errorf("certificate of %s, want the first one kept", n)
 	}
-	issue(t, d, "second")
+	writeCertificate(t, d, "second")
 	if err := r.Load(); err != nil {
 		t.Fatal(err)
 	}
-	if n := name(t, r); n != "second" {
+	if n := servedName(t, r); n != "second" {
 		t.Errorf("certificate of %s, want the second one", n)
 	}
 }
