--- a/internal/caller/authenticator/failures.go
+++ b/internal/caller/authenticator/failures.go
@@ -9,41 +9,42 @@
 	"golang.org/x/time/rate"
 )
 
-// maximumAddresses bounds the memory for addresses with failed logins.
+// maximumAddresses is the number of addresses whose failed logins are counted. It bounds the memory.
 const maximumAddresses = 4096
 
-// Failures bounds the failed logins of each address. It reads no clock.
-type Failures struct {
-	// PerMinute is how many logins may fail in a minute, none are refused if zero.
+// FailureLimiter limits the failed logins of each address. It reads no clock; the methods are given
+// the time.
+type FailureLimiter struct {
+	// PerMinute is the number of logins that may fail in a minute; zero disables the limit.
 	PerMinute int
 
 	mu        sync.Mutex
 	addresses *lru.Cache[string, *rate.Limiter]
 }
 
-// Allow reports whether the address may try to log in at now.
-func (f *Failures) Allow(address string, now time.Time) bool {
+// Allow reports whether the address may attempt a login at now.
+func (f *FailureLimiter) Allow(address string, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.PerMinute <= 0 || f.addresses == nil {
 		return true
 	}
-	l, ok := f.addresses.Get(host(address))
+	l, ok := f.addresses.Get(withoutPort(address))
 	return !ok || l.TokensAt(now) >= 1
 }
 
-// Fail counts a failed login of the address at now.
-func (f *Failures) Fail(address string, now time.Time) {
+// RecordFailure counts a failed login of the address at now.
+func (f *FailureLimiter) RecordFailure(address string, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.PerMinute <= 0 {
 		return
 	}
 	if f.addresses == nil {
-		// It fails only for a size that isn't positive.
+		// New only fails for a size that isn't positive.
 		f.addresses, _ = lru.New[string, *rate.Limiter](maximumAddresses)
 	}
-	h := host(address)
+	h := withoutPort(address)
 	l, ok := f.addresses.Get(h)
 	if !ok {
 		l = rate.NewLimiter(rate.Limit(float64(f.PerMinute)/60), f.PerMinute)
@@ -52,8 +53,8 @@
 	l.AllowN(now, 1)
 }
 
-// host drops the port, which differs with each connection.
-func host(address string) string {
+// withoutPort removes the port, which differs between the connections of a caller.
+func withoutPort(address string) string {
 	h, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return address
