--- a/internal/member/gossiper/fleet_test.go
+++ b/internal/member/gossiper/fleet_test.go
@@ -11,37 +11,44 @@
 )
 
 const (
-	interval  = 500 * time.Millisecond
-	latency   = 5 * time.Millisecond
-	tick      = 100 * time.Millisecond
-	overhead  = 28 + 30 + 45 // UDP and IP, QUIC, the sender in the envelope
-	ackPacket = 28 + 30
+	interval     = 500 * time.Millisecond
+	latency      = 5 * time.Millisecond
+	tickInterval = 100 * time.Millisecond
+	overhead     = 28 + 30 + 45 // bytes per datagram: UDP and IP headers, QUIC, the sender in the envelope
+	ackPacket    = 28 + 30      // bytes per acknowledgement: UDP and IP headers, QUIC
 )
 
-// fleet passes the actions of several gossipers on, in virtual time.
+// fleet simulates several hosts and the network between them in virtual time.
 type fleet struct {
 	now   time.Duration
 	queue events
 	hosts map[string]*node
 	names []string
-	// cut reports whether nothing passes from a to b.
-	cut func(a, b *node) bool
+	// blocked reports whether no message gets from a to b.
+	blocked func(a, b *node) bool
 	// lose reports whether the next datagram is lost.
-	lose  func() bool
+	lose func() bool
+	// order numbers the scheduled events.
 	order int
-	sent  int
+	// sent counts the datagrams that were sent.
+	sent int
 }
 
+// node is a simulated host.
 type node struct {
 	*Gossiper
-	up    bool
+	// up is false once the host has failed.
+	up bool
+	// bytes counts the bytes that the host has sent, including acknowledgements.
 	bytes int
 }
 
+// event is a function to run at a virtual time. Events of the same time run in the order in which
+// they were scheduled.
 type event struct {
-	at    time.Duration
-	order int
-	do    func()
+	at       time.Duration
+	order    int
+	callback func()
 }
 
 type events []event
@@ -61,9 +68,9 @@
 
 func newFleet(zones, perZone int) *fleet {
 	f := &fleet{
-		hosts: map[string]*node{},
-		cut:   func(_, _ *node) bool { return false },
-		lose:  func() bool { return false },
+		hosts:   map[string]*node{},
+		blocked: func(_, _ *node) bool { return false },
+		lose:    func() bool { return false },
 	}
 	for z := range zones {
 		for h := range perZone {
@@ -87,7 +94,7 @@
 	f.hosts[name] = n
 	n.Start(f.now)
 	n.SetHints(f.names)
-	f.later(tick, func() { f.tick(n) })
+	f.schedule(tickInterval, func() { f.tick(n) })
 	return n
 }
 
@@ -95,13 +102,13 @@
 	if !n.up {
 		return
 	}
-	f.do(n, n.Tick(f.now))
-	f.later(tick, func() { f.tick(n) })
+	f.perform(n, n.Tick(f.now))
+	f.schedule(tickInterval, func() { f.tick(n) })
 }
 
-func (f *fleet) later(d time.Duration, do func()) {
+func (f *fleet) schedule(d time.Duration, do func()) {
 	f.order++
-	heap.Push(&f.queue, event{at: f.now + d, order: f.order, do: do})
+	heap.Push(&f.queue, event{at: f.now + d, order: f.order, callback: do})
 }
 
 func (f *fleet) run(d time.Duration) {
@@ -109,21 +116,21 @@
 	for len(f.queue) > 0 && f.queue[0].at <= end {
 		e := heap.Pop(&f.queue).(event)
 		f.now = e.at
-		e.do()
+		e.callback()
 	}
 	f.now = end
 }
 
-// reach returns the node of a host if a can exchange messages with it.
-func (f *fleet) reach(a *node, host string) *node {
+// reachable returns the node of a host if a can exchange messages with it, else nil.
+func (f *fleet) reachable(a *node, host string) *node {
 	b := f.hosts[host]
-	if b == nil || !b.up || !a.up || f.cut(a, b) || f.cut(b, a) {
+	if b == nil || !b.up || !a.up || f.blocked(a, b) || f.blocked(b, a) {
 		return nil
 	}
 	return b
 }
 
-func (f *fleet) do(n *node, l []Action) {
+func (f *fleet) perform(n *node, l []Action) {
 	for _, a := range l {
 		switch a.Kind {
 		case Send:
@@ -131,9 +138,9 @@
 		case Sync:
 			f.sync(n, a.To)
 		case Probe:
-			m := f.reach(n, a.To)
-			isHeard := m != nil && m.Self.Incarnation >= a.Subject.Incarnation
-			f.later(time.Second/2, func() { f.do(n, n.RecordObservation(f.now, a.Subject, n.Self.Host, isHeard)) })
+			m := f.reachable(n, a.To)
+			isReachable := m != nil && m.Self.Incarnation >= a.Subject.Incarnation
+			f.schedule(time.Second/2, func() { f.perform(n, n.RecordObservation(f.now, a.Subject, n.Self.Host, isReachable)) })
 		case Observe:
 			f.observe(n, a)
 		}
@@ -148,54 +155,54 @@
 	f.sent++
 	n.bytes += len(b) + overhead
 	to := f.hosts[a.To]
-	if to == nil || !to.up || !n.up || f.cut(n, to) || f.lose() {
+	if to == nil || !to.up || !n.up || f.blocked(n, to) || f.lose() {
 		return
 	}
 	to.bytes += ackPacket
 	from, inc := n.Self.Host, n.Self.Incarnation
-	f.later(latency, func() {
+	f.schedule(latency, func() {
 		if to.up && f.hosts[a.To] == to {
-			f.do(to, to.Receive(f.now, from, inc, a.Message))
+			f.perform(to, to.Receive(f.now, from, inc, a.Message))
 		}
 	})
 }
 
 func (f *fleet) sync(n *node, host string) {
 	q := n.SyncRequest()
-	f.later(latency, func() {
-		to := f.reach(n, host)
+	f.schedule(latency, func() {
+		to := f.reachable(n, host)
 		if to == nil {
 			return
 		}
 		a, l := to.AnswerSync(f.now, q)
-		f.do(to, l)
+		f.perform(to, l)
 		b, err := encoder.Marshal(a)
 		if err != nil {
 			panic(err)
 		}
 		to.bytes += len(b) + overhead
-		f.later(latency, func() { f.do(n, n.ApplySyncAnswer(f.now, host, a)) })
+		f.schedule(latency, func() { f.perform(n, n.ApplySyncAnswer(f.now, host, a)) })
 	})
 }
 
 func (f *fleet) observe(n *node, a Action) {
-	o := f.reach(n, a.To)
+	o := f.reachable(n, a.To)
 	if o == nil {
 		return
 	}
-	m := f.reach(o, a.Subject.Host)
-	isHeard := m != nil && m.Self.Incarnation >= a.Subject.Incarnation
-	f.later(time.Second/2, func() { f.do(n, n.RecordObservation(f.now, a.Subject, a.To, isHeard)) })
+	m := f.reachable(o, a.Subject.Host)
+	isReachable := m != nil && m.Self.Incarnation >= a.Subject.Incarnation
+	f.schedule(time.Second/2, func() { f.perform(n, n.RecordObservation(f.now, a.Subject, a.To, isReachable)) })
 }
 
-// mistake is an entry of a running host's view that is wrong.
-type mistake struct {
-	seer, subject string
-	entry         declarer.Member
+// wrongEntry is an entry of a running host's view that differs from the state of the fleet.
+type wrongEntry struct {
+	viewer, subject string
+	entry           declarer.Member
 }
 
-func (f *fleet) wrong() []mistake {
-	var l []mistake
+func (f *fleet) wrongEntries() []wrongEntry {
+	var l []wrongEntry
 	for _, a := range f.names {
 		n := f.hosts[a]
 		if !n.up {
@@ -205,23 +212,23 @@
 			m, ok := n.Find(b)
 			live := ok && m.State != declarer.Dead
 			if live != f.hosts[b].up || (live && m.Incarnation != f.hosts[b].Self.Incarnation) {
-				l = append(l, mistake{a, b, m})
+				l = append(l, wrongEntry{a, b, m})
 			}
 		}
 	}
 	return l
 }
 
-// settle runs until all views are right and returns how long it took.
-func (f *fleet) settle(t testing.TB, limit time.Duration) time.Duration {
+// converge runs the fleet until all views are correct and returns how long it took.
+func (f *fleet) converge(t testing.TB, limit time.Duration) time.Duration {
 	t.Helper()
 	b := f.now
-	for len(f.wrong()) > 0 {
+	for len(f.wrongEntries()) > 0 {
 		if f.now-b > limit {
-			w := f.wrong()
+			w := f.wrongEntries()
 			t.Fatalf("after %s %d entries are wrong, the first: %+v", limit, len(w), w[0])
 		}
-		f.run(tick)
+		f.run(tickInterval)
 	}
 	return f.now - b
 }
--- a/internal/member/gossiper/gossiper.go
+++ b/internal/member/gossiper/gossiper.go
@@ -1,4 +1,4 @@
-// Package gossiper decides what an entry host tells others about members, and whom it takes for dead.
+// Package gossiper implements gossip membership and failure detection of entry hosts without I/O.
 package gossiper
 
 import (
@@ -8,115 +8,124 @@
 	"github.com/cuminwick/cuminwick/internal/member/declarer"
 )
 
-// Gossiper is the state of the decisions. It opens no connection and reads no
-// clock: each step is given the time since some start, and returns what to do.
-// It isn't safe for use from several goroutines.
+// Gossiper holds one host's membership state. It opens no connection and reads no clock: each
+// method is given the time since an arbitrary start and returns the actions that the caller has to
+// carry out. It isn't safe for concurrent use.
 type Gossiper struct {
-	// Self is this host.
+	// Self is this host's record; its state and incarnation change after Start.
 	Self declarer.Member
-	// Interval is the time between heartbeats to one neighbour.
+	// Interval is the time between heartbeats to one neighbour. It is doubled in large zones and
+	// between zones.
 	Interval time.Duration
-	// SuspectAfter is the silence after which a member is suspected.
+	// SuspectAfter is the time without a message after which a neighbour with the period Interval
+	// is suspected to be dead.
 	SuspectAfter time.Duration
-	// ZoneInterval is the time between signs of life of a zone.
+	// ZoneInterval is the time between increments of a zone's counter.
 	ZoneInterval time.Duration
-	// ForgetAfter is how long a dead member is remembered.
+	// ForgetAfter is the time for which the record of a dead member is kept.
 	ForgetAfter time.Duration
 
-	members map[string]*record
-	zones   map[string]*zone
-	links   map[string]*neighbour
+	// members, neighbours and suspicions are keyed by host, zones by availability zone.
+	members    map[string]*record
+	zones      map[string]*zone
+	neighbours map[string]*neighbour
 	// sources are the members that this host observes.
 	sources []string
-	// suspicions are open questions about sources.
+	// suspicions holds the sources whose death isn't confirmed or refuted yet.
 	suspicions map[string]*suspicion
-	// speaks holds this relay's target in other zones, skips how many hosts
-	// there were passed over.
-	speaks map[string]string
-	skips  map[string]int
-	// arranged is false while the neighbours don't follow from the members.
-	arranged   bool
-	nextZone   time.Duration
-	hints      hints
-	nextForget time.Duration
-	version    uint64
-	// sum is the digest of all members at sumVersion.
+	// zoneTargets holds the host to which this relay sends heartbeats, by zone. skips counts the
+	// hosts that were passed over there because they didn't answer.
+	zoneTargets map[string]string
+	skips       map[string]int
+	// arranged is false if the members have changed since the neighbours were chosen.
+	arranged     bool
+	nextZoneBeat time.Duration
+	hints        hints
+	nextForget   time.Duration
+	// version counts the changes of members.
+	version uint64
+	// sum is the digest of all members, computed at sumVersion.
 	sum        uint64
 	sumVersion uint64
-	// lastView is what View last worked out, at viewVersion.
+	// lastView caches the result of buildView, computed at viewVersion.
 	lastView    declarer.View
 	viewVersion uint64
 }
 
-// record is a member.
+// record holds a member with what is needed to keep it in sync.
 type record struct {
 	declarer.Member
-	// since is when this record was learnt.
-	since time.Duration
-	// differs counts messages in a row whose digest differed from this host's.
-	differs int
-	synced  time.Duration
+	// mergedAt is the time at which this version of the member was received.
+	mergedAt time.Duration
+	// mismatches counts consecutive messages of the member whose digest differed from this host's.
+	mismatches int
+	// syncedAt is the time of the last sync that mismatches caused.
+	syncedAt time.Duration
 }
 
-// Action is something to be done by the plumbing.
+// Action is an operation that the caller of a Gossiper has to carry out.
 type Action struct {
 	Kind ActionKind
-	// To is the host to which it is done.
+	// To is the host that is contacted.
 	To string
-	// Subject is the host that is asked about.
+	// Subject is the member that is probed, set for Probe and Observe.
 	Subject declarer.Member
+	// Message is set for Send.
 	Message declarer.Message
 }
 
-// ActionKind says what to do.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
 // Kinds of action.
 const (
 	// Send sends Message to To in a datagram.
 	Send ActionKind = iota
-	// Sync calls To with SyncRequest and hands the answer to ApplySyncAnswer.
+	// Sync calls To with SyncRequest and passes the answer to ApplySyncAnswer.
 	Sync
-	// Probe connects to Subject afresh and hands the result to RecordObservation.
+	// Probe opens a new connection to Subject and passes the result to RecordObservation.
 	Probe
-	// Observe has To probe Subject and hands the result to RecordObservation.
+	// Observe asks To to probe Subject and passes the result to RecordObservation.
 	Observe
 )
 
-// Bounds of what goes into messages.
+// Limits of gossip messages.
 const (
-	// maximumUpdates keeps a message within a datagram.
+	// maximumUpdates is the maximum number of members in a message, so that it fits into a
+	// datagram.
 	maximumUpdates = 8
-	// maximumZones keeps a message within a datagram.
+	// maximumZones is the maximum number of zone counters in a message, so that it fits into a
+	// datagram.
 	maximumZones = 12
-	// repeats is how often each piece of news is sent to a neighbour, as
+	// updateTransmissions is the number of times that each update is sent to a neighbour, because
 	// datagrams may be lost.
-	repeats = 2
-	// syncAfter is how many messages in a row must differ.
-	syncAfter = 3
+	updateTransmissions = 2
+	// syncAfterMismatches is the number of consecutive messages with a different digest after which
+	// a sync is requested.
+	syncAfterMismatches = 3
 )
 
-// Start takes this host in; it is called once, before all other steps.
+// Start adds Self to the members. It is called once, before all other methods.
 func (g *Gossiper) Start(now time.Duration) {
 	g.members = map[string]*record{}
 	g.zones = map[string]*zone{}
-	g.links = map[string]*neighbour{}
+	g.neighbours = map[string]*neighbour{}
 	g.suspicions = map[string]*suspicion{}
 	g.skips = map[string]int{}
-	g.nextZone = now
-	g.learn(now, g.Self, "")
+	g.nextZoneBeat = now
+	g.mergeMember(now, g.Self, "")
 }
 
-// Tick does what is due. It is called several times in an Interval.
+// Tick returns the actions that are due. It is called several times per Interval.
 func (g *Gossiper) Tick(now time.Duration) []Action {
 	g.forget(now)
-	g.skip(now)
+	g.skipSilentTargets(now)
 	g.arrange(now)
 	l := g.suspect(now)
-	g.beatZone(now)
-	l = append(l, g.follow(now)...)
-	for _, h := range g.neighbours() {
-		n := g.links[h]
+	g.incrementZoneCounter(now)
+	l = append(l, g.tryHint(now)...)
+	for _, h := range g.neighbourHosts() {
+		n := g.neighbours[h]
 		if n.target && now >= n.next {
 			n.next = now + n.period
 			l = append(l, g.heartbeat(h, true))
@@ -125,77 +134,78 @@
 	return append(l, g.flush()...)
 }
 
-// Receive takes a message of the host from, at its incarnation.
+// Receive processes a message from the given host, which sent it with the given incarnation.
 func (g *Gossiper) Receive(now time.Duration, from string, incarnation uint64, m declarer.Message) []Action {
 	if r := g.members[from]; r != nil && incarnation < r.Incarnation {
 		return g.correct(from, r)
 	}
-	if n := g.links[from]; n != nil {
-		n.heard = now
+	if n := g.neighbours[from]; n != nil {
+		n.receivedAt = now
 	}
 	delete(g.suspicions, from)
-	g.learnAll(now, m.Updates, from)
-	g.learnZones(now, m.Zones, from)
+	g.mergeMembers(now, m.Updates, from)
+	g.mergeZoneBeats(now, m.Zones, from)
 	g.arrange(now)
 	l := g.flush()
 	if r := g.members[from]; r != nil && r.State == declarer.Dead && incarnation <= r.Incarnation {
 		l = append(l, g.correct(from, r)...)
 	}
 	l = append(l, g.reply(from, m)...)
-	return append(l, g.compare(now, from, m)...)
+	return append(l, g.compareDigest(now, from, m)...)
 }
 
-// correct tells a host what is known of it, so that it can contradict: one
-// that was taken for dead or that started with a clock set back.
+// correct sends a host its own record, so that it can refute it. It applies to a host that was
+// declared dead, or that restarted with its clock set back and so with a lower incarnation.
 func (g *Gossiper) correct(host string, r *record) []Action {
 	m := declarer.Message{Digest: g.digest(), Updates: []declarer.Member{r.Member}}
 	return []Action{{Kind: Send, To: host, Message: m}}
 }
 
-// compare asks for all that differs, where a host's digest keeps differing
-// although all news has had time to arrive.
-func (g *Gossiper) compare(now time.Duration, from string, m declarer.Message) []Action {
+// compareDigest requests a sync with a host whose digest keeps differing from this host's although
+// all updates have had time to arrive.
+func (g *Gossiper) compareDigest(now time.Duration, from string, m declarer.Message) []Action {
 	r := g.members[from]
 	if r == nil {
 		return nil
 	}
 	if m.Digest == g.digest() {
-		r.differs = 0
+		r.mismatches = 0
 		return nil
 	}
-	r.differs++
-	if r.differs < syncAfter || now < r.synced+2*g.Interval {
+	r.mismatches++
+	if r.mismatches < syncAfterMismatches || now < r.syncedAt+2*g.Interval {
 		return nil
 	}
-	r.differs = 0
-	r.synced = now
+	r.mismatches = 0
+	r.syncedAt = now
 	return []Action{{Kind: Sync, To: from}}
 }
 
-// heartbeat makes the message for n; only regular ones carry signs of life of
-// zones, so that those don't cross the fleet more often than needed.
+// heartbeat returns the message for a neighbour. Only regular heartbeats carry zone counters;
+// messages sent ahead of time for an update don't, to limit the traffic.
 func (g *Gossiper) heartbeat(host string, regular bool) Action {
-	n := g.links[host]
-	m := declarer.Message{Digest: g.digest(), Updates: n.take(g.members)}
+	n := g.neighbours[host]
+	m := declarer.Message{Digest: g.digest(), Updates: n.takeUpdates(g.members)}
 	if regular {
-		m.Zones = n.beats(g.zones)
+		m.Zones = n.takeZoneBeats(g.zones)
 		m.ReplyRequested = g.isZoneTarget(host)
 	}
 	return Action{Kind: Send, To: host, Message: m}
 }
 
-// flush sends fresh news at once, to reach all hosts before the next heartbeats.
+// flush sends updates immediately to the neighbours that haven't received them yet, so that they
+// reach all hosts before the next regular heartbeats.
 func (g *Gossiper) flush() []Action {
 	var l []Action
-	for _, h := range g.neighbours() {
-		if g.links[h].fresh() {
+	for _, h := range g.neighbourHosts() {
+		if g.neighbours[h].hasUnsent() {
 			l = append(l, g.heartbeat(h, false))
 		}
 	}
 	return l
 }
 
-// arrange chooses the neighbours anew after the members changed.
+// arrange chooses the neighbours again if the members have changed.
 func (g *Gossiper) arrange(now time.Duration) {
 	if g.arranged {
 		return
@@ -204,7 +214,7 @@
 	r := arranger.Ring(g.liveIn(g.Self.AvailabilityZone))
 	g.sources = arranger.Sources(r, g.Self.Host)
 	t := arranger.Targets(r, g.Self.Host)
-	t = append(t, g.zoneTargets()...)
+	t = append(t, g.chooseZoneTargets()...)
 	want := map[string]bool{}
 	for _, h := range g.sources {
 		want[h] = false
@@ -214,7 +224,7 @@
 	}
 	delete(want, g.Self.Host)
 	g.connect(now, want)
-	for h, n := range g.links {
+	for h, n := range g.neighbours {
 		n.period = g.period(h, len(r))
 	}
 	g.clearSuspicions()
--- a/internal/member/gossiper/gossiper_test.go
+++ b/internal/member/gossiper/gossiper_test.go
@@ -21,133 +21,133 @@
 	os.Exit(m.Run())
 }
 
-func TestFleetFindsTogether(t *testing.T) {
+func TestFleetConverges(t *testing.T) {
 	for _, tt := range []struct {
 		name           string
 		zones, perZone int
 	}{
 		{name: "one host", zones: 1, perZone: 1},
-		{name: "users today", zones: 3, perZone: 3},
+		{name: "three zones of three hosts", zones: 3, perZone: 3},
 		{name: "one large zone", zones: 1, perZone: 60},
 		{name: "many zones", zones: 12, perZone: 2},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			newFleet(tt.zones, tt.perZone).settle(t, 2*time.Minute)
+			newFleet(tt.zones, tt.perZone).converge(t, 2*time.Minute)
 		})
 	}
 }
 
-// An entry host loses power. The others must take it for dead within seconds,
-// or its callers' pools stay without an owner.
-func TestDeadHostIsNoticed(t *testing.T) {
+// An entry host loses power. If the others didn't declare it dead within seconds, the pools that it
+// owned would stay without an owner.
+func TestDeadHostIsDetected(t *testing.T) {
 	f := newFleet(3, 3)
-	f.settle(t, time.Minute)
+	f.converge(t, time.Minute)
 	f.hosts["host-1-1"].up = false
-	if d := f.settle(t, 10*time.Second); d > 5*time.Second {
-		t.Errorf("noticed after %s", d)
+	if d := f.converge(t, 10*time.Second); d > 5*time.Second {
+		t.Errorf("death was detected after %s", d)
 	}
 }
 
-// The network card of one host fails: it hears nobody. It must not have the
-// others taken for dead, and comes back by itself once the card works again.
-func TestDeafHostAccusesNobody(t *testing.T) {
+// The network card of one host fails, so the host receives no messages. It must not declare the
+// others dead, and the views must converge by themselves once the card works again.
+func TestIsolatedHostDeclaresNobodyDead(t *testing.T) {
 	f := newFleet(3, 3)
-	f.settle(t, time.Minute)
+	f.converge(t, time.Minute)
 	x := f.hosts["host-1-1"]
-	f.cut = func(a, b *node) bool { return (a == x) != (b == x) }
+	f.blocked = func(a, b *node) bool { return (a == x) != (b == x) }
 	f.run(30 * time.Second)
 	for _, n := range f.names {
 		for _, m := range f.names {
 			r, _ := f.hosts[n].Find(m)
 			if n != x.Self.Host && m != x.Self.Host && r.State == declarer.Dead {
-				t.Errorf("%s takes %s for dead", n, m)
+				t.Errorf("%s has declared %s dead", n, m)
 			}
 			if n == x.Self.Host && r.State == declarer.Dead {
-				t.Errorf("the deaf host takes %s for dead", m)
+				t.Errorf("the isolated host has declared %s dead", m)
 			}
 		}
 	}
 	if v := x.View(f.now); len(v.Zones[1].Unreachable) != 2 {
-		t.Errorf("the deaf host misses %v, want both others of its zone", v.Zones[1].Unreachable)
+		t.Errorf("unreachable for the isolated host: %v, want both others of its zone", v.Zones[1].Unreachable)
 	}
-	f.cut = func(_, _ *node) bool { return false }
-	f.settle(t, 30*time.Second)
+	f.blocked = func(_, _ *node) bool { return false }
+	f.converge(t, 30*time.Second)
 }
 
-// An availability zone is cut off from the others. Nobody there may be taken
-// for dead, as the zone goes on serving; operators must see it as cut off.
-func TestCutZoneStaysAsKnown(t *testing.T) {
+// An availability zone is cut off from the others. Its hosts must not be declared dead, because the
+// zone continues to serve; views must report it as cut off.
+func TestCutOffZoneKeepsItsMembers(t *testing.T) {
 	f := newFleet(3, 3)
-	f.settle(t, time.Minute)
+	f.converge(t, time.Minute)
 	f.run(10 * time.Second)
-	f.cut = func(a, b *node) bool {
+	f.blocked = func(a, b *node) bool {
 		return (a.Self.AvailabilityZone == "zone-0") != (b.Self.AvailabilityZone == "zone-0")
 	}
 	f.run(time.Minute)
-	if w := f.wrong(); len(w) > 0 {
-		t.Errorf("wrong while cut off: %v", w)
+	if w := f.wrongEntries(); len(w) > 0 {
+		t.Errorf("wrong entries while the zone is cut off: %v", w)
 	}
 	v := f.hosts["host-1-0"].View(f.now)
 	if !v.Zones[0].CutOff || v.Zones[2].CutOff {
-		t.Errorf("zones are seen as %+v", v.Zones)
+		t.Errorf("zones = %+v, want only the first one cut off", v.Zones)
 	}
-	f.cut = func(_, _ *node) bool { return false }
+	f.blocked = func(_, _ *node) bool { return false }
 	f.run(30 * time.Second)
 	if v := f.hosts["host-1-0"].View(f.now); v.Zones[0].CutOff {
-		t.Error("the zone still counts as cut off")
+		t.Error("the zone is still reported as cut off")
 	}
 }
 
-// A host is replaced by one of the same name whose clock stands an hour behind,
-// so that its incarnation is lower. It must be taken in all the same.
+// A host is replaced by one of the same name whose clock is an hour behind, so that its incarnation
+// is lower than that of its predecessor. It must become a live member nevertheless.
 func TestReplacedHostWithClockSetBack(t *testing.T) {
 	f := newFleet(2, 3)
 	f.hosts["host-0-0"].up = false
 	f.start("host-0-0", "zone-0", 9000)
-	f.settle(t, time.Minute)
+	f.converge(t, time.Minute)
 	f.hosts["host-0-0"].up = false
 	f.run(time.Second)
 	f.start("host-0-0", "zone-0", 3)
-	f.settle(t, time.Minute)
+	f.converge(t, time.Minute)
 }
 
-// All hosts of a zone but one die at once, and no other zone can be asked. The
-// survivor can't confirm that they are dead, but must not count on any of them,
-// or its callers wait for pools that nobody owns.
-func TestSoleSurvivorCountsOnNobody(t *testing.T) {
+// All hosts of a zone but one die at once, and there is no other zone to ask. The survivor can't
+// confirm that they are dead, but must report all of them as unreachable. Otherwise its callers wait
+// for pools without an owner.
+func TestSoleSurvivorReportsOthersUnreachable(t *testing.T) {
 	f := newFleet(1, 5)
-	f.settle(t, time.Minute)
+	f.converge(t, time.Minute)
 	for _, n := range f.names[:4] {
 		f.hosts[n].up = false
 	}
 	f.run(10 * time.Second)
 	v := f.hosts[f.names[4]].View(f.now)
 	if !slices.Equal(v.Zones[0].Unreachable, f.names[:4]) {
-		t.Errorf("unheard are %v", v.Zones[0].Unreachable)
+		t.Errorf("unreachable = %v, want all other hosts", v.Zones[0].Unreachable)
 	}
 }
 
-func TestLeavingAndGoodbye(t *testing.T) {
+func TestLeaveAndDepart(t *testing.T) {
 	f := newFleet(2, 3)
-	f.settle(t, time.Minute)
+	f.converge(t, time.Minute)
 	x := f.hosts["host-0-0"]
-	f.do(x, x.Leave(f.now))
+	f.perform(x, x.Leave(f.now))
 	f.run(time.Second)
 	for _, n := range f.names {
 		if m, _ := f.hosts[n].Find("host-0-0"); m.State != declarer.Leaving {
-			t.Errorf("%s sees %s", n, m.State)
+			t.Errorf("state at %s = %s, want leaving", n, m.State)
 		}
 	}
-	f.do(x, x.Depart(f.now))
+	f.perform(x, x.Depart(f.now))
 	x.up = false
-	if d := f.settle(t, time.Second); d > time.Second/2 {
-		t.Errorf("the goodbye took %s", d)
+	if d := f.converge(t, time.Second); d > time.Second/2 {
+		t.Errorf("the departure reached all hosts after %s", d)
 	}
 }
 
-// Hosts die and are replaced, zones are cut off and datagrams are lost, in any
-// order. Once that ends, all hosts must agree on the truth again.
-func TestViewsMend(t *testing.T) {
+// Hosts die and are replaced, zones and hosts are cut off and datagrams are lost, in any order. Once
+// the faults end, all views must become correct again.
+func TestViewsConvergeAfterFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 4).Draw(t, "zones"), rapid.IntRange(1, 5).Draw(t, "hosts"))
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "loss"), 1))
@@ -165,34 +165,34 @@
 				f.start(n.Self.Host, n.Self.AvailabilityZone, incarnation)
 			case 2:
 				z := n.Self.AvailabilityZone
-				f.cut = func(a, b *node) bool { return (a.Self.AvailabilityZone == z) != (b.Self.AvailabilityZone == z) }
+				f.blocked = func(a, b *node) bool { return (a.Self.AvailabilityZone == z) != (b.Self.AvailabilityZone == z) }
 			case 3:
-				f.cut = func(a, b *node) bool { return (a.Self.Host == n.Self.Host) != (b.Self.Host == n.Self.Host) }
+				f.blocked = func(a, b *node) bool { return (a.Self.Host == n.Self.Host) != (b.Self.Host == n.Self.Host) }
 			case 4:
-				f.cut = func(_, _ *node) bool { return false }
+				f.blocked = func(_, _ *node) bool { return false }
 			}
 			f.run(time.Duration(rapid.IntRange(0, 20).Draw(t, "seconds")) * time.Second)
 		}
-		f.cut = func(_, _ *node) bool { return false }
+		f.blocked = func(_, _ *node) bool { return false }
 		f.lose = func() bool { return false }
 		limit := f.now + 3*time.Minute
-		for len(f.mistaken()) > 0 {
+		for len(f.verifiableWrongEntries()) > 0 {
 			if f.now > limit {
-				t.Fatalf("not mended: %+v", f.mistaken()[0])
+				t.Fatalf("wrong entry after the faults ended: %+v", f.verifiableWrongEntries()[0])
 			}
 			f.run(time.Second)
 		}
 	})
 }
 
-// mistaken is wrong without the dead hosts of which nobody can make sure: those
-// with nobody left in their zone, and those that a sole survivor misses. The
-// survivor must at least say that it doesn't hear them.
-func (f *fleet) mistaken() []mistake {
-	return slices.DeleteFunc(f.wrong(), f.isUnsure)
+// verifiableWrongEntries returns the wrong entries except those of dead hosts whose death no two
+// observers can confirm: hosts of a zone without a live host, and hosts that the sole survivor of
+// the fleet reports as unreachable.
+func (f *fleet) verifiableWrongEntries() []wrongEntry {
+	return slices.DeleteFunc(f.wrongEntries(), f.isUnverifiable)
 }
 
-func (f *fleet) isUnsure(m mistake) bool {
+func (f *fleet) isUnverifiable(m wrongEntry) bool {
 	n := f.hosts[m.subject]
 	if n.up {
 		return false
@@ -209,11 +209,11 @@
 	if zone == 0 {
 		return true
 	}
-	return up == 1 && slices.Contains(f.hosts[m.seer].unheard(), m.subject)
+	return up == 1 && slices.Contains(f.hosts[m.viewer].unreachableHosts(), m.subject)
 }
 
-// BenchmarkControlTraffic runs a settled fleet for virtual seconds and reports
-// what one host sends, with estimates for the headers and acknowledgements.
+// BenchmarkControlTraffic runs a converged fleet in virtual time and reports the bytes per second
+// that one host sends, with estimates for headers and acknowledgements.
 func BenchmarkControlTraffic(b *testing.B) {
 	for _, n := range []struct {
 		name           string
@@ -223,7 +223,7 @@
 	} {
 		b.Run(n.name, func(b *testing.B) {
 			f := newFleet(n.zones, n.perZone)
-			f.settle(b, 5*time.Minute)
+			f.converge(b, 5*time.Minute)
 			f.run(10 * time.Second)
 			for _, h := range f.names {
 				f.hosts[h].bytes = 0
@@ -247,13 +247,13 @@
 	}
 }
 
-// atSize returns a gossiper that knows 2,600 hosts in 26 zones.
-func atSize() *Gossiper {
+// newLargeGossiper returns a Gossiper with about 2,600 members in 26 zones.
+func newLargeGossiper() *Gossiper {
 	f := newFleet(1, 1)
 	n := f.hosts["host-0-0"]
 	for z := range 26 {
 		for h := range 100 {
-			n.learn(0, declarer.Member{
+			n.mergeMember(0, declarer.Member{
 				Host: fmt.Sprintf("host-%d-%d", z, h), AvailabilityZone: fmt.Sprintf("zone-%d", z), Region: "region",
 				Address: "10.0.0.1:7432", Incarnation: 1,
 			}, "")
@@ -263,9 +263,9 @@
 	return n.Gossiper
 }
 
-// BenchmarkAtSize measures the steps of one host among 2,600.
+// BenchmarkAtSize measures the methods of one host among about 2,600.
 func BenchmarkAtSize(b *testing.B) {
-	g := atSize()
+	g := newLargeGossiper()
 	b.Run("tick", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
@@ -302,7 +302,7 @@
 		runtime.ReadMemStats(&m)
 		var x *Gossiper
 		for b.Loop() {
-			x = atSize()
+			x = newLargeGossiper()
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&n)
--- a/internal/member/gossiper/hint.go
+++ b/internal/member/gossiper/hint.go
@@ -6,28 +6,31 @@
 	"github.com/cuminwick/cuminwick/internal/member/declarer"
 )
 
-// hints are hosts that the platform's host list or the settings name. They
-// lag, so a hint only makes this host try to talk to another one.
+// hints holds the hosts that the platform's host list names. The list may be out of date, so a hint
+// only causes an attempt to sync with the host.
 type hints struct {
-	hosts  []string
+	hosts []string
+	// cursor counts the hosts that were considered; modulo the length it is the next index.
 	cursor int
-	next   time.Duration
+	// next is the time of the next attempt.
+	next time.Duration
 }
 
-// Times between attempts to reach a host that is only hinted at.
+// Times between attempts to sync with a host that is known only from hints.
 const (
-	hintInterval      = 10 * time.Second
+	hintInterval = 10 * time.Second
+	// hintIntervalAlone applies while this host has no neighbours.
 	hintIntervalAlone = time.Second
 )
 
-// SetHints replaces the hosts that are hinted at.
+// SetHints replaces the hosts that may be entry hosts although they aren't known as live members.
 func (g *Gossiper) SetHints(hosts []string) {
 	g.hints.hosts = hosts
 }
 
-// follow tries the next host that is hinted at and isn't known to be live. So
-// halves of a fleet that took each other for dead find together again.
-func (g *Gossiper) follow(now time.Duration) []Action {
+// tryHint requests a sync with the next hinted host that isn't known to be live. This reunites two
+// halves of a fleet that have declared each other dead.
+func (g *Gossiper) tryHint(now time.Duration) []Action {
 	if now < g.hints.next || len(g.hints.hosts) == 0 {
 		return nil
 	}
@@ -35,7 +38,7 @@
 	for range g.hints.hosts {
 		h := g.hints.hosts[g.hints.cursor%len(g.hints.hosts)]
 		g.hints.cursor++
-		if g.isStrange(h) {
+		if g.isUnknownOrDead(h) {
 			return []Action{{Kind: Sync, To: h}}
 		}
 	}
@@ -43,14 +46,14 @@
 }
 
 func (g *Gossiper) hintInterval() time.Duration {
-	if len(g.links) == 0 {
+	if len(g.neighbours) == 0 {
 		return hintIntervalAlone
 	}
 	return hintInterval
 }
 
-// isStrange reports whether a host isn't known, or is taken for dead.
-func (g *Gossiper) isStrange(host string) bool {
+// isUnknownOrDead reports whether another host isn't a member or is recorded as dead.
+func (g *Gossiper) isUnknownOrDead(host string) bool {
 	if host == g.Self.Host {
 		return false
 	}
--- a/internal/member/gossiper/neighbour.go
+++ b/internal/member/gossiper/neighbour.go
@@ -7,89 +7,94 @@
 	"github.com/cuminwick/cuminwick/internal/member/declarer"
 )
 
-// neighbour is a host with which heartbeats are exchanged, in either direction.
+// neighbour is a host to which this host sends heartbeats, or which sends heartbeats to this host.
 type neighbour struct {
-	// target says that heartbeats are sent there.
+	// target reports whether this host sends heartbeats to the neighbour.
 	target bool
-	// period is the time between heartbeats, in either direction; next is when
-	// the next one is due.
+	// period is the time between heartbeats, in either direction.
 	period time.Duration
-	next   time.Duration
-	heard  time.Duration
-	// news counts how often each host's record is still to be sent.
-	news map[string]int
-	// zones holds the counters that were sent.
-	zones map[string]uint64
+	// next is the time at which the next heartbeat to a target is due.
+	next time.Duration
+	// receivedAt is the time of the last message from the neighbour.
+	receivedAt time.Duration
+	// updates holds the number of times that a member's record still has to be sent, by host.
+	updates map[string]int
+	// counters holds the zone counters that were sent to or received from the neighbour.
+	counters map[string]uint64
 }
 
-// Sizes from which heartbeats are spaced out, to keep control traffic bounded.
+// Heartbeats are less frequent in large zones and between zones, to limit control traffic.
 const (
-	// largeZone members have so many neighbours each that the period doubles.
-	largeZone = 17
-	// slowdown is by how much.
-	slowdown = 2
+	// largeZoneSize is the number of members from which a zone counts as large, because the number
+	// of neighbours of each member grows with the zone.
+	largeZoneSize = 17
+	// slowdownFactor multiplies the period of heartbeats.
+	slowdownFactor = 2
 )
 
-// period returns the time between heartbeats with h. All hosts of a zone work
-// out the same.
+// period returns the time between heartbeats with h, given the size of this host's zone. Both ends
+// compute the same period, so a host knows when to expect heartbeats.
 func (g *Gossiper) period(h string, size int) time.Duration {
-	if size >= largeZone || g.isZoneTarget(h) {
-		return slowdown * g.Interval
+	if size >= largeZoneSize || g.isZoneTarget(h) {
+		return slowdownFactor * g.Interval
 	}
 	return g.Interval
 }
 
-// isSilent reports whether a neighbour's heartbeats have been missing for too long.
+// isSilent reports whether no message of a neighbour has arrived for SuspectAfter, scaled by the
+// neighbour's period.
 func (g *Gossiper) isSilent(now time.Duration, n *neighbour) bool {
-	return now-n.heard > g.SuspectAfter*(n.period/g.Interval)
+	return now-n.receivedAt > g.SuspectAfter*(n.period/g.Interval)
 }
 
-// connect makes the links equal to want, which tells targets from sources.
+// connect replaces the neighbours by the hosts in want and keeps the state of those that stay. The
+// value in want is true for targets, and false for hosts that are only sources.
 func (g *Gossiper) connect(now time.Duration, want map[string]bool) {
-	for h := range g.links {
+	for h := range g.neighbours {
 		if _, ok := want[h]; !ok {
-			delete(g.links, h)
+			delete(g.neighbours, h)
 		}
 	}
 	for h, target := range want {
-		n := g.links[h]
+		n := g.neighbours[h]
 		if n == nil {
-			n = &neighbour{heard: now, news: map[string]int{}, zones: map[string]uint64{}}
-			// A new neighbour may not know this host yet.
-			n.news[g.Self.Host] = repeats
-			g.links[h] = n
+			n = &neighbour{receivedAt: now, updates: map[string]int{}, counters: map[string]uint64{}}
+			// A new neighbour may not have this host's record yet.
+			n.updates[g.Self.Host] = updateTransmissions
+			g.neighbours[h] = n
 		}
 		n.target = target
 	}
 }
 
-// neighbours returns the links' hosts in a fixed order.
-func (g *Gossiper) neighbours() []string {
-	l := make([]string, 0, len(g.links))
-	for h := range g.links {
+// neighbourHosts returns the hosts of all neighbours, sorted by name.
+func (g *Gossiper) neighbourHosts() []string {
+	l := make([]string, 0, len(g.neighbours))
+	for h := range g.neighbours {
 		l = append(l, h)
 	}
 	slices.Sort(l)
 	return l
 }
 
-// fresh reports whether some news has never been sent to the neighbour.
-func (n *neighbour) fresh() bool {
-	for _, c := range n.news {
-		if c == repeats {
+// hasUnsent reports whether an update has never been sent to the neighbour.
+func (n *neighbour) hasUnsent() bool {
+	for _, c := range n.updates {
+		if c == updateTransmissions {
 			return true
 		}
 	}
 	return false
 }
 
-// take removes some news from what is still to be sent, the least sent first.
-func (n *neighbour) take(members map[string]*record) []declarer.Member {
-	h := make([]string, 0, len(n.news))
-	for x := range n.news {
+// takeUpdates returns up to maximumUpdates records that still have to be sent, those that were sent
+// least often first, and counts them as sent.
+func (n *neighbour) takeUpdates(members map[string]*record) []declarer.Member {
+	h := make([]string, 0, len(n.updates))
+	for x := range n.updates {
 		h = append(h, x)
 	}
-	slices.SortFunc(h, n.byNeed)
+	slices.SortFunc(h, n.compareRemaining)
 	var l []declarer.Member
 	for _, x := range h {
 		if len(l) == maximumUpdates {
@@ -98,37 +103,38 @@
 		if r := members[x]; r != nil {
 			l = append(l, r.Member)
 		}
-		n.sent(x)
+		n.markSent(x)
 	}
 	return l
 }
 
-func (n *neighbour) byNeed(a, b string) int {
-	if c := n.news[b] - n.news[a]; c != 0 {
+func (n *neighbour) compareRemaining(a, b string) int {
+	if c := n.updates[b] - n.updates[a]; c != 0 {
 		return c
 	}
 	return compareStrings(a, b)
 }
 
-func (n *neighbour) sent(host string) {
-	n.news[host]--
-	if n.news[host] <= 0 {
-		delete(n.news, host)
+func (n *neighbour) markSent(host string) {
+	n.updates[host]--
+	if n.updates[host] <= 0 {
+		delete(n.updates, host)
 	}
 }
 
-// beats returns the signs of life that the neighbour hasn't got yet.
-func (n *neighbour) beats(zones map[string]*zone) []declarer.ZoneBeat {
+// takeZoneBeats returns up to maximumZones zone counters that the neighbour doesn't have yet, and
+// records them as sent.
+func (n *neighbour) takeZoneBeats(zones map[string]*zone) []declarer.ZoneBeat {
 	var l []declarer.ZoneBeat
 	for name, z := range zones {
-		if z.counter > n.zones[name] {
+		if z.counter > n.counters[name] {
 			l = append(l, declarer.ZoneBeat{AvailabilityZone: name, Counter: z.counter})
 		}
 	}
 	slices.SortFunc(l, byName)
 	l = l[:min(len(l), maximumZones)]
 	for _, b := range l {
-		n.zones[b.AvailabilityZone] = b.Counter
+		n.counters[b.AvailabilityZone] = b.Counter
 	}
 	return l
 }
--- a/internal/member/gossiper/suspicion.go
+++ b/internal/member/gossiper/suspicion.go
@@ -8,37 +8,41 @@
 	"github.com/cuminwick/cuminwick/internal/member/declarer"
 )
 
-// word is what one observer says.
-type word int
+// observation is the result of one observer's probe.
+type observation int
 
-// Words of an observer.
+// Results of a probe.
 const (
-	// none hasn't come yet.
-	none word = iota
-	heard
-	unheard
+	// pending means that the observer hasn't answered yet.
+	pending observation = iota
+	reachable
+	unreachable
 )
 
-// suspicion is the question whether a silent source is dead. A host whose own
-// network is faulty hears nobody; it must not have everybody else taken for
-// dead. So a second observer is asked, and both connect afresh, because an old
-// connection may have gone silent by itself.
+// suspicion is the state of the check whether a silent source is dead. A host whose own network is
+// faulty receives no messages at all and must not declare all others dead. So a second observer is
+// asked as well, and both probe over new connections, because an old connection may have failed by
+// itself.
 type suspicion struct {
+	// incarnation is the one of the suspected member.
 	incarnation uint64
-	asked       time.Duration
-	attempt     int
-	own         word
-	other       word
+	// askedAt is the time of the last round of probes.
+	askedAt time.Duration
+	// attempt counts the rounds of probes.
+	attempt int
+	// own is the result of this host's probe, other that of the second observer.
+	own   observation
+	other observation
 }
 
-// retryIntervals pass before the question is asked anew.
+// retryIntervals is the number of intervals after which open suspicions are probed again.
 const retryIntervals = 4
 
-// suspect opens suspicions of silent sources and repeats open questions.
+// suspect opens a suspicion for each silent source and repeats the probes of open suspicions.
 func (g *Gossiper) suspect(now time.Duration) []Action {
 	var l []Action
 	for _, h := range g.sources {
-		n := g.links[h]
+		n := g.neighbours[h]
 		if n == nil || !g.isSilent(now, n) {
 			continue
 		}
@@ -47,18 +51,18 @@
 		case s == nil:
 			s = &suspicion{incarnation: g.members[h].Incarnation}
 			g.suspicions[h] = s
-		case now-s.asked < retryIntervals*g.Interval:
+		case now-s.askedAt < retryIntervals*g.Interval:
 			continue
 		}
-		l = append(l, g.ask(now, h, s)...)
+		l = append(l, g.requestObservations(now, h, s)...)
 	}
 	return l
 }
 
-// ask has this host and the next of the other observers connect to h.
-func (g *Gossiper) ask(now time.Duration, h string, s *suspicion) []Action {
-	s.asked = now
-	s.other = none
+// requestObservations makes this host and the next one of the other observers probe h.
+func (g *Gossiper) requestObservations(now time.Duration, h string, s *suspicion) []Action {
+	s.askedAt = now
+	s.other = pending
 	m := g.members[h].Member
 	l := []Action{{Kind: Probe, To: h, Subject: m}}
 	if o := g.otherObservers(h); len(o) > 0 {
@@ -68,13 +72,13 @@
 	return l
 }
 
-// otherObservers returns who else may be asked about h: those that observe it
-// too, then the rest of the zone, then relays of other zones.
+// otherObservers returns the hosts that can serve as second observer of h: the hosts that observe it
+// too, then the rest of the zone, then relays of other zones. Suspected hosts are left out.
 func (g *Gossiper) otherObservers(h string) []string {
 	z := g.liveIn(g.Self.AvailabilityZone)
 	l := arranger.Observers(arranger.Ring(z), h)
 	l = append(l, z...)
-	for _, o := range g.populated() {
+	for _, o := range g.populatedZones() {
 		l = append(l, g.relays(o)...)
 	}
 	var r []string
@@ -87,16 +91,16 @@
 	return r
 }
 
-// RecordObservation takes the result of a Probe (observer is this host) or of an
-// Observe. An observer that couldn't be asked has no word: it isn't called.
-func (g *Gossiper) RecordObservation(now time.Duration, subject declarer.Member, observer string, isHeard bool) []Action {
+// RecordObservation processes the result of a Probe (observer is this host) or of an Observe. It
+// isn't called if the observer couldn't be asked, because that says nothing about the subject.
+func (g *Gossiper) RecordObservation(now time.Duration, subject declarer.Member, observer string, isReachable bool) []Action {
 	s := g.suspicions[subject.Host]
 	if s == nil || s.incarnation != subject.Incarnation {
 		return nil
 	}
-	w := unheard
-	if isHeard {
-		w = heard
+	w := unreachable
+	if isReachable {
+		w = reachable
 	}
 	if observer == g.Self.Host {
 		s.own = w
@@ -106,25 +110,27 @@
 	return g.conclude(now, subject, s)
 }
 
+// conclude ends a suspicion if the member answered this host, or declares it dead if neither this
+// host nor the second observer reached it.
 func (g *Gossiper) conclude(now time.Duration, m declarer.Member, s *suspicion) []Action {
-	if s.own == heard {
+	if s.own == reachable {
 		delete(g.suspicions, m.Host)
-		if n := g.links[m.Host]; n != nil {
-			n.heard = now
+		if n := g.neighbours[m.Host]; n != nil {
+			n.receivedAt = now
 		}
 		return nil
 	}
-	if s.own == none || s.other != unheard {
+	if s.own == pending || s.other != unreachable {
 		return nil
 	}
 	delete(g.suspicions, m.Host)
 	m.State = declarer.Dead
-	g.learn(now, m, "")
+	g.mergeMember(now, m, "")
 	g.arrange(now)
 	return g.flush()
 }
 
-// clearSuspicions drops those of hosts that aren't observed.
+// clearSuspicions drops the suspicions of hosts that this host doesn't observe.
 func (g *Gossiper) clearSuspicions() {
 	for h := range g.suspicions {
 		if !slices.Contains(g.sources, h) {
@@ -133,13 +139,13 @@
 	}
 }
 
-// unheard returns live members of this host's zone that it can't reach. A host
-// that hears none of those it observes is alone: the rest of its zone, which it
-// doesn't observe, is out of reach as well.
-func (g *Gossiper) unheard() []string {
+// unreachableHosts returns the live members of this host's zone that it can't reach. If it reaches
+// none of its sources, the host is isolated, and all other hosts of the zone count as unreachable
+// although it doesn't observe them.
+func (g *Gossiper) unreachableHosts() []string {
 	var l []string
 	for h, s := range g.suspicions {
-		if s.own == unheard {
+		if s.own == unreachable {
 			l = append(l, h)
 		}
 	}
--- a/internal/member/gossiper/table.go
+++ b/internal/member/gossiper/table.go
@@ -14,35 +14,36 @@
 	return strings.Compare(a, b)
 }
 
-// learnAll takes in what from says of members.
-func (g *Gossiper) learnAll(now time.Duration, l []declarer.Member, from string) {
+// mergeMembers merges member records that the host from sent.
+func (g *Gossiper) mergeMembers(now time.Duration, l []declarer.Member, from string) {
 	for _, m := range l {
-		g.learn(now, m, from)
+		g.mergeMember(now, m, from)
 	}
 }
 
-// learn takes in one record and queues it for all neighbours but its source.
-func (g *Gossiper) learn(now time.Duration, m declarer.Member, from string) {
+// mergeMember stores a record if it supersedes the known one, and queues it for all neighbours
+// except its sender. A record of this host that differs from Self goes through refute first.
+func (g *Gossiper) mergeMember(now time.Duration, m declarer.Member, from string) {
 	if m.Host == g.Self.Host && m != g.Self {
-		m = g.contradict(m)
+		m = g.refute(m)
 	}
 	r := g.members[m.Host]
 	if r != nil && !m.Supersedes(r.Member) {
 		return
 	}
-	g.members[m.Host] = &record{Member: m, since: now}
+	g.members[m.Host] = &record{Member: m, mergedAt: now}
 	g.arranged = false
 	g.version++
-	for h, n := range g.links {
+	for h, n := range g.neighbours {
 		if h != from || m.Host == g.Self.Host {
-			n.news[m.Host] = repeats
+			n.updates[m.Host] = updateTransmissions
 		}
 	}
 }
 
-// contradict answers what others say of this host with a higher incarnation,
-// where what they say would win over what the host says itself.
-func (g *Gossiper) contradict(m declarer.Member) declarer.Member {
+// refute returns this host's own record. It raises the incarnation if the received record m of this
+// host would supersede the own one, or has another address at the same incarnation.
+func (g *Gossiper) refute(m declarer.Member) declarer.Member {
 	same := m.Incarnation == g.Self.Incarnation
 	if m.Supersedes(g.Self) || (same && m.Address != g.Self.Address) {
 		g.Self.Incarnation = max(g.Self.Incarnation, m.Incarnation) + 1
@@ -50,42 +51,43 @@
 	return g.Self
 }
 
-// Leave says that this host finishes its work and takes nothing new.
+// Leave announces that this host finishes its transactions and accepts no new work.
 func (g *Gossiper) Leave(now time.Duration) []Action {
-	return g.say(now, declarer.Leaving)
+	return g.announce(now, declarer.Leaving)
 }
 
-// Depart says goodbye. The host's own word needs no second observer.
+// Depart announces that this host ends, by setting its own state to Dead. Others accept that
+// without a second observer.
 func (g *Gossiper) Depart(now time.Duration) []Action {
-	return g.say(now, declarer.Dead)
+	return g.announce(now, declarer.Dead)
 }
 
-func (g *Gossiper) say(now time.Duration, s declarer.State) []Action {
+func (g *Gossiper) announce(now time.Duration, s declarer.State) []Action {
 	g.Self.State = s
-	g.learn(now, g.Self, "")
+	g.mergeMember(now, g.Self, "")
 	return g.flush()
 }
 
-// forgetShare of ForgetAfter passes between looks for members to forget.
-const forgetShare = 16
+// forgetChecks is the number of times per ForgetAfter that forget looks for members to remove.
+const forgetChecks = 16
 
-// forget drops dead members after a while. Until then their records keep a
-// late message from bringing them back.
+// forget removes members that have been dead for ForgetAfter. Until then their records prevent a
+// delayed message from adding them again as live.
 func (g *Gossiper) forget(now time.Duration) {
 	if now < g.nextForget {
 		return
 	}
-	g.nextForget = now + g.ForgetAfter/forgetShare
+	g.nextForget = now + g.ForgetAfter/forgetChecks
 	for h, r := range g.members {
-		if r.State == declarer.Dead && h != g.Self.Host && now-r.since > g.ForgetAfter {
+		if r.State == declarer.Dead && h != g.Self.Host && now-r.mergedAt > g.ForgetAfter {
 			delete(g.members, h)
 			g.version++
 		}
 	}
 }
 
-// liveIn returns the members of a zone that aren't dead, by name. Leaving ones
-// still exchange heartbeats.
+// liveIn returns the names of a zone's members that aren't dead, sorted. Leaving ones are included
+// because they still exchange heartbeats.
 func (g *Gossiper) liveIn(zone string) []string {
 	var l []string
 	for h, r := range g.members {
@@ -97,17 +99,17 @@
 	return l
 }
 
-// digest sums up all members. It goes into each heartbeat, so it is computed
-// once for each change.
+// digest returns the combined digest of all members that aren't dead. Each heartbeat contains it,
+// so it is computed once per change of the members.
 func (g *Gossiper) digest() uint64 {
 	if g.sumVersion != g.version {
 		g.sumVersion = g.version
-		g.sum = g.digestOf(g.isMember)
+		g.sum = g.digestOf(g.includeAll)
 	}
 	return g.sum
 }
 
-func (g *Gossiper) isMember(*record) bool {
+func (g *Gossiper) includeAll(*record) bool {
 	return true
 }
 
@@ -121,7 +123,7 @@
 	return d
 }
 
-// digests sums up the members by zone.
+// digests returns the combined digest of each zone's members that aren't dead.
 func (g *Gossiper) digests() []declarer.ZoneDigest {
 	var l []declarer.ZoneDigest
 	for _, z := range g.zoneNames() {
@@ -145,20 +147,20 @@
 	return l
 }
 
-// SyncRequest returns what a Sync action sends.
+// SyncRequest returns the request that a Sync action sends.
 func (g *Gossiper) SyncRequest() declarer.SyncRequest {
 	return declarer.SyncRequest{Self: g.Self, Digests: g.digests()}
 }
 
-// AnswerSync serves another host's SyncRequest.
+// AnswerSync merges the record of the host that sent the SyncRequest and returns the answer to it.
 func (g *Gossiper) AnswerSync(now time.Duration, q declarer.SyncRequest) (declarer.SyncAnswer, []Action) {
-	// What is known of the asker goes into the answer, so it is looked up
-	// before the asker's own record replaces it.
+	// The answer contains the record of the requester if it supersedes the requester's own one, so
+	// it is looked up before mergeMember may replace it.
 	known := g.members[q.Self.Host]
-	g.learn(now, q.Self, "")
+	g.mergeMember(now, q.Self, "")
 	g.arrange(now)
 	var a declarer.SyncAnswer
-	z := g.differing(q.Digests)
+	z := g.differingZones(q.Digests)
 	for h, r := range g.members {
 		if h != q.Self.Host && slices.Contains(z, r.AvailabilityZone) {
 			a.Members = append(a.Members, r.Member)
@@ -174,21 +176,21 @@
 	return a, g.flush()
 }
 
-// differing returns the zones of which the asker knows something else.
-func (g *Gossiper) differing(asker []declarer.ZoneDigest) []string {
+// differingZones returns the zones whose digest differs from the requester's.
+func (g *Gossiper) differingZones(requester []declarer.ZoneDigest) []string {
 	var l []string
 	for _, d := range g.digests() {
-		if !slices.Contains(asker, d) {
+		if !slices.Contains(requester, d) {
 			l = append(l, d.AvailabilityZone)
 		}
 	}
 	return l
 }
 
-// ApplySyncAnswer takes in the answer to a Sync.
+// ApplySyncAnswer merges the answer to a Sync from the host from.
 func (g *Gossiper) ApplySyncAnswer(now time.Duration, from string, a declarer.SyncAnswer) []Action {
-	g.learnAll(now, a.Members, from)
-	g.learnZones(now, a.Zones, from)
+	g.mergeMembers(now, a.Members, from)
+	g.mergeZoneBeats(now, a.Zones, from)
 	g.arrange(now)
 	return g.flush()
 }
@@ -200,8 +202,8 @@
 	return cmp.Compare(a.Host, b.Host)
 }
 
-// byZone cuts members, which are in the order of their zones, into zones.
-func byZone(l []declarer.Member) [][]declarer.Member {
+// groupByZone splits members, which are sorted by zone, into one slice per zone.
+func groupByZone(l []declarer.Member) [][]declarer.Member {
 	var z [][]declarer.Member
 	for b := 0; b < len(l); {
 		e := b
@@ -214,41 +216,41 @@
 	return z
 }
 
-// Version changes whenever View would return other members.
+// Version returns a number that increases with each change of the members.
 func (g *Gossiper) Version() uint64 {
 	return g.version
 }
 
-// View returns what is known now. What follows from the members alone is
-// worked out once for each change of them.
+// View returns the current view. The parts that depend only on the members are computed once per
+// change of the members.
 func (g *Gossiper) View(now time.Duration) declarer.View {
 	if g.viewVersion != g.version {
 		g.viewVersion = g.version
-		g.lastView = g.describe()
+		g.lastView = g.buildView()
 	}
 	v := g.lastView
 	v.Self = g.Self
 	v.Zones = slices.Clone(v.Zones)
 	for i := range v.Zones {
-		g.age(now, &v.Zones[i])
+		g.setZoneStatus(now, &v.Zones[i])
 	}
 	return v
 }
 
-// describe lists the members, and the zones without what changes with time.
-func (g *Gossiper) describe() declarer.View {
+// buildView returns the parts of the view that depend only on the members.
+func (g *Gossiper) buildView() declarer.View {
 	v := declarer.View{Members: make([]declarer.Member, 0, len(g.members))}
 	for _, r := range g.members {
 		v.Members = append(v.Members, r.Member)
 	}
 	slices.SortFunc(v.Members, byZoneAndHost)
-	for _, m := range byZone(v.Members) {
-		v.Zones = append(v.Zones, describeZone(m))
+	for _, m := range groupByZone(v.Members) {
+		v.Zones = append(v.Zones, summarizeZone(m))
 	}
 	return v
 }
 
-// Find returns what is known of a host.
+// Find returns the record of a host and whether there is one.
 func (g *Gossiper) Find(host string) (declarer.Member, bool) {
 	r := g.members[host]
 	if r == nil {
@@ -257,7 +259,8 @@
 	return r.Member, true
 }
 
-// relays returns who speaks for a zone.
+// relays returns the hosts that exchange heartbeats with other zones on behalf of a zone, in order
+// of rank.
 func (g *Gossiper) relays(zone string) []string {
 	return firstRelays(zone, g.liveIn(zone))
 }
