--- a/internal/member/keeper/hinter.go
+++ b/internal/member/keeper/hinter.go
@@ -8,38 +8,40 @@
 	"github.com/cuminwick/cuminwick/internal/member/declarer"
 )
 
-// Times between reads of the platform's host list. Only a host that knows no
-// other one and the relays of each zone read it, so that the calls grow with
-// the zones and not with the hosts.
+// Times between reads of the platform's host list. Only the relays of each zone and hosts that know
+// no other live host read it, so that the number of calls grows with the zones and not with the
+// hosts.
 const (
-	hintsAlone = 3 * time.Second
-	hintsRelay = 30 * time.Second
-	hintsOther = 10 * time.Second
+	hostListIntervalAlone = 3 * time.Second
+	hostListIntervalRelay = 30 * time.Second
+	// hostListIntervalOther is the time after which a host that doesn't read the list checks again
+	// whether it has to.
+	hostListIntervalOther = 10 * time.Second
 )
 
-// loopHints reads the host list at times, spread at random.
-func (k *Keeper) loopHints(ctx context.Context) {
+// loopHostList reads the host list at randomized intervals until ctx ends.
+func (k *Keeper) loopHostList(ctx context.Context) {
 	defer k.wait.Done()
 	if k.Hosts == nil {
 		return
 	}
 	var d time.Duration
 	for k.Clock.Sleep(ctx, d) {
-		d = spread(k.hint(ctx), k.Random())
+		d = jitter(k.readHostList(ctx), k.Random())
 	}
 }
 
-// spread returns d give or take a quarter, by a random number in [0, 1). Hosts
-// that start together would otherwise call the platform together from then on.
-func spread(d time.Duration, random float64) time.Duration {
+// jitter returns d changed by up to a quarter in either direction, depending on a random number in
+// [0, 1). Without it, hosts that start together would call the platform at the same times.
+func jitter(d time.Duration, random float64) time.Duration {
 	return d*3/4 + time.Duration(random*float64(d/2))
 }
 
-// hint reads the host list if it is this host's turn and returns when to look again.
-func (k *Keeper) hint(ctx context.Context) time.Duration {
-	alone, relay := place(k.View())
+// readHostList reads the host list if this host has to, and returns the time until the next call.
+func (k *Keeper) readHostList(ctx context.Context) time.Duration {
+	alone, relay := classify(k.View())
 	if !alone && !relay {
-		return hintsOther
+		return hostListIntervalOther
 	}
 	c, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -50,13 +52,13 @@
 		k.SetHints(l)
 	}
 	if alone {
-		return hintsAlone
+		return hostListIntervalAlone
 	}
-	return hintsRelay
+	return hostListIntervalRelay
 }
 
-// place tells whether the view's host knows no other one, and whether it is a relay.
-func place(v declarer.View) (alone, relay bool) {
+// classify reports whether the view's host knows no other live host, and whether it is a relay.
+func classify(v declarer.View) (alone, relay bool) {
 	live := 0
 	for _, m := range v.Members {
 		if m.State != declarer.Dead {
--- a/internal/member/keeper/keeper.go
+++ b/internal/member/keeper/keeper.go
@@ -1,4 +1,4 @@
-// Package keeper runs the member decisions of an entry host over its peer connections.
+// Package keeper runs the gossip membership of an entry host over its peer connections.
 package keeper
 
 import (
@@ -19,60 +19,73 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// KindSync asks for the members of zones that differ.
+// KindSync requests the members of zones whose digests differ.
 const KindSync encoder.Kind = "member-sync"
 
-// Times of the decisions.
+// Intervals and timeouts of the membership protocol.
 const (
-	// tickInterval is the time between steps of the decisions.
+	// tickInterval is the time between calls of Gossiper.Tick.
 	tickInterval = 100 * time.Millisecond
 	// HeartbeatInterval is the time between heartbeats to a neighbour.
 	HeartbeatInterval = 500 * time.Millisecond
-	suspectAfter      = 3 * HeartbeatInterval
-	zoneInterval      = 5 * time.Second
-	forgetAfter       = 10 * time.Minute
-	// callTimeout ends a call to a peer.
+	// suspectAfter, zoneInterval and forgetAfter are the values of the Gossiper's fields.
+	suspectAfter = 3 * HeartbeatInterval
+	zoneInterval = 5 * time.Second
+	forgetAfter  = 10 * time.Minute
+	// callTimeout bounds each call to a peer or to the platform.
 	callTimeout = 2 * time.Second
 )
 
-// Keeper keeps this host's view of all entry hosts.
+// Keeper maintains this host's view of all entry hosts. The exported fields are set before Prepare,
+// except for Dialer, which is set before Run.
 type Keeper struct {
-	// Self is this host, live.
-	Self   declarer.Member
+	// Self is this host's record in state Live.
+	Self declarer.Member
+	// Dialer sends messages to peers.
 	Dialer *dialer.Dialer
-	// Seeds are addresses of peers to ask at the start.
+	// Seeds are the addresses of peers to contact until they are live members.
 	Seeds []string
-	// Publish gets each new view; it may be nil. It must not wait.
+	// Publish is called with each new view; it may be nil. It must not block, because the Keeper is
+	// locked during the call.
 	Publish func(v declarer.View)
 	// Hosts returns the platform's host list; it may be nil.
 	Hosts func(ctx context.Context) ([]accessor.Host, error)
-	// Random returns a number in [0, 1), which spreads the reads of the host list.
+	// Random returns a number in [0, 1) that randomizes the intervals between reads of the host
+	// list. It is required if Hosts is set.
 	Random func() float64
-	// ObserveBackend probes a backend server afresh for another host; without
-	// it such requests are refused.
+	// ObserveBackend probes a backend server over a new connection on behalf of another host. If it
+	// is nil, such requests are refused.
 	ObserveBackend func(ctx context.Context, name string) error
-	// Clock tells when something is due, timers of its own if nil.
+	// Clock provides the timers; if nil, timers of the standard library are used.
 	Clock *scheduler.Scheduler
 	Log   log.Interface
 
+	// mu guards all fields below except view and wait.
 	mu        sync.Mutex
 	gossiper  *gossiper.Gossiper
-	watch     scheduler.Stopwatch
+	stopwatch scheduler.Stopwatch
+	// addresses holds the addresses of the host list, by host.
 	addresses map[string]string
-	busy      map[busyKey]int
-	published uint64
-	viewed    time.Duration
-	view      atomic.Pointer[declarer.View]
-	changed   chan struct{}
-	context   context.Context
-	wait      sync.WaitGroup
+	// inFlight counts the actions that are being carried out.
+	inFlight map[actionKey]int
+	// publishedVersion and publishedAt are the Gossiper's version and the time of the last view.
+	publishedVersion uint64
+	publishedAt      time.Duration
+	view             atomic.Pointer[declarer.View]
+	// changed is closed and replaced when the result of Live changes.
+	changed chan struct{}
+	// context is the one of Run, nil before.
+	context context.Context
+	// wait counts the goroutines that Run waits for.
+	wait sync.WaitGroup
 }
 
-// Prepare makes the keeper answer; it is called before the peer listener runs.
+// Prepare initializes the Keeper, which then can serve requests. It is called before the peer
+// listener runs.
 func (k *Keeper) Prepare() {
 	k.changed = make(chan struct{})
 	k.addresses = map[string]string{}
-	k.busy = map[busyKey]int{}
+	k.inFlight = map[actionKey]int{}
 	k.gossiper = &gossiper.Gossiper{
 		Self:         k.Self,
 		Interval:     HeartbeatInterval,
@@ -84,14 +97,14 @@
 	k.publish()
 }
 
-// Run exchanges heartbeats until ctx ends.
+// Run exchanges heartbeats and reads the seeds and the host list until ctx ends.
 func (k *Keeper) Run(ctx context.Context) error {
 	k.mu.Lock()
 	k.context = ctx
 	k.mu.Unlock()
 	k.wait.Add(2)
 	go k.runSeeds(ctx)
-	go k.loopHints(ctx)
+	go k.loopHostList(ctx)
 	k.loop(ctx)
 	k.wait.Wait()
 	return nil
@@ -114,19 +127,19 @@
 	return k.gossiper.Tick(now)
 }
 
-// step runs one decision and does what it asks for.
+// step calls a method of the Gossiper, publishes the view and starts the returned actions.
 func (k *Keeper) step(decide func(now time.Duration) []gossiper.Action) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	l := decide(k.now())
 	k.publishLocked()
 	for _, a := range l {
-		k.do(a)
+		k.startLocked(a)
 	}
 }
 
 func (k *Keeper) now() time.Duration {
-	return k.watch.Elapsed()
+	return k.stopwatch.Elapsed()
 }
 
 func (k *Keeper) publish() {
@@ -135,15 +148,15 @@
 	k.publishLocked()
 }
 
-// publishLocked hands out the view if the members changed, and without that
-// each so often, as the ages of zones change by themselves.
+// publishLocked publishes the view if the members changed. Without a change it does so every
+// maximumViewInterval, because the times in the descriptions of zones change continuously.
 func (k *Keeper) publishLocked() {
 	v := k.gossiper.Version()
-	if old := k.view.Load(); old != nil && v == k.published && k.now()-k.viewed < viewInterval {
+	if old := k.view.Load(); old != nil && v == k.publishedVersion && k.now()-k.publishedAt < maximumViewInterval {
 		return
 	}
-	k.published = v
-	k.viewed = k.now()
+	k.publishedVersion = v
+	k.publishedAt = k.now()
 	x := k.gossiper.View(k.now())
 	old := k.view.Swap(&x)
 	if old == nil || !sameMembers(*old, x) {
@@ -155,18 +168,18 @@
 	}
 }
 
-// View returns the present view.
+// View returns the view that was published last.
 func (k *Keeper) View() declarer.View {
 	return *k.view.Load()
 }
 
-// Incarnation returns this host's incarnation, which rises when the host has
-// to contradict a wrong word about it. It goes on each message.
+// Incarnation returns this host's incarnation, which each message contains. It increases when the
+// host refutes an outdated record of itself.
 func (k *Keeper) Incarnation() uint64 {
 	return k.view.Load().Self.Incarnation
 }
 
-// Locate returns where a host is dialed.
+// Locate returns the address at which a host is dialed, from the members or else from the host list.
 func (k *Keeper) Locate(host string) (string, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -177,7 +190,8 @@
 	return a, ok
 }
 
-// SetHints takes in the platform's host list, which lags and is only a hint.
+// SetHints stores the entry hosts of the platform's host list. The list may be out of date, so it
+// only causes attempts to contact the hosts.
 func (k *Keeper) SetHints(l []accessor.Host) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -192,8 +206,8 @@
 	k.gossiper.SetHints(n)
 }
 
-// Leave tells the others that this host takes nothing new, so that the pools
-// it owns move to their next owners.
+// Leave announces that this host accepts no new work, so that the pools it owns move to their next
+// owners.
 func (k *Keeper) Leave() {
 	k.step(k.leave)
 }
@@ -202,13 +216,13 @@
 	return k.gossiper.Leave(now)
 }
 
-// Depart says goodbye, shortly before the process ends, and returns once that
-// has been sent or ctx has ended.
+// Depart announces that this host ends. It is called shortly before the process ends, and returns
+// once the announcement has been sent or ctx has ended.
 func (k *Keeper) Depart(ctx context.Context) {
 	k.step(k.depart)
-	t, x := k.Clock.Ticks(departPoll)
+	t, x := k.Clock.Ticks(departPollInterval)
 	defer x.Cancel()
-	for k.isBusy() {
+	for k.hasActionInFlight() {
 		select {
 		case <-t:
 		case <-ctx.Done():
@@ -217,20 +231,20 @@
 	}
 }
 
-// departPoll is the time between looks whether the goodbye has been sent.
-const departPoll = 2 * time.Millisecond
+// departPollInterval is the time between checks whether Depart's messages have been sent.
+const departPollInterval = 2 * time.Millisecond
 
-func (k *Keeper) isBusy() bool {
+func (k *Keeper) hasActionInFlight() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return len(k.busy) > 0
+	return len(k.inFlight) > 0
 }
 
 func (k *Keeper) depart(now time.Duration) []gossiper.Action {
 	return k.gossiper.Depart(now)
 }
 
-// Routes serve the requests of other keepers.
+// Routes returns the handlers of the requests that other hosts' Keepers send.
 func (k *Keeper) Routes() []listener.Route {
 	return []listener.Route{
 		listener.Handle(encoder.KindGossip, k.receive),
@@ -239,14 +253,14 @@
 	}
 }
 
-// nothing answers a heartbeat that came in a call.
-type nothing struct{}
+// emptyAnswer is the answer to a heartbeat that was sent as a call instead of a datagram.
+type emptyAnswer struct{}
 
-func (k *Keeper) receive(_ context.Context, s encoder.Sender, m declarer.Message) (nothing, error) {
+func (k *Keeper) receive(_ context.Context, s encoder.Sender, m declarer.Message) (emptyAnswer, error) {
 	k.step(func(now time.Duration) []gossiper.Action {
 		return k.gossiper.Receive(now, s.Host, s.Incarnation, m)
 	})
-	return nothing{}, nil
+	return emptyAnswer{}, nil
 }
 
 func (k *Keeper) answerSync(_ context.Context, s encoder.Sender, q declarer.SyncRequest) (declarer.SyncAnswer, error) {
@@ -262,7 +276,7 @@
 	return a, nil
 }
 
-// observe is this host's word as a second observer.
+// observe serves a probe on behalf of another host, as its second observer.
 func (k *Keeper) observe(ctx context.Context, _ encoder.Sender, q encoder.Observe) (encoder.ObserveAnswer, error) {
 	var err error
 	switch {
--- a/internal/member/keeper/keeper_test.go
+++ b/internal/member/keeper/keeper_test.go
@@ -25,7 +25,7 @@
 	"github.com/cuminwick/cuminwick/internal/peer/securer"
 )
 
-// member is one entry host as far as membership goes.
+// member is an entry host reduced to its membership.
 type member struct {
 	keeper *Keeper
 	links  *linker.Table
@@ -89,7 +89,7 @@
 	<-m.ended
 }
 
-// live counts the live members that m sees.
+// live returns the number of live members in m's view.
 func (m *member) live() int {
 	n := 0
 	for _, x := range m.keeper.View().Members {
@@ -100,21 +100,21 @@
 	return n
 }
 
-// await waits until all members see n live ones.
+// await waits until each of the members has n live members in its view.
 func await(t testing.TB, n int, l ...*member) {
 	t.Helper()
 	for _, m := range l {
 		for m.live() != n {
 			select {
 			case <-t.Context().Done():
-				t.Fatalf("%s sees %d live members, want %d", m.keeper.Self.Host, m.live(), n)
+				t.Fatalf("%s has %d live members, want %d", m.keeper.Self.Host, m.live(), n)
 			case <-time.After(10 * time.Millisecond):
 			}
 		}
 	}
 }
 
-func authority(t testing.TB) *certifier.Authority {
+func newAuthority(t testing.TB) *certifier.Authority {
 	t.Helper()
 	a, err := certifier.New("authority", time.Now(), time.Hour)
 	if err != nil {
@@ -123,10 +123,10 @@
 	return a
 }
 
-// One entry host is killed and another one leaves in an orderly way. The rest
-// must see both go, and a new one come, over real connections.
-func TestMembersComeAndGo(t *testing.T) {
-	a := authority(t)
+// One entry host is killed, another one leaves in an orderly way, and a new one joins. The views of
+// the others must follow, over real connections.
+func TestMembersJoinAndLeave(t *testing.T) {
+	a := newAuthority(t)
 	x := start(t, a, "x", "wien")
 	s := x.keeper.Self.Address
 	y := start(t, a, "y", "wien", s)
@@ -141,16 +141,16 @@
 	await(t, 3, x, z, v)
 }
 
-// settle is longer than links stay open unused.
-const settle = 75 * time.Second
+// linkIdleTime is longer than the time after which unused links are closed.
+const linkIdleTime = 75 * time.Second
 
-// BenchmarkMembers reports what membership costs one host over real
-// connections, all hosts being in this process.
+// BenchmarkMembers reports the cost of membership per host over real connections, with all hosts in
+// this process.
 func BenchmarkMembers(b *testing.B) {
 	for _, n := range []struct{ zones, perZone int }{{3, 1}, {3, 3}, {3, 10}, {3, 30}, {1, 90}} {
 		b.Run(fmt.Sprintf("%dx%d", n.zones, n.perZone), func(b *testing.B) {
-			a := authority(b)
-			before := heap()
+			a := newAuthority(b)
+			before := heapSize()
 			var l []*member
 			var s []string
 			for i := range n.zones * n.perZone {
@@ -159,14 +159,14 @@
 				l = append(l, m)
 			}
 			await(b, len(l), l...)
-			// Links of the time of joining close once they are idle.
-			time.Sleep(settle)
-			t0, c0 := traffic(l), processor()
+			// Wait until the links that were opened for joining have been closed as idle.
+			time.Sleep(linkIdleTime)
+			t0, c0 := traffic(l), processorTime()
 			const span = 10 * time.Second
 			for b.Loop() {
 				time.Sleep(span)
 			}
-			t1, c1 := traffic(l), processor()
+			t1, c1 := traffic(l), processorTime()
 			d := span.Seconds() * float64(b.N) * float64(len(l))
 			links := 0
 			for _, m := range l {
@@ -175,16 +175,16 @@
 			b.ReportMetric(float64(t1.Sent-t0.Sent)/d, "sent-B/s/host")
 			b.ReportMetric(float64(t1.Received-t0.Received)/d, "received-B/s/host")
 			b.ReportMetric((c1-c0).Seconds()/d*100, "%core/host")
-			b.ReportMetric(float64(heap()-before)/float64(len(l))/1024, "KiB/host")
+			b.ReportMetric(float64(heapSize()-before)/float64(len(l))/1024, "KiB/host")
 			b.ReportMetric(float64(links)/float64(len(l)), "links/host")
 		})
 	}
 }
 
-// BenchmarkDeath reports how long the others hold a host for live whose power
-// has failed. Each round has a new victim.
+// BenchmarkDeath reports the time until all others have declared a host dead that lost power. Each
+// iteration starts and stops another host.
 func BenchmarkDeath(b *testing.B) {
-	a := authority(b)
+	a := newAuthority(b)
 	first := start(b, a, "first", "zone-0")
 	l := []*member{first}
 	for i := range 8 {
@@ -217,7 +217,7 @@
 	return t
 }
 
-func processor() time.Duration {
+func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		panic(err)
@@ -225,7 +225,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func heap() int64 {
+func heapSize() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/member/keeper/roster.go
+++ b/internal/member/keeper/roster.go
@@ -7,14 +7,14 @@
 	"github.com/cuminwick/cuminwick/internal/pool/assigner"
 )
 
-// sameMembers reports whether two views have the same members in the same
-// states, and the same ones out of reach.
+// sameMembers reports whether two views have the same members in the same states and the same
+// unreachable hosts.
 func sameMembers(a, b declarer.View) bool {
-	return slices.Equal(a.Members, b.Members) && slices.Equal(unheard(a), unheard(b))
+	return slices.Equal(a.Members, b.Members) && slices.Equal(unreachable(a), unreachable(b))
 }
 
-// unheard returns the members of its own zone that the view's host can't reach.
-func unheard(v declarer.View) []string {
+// unreachable returns the members of its own zone that the view's host can't reach.
+func unreachable(v declarer.View) []string {
 	for _, z := range v.Zones {
 		if z.Name == v.Self.AvailabilityZone {
 			return z.Unreachable
@@ -23,12 +23,12 @@
 	return nil
 }
 
-// Live returns the entry hosts as the ranking of pool owners takes them. Hosts
-// that are out of this one's reach own nothing as far as it is concerned, like
-// leaving ones: two hosts that differ in that merely share a server's connections.
+// Live returns the members that aren't dead, as input of the ranking of pool owners. Hosts that
+// this host can't reach are marked as leaving, so that they own no pools from its point of view. If
+// two hosts disagree about that, they only share a server's connections.
 func (k *Keeper) Live() []assigner.Host {
 	v := k.View()
-	u := unheard(v)
+	u := unreachable(v)
 	var l []assigner.Host
 	for _, m := range v.Members {
 		if m.State == declarer.Dead {
@@ -44,7 +44,7 @@
 	return l
 }
 
-// Changed returns a channel that is closed at the next change of Live.
+// Changed returns a channel that is closed when the result of Live changes.
 func (k *Keeper) Changed() <-chan struct{} {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/member/keeper/worker.go
+++ b/internal/member/keeper/worker.go
@@ -12,36 +12,36 @@
 	"github.com/cuminwick/cuminwick/internal/peer/encoder"
 )
 
-// viewInterval is the longest time between two views.
-const viewInterval = time.Second
+// maximumViewInterval is the maximum time between two published views.
+const maximumViewInterval = time.Second
 
-// maximumBusy bounds the actions of one kind that are under way to one host. A
-// connection on which nothing gets through holds them up, and heartbeats that
-// can't be sent now are of no use later.
-const maximumBusy = 8
+// maximumInFlight bounds the concurrent actions with the same actionKey. Actions pile up on a stalled
+// connection, and heartbeats that can't be sent immediately are useless later. Further actions are
+// dropped.
+const maximumInFlight = 8
 
-// do starts one action; the keeper is locked.
-func (k *Keeper) do(a gossiper.Action) {
+// startLocked starts an action in a goroutine. It does nothing before Run and after its end.
+func (k *Keeper) startLocked(a gossiper.Action) {
 	if k.context == nil || k.context.Err() != nil {
 		return
 	}
-	x := busyKey{kind: a.Kind, to: a.To, subject: a.Subject.Host}
-	if k.busy[x] >= maximumBusy {
+	x := actionKey{kind: a.Kind, to: a.To, subject: a.Subject.Host}
+	if k.inFlight[x] >= maximumInFlight {
 		return
 	}
-	k.busy[x]++
+	k.inFlight[x]++
 	k.wait.Add(1)
 	go k.runAction(k.context, a, x)
 }
 
-// busyKey names an action that is under way.
-type busyKey struct {
+// actionKey identifies actions that count together against maximumInFlight.
+type actionKey struct {
 	kind    gossiper.ActionKind
 	to      string
 	subject string
 }
 
-func (k *Keeper) runAction(ctx context.Context, a gossiper.Action, x busyKey) {
+func (k *Keeper) runAction(ctx context.Context, a gossiper.Action, x actionKey) {
 	defer k.wait.Done()
 	defer k.finish(x)
 	c, cancel := context.WithTimeout(ctx, callTimeout)
@@ -52,22 +52,22 @@
 	case gossiper.Sync:
 		k.syncLogged(c, a.To)
 	case gossiper.Probe:
-		k.conclude(a.Subject, k.Self.Host, k.Dialer.Probe(c, a.To, a.Subject.Address))
+		k.recordObservation(a.Subject, k.Self.Host, k.Dialer.Probe(c, a.To, a.Subject.Address))
 	case gossiper.Observe:
-		k.ask(c, a)
+		k.requestObservation(c, a)
 	}
 }
 
-func (k *Keeper) finish(x busyKey) {
+func (k *Keeper) finish(x actionKey) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.busy[x]--
-	if k.busy[x] == 0 {
-		delete(k.busy, x)
+	k.inFlight[x]--
+	if k.inFlight[x] == 0 {
+		delete(k.inFlight, x)
 	}
 }
 
-// send sends a heartbeat. Its loss is made up for by the decisions.
+// send sends a heartbeat. A lost one isn't sent again, because the Gossiper repeats updates.
 func (k *Keeper) send(ctx context.Context, a gossiper.Action) {
 	err := k.Dialer.Send(ctx, a.To, encoder.KindGossip, a.Message)
 	if err != nil {
@@ -95,8 +95,9 @@
 	return nil
 }
 
-// ask gets a second observer's word. One that can't be asked has none.
-func (k *Keeper) ask(ctx context.Context, a gossiper.Action) {
+// requestObservation asks a second observer to probe the subject. If the observer can't be asked, no
+// observation is recorded.
+func (k *Keeper) requestObservation(ctx context.Context, a gossiper.Action) {
 	q := encoder.Observe{Kind: encoder.SubjectEntryHost, Name: a.Subject.Host, Incarnation: a.Subject.Incarnation}
 	r, err := dialer.Call[encoder.Observe, encoder.ObserveAnswer](ctx, k.Dialer, a.To, encoder.KindObserve, q)
 	if err != nil {
@@ -106,51 +107,51 @@
 	if !r.Heard {
 		e = errors.New(r.Detail)
 	}
-	k.conclude(a.Subject, a.To, e)
+	k.recordObservation(a.Subject, a.To, e)
 }
 
-// conclude hands an observer's word to the decisions, and logs when it makes a
-// member count as dead.
-func (k *Keeper) conclude(m declarer.Member, observer string, err error) {
+// recordObservation passes the result of a probe to the Gossiper. It logs a warning if the probe
+// failed and the member is dead afterwards.
+func (k *Keeper) recordObservation(m declarer.Member, observer string, err error) {
 	if errors.Is(err, context.Canceled) {
 		return
 	}
 	k.step(func(now time.Duration) []gossiper.Action {
 		l := k.gossiper.RecordObservation(now, m, observer, err == nil)
 		if r, ok := k.gossiper.Find(m.Host); ok && err != nil && r.State == declarer.Dead {
-			k.Log.WithField("peer", m.Host).WithField("step", "observe").WithField("observer", observer).WithError(err).Warn("entry host counts as dead")
+			k.Log.WithField("peer", m.Host).WithField("step", "observe").WithField("observer", observer).WithError(err).Warn("entry host declared dead")
 		}
 		return l
 	})
 }
 
-// Times between looks at the seeds.
+// Times between attempts to contact the seeds.
 const (
-	// seedInterval passes until each seed has answered once.
+	// seedInterval applies if a seed wasn't reached in the last attempt.
 	seedInterval = time.Second
-	// reseedInterval passes afterwards.
+	// reseedInterval applies otherwise.
 	reseedInterval = 30 * time.Second
 )
 
-// runSeeds asks the seeds, so that this host is ready with the platform down.
-// It goes on with seeds that aren't known to be live: hosts that start at the
-// same time may find each other first and would stay apart from the rest.
+// runSeeds contacts the seeds until ctx ends, so that this host finds others even if the platform is
+// down. It keeps contacting seeds that aren't live members: hosts that start at the same time may
+// find only each other and would otherwise stay separated from the rest.
 func (k *Keeper) runSeeds(ctx context.Context) {
 	defer k.wait.Done()
 	var d time.Duration
 	for k.Clock.Sleep(ctx, d) {
-		d = k.lookAtSeeds(ctx)
+		d = k.contactSeeds(ctx)
 	}
 }
 
-// lookAtSeeds asks the seeds that are missing and returns when to look again.
-func (k *Keeper) lookAtSeeds(ctx context.Context) time.Duration {
+// contactSeeds contacts the seeds that aren't live members and returns the time until the next call.
+func (k *Keeper) contactSeeds(ctx context.Context) time.Duration {
 	d := reseedInterval
 	for _, s := range k.Seeds {
 		if k.isLiveAt(s) {
 			continue
 		}
-		if !k.seed(ctx, s) {
+		if !k.contactSeed(ctx, s) {
 			d = seedInterval
 		}
 	}
@@ -167,8 +168,8 @@
 	return false
 }
 
-// seed reports whether an entry host answered at address.
-func (k *Keeper) seed(ctx context.Context, address string) bool {
+// contactSeed syncs with the entry host at address and reports whether that succeeded.
+func (k *Keeper) contactSeed(ctx context.Context, address string) bool {
 	c, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	h, err := k.Dialer.Seed(c, address)
