--- a/internal/member/arranger/arranger.go
+++ b/internal/member/arranger/arranger.go
@@ -1,4 +1,4 @@
-// Package arranger decides which entry hosts talk to each other regularly.
+// Package arranger computes which entry hosts exchange heartbeats with each other.
 package arranger
 
 import (
@@ -8,11 +8,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// RelaysPerZone is how many hosts of a zone speak to other zones.
+// RelaysPerZone is the number of hosts of a zone that exchange heartbeats with other zones.
 const RelaysPerZone = 2
 
-// Ring orders names by their hash, equally on all hosts. Neighbours by name
-// often share a rack and fail together; neighbours by hash seldom do.
+// Ring returns the names sorted by their hash, so all hosts compute the same order. Hosts with
+// similar names often share a rack and fail together; neighbours by hash seldom do.
 func Ring(names []string) []string {
 	r := slices.Clone(names)
 	slices.SortFunc(r, byHash)
@@ -26,18 +26,21 @@
 	return cmp.Compare(a, b)
 }
 
-// Targets returns whom self sends heartbeats to: those 1, 2, 4, 8, ... places
-// ahead on the ring. So the number grows with the logarithm of the zone, and
-// news crosses the zone in as many hops.
+// Targets returns the members to which self sends heartbeats: those 1, 2, 4, 8, ... places ahead on
+// the ring. Their number grows with the logarithm of the ring's size, and so does the number of hops
+// after which an update has reached all members. It returns nil if self isn't on the ring.
 func Targets(ring []string, self string) []string {
 	return fingers(ring, self, 1)
 }
 
-// Sources returns those whose heartbeats self gets, and whom it observes.
+// Sources returns the members that send heartbeats to self and that self therefore observes, nil if
+// self isn't on the ring.
 func Sources(ring []string, self string) []string {
 	return fingers(ring, self, -1)
 }
 
+// fingers returns the members at distances of powers of two from self, forwards on the ring with
+// direction 1 and backwards with -1.
 func fingers(ring []string, self string, direction int) []string {
 	at := slices.Index(ring, self)
 	n := len(ring)
@@ -51,19 +54,19 @@
 	return l
 }
 
-// Observers returns the hosts that observe subject.
+// Observers returns the members that observe subject.
 func Observers(ring []string, subject string) []string {
 	return Targets(ring, subject)
 }
 
-// Rank returns the zone's hosts in the order in which they are its relays, by
-// rendezvous hashing: a host that comes or goes moves no other one.
+// Rank returns the zone's hosts in the order in which they become its relays. It uses rendezvous
+// hashing, so a host that joins or leaves doesn't change the order of the others.
 func Rank(zone string, hosts []string) []string {
-	l := make([]ranked, 0, len(hosts))
+	l := make([]weightedHost, 0, len(hosts))
 	for _, h := range hosts {
-		l = append(l, ranked{host: h, weight: xxhash.Sum64String(zone + "\x00" + h)})
+		l = append(l, weightedHost{host: h, weight: xxhash.Sum64String(zone + "\x00" + h)})
 	}
-	slices.SortFunc(l, compare)
+	slices.SortFunc(l, compareWeights)
 	r := make([]string, 0, len(l))
 	for _, x := range l {
 		r = append(r, x.host)
@@ -71,12 +74,12 @@
 	return r
 }
 
-type ranked struct {
+type weightedHost struct {
 	host   string
 	weight uint64
 }
 
-func compare(a, b ranked) int {
+func compareWeights(a, b weightedHost) int {
 	if c := cmp.Compare(b.weight, a.weight); c != 0 {
 		return c
 	}
