--- a/internal/member/declarer/declarer.go
+++ b/internal/member/declarer/declarer.go
@@ -1,4 +1,4 @@
-// Package declarer holds what entry hosts tell each other about their members.
+// Package declarer declares the member records and gossip messages of entry hosts.
 package declarer
 
 import (
@@ -7,17 +7,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what is known of a member. At one incarnation a higher state is the
-// later one.
+// State is the state of a member. Within one incarnation a member only moves to higher states.
 type State uint8
 
 // States of a member.
 const (
-	// Live takes callers and owns pools.
+	// Live members serve callers and own pools.
 	Live State = iota
-	// Leaving finishes its transactions and takes nothing new.
+	// Leaving members finish their transactions and accept no new work.
 	Leaving
-	// Dead has said goodbye, or two observers couldn't reach it.
+	// Dead members have departed, or two observers couldn't reach them.
 	Dead
 )
 
@@ -32,25 +31,25 @@
 	return "dead"
 }
 
-// MarshalText writes the state's name.
+// MarshalText returns the state's name.
 func (s State) MarshalText() ([]byte, error) {
 	return []byte(s.String()), nil
 }
 
-// Member is one entry host.
+// Member is the record of one entry host.
 type Member struct {
 	Host             string `cbor:"1,keyasint" json:"host"`
 	AvailabilityZone string `cbor:"2,keyasint" json:"availability-zone"`
 	Region           string `cbor:"3,keyasint" json:"region"`
-	// Address is where peers dial it.
+	// Address is the host and port at which peers dial the member.
 	Address string `cbor:"4,keyasint" json:"address"`
-	// Incarnation tells this start of the host from others; the host itself
-	// raises it to contradict a wrong word about it.
+	// Incarnation distinguishes the starts of a host. The host also increases it to refute an
+	// outdated record of itself.
 	Incarnation uint64 `cbor:"5,keyasint" json:"incarnation"`
 	State       State  `cbor:"6,keyasint,omitempty" json:"state"`
 }
 
-// Supersedes reports whether m is later news of a host than o.
+// Supersedes reports whether m is a newer record of the same host than o.
 func (m Member) Supersedes(o Member) bool {
 	if m.Incarnation != o.Incarnation {
 		return m.Incarnation > o.Incarnation
@@ -58,8 +57,8 @@
 	return m.State > o.State
 }
 
-// Digest returns a hash of the record. Digests of several records are combined
-// by exclusive or, so that their order doesn't count.
+// Digest returns a hash of the host, incarnation and state. Digests of several records are combined
+// by exclusive or, so that their order doesn't matter.
 func (m Member) Digest() uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -73,65 +72,71 @@
 	return d.Sum64()
 }
 
-// ZoneBeat shows that an availability zone is heard of. Its first relay counts up.
+// ZoneBeat is the heartbeat of an availability zone.
 type ZoneBeat struct {
 	AvailabilityZone string `cbor:"1,keyasint"`
-	Counter          uint64 `cbor:"2,keyasint"`
+	// Counter is incremented regularly by the first relay of the zone.
+	Counter uint64 `cbor:"2,keyasint"`
 }
 
-// Message is a heartbeat with the news that the receiver may lack. It fits
-// into a datagram and may be lost.
+// Message is a heartbeat with updates that the receiver may not have. It fits into a datagram and
+// may be lost.
 type Message struct {
-	// Digest is over all members that the sender knows.
-	Digest  uint64     `cbor:"1,keyasint"`
-	Updates []Member   `cbor:"2,keyasint,omitempty"`
-	Zones   []ZoneBeat `cbor:"3,keyasint,omitempty"`
-	// ReplyRequested is set towards relays of other zones, whose own heartbeats go
-	// elsewhere. A reply doesn't set it.
+	// Digest is the combined digest of all members of the sender's view that aren't dead.
+	Digest uint64 `cbor:"1,keyasint"`
+	// Updates holds records that have changed.
+	Updates []Member `cbor:"2,keyasint,omitempty"`
+	// Zones holds zone counters that have increased.
+	Zones []ZoneBeat `cbor:"3,keyasint,omitempty"`
+	// ReplyRequested is set in heartbeats to other zones, because their relays send their own
+	// heartbeats to different hosts. It isn't set in replies.
 	ReplyRequested bool `cbor:"4,keyasint,omitempty"`
 }
 
-// ZoneDigest sums up what a host knows of one zone's members.
+// ZoneDigest is the combined digest of one zone's members that aren't dead.
 type ZoneDigest struct {
 	AvailabilityZone string `cbor:"1,keyasint"`
 	Digest           uint64 `cbor:"2,keyasint"`
 }
 
-// SyncRequest asks for the members of zones whose digests differ.
+// SyncRequest requests the members of all zones whose digest differs at the receiver.
 type SyncRequest struct {
-	// Self is the asking host, which may be new to the other one.
-	Self    Member       `cbor:"1,keyasint"`
+	// Self is the record of the requesting host, which the receiver may not have.
+	Self Member `cbor:"1,keyasint"`
+	// Digests holds one digest for each zone that the requesting host has members of.
 	Digests []ZoneDigest `cbor:"2,keyasint"`
 }
 
-// SyncAnswer holds all members of the zones that differ.
+// SyncAnswer holds all members of the zones whose digests differ, and all zone counters.
 type SyncAnswer struct {
 	Members []Member   `cbor:"1,keyasint"`
 	Zones   []ZoneBeat `cbor:"2,keyasint"`
 }
 
-// View is what one entry host knows of all of them. It isn't changed once it
-// has been handed out.
+// View is the state of all entry hosts as one of them has observed it. It is immutable.
 type View struct {
+	// Self is the record of the observing host.
 	Self Member `json:"self"`
-	// Members holds all hosts, this one included, by zone and name.
+	// Members holds all hosts including Self, sorted by zone and name.
 	Members []Member `json:"members"`
 	Zones   []Zone   `json:"zones"`
 }
 
-// Zone is an availability zone as one host sees it.
+// Zone is the state of an availability zone as one host has observed it.
 type Zone struct {
 	Name   string `json:"name"`
 	Region string `json:"region"`
-	// Live counts its members in service.
+	// Live is the number of members in state Live.
 	Live int `json:"live"`
-	// Relays speak for the zone, the first one before the others.
+	// Relays holds the hosts that exchange heartbeats with other zones, in order of rank.
 	Relays []string `json:"relays"`
-	// CutOff says that nothing is heard of the zone, for the time SinceHeartbeat
-	// (in nanoseconds as JSON). Its members stand as they were last known.
-	CutOff         bool          `json:"cut-off"`
+	// CutOff reports that no heartbeat of the zone has been received for several intervals. Its
+	// members keep their last known states.
+	CutOff bool `json:"cut-off"`
+	// SinceHeartbeat is the time since the last heartbeat of the zone, zero before the first one and
+	// for the observing host's own zone. In JSON it is a number of nanoseconds.
 	SinceHeartbeat time.Duration `json:"since-heard"`
-	// Unreachable are live members of this host's own zone that it can't reach,
-	// while no second observer confirms that they are dead.
+	// Unreachable holds live members of the observing host's own zone that it can't reach, while no
+	// second observer has confirmed that they are dead.
 	Unreachable []string `json:"unheard,omitempty"`
 }
