--- a/internal/member/keeper/worker.go
+++ b/internal/member/keeper/worker.go
@@ -15,9 +15,9 @@
 // maximumViewInterval is the maximum time between two published views.
 const maximumViewInterval = time.Second
 
-// maximumInFlight bounds the concurrent actions with the same actionKey. Actions pile up on a stalled
-// connection, and heartbeats that can't be sent immediately are useless later. Further actions are
-// dropped.
+// maximumInFlight bounds the concurrent actions with the same actionKey; further ones are dropped.
+// Actions pile up on a stalled connection, and heartbeats that can't be sent immediately are useless
+// later.
 const maximumInFlight = 8
 
 // startLocked starts an action in a goroutine. It does nothing before Run and after its end.
