--- a/internal/state/blackboard/blackboard.go
+++ b/internal/state/blackboard/blackboard.go
@@ -1,4 +1,4 @@
-// Package blackboard keeps the state that controllers share, written by one loop and read without a lock.
+// Package blackboard holds state that is written by one goroutine and read by others without a lock.
 package blackboard
 
 import (
@@ -9,17 +9,18 @@
 	"github.com/juju/errors"
 )
 
-// ErrStopped is returned for a write after the board's loop has ended; it had no effect.
+// ErrStopped is returned for a write that had no effect because Run has ended.
 const ErrStopped = errors.ConstError("blackboard stopped")
 
-// Section is one part of the state with a version that counts its changes.
+// Section is one part of the state.
 type Section[T any] struct {
+	// Version counts the calls of Set.
 	Version uint64
 	Value   T
 }
 
-// Set replaces the value. It is called from a Write only, and v must not be
-// changed afterwards: readers hold on to it.
+// Set replaces the value. It is called only from a Write. v must not be changed afterwards, because
+// readers keep references to it.
 func (s *Section[T]) Set(v T) {
 	s.Version++
 	s.Value = v
@@ -28,7 +29,7 @@
 // Write changes a copy of the state by calling Set on its sections.
 type Write[S any] func(s *S)
 
-// Board holds a state S, a plain struct of sections. Its zero value is ready.
+// Board holds a state S, which is a struct of sections. Its zero value is ready to use.
 type Board[S any] struct {
 	state       atomic.Pointer[S]
 	once        sync.Once
@@ -38,13 +39,14 @@
 	subscribers []*Subscriber[S]
 }
 
-// request is one write that waits for the loop.
+// request is a write that waits to be applied.
 type request[S any] struct {
 	write Write[S]
-	done  chan struct{}
+	// done is closed once readers see the write.
+	done chan struct{}
 }
 
-// queueLength is how many writes may wait; further writers wait to get in.
+// queueLength is the number of writes that can be queued before Update blocks.
 const queueLength = 256
 
 func (b *Board[S]) init() {
@@ -54,7 +56,7 @@
 	b.state.Store(&s)
 }
 
-// Read returns the present state, which nobody changes, by one atomic load.
+// Read returns the current state by one atomic load. The state must not be changed.
 func (b *Board[S]) Read() *S {
 	if s := b.state.Load(); s != nil {
 		return s
@@ -63,24 +65,25 @@
 	return b.state.Load()
 }
 
-// Update has the loop apply w and returns once readers see it. It must not be
-// called from a Write or a Subscriber.
+// Update queues w for Run and returns once readers see the result. It returns ErrStopped, or the
+// error of ctx if that ends while the queue is full. It must not be called from a Write or from a
+// Subscriber's Version, because Run would wait for itself.
 func (b *Board[S]) Update(ctx context.Context, w Write[S]) error {
 	b.once.Do(b.init)
 	r := &request[S]{write: w, done: make(chan struct{})}
-	if err := b.queue(ctx, r); err != nil {
+	if err := b.enqueue(ctx, r); err != nil {
 		return err
 	}
 	select {
 	case <-r.done:
 		return nil
 	case <-b.stopped:
-		return b.settle(r)
+		return b.resultAfterStop(r)
 	}
 }
 
-// settle tells whether a write was applied before the loop ended.
-func (b *Board[S]) settle(r *request[S]) error {
+// resultAfterStop returns nil if a write was applied before Run ended, else ErrStopped.
+func (b *Board[S]) resultAfterStop(r *request[S]) error {
 	select {
 	case <-r.done:
 		return nil
@@ -89,7 +92,7 @@
 	}
 }
 
-func (b *Board[S]) queue(ctx context.Context, r *request[S]) error {
+func (b *Board[S]) enqueue(ctx context.Context, r *request[S]) error {
 	select {
 	case <-b.stopped:
 		return ErrStopped
@@ -105,7 +108,7 @@
 	}
 }
 
-// Run applies writes until ctx ends.
+// Run applies queued writes until ctx ends, and then returns nil. It is called once.
 func (b *Board[S]) Run(ctx context.Context) error {
 	b.once.Do(b.init)
 	defer close(b.stopped)
@@ -125,8 +128,8 @@
 	}
 }
 
-// gather adds the writes that are waiting already, so that a burst of them
-// costs one copy of the state and one round of notifications.
+// gather appends the writes that are already queued, so that a burst of writes needs only one copy
+// of the state and one round of notifications.
 func (b *Board[S]) gather(l []*request[S]) []*request[S] {
 	for len(l) < queueLength {
 		select {
--- a/internal/state/blackboard/blackboard_test.go
+++ b/internal/state/blackboard/blackboard_test.go
@@ -16,7 +16,7 @@
 
 func limitVersion(s *state) uint64 { return s.Limit.Version }
 
-func TestReadersSeeWholeWrites(t *testing.T) {
+func TestReadersSeeWritesAtomically(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &Board[state]{}
 		c, stop := context.WithCancel(t.Context())
@@ -30,7 +30,7 @@
 					s.Members.Set(append(s.Members.Value[:len(s.Members.Value):len(s.Members.Value)], "x"))
 				})
 				if s := b.Read(); len(s.Members.Value) != s.Limit.Value || s.Limit.Version != uint64(s.Limit.Value) {
-					t.Errorf("half a write is visible: %+v", s)
+					t.Errorf("a partial write is visible: %+v", s)
 				}
 			})
 		}
@@ -49,7 +49,7 @@
 	})
 }
 
-func TestSubscribersHearOfTheirSection(t *testing.T) {
+func TestSubscribersAreNotifiedOfTheirSection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &Board[state]{}
 		c, stop := context.WithCancel(t.Context())
@@ -60,20 +60,20 @@
 		b.Update(c, func(s *state) { s.Members.Set(nil) })
 		synctest.Wait()
 		if len(x.C) != 0 {
-			t.Error("told of another section's change")
+			t.Error("notified of a change of another section")
 		}
 		b.Update(c, func(s *state) { s.Limit.Set(1) })
 		b.Update(c, func(s *state) { s.Limit.Set(2) })
 		synctest.Wait()
 		if len(x.C) != 1 || b.Read().Limit.Value != 2 {
-			t.Error("not told, or the latest state isn't there to read")
+			t.Error("not notified, or the latest state isn't readable")
 		}
 		<-x.C
 		b.Unsubscribe(x)
 		b.Update(c, func(s *state) { s.Limit.Set(3) })
 		synctest.Wait()
 		if len(x.C) != 0 {
-			t.Error("told after Unsubscribe")
+			t.Error("notified after Unsubscribe")
 		}
 	})
 }
--- a/internal/state/blackboard/subscriber.go
+++ b/internal/state/blackboard/subscriber.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// Subscriber is told when a section changes.
+// Subscriber is notified when a section changes.
 type Subscriber[S any] struct {
 	// Version returns the version of the section of interest.
 	Version func(s *S) uint64
-	// C gets a value after a change. It holds one, so a subscriber that is
-	// behind learns of several changes at once and then reads the latest state.
+	// C receives a value after a change. Its buffer holds one value, so several changes that a slow
+	// subscriber hasn't handled yet cause one notification, after which it reads the latest state.
 	C chan struct{}
 }
 
-// Subscribe tells x of changes from now on; x.C is made if it is nil.
+// Subscribe notifies x of changes from now on. It creates x.C if that is nil.
 func (b *Board[S]) Subscribe(x *Subscriber[S]) {
 	if x.C == nil {
 		x.C = make(chan struct{}, 1)
@@ -21,7 +21,7 @@
 	b.subscribers = append(b.subscribers, x)
 }
 
-// Unsubscribe ends what Subscribe began.
+// Unsubscribe ends the notifications of x. It does nothing if x isn't subscribed.
 func (b *Board[S]) Unsubscribe(x *Subscriber[S]) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
