--- a/internal/container/prioritizer/prioritizer.go
+++ b/internal/container/prioritizer/prioritizer.go
@@ -1,18 +1,17 @@
-// Package prioritizer orders items so that the first one is found quickly.
+// Package prioritizer implements a priority queue.
 package prioritizer
 
-// Queue is a binary heap whose items can be removed from the middle. It isn't
-// safe for use from several goroutines.
+// Queue is a binary heap from which any item can be removed. It isn't safe for concurrent use.
 type Queue[T any] struct {
 	// Less reports whether a comes before b; it is set before the first use.
 	Less  func(a, b T) bool
 	items []*Item[T]
 }
 
-// Item is one value's place in a Queue.
+// Item is a value in a Queue, or one that has been removed from it.
 type Item[T any] struct {
 	Value T
-	// index is the place in the heap, or -1 once the item has left it.
+	// index is the position in the heap, or -1 once the item has been removed.
 	index int
 }
 
@@ -21,7 +20,7 @@
 	return len(q.items)
 }
 
-// Push adds v and returns its place.
+// Push adds v and returns its item, which Remove and Fix take.
 func (q *Queue[T]) Push(v T) *Item[T] {
 	i := &Item[T]{Value: v, index: len(q.items)}
 	q.items = append(q.items, i)
@@ -29,7 +28,7 @@
 	return i
 }
 
-// First returns the first value without removing it.
+// First returns the first value without removing it, and whether there is one.
 func (q *Queue[T]) First() (T, bool) {
 	if len(q.items) == 0 {
 		var z T
@@ -38,7 +37,7 @@
 	return q.items[0].Value, true
 }
 
-// Pop removes the first value.
+// Pop removes and returns the first value, and whether there is one.
 func (q *Queue[T]) Pop() (T, bool) {
 	v, ok := q.First()
 	if ok {
@@ -47,7 +46,7 @@
 	return v, ok
 }
 
-// Remove takes i out and reports whether it was still in the queue.
+// Remove removes i and reports whether it was still in the queue.
 func (q *Queue[T]) Remove(i *Item[T]) bool {
 	n := i.index
 	if n < 0 {
@@ -64,7 +63,7 @@
 	return true
 }
 
-// Fix restores the order after i's value has changed.
+// Fix restores the order after i's value has changed. It does nothing if i has been removed.
 func (q *Queue[T]) Fix(i *Item[T]) {
 	if i.index >= 0 {
 		q.fix(i.index)
@@ -88,11 +87,11 @@
 	}
 }
 
-// down reports whether the item moved.
+// down moves the item at n down to its place and reports whether it moved.
 func (q *Queue[T]) down(n int) bool {
 	s := n
 	for {
-		c := q.smaller(2*n+1, 2*n+2)
+		c := q.firstOf(2*n+1, 2*n+2)
 		if c < 0 || !q.less(c, n) {
 			return n != s
 		}
@@ -101,8 +100,8 @@
 	}
 }
 
-// smaller returns which of two places comes first, or -1 if neither exists.
-func (q *Queue[T]) smaller(a, b int) int {
+// firstOf returns which of the positions a and b = a+1 comes first, or -1 if neither exists.
+func (q *Queue[T]) firstOf(a, b int) int {
 	if a >= len(q.items) {
 		return -1
 	}
--- a/internal/container/prioritizer/prioritizer_test.go
+++ b/internal/container/prioritizer/prioritizer_test.go
@@ -28,7 +28,7 @@
 			case 2:
 				got, ok := q.Pop()
 				if ok != (len(model) > 0) {
-					t.Fatalf("Pop found an item: %v, model has %d", ok, len(model))
+					t.Fatalf("Pop reported an item: %v, the model has %d", ok, len(model))
 				}
 				if !ok {
 					continue
