--- a/internal/config/follower/advise.go
+++ b/internal/config/follower/advise.go
@@ -10,25 +10,27 @@
 	"github.com/cuminwick/cuminwick/internal/config/summarizer"
 )
 
-// maximumWait bounds how long a question of another host is held back.
+// maximumWait bounds how long a Consultation of another host is held open.
 const maximumWait = 5 * time.Second
 
-// relaying is what a host does for those that report through it.
-type relaying struct {
+// relayState is what a host keeps for the hosts that report through it as their relay.
+type relayState struct {
 	summary summarizer.State
-	// claims numbers the objects that this host has had.
-	claims int
-	// storedAt is when the object was written last.
+	// objectCount counts the holder objects that this host has had.
+	objectCount int
+	// storedAt is when the object was last written, by Host.clock.
 	storedAt time.Duration
-	// news is closed and replaced when something changes that others wait for.
-	news chan struct{}
+	// updated is closed and replaced when the head, the relay, the files or the stored
+	// members change, which waiting consultations and AwaitFile react to.
+	updated chan struct{}
 }
 
-// Advise answers another host of the zone that takes this one for its relay. It
-// returns once there is something to tell, or after the time that the other one waits.
+// Advise answers a host of the zone that uses this host as its relay. It returns once it
+// has a newer head or, if q holds a report, once the object reflects it; at the latest
+// after q.Wait, which is capped at maximumWait.
 func (h *Host) Advise(ctx context.Context, q Consultation) Advice {
 	h.once.Do(h.init)
-	arrived := h.hear(q)
+	arrived := h.recordConsultation(q)
 	t, x := h.Clock.Timer(min(max(q.Wait, 0), maximumWait))
 	defer x.Cancel()
 	for {
@@ -46,8 +48,9 @@
 	}
 }
 
-// hear takes in another host's sign of life, and its report. It returns when.
-func (h *Host) hear(q Consultation) time.Duration {
+// recordConsultation records that another host is live, and its report if there is one.
+// It returns the time of arrival.
+func (h *Host) recordConsultation(q Consultation) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock.now()
@@ -55,24 +58,24 @@
 		h.summary.Hear(encoder.HostReport{Host: q.Host, Incarnation: q.Incarnation}, now)
 		return now
 	}
-	h.tell(*q.Report, now)
+	h.recordReport(*q.Report, now)
 	signal(h.wake)
 	return now
 }
 
-// tell takes in another host's report; the caller holds the lock.
-func (h *Host) tell(r MemberReport, now time.Duration) {
+// recordReport records another host's report; the caller holds h.mu.
+func (h *Host) recordReport(r MemberReport, now time.Duration) {
 	switch {
 	case r.Leaving:
 		h.summary.Leave(r.Member, r.Sequence, now)
-	case !h.relayed():
+	case !h.followsRelay():
 		r.Member.ReportedAt = time.Now().UTC().Truncate(time.Millisecond)
-		h.summary.Tell(r.Member, r.Sequence, r.Registrar == h.name(), now)
+		h.summary.Tell(r.Member, r.Sequence, r.Registrar == h.registrarID(), now)
 	}
 }
 
-// advice returns what can be said by now to a question that has arrived, and
-// a channel that closes when there is more to say; nil if the answer needn't wait.
+// advice returns the present answer to q, which arrived at arrived, and a channel that
+// closes when the answer may have changed; nil if the answer is complete.
 func (h *Host) advice(q Consultation, arrived time.Duration) (Advice, <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -87,48 +90,48 @@
 		if seen && x.Version > q.Known {
 			return a, nil
 		}
-		return a, h.news
+		return a, h.updated
 	}
 	m, ok := h.summary.Held(q.Report.Member)
-	if ok && !h.relayed() {
-		a.Registration = &Holding{Registrar: h.name(), Confirmed: seen && x.Age <= now-h.storedAt}
+	if ok && !h.followsRelay() {
+		a.Registration = &Holding{Registrar: h.registrarID(), Confirmed: seen && x.Age <= now-h.storedAt}
 		if !m.SameContent(q.Report.Member) {
 			a.Registration.Member = &m
 		}
 	}
-	if h.relayed() || h.answered(*q.Report) {
+	if h.followsRelay() || h.storesReport(*q.Report) {
 		return a, nil
 	}
-	return a, h.news
+	return a, h.updated
 }
 
-// answered reports whether the object holds what r says.
-func (h *Host) answered(r MemberReport) bool {
+// storesReport reports whether the stored object reflects r; the caller holds h.mu.
+func (h *Host) storesReport(r MemberReport) bool {
 	if r.Leaving {
 		return h.summary.Left(r.Member)
 	}
 	return h.summary.Answers(r.Member)
 }
 
-// name tells this host's present object from any other one that it had or that
-// its predecessor had; the caller holds the lock.
-func (h *Host) name() string {
-	return fmt.Sprintf("%s/%s/%d", h.Name, h.Incarnation, h.claims)
+// registrarID identifies this host's present object. It differs from the ids of the
+// objects that this host or an earlier incarnation of it had before; the caller holds h.mu.
+func (h *Host) registrarID() string {
+	return fmt.Sprintf("%s/%s/%d", h.Name, h.Incarnation, h.objectCount)
 }
 
-// announce wakes those who wait for news; the caller holds the lock.
-func (h *Host) announce() {
-	close(h.news)
-	h.news = make(chan struct{})
+// notifyWaiters wakes those who wait for relayState.updated; the caller holds h.mu.
+func (h *Host) notifyWaiters() {
+	close(h.updated)
+	h.updated = make(chan struct{})
 }
 
-// AwaitFile waits until this host holds r's file, or until ctx ends.
+// AwaitFile waits until this host holds the file of revision r, or until ctx ends.
 func (h *Host) AwaitFile(ctx context.Context, r declarer.Revision) {
 	h.once.Do(h.init)
 	for {
 		h.mu.Lock()
 		_, ok := h.files[r]
-		n := h.news
+		n := h.updated
 		h.mu.Unlock()
 		if ok {
 			return
--- a/internal/config/follower/clock.go
+++ b/internal/config/follower/clock.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// clock measures how much time has passed on this host, and only moves forward.
+// clock measures the time elapsed on this host; it never goes back.
 //
-// A machine that is suspended may stop its monotonic clock, and its lease would
-// seem to last. Where the wall clock has gone further it counts; a jump of the
-// wall clock can only let the lease run out early.
+// Suspending a machine may stop its monotonic clock, so that a lease would seem to
+// last longer than it does. The clock therefore advances by the larger of the monotonic
+// and the wall-clock difference; a forward jump of the wall clock only ends the lease early.
 type clock struct {
 	last    time.Time
 	elapsed time.Duration
@@ -21,11 +21,14 @@
 	return c.elapsed
 }
 
-// since returns how long ago t was, by the clock that has gone further.
+// since returns how long ago t was, by the larger of the two differences that between
+// compares.
 func since(t time.Time) time.Duration {
 	return between(t, time.Now())
 }
 
+// between returns the larger of the monotonic and the wall-clock difference from a to
+// b, at least zero.
 func between(a, b time.Time) time.Duration {
 	return max(b.Sub(a), b.Round(0).Sub(a.Round(0)), 0)
 }
--- a/internal/config/follower/follower.go
+++ b/internal/config/follower/follower.go
@@ -1,4 +1,4 @@
-// Package follower keeps an entry host at the configuration in force.
+// Package follower keeps an entry host on the configuration revision in force.
 package follower
 
 import (
@@ -18,45 +18,48 @@
 	"github.com/cuminwick/cuminwick/internal/platform/watcher"
 )
 
-// DefaultReportInterval is how often a host reports even if nothing has changed.
+// DefaultReportInterval is the time between two reports while nothing changes.
 const DefaultReportInterval = 30 * time.Second
 
-// ErrStopped is returned to those who wait for a revision at a host that stops.
+// ErrStopped is returned by Observe once the host has stopped.
 const ErrStopped = errors.ConstError("configuration follower stopped")
 
-// Fetcher gets a revision's file from a peer while the platform doesn't answer.
+// Fetcher gets the file of a revision from a peer while the platform doesn't answer.
 type Fetcher interface {
 	Fetch(ctx context.Context, r declarer.Revision) (encoder.Body, error)
 }
 
-// Host follows the configuration for one entry host. It reads the platform
-// through one shared watch, tells the platform what it is ready for, and moves
-// up when a revision is accepted or a peer is found to be ahead.
+// Host follows the configuration for one entry host. It reads the head of the
+// configuration from the platform or a relay, reports which revision it is ready for
+// and which one is in force here, and puts a revision in force once it is accepted or a
+// peer uses it already.
 type Host struct {
-	// Name is unique among the entry hosts; Incarnation tells its restarts apart.
+	// Name is unique among the entry hosts; Incarnation differs at each start.
 	Name             string
 	Incarnation      string
 	AvailabilityZone string
 	Platform         accessor.Platform
-	// Watcher holds the one waiting watch and must run beside the host; if it is
-	// nil the host runs one of its own.
+	// Watcher holds the watch on the platform that is shared with others, and its Run
+	// must run beside the host's; if it is nil the host runs its own.
 	Watcher *watcher.Watcher
-	// Peers is asked where the platform doesn't answer, unless it is nil.
+	// Peers supplies files while the platform doesn't answer; nil disables this.
 	Peers Fetcher
-	// Relays leads to the relays of the zone; if it is nil the host watches and
-	// reports to the platform itself.
+	// Relays gives access to the relays of the zone; if it is nil the host watches the
+	// platform and reports to it directly.
 	Relays Relays
-	// Lease is how long a confirmation lasts, adopter.DefaultLease if unset.
+	// Lease is how long a confirmation of the head lasts, adopter.DefaultLease if unset.
 	Lease time.Duration
-	// Deferred says that Decided is called when a revision from Current is decided by;
-	// without it a revision counts as in force as soon as Current returns it.
+	// Deferred says that the caller invokes Decided once requests are decided by a
+	// revision that Current returned, and that the revision is reported as in force only
+	// then. Without it a revision is reported as soon as Current returns it.
 	Deferred bool
-	// ReportInterval is how often to report without a change.
+	// ReportInterval is the time between two reports while nothing changes,
+	// DefaultReportInterval if unset.
 	ReportInterval time.Duration
-	// Backoff spaces calls after failures, jittered by Random in [0, 1).
+	// Backoff sets the wait after failed calls, with the jitter that Random returns in [0, 1).
 	Backoff watcher.Backoff
 	Random  func() float64
-	// Clock tells when something is due, timers of its own if nil.
+	// Clock provides timers; nil uses those of the standard library.
 	Clock *scheduler.Scheduler
 	Log   log.Interface
 
@@ -69,30 +72,36 @@
 	mu    sync.Mutex
 	clock clock
 	state adopter.State
-	files map[declarer.Revision]*held
-	// moved is closed and replaced at each move to a higher revision.
+	// files holds the files from the revision in force on.
+	files map[declarer.Revision]*revisionFile
+	// moved is closed and replaced each time a higher revision is put in force.
 	moved   chan struct{}
 	stopped bool
-	object  accessor.Object
-	// reportedAt is when the host reported last.
+	// object is the host's own holder object; it has no name if the host has none.
+	object accessor.Object
+	// reportedAt is when the host last reported.
 	reportedAt time.Time
-	digests    map[declarer.Revision]string
-	// change came with the latest head, nil if none did.
-	change *encoder.Change
-	// wanted is the revision being fetched, and cancel gives it up.
-	wanted declarer.Revision
-	cancel context.CancelFunc
-	// relay is the host that this one follows and reports through, empty for none;
-	// former are those that it may still be held by.
-	relay    string
-	former   map[string]bool
-	avoided  map[string]time.Time
+	// digests holds the digests that the heads stated, by revision.
+	digests map[declarer.Revision]string
+	// headChange is the change in the latest head, nil if it had none.
+	headChange *encoder.Change
+	// wanted is the revision being fetched; cancelFetch aborts its fetch.
+	wanted      declarer.Revision
+	cancelFetch context.CancelFunc
+	// relay is the relay that this host follows and reports through, empty for none.
+	relay string
+	// previousRelays are the relays whose objects may still hold this host.
+	previousRelays map[string]bool
+	// avoidedAt is when a relay last failed, by its name.
+	avoidedAt map[string]time.Time
+	// sequence numbers the reports to relays.
 	sequence uint64
+	// departed is set once Depart has ended the registration through a relay.
 	departed bool
-	relaying
+	relayState
 }
 
-// snapshot is what requests are decided by.
+// snapshot is the revision, with its file, that requests are decided by.
 type snapshot struct {
 	revision declarer.Revision
 	file     *declarer.File
@@ -102,11 +111,11 @@
 	h.changed = make(chan struct{}, 1)
 	h.wake = make(chan struct{}, 1)
 	h.moved = make(chan struct{})
-	h.files = map[declarer.Revision]*held{}
+	h.files = map[declarer.Revision]*revisionFile{}
 	h.digests = map[declarer.Revision]string{}
-	h.former = map[string]bool{}
-	h.avoided = map[string]time.Time{}
-	h.news = make(chan struct{})
+	h.previousRelays = map[string]bool{}
+	h.avoidedAt = map[string]time.Time{}
+	h.updated = make(chan struct{})
 	h.summary.Self = encoder.HostReport{Host: h.Name, Incarnation: h.Incarnation}
 	h.state.Lease = h.Lease
 	h.state.Deferred = h.Deferred
@@ -117,7 +126,7 @@
 }
 
 // Current returns the revision that requests are decided by and its file, zero
-// and nil before the first. It is one atomic load.
+// and nil before the first one. It costs one atomic load.
 func (h *Host) Current() (uint64, *declarer.File) {
 	s := h.current.Load()
 	if s == nil {
@@ -126,13 +135,15 @@
 	return uint64(s.revision), s.file
 }
 
-// Changed returns a channel that receives after a move to a higher revision.
+// Changed returns a channel that receives after a higher revision was put in force.
+// Several changes may be combined into one value.
 func (h *Host) Changed() <-chan struct{} {
 	h.once.Do(h.init)
 	return h.changed
 }
 
-// Decided takes in that requests are decided by revision r from now on.
+// Decided records that requests are decided by revision r from now on; it is needed if
+// Deferred is set.
 func (h *Host) Decided(r uint64) {
 	h.once.Do(h.init)
 	h.mu.Lock()
@@ -141,24 +152,24 @@
 	signal(h.wake)
 }
 
-// Status is what a host says of its own configuration.
+// Status is the state of a host's own configuration.
 type Status struct {
 	Revision declarer.Revision `json:"revision"`
 	Standing adopter.Standing  `json:"standing"`
-	// Staged is the revision that may come into force next, zero if none.
+	// Staged is the revision that may be accepted next, zero if none.
 	Staged declarer.Revision `json:"staged,omitempty"`
 	// Target is the highest revision known to be accepted.
 	Target declarer.Revision `json:"target"`
 	// FailingSince is when the platform stopped answering, zero if it answers.
 	FailingSince time.Time `json:"failing-since,omitzero"`
 	// Relay is the host through which this one follows the platform, empty if it
-	// does so itself.
+	// follows the platform directly.
 	Relay string `json:"relay,omitempty"`
-	// Members counts the hosts that report through this one.
+	// Members is the number of hosts that report through this one.
 	Members int `json:"members,omitempty"`
 }
 
-// Status returns what the host says of its own configuration.
+// Status returns the state of the host's own configuration.
 func (h *Host) Status() Status {
 	h.once.Do(h.init)
 	h.mu.Lock()
@@ -174,19 +185,20 @@
 	}
 }
 
-// failingSince returns when the platform stopped answering, as far as this host
-// needs it; the caller holds the lock.
+// failingSince returns when the platform stopped answering, zero if it answers or if this
+// host follows a relay; the caller holds h.mu.
 func (h *Host) failingSince() time.Time {
-	if h.relayed() {
+	if h.followsRelay() {
 		return time.Time{}
 	}
 	return h.Watcher.FailingSince()
 }
 
-// Observe takes in that a peer's message bears revision r, and returns once
-// this host decides by r or a later one. A message whose revision can't be
-// reached must be refused as not run: handling it under another revision would
-// decide one request by two configurations.
+// Observe records that a peer's message was sent under revision r, and returns nil once
+// this host decides by r or a later revision. It returns ErrStopped if the host stops
+// and the context's error if ctx ends first. The caller must then refuse the message as
+// not run: handling it under another revision would decide one request by two
+// configurations.
 func (h *Host) Observe(ctx context.Context, r uint64) error {
 	if s := h.current.Load(); s != nil && uint64(s.revision) >= r {
 		return nil
@@ -213,26 +225,27 @@
 // waitingKey marks the context of a call that must not wait for a revision.
 type waitingKey struct{}
 
-// WithoutWaiting returns a context with which Observe takes in a revision
-// without waiting for it. A call that fetches the revision needs it: waiting for
-// the revision before its file is taken would never end.
+// WithoutWaiting returns a context with which Observe records a revision without
+// waiting for it. Calls that fetch the revision's file need it: waiting for the revision
+// before its file has arrived would never end.
 func WithoutWaiting(ctx context.Context) context.Context {
 	return context.WithValue(ctx, waitingKey{}, true)
 }
 
-// Learn takes in that a peer decides by r, without waiting.
+// Learn records that a peer decides by r; it doesn't wait until this host does.
 func (h *Host) Learn(r declarer.Revision) {
 	h.learn(r)
 }
 
-// learn reports whether the host decides by r now, or else returns a channel
-// that closes at the next move; nil once the host has stopped.
+// learn records that a peer decides by r and reports whether this host does, too. If not
+// it returns a channel that closes when the next revision is put in force, nil once the
+// host has stopped.
 func (h *Host) learn(r declarer.Revision) (<-chan struct{}, bool) {
 	h.once.Do(h.init)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	done := h.state.Learn(r)
-	h.settle()
+	h.publish()
 	if done {
 		return nil, true
 	}
@@ -242,7 +255,8 @@
 	return h.moved, false
 }
 
-// Claim returns what this host may confirm to a peer that can't reach the platform.
+// Claim returns what this host can confirm to a peer that can't reach the platform, false
+// if its own revision is not confirmed.
 func (h *Host) Claim() (adopter.Claim, bool) {
 	h.once.Do(h.init)
 	h.mu.Lock()
@@ -250,41 +264,44 @@
 	return h.state.Claim(h.clock.now())
 }
 
-// Now returns the host's clock, to be taken before a peer is asked for its claim.
+// Now returns the time by the host's clock. It is read before a peer is asked for its
+// claim, and then passed to Renew.
 func (h *Host) Now() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.clock.now()
 }
 
-// Renew takes in a peer's claim; sent is what Now returned before it was asked.
+// Renew extends the confirmation by a peer's claim; sent is what Now returned before the
+// peer was asked.
 func (h *Host) Renew(c adopter.Claim, sent time.Duration) {
 	h.once.Do(h.init)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.state.Renew(c, sent, h.clock.now())
-	h.settle()
+	h.publish()
 }
 
-// settle publishes what the state has come to; the caller holds the lock.
-func (h *Host) settle() {
+// publish makes h.state's revision in force the one that Current returns, aborts a fetch
+// of a revision that is not wanted any more, and wakes loopWork; the caller holds h.mu.
+func (h *Host) publish() {
 	r := h.state.InForce
 	if s := h.current.Load(); r != 0 && (s == nil || s.revision < r) {
 		h.current.Store(&snapshot{revision: r, file: h.files[r].file})
-		h.forget(r)
+		h.dropBelow(r)
 		close(h.moved)
 		h.moved = make(chan struct{})
 		signal(h.changed)
 		h.Log.WithField("revision", uint64(r)).Info("moved up to revision")
 	}
-	if h.cancel != nil && h.state.Wanted() != h.wanted {
-		h.cancel()
+	if h.cancelFetch != nil && h.state.Wanted() != h.wanted {
+		h.cancelFetch()
 	}
 	signal(h.wake)
 }
 
-// forget drops the files below r.
-func (h *Host) forget(r declarer.Revision) {
+// dropBelow drops the files and digests below r.
+func (h *Host) dropBelow(r declarer.Revision) {
 	for k := range h.files {
 		if k < r {
 			delete(h.files, k)
--- a/internal/config/follower/held.go
+++ b/internal/config/follower/held.go
@@ -10,42 +10,44 @@
 	"github.com/cuminwick/cuminwick/internal/config/encoder"
 )
 
-// Delivery is a revision's file as one host passes it on to another: whole, or as
-// what differs from the base that the other one holds.
+// Delivery is the file of a revision as one host sends it to another: whole in Body, or
+// as a change from the base that the receiver holds. One of the two is set.
 type Delivery struct {
 	Body   *encoder.Body
 	Change *encoder.Change
 }
 
-// held is a revision's file with what is passed on of it.
-type held struct {
+// revisionFile is the file of a revision in the forms in which it is sent to other hosts.
+type revisionFile struct {
 	revision declarer.Revision
 	file     *declarer.File
 	digest   string
-	// change is what differs from the file before, nil if that isn't known.
+	// change makes the file from the one that was in force before it, nil if unknown or
+	// not worthwhile.
 	change *encoder.Change
 
 	mu sync.Mutex
-	// body is the whole file; a host that took a change makes it when it is asked for.
+	// body is the packed whole file; a host that received a change makes it on demand.
 	body *encoder.Body
-	// document is made once a change starts from the file or leads to it.
+	// document is made once a change from the file or to it is computed or applied.
 	document *changer.Document
 }
 
-// unpack reads a whole file, and makes what differs from b to pass on.
-func (b base) unpack(w encoder.Body) (*held, error) {
+// unpack decodes a whole file and computes its change from b, to be sent to other hosts.
+func (b base) unpack(w encoder.Body) (*revisionFile, error) {
 	f, err := encoder.Unpack(w)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	n := &held{revision: w.Revision, file: f, digest: w.Digest, body: &w}
-	n.compare(b)
+	n := &revisionFile{revision: w.Revision, file: f, digest: w.Digest, body: &w}
+	n.computeChange(b)
 	return n, nil
 }
 
-// split returns the file part by part. Where its text isn't the one that this
-// version would write, no change can start from it or lead to it.
-func (f *held) split() (*changer.Document, error) {
+// loadDocument returns the file with the text of each of its parts. It returns
+// changer.ErrMismatch if this version encodes the file to another text than its writer
+// did; no change can be made from such a file or to it.
+func (f *revisionFile) loadDocument() (*changer.Document, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.document != nil {
@@ -62,16 +64,17 @@
 	return d, nil
 }
 
-// compare makes what differs from base, which many hosts will ask for.
-func (f *held) compare(b base) {
-	if b.held == nil {
+// computeChange computes the change from b in advance, because many hosts request it.
+// Without a usable or worthwhile change f.change stays nil.
+func (f *revisionFile) computeChange(b base) {
+	if b.file == nil {
 		return
 	}
-	x, err := b.held.split()
+	x, err := b.file.loadDocument()
 	if err != nil {
 		return
 	}
-	y, err := f.split()
+	y, err := f.loadDocument()
 	if err != nil {
 		return
 	}
@@ -81,9 +84,9 @@
 	}
 }
 
-// apply makes the next file of b.
-func (b base) apply(c *encoder.Change) (*held, error) {
-	x, err := b.held.split()
+// apply makes the file of c.Revision by applying c to b.
+func (b base) apply(c *encoder.Change) (*revisionFile, error) {
+	x, err := b.file.loadDocument()
 	if err != nil {
 		return nil, err
 	}
@@ -91,11 +94,11 @@
 	if err != nil {
 		return nil, errors.Annotatef(err, "revision %d from %d", c.Revision, c.Base)
 	}
-	return &held{revision: c.Revision, file: y.File, digest: y.Digest, change: c, document: y}, nil
+	return &revisionFile{revision: c.Revision, file: y.File, digest: y.Digest, change: c, document: y}, nil
 }
 
-// whole returns the whole file.
-func (f *held) whole() (encoder.Body, error) {
+// whole returns the packed whole file.
+func (f *revisionFile) whole() (encoder.Body, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.body == nil {
@@ -108,8 +111,8 @@
 	return *f.body, nil
 }
 
-// Deliver returns r's file for a host that holds base's file, zero for none; false
-// if this host doesn't hold it.
+// Deliver returns the file of r for a host that holds the file of base, zero for none; false
+// if this host doesn't hold the file of r.
 func (h *Host) Deliver(r, base declarer.Revision) (Delivery, bool) {
 	h.once.Do(h.init)
 	h.mu.Lock()
@@ -123,7 +126,7 @@
 	}
 	b, err := f.whole()
 	if err != nil {
-		h.Log.WithError(err).Error("file can't be passed on")
+		h.Log.WithError(err).Error("configuration file can't be packed for another host")
 		return Delivery{}, false
 	}
 	return Delivery{Body: &b}, true
--- a/internal/config/follower/member.go
+++ b/internal/config/follower/member.go
@@ -10,13 +10,14 @@
 	"github.com/cuminwick/cuminwick/internal/config/adopter"
 )
 
-// reportThrough tells the relay what this host is ready for and decides by.
-func (h *Host) reportThrough(ctx context.Context, relay string, r adopter.Report) error {
+// reportToRelay reports to the relay which revision this host is ready for and which one
+// it decides by. It returns ErrNotRegistered if the relay's object doesn't hold this host.
+func (h *Host) reportToRelay(ctx context.Context, relay string, r adopter.Report) error {
 	c, cancel := context.WithTimeout(WithoutWaiting(ctx), reportWait+consultTimeout)
 	defer cancel()
-	asked, known := h.question()
-	m := h.memberReport(relay, r)
-	a, err := h.Relays.Consult(c, relay, h.consultation(known, reportWait, &m))
+	asked, known := h.consultationStart()
+	m := h.newMemberReport(relay, r)
+	a, err := h.Relays.Consult(c, relay, h.newConsultation(known, reportWait, &m))
 	if err == nil && a.Registration == nil {
 		err = errors.Annotatef(ErrNotRegistered, "relay %s", relay)
 	}
@@ -24,24 +25,24 @@
 		h.mu.Lock()
 		h.state.Unregister()
 		h.mu.Unlock()
-		h.avoid(relay, err)
+		h.avoidRelay(relay, err)
 		return errors.Annotatef(err, "report through relay %s", relay)
 	}
 	h.reportedAt = time.Now()
 	if a.Registration.Member == nil {
 		a.Registration.Member = &m.Member
 	}
-	h.held(a, asked, m.Registrar == "")
+	h.recordRegistration(a, asked, m.Registrar == "")
 	return nil
 }
 
-// memberReport makes the next report to relay.
-func (h *Host) memberReport(relay string, r adopter.Report) MemberReport {
+// newMemberReport makes the next report to relay.
+func (h *Host) newMemberReport(relay string, r adopter.Report) MemberReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.sequence++
-	m := MemberReport{Member: h.holder(r).OwnReport(), Sequence: h.sequence}
-	// The relay notes when it hears of this host.
+	m := MemberReport{Member: h.newHolder(r).OwnReport(), Sequence: h.sequence}
+	// The relay sets the time at which it receives the report.
 	m.Member.ReportedAt = time.Time{}
 	if id, ok := h.state.Registrar(); ok && strings.HasPrefix(id, relay+"/") {
 		m.Registrar = id
@@ -49,8 +50,10 @@
 	return m
 }
 
-// held takes in that a relay's object holds this host.
-func (h *Host) held(a Advice, asked time.Duration, fresh bool) {
+// recordRegistration records that a relay's object holds this host. asked is when the
+// relay was asked; fresh says that the host asked to be registered, so that the object
+// was written after that.
+func (h *Host) recordRegistration(a Advice, asked time.Duration, fresh bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.departed {
@@ -69,68 +72,73 @@
 	if a.Registration.Confirmed {
 		h.state.ConfirmedSince(a.Registration.Registrar, asked, a.Sight.Age)
 	}
-	h.takeSight(*a.Sight, asked)
+	h.recordSight(*a.Sight, asked)
 }
 
-// release gives up what this host doesn't count on any more: its own object once
-// it is registered through a relay, and its entries at former relays.
-func (h *Host) release(ctx context.Context) {
+// releaseOldRegistrations ends registrations that this host doesn't need any more: its own
+// object once it is registered through a relay, and its entries at previous relays.
+func (h *Host) releaseOldRegistrations(ctx context.Context) {
 	id, ok := h.registrar()
 	if !ok {
 		return
 	}
 	if id != "" && h.object.Name != "" {
-		h.retire(ctx)
+		h.retireObject(ctx)
 	}
-	for _, r := range h.formerRelays() {
+	for _, r := range h.takePreviousRelays() {
 		h.leaveRelay(ctx, r)
 	}
 }
 
+// registrar returns who holds the host's registration, empty for the host's own object;
+// false if the host isn't registered.
 func (h *Host) registrar() (string, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.state.Registrar()
 }
 
-// formerRelays returns the relays to tell that this host left, and forgets them:
-// where a relay can't be told, an operator takes the entry out after a lapse.
-func (h *Host) formerRelays() []string {
+// takePreviousRelays returns the relays to be notified that this host left, and clears
+// them: each is notified only once, because an operator removes an entry that remains
+// after the time for which it waits for hosts.
+func (h *Host) takePreviousRelays() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var l []string
-	for r := range h.former {
+	for r := range h.previousRelays {
 		l = append(l, r)
 	}
-	clear(h.former)
+	clear(h.previousRelays)
 	return l
 }
 
+// leaveRelay asks relay to remove this host from its object.
 func (h *Host) leaveRelay(ctx context.Context, relay string) {
 	c, cancel := context.WithTimeout(WithoutWaiting(ctx), retireTimeout)
 	defer cancel()
-	m := h.memberReport(relay, h.toReport())
+	m := h.newMemberReport(relay, h.currentReport())
 	m.Registrar, m.Leaving = "", true
-	if _, err := h.Relays.Consult(c, relay, h.consultation(0, retireTimeout, &m)); err != nil {
-		h.Log.WithError(err).WithField("relay", relay).Warn("former relay not told")
+	if _, err := h.Relays.Consult(c, relay, h.newConsultation(0, retireTimeout, &m)); err != nil {
+		h.Log.WithError(err).WithField("relay", relay).Warn("previous relay not notified of leaving")
 	}
 }
 
-// Depart has the host not count any more, once it has no caller and while it
-// can still reach its relay. Otherwise the next change would wait for it.
+// Depart ends the host's registration at its relay. It is called once the host has no
+// caller, while it can still reach the relay; otherwise the next change of the
+// configuration would wait for this host.
 func (h *Host) Depart(ctx context.Context) {
 	h.once.Do(h.init)
-	if r := h.unregister(); r != "" {
+	if r := h.endRelayRegistration(); r != "" {
 		h.leaveRelay(ctx, r)
 	}
 }
 
-// unregister ends the registration through a relay for good and returns the
-// relay. A host that has its own object frees it at the end of Run.
-func (h *Host) unregister() string {
+// endRelayRegistration permanently ends the registration through a relay and returns the
+// relay, empty if the host has its own object, which Run frees at its end.
+func (h *Host) endRelayRegistration() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.relayed() {
+	if h.followsRelay() {
 		h.departed = true
 		h.state.Unregister()
 	}
--- a/internal/config/follower/relay.go
+++ b/internal/config/follower/relay.go
@@ -12,20 +12,23 @@
 )
 
 const (
-	// watchWait is how long a relay holds a question back while nothing has changed,
-	// and reportWait how long until its object holds what was reported.
+	// watchWait is how long a relay holds an answer back while the head is unchanged, and
+	// reportWait how long it does so until its object holds what was reported.
 	watchWait  = 3 * time.Second
 	reportWait = 2 * time.Second
-	// consultTimeout is the time on top after which a relay counts as silent.
+	// consultTimeout is how much longer than the requested wait an answer may take
+	// before the call to the relay fails.
 	consultTimeout = time.Second
-	// avoidance is how long a relay that failed isn't asked.
-	avoidance = 10 * time.Second
-	// lookInterval is how often a host that watches the platform looks for a relay.
-	lookInterval = time.Second
+	// avoidanceTime is how long a relay isn't asked after it has failed.
+	avoidanceTime = 10 * time.Second
+	// relaySearchInterval is the time between two attempts of a host that watches the
+	// platform to find a relay.
+	relaySearchInterval = time.Second
 )
 
-// choose returns the relay to follow, empty if the host has to watch the platform.
-func (h *Host) choose() string {
+// chooseRelay returns the first relay that has not failed within avoidanceTime, empty if
+// there is none and the host has to watch the platform itself.
+func (h *Host) chooseRelay() string {
 	if h.Relays == nil {
 		return ""
 	}
@@ -33,50 +36,51 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, r := range l {
-		if t, ok := h.avoided[r]; !ok || since(t) >= avoidance {
+		if t, ok := h.avoidedAt[r]; !ok || since(t) >= avoidanceTime {
 			return r
 		}
 	}
 	return ""
 }
 
-func (h *Host) avoid(relay string, err error) {
+// avoidRelay excludes relay from chooseRelay for avoidanceTime; err is logged.
+func (h *Host) avoidRelay(relay string, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.avoided[relay] = time.Now()
-	h.Log.WithError(err).WithField("relay", relay).Warn("configuration relay doesn't serve")
+	h.avoidedAt[relay] = time.Now()
+	h.Log.WithError(err).WithField("relay", relay).Warn("configuration relay failed")
 }
 
-// following returns the relay that this host follows, empty if it watches the platform.
-func (h *Host) following() string {
+// currentRelay returns the relay that this host follows, empty if it watches the platform.
+func (h *Host) currentRelay() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.relay
 }
 
-// use makes relay the one that this host follows and reports through. The
-// registration elsewhere isn't relied on any more, as it may end.
-func (h *Host) use(relay string) {
+// switchRelay makes relay, empty for none, the one that this host follows and reports
+// through. The registration made elsewhere may end, so it counts as lost at once.
+func (h *Host) switchRelay(relay string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if relay == h.relay {
 		return
 	}
 	if h.relay != "" {
-		h.former[h.relay] = true
+		h.previousRelays[h.relay] = true
 	}
-	delete(h.former, relay)
+	delete(h.previousRelays, relay)
 	h.relay = relay
 	h.state.Unregister()
-	h.announce()
+	h.notifyWaiters()
 	signal(h.wake)
 }
 
-// loopSights takes in what the platform shows of the head, through a relay where
-// there is one.
-func (h *Host) loopSights(ctx context.Context) error {
+// loopHead follows the head of the configuration until ctx ends, through a relay if
+// there is one, otherwise on the platform itself.
+func (h *Host) loopHead(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if r := h.choose(); r != "" {
+		if r := h.chooseRelay(); r != "" {
 			h.followRelay(ctx, r)
 			continue
 		}
@@ -85,27 +89,27 @@
 	return ctx.Err()
 }
 
-// followRelay asks a relay again and again, until it fails or another one is to
-// be asked.
+// followRelay polls a relay for the head until it fails or chooseRelay returns another one.
 func (h *Host) followRelay(ctx context.Context, relay string) {
-	// The first question doesn't wait: the lease may be near its end.
+	// The first call doesn't wait for a change: the lease may be near its end.
 	err := h.consult(ctx, relay, 0)
-	for err == nil && ctx.Err() == nil && h.choose() == relay {
-		h.use(relay)
+	for err == nil && ctx.Err() == nil && h.chooseRelay() == relay {
+		h.switchRelay(relay)
 		err = h.consult(ctx, relay, watchWait)
 	}
 	if err != nil && ctx.Err() == nil {
-		h.avoid(relay, err)
+		h.avoidRelay(relay, err)
 	}
 }
 
-// consult asks a relay for the head. One whose sight is old doesn't reach the
-// platform either.
+// consult asks a relay for the head, waiting up to wait for a newer one. It fails if the
+// relay's view of the head is missing or older than adopter.MaximumSightAge, since the
+// relay then doesn't reach the platform.
 func (h *Host) consult(ctx context.Context, relay string, wait time.Duration) error {
 	c, cancel := context.WithTimeout(ctx, wait+consultTimeout)
 	defer cancel()
-	asked, known := h.question()
-	a, err := h.Relays.Consult(c, relay, h.consultation(known, wait, nil))
+	asked, known := h.consultationStart()
+	a, err := h.Relays.Consult(c, relay, h.newConsultation(known, wait, nil))
 	switch {
 	case err != nil:
 		return errors.Annotatef(err, "ask relay %s", relay)
@@ -114,46 +118,49 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.takeSight(*a.Sight, asked)
+	h.recordSight(*a.Sight, asked)
 	return nil
 }
 
-func (h *Host) consultation(known accessor.Version, wait time.Duration, r *MemberReport) Consultation {
+func (h *Host) newConsultation(known accessor.Version, wait time.Duration, r *MemberReport) Consultation {
 	return Consultation{Known: known, Wait: wait, Host: h.Name, Incarnation: h.Incarnation, Report: r}
 }
 
-func (h *Host) question() (asked time.Duration, known accessor.Version) {
+// consultationStart returns the present time by the host's clock and the version of the
+// latest head known here.
+func (h *Host) consultationStart() (asked time.Duration, known accessor.Version) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.clock.now(), h.state.Version
 }
 
-// takeSight takes in a relay's sight; the caller holds the lock.
-func (h *Host) takeSight(x adopter.Sight, asked time.Duration) {
+// recordSight records a relay's view of the head, for which it was asked at asked; the
+// caller holds h.mu.
+func (h *Host) recordSight(x adopter.Sight, asked time.Duration) {
 	if x.Head != nil {
-		h.note(*x.Head)
+		h.recordDigests(*x.Head)
 	}
 	v := h.state.Version
 	h.state.SeeThrough(x, asked, h.clock.now())
 	if v != h.state.Version {
-		h.announce()
+		h.notifyWaiters()
 	}
-	h.settle()
+	h.publish()
 }
 
-// followPlatform watches the platform until a relay answers.
+// followPlatform watches the head on the platform until a relay answers.
 func (h *Host) followPlatform(ctx context.Context) {
-	h.use("")
+	h.switchRelay("")
 	s := h.Watcher.Subscribe(encoder.HeadKind, encoder.HeadName)
 	defer s.Close()
-	t, x := h.Clock.Ticks(lookInterval)
+	t, x := h.Clock.Ticks(relaySearchInterval)
 	defer x.Cancel()
 	for {
 		select {
 		case v := <-s.Sights():
-			h.see(v.Object, v.Sent)
+			h.recordHead(v.Object, v.Sent)
 		case <-t:
-			r := h.choose()
+			r := h.chooseRelay()
 			if r == "" {
 				continue
 			}
@@ -161,25 +168,27 @@
 			if err == nil {
 				return
 			}
-			h.avoid(r, err)
+			h.avoidRelay(r, err)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// relayed reports whether this host follows a relay; the caller holds the lock.
-func (h *Host) relayed() bool {
+// followsRelay reports whether this host follows a relay; the caller holds h.mu.
+func (h *Host) followsRelay() bool {
 	return h.relay != ""
 }
 
-// due reports whether there is a report to make by now, and otherwise how long the
-// changes of the hosts that report through this one may wait at most.
-func (h *Host) due(r adopter.Report, own bool) (bool, time.Duration) {
+// reportDue reports whether a report has to be made now; own says that the host's own
+// report r has changed. If not it returns for how long at most the changes of the hosts
+// that report through this one may still be gathered, zero if there are none. The caller
+// holds h.mu.
+func (h *Host) reportDue(r adopter.Report, own bool) (bool, time.Duration) {
 	if h.departed {
 		return false, 0
 	}
-	if h.relayed() {
+	if h.followsRelay() {
 		return own, 0
 	}
 	return h.summary.Due(r.Ready, r.InForce, own, h.clock.now())
--- a/internal/config/follower/reporter.go
+++ b/internal/config/follower/reporter.go
@@ -12,33 +12,34 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// retireTimeout bounds the last call of a host that stops.
+// retireTimeout bounds each call by which a host ends a registration.
 const retireTimeout = time.Second
 
-// report tells the platform or the relay, and then gives up what the host
-// doesn't count on any more.
+// report reports r through the relay, or by writing the host's own object if there is no
+// relay, and then releases registrations that the host doesn't need any more.
 func (h *Host) report(ctx context.Context, r adopter.Report) error {
 	var err error
-	if l := h.following(); l != "" {
-		err = h.reportThrough(ctx, l, r)
+	if l := h.currentRelay(); l != "" {
+		err = h.reportToRelay(ctx, l, r)
 	} else {
-		err = h.put(ctx, r)
+		err = h.putObject(ctx, r)
 	}
 	if err == nil {
-		h.release(ctx)
+		h.releaseOldRegistrations(ctx)
 	}
 	return err
 }
 
-// put writes the host's object. A host that has none takes one first.
-func (h *Host) put(ctx context.Context, r adopter.Report) error {
+// putObject writes the host's own object with r and the members of this host as a relay.
+// A host that has no object claims one first.
+func (h *Host) putObject(ctx context.Context, r adopter.Report) error {
 	if h.object.Name == "" {
-		if err := h.claim(ctx); err != nil {
+		if err := h.claimObject(ctx); err != nil {
 			return err
 		}
 	}
 	o := h.object
-	d := h.holder(r)
+	d := h.newHolder(r)
 	h.mu.Lock()
 	asked := h.clock.now()
 	d.Members = h.summary.Begin()
@@ -51,15 +52,16 @@
 	o.Writer = h.Name + "/" + h.Incarnation
 	p, err := h.Platform.Put(ctx, o)
 	if err != nil {
-		h.lose(ctx)
+		h.reloadObject(ctx)
 		return errors.Trace(err)
 	}
 	h.object = p
 	h.reportedAt = time.Now()
-	return h.reported(ctx, r, asked)
+	return h.recordPut(ctx, r, asked)
 }
 
-func (h *Host) holder(r adopter.Report) encoder.Holder {
+// newHolder returns the host's own entry for r, without members.
+func (h *Host) newHolder(r adopter.Report) encoder.Holder {
 	return encoder.Holder{
 		Host:             h.Name,
 		Incarnation:      h.Incarnation,
@@ -72,10 +74,10 @@
 	}
 }
 
-// reported takes in a put that was answered. After a registration, of this host
-// or of one that reports through it, the head is read once more, because only a
-// later confirmation counts.
-func (h *Host) reported(ctx context.Context, r adopter.Report, asked time.Duration) error {
+// recordPut records a successful put of the host's object, for which asked was read from
+// the clock before. If the put registered this host or one that reports through it, the
+// head is read once more, because only a confirmation after the registration counts.
+func (h *Host) recordPut(ctx context.Context, r adopter.Report, asked time.Duration) error {
 	h.mu.Lock()
 	now := h.clock.now()
 	before := h.state.Standing(now)
@@ -84,13 +86,13 @@
 	fresh := h.summary.Stored()
 	h.storedAt = now
 	if !fresh {
-		h.announce()
+		h.notifyWaiters()
 	}
 	h.mu.Unlock()
 	if !fresh && (before != adopter.Unconfirmed || after != adopter.Unconfirmed) {
 		return nil
 	}
-	defer h.tellNews()
+	defer h.lockAndNotifyWaiters()
 	t := time.Now()
 	o, err := h.Platform.Get(ctx, encoder.HeadKind, encoder.HeadName)
 	if errors.Is(err, accessor.ErrNotFound) {
@@ -99,30 +101,31 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	h.see(o, t)
+	h.recordHead(o, t)
 	return nil
 }
 
-func (h *Host) tellNews() {
+// lockAndNotifyWaiters is notifyWaiters for callers that don't hold h.mu.
+func (h *Host) lockAndNotifyWaiters() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.announce()
+	h.notifyWaiters()
 }
 
-// lose finds out what became of the host's object after a put that failed: the
-// answer may have been lost, or an operator has freed the object.
-func (h *Host) lose(ctx context.Context) {
+// reloadObject reads the host's object back after a failed put: the put may have
+// succeeded and its answer been lost, or an operator may have freed the object.
+func (h *Host) reloadObject(ctx context.Context) {
 	h.mu.Lock()
 	h.state.Unregister()
 	h.mu.Unlock()
 	o, err := h.Platform.Get(ctx, encoder.HolderKind, h.object.Name)
 	if err != nil {
-		// The next put is based on an old version and leads here again.
+		// The next put is based on an outdated version, fails and calls reloadObject again.
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	defer h.announce()
+	defer h.notifyWaiters()
 	d, err := encoder.Decode[encoder.Holder](o)
 	if err != nil || d.Retired || d.Left || d.Host != h.Name || d.Incarnation != h.Incarnation {
 		h.object = accessor.Object{}
@@ -133,9 +136,10 @@
 	h.summary.ReadBack(d.Members, h.clock.now())
 }
 
-// claim takes an object of the zone that has no host any more, with the members
-// that it still stands for, or the first free name.
-func (h *Host) claim(ctx context.Context) error {
+// claimObject makes an object of the zone that has no host, or that is this host's
+// already, the host's own, with the members that it still holds. If there is none it
+// uses the first free name.
+func (h *Host) claimObject(ctx context.Context) error {
 	l, err := h.Platform.List(ctx, encoder.HolderKind)
 	if err != nil {
 		return errors.Annotate(err, "list hosts' objects")
@@ -146,7 +150,7 @@
 		d, err := encoder.Decode[encoder.Holder](o)
 		own := d.Host == h.Name && d.Incarnation == h.Incarnation
 		if err == nil && d.AvailabilityZone == h.AvailabilityZone && (d.Retired || d.Left || own) {
-			h.take(o, d)
+			h.setObject(o, d)
 			return nil
 		}
 	}
@@ -154,31 +158,31 @@
 	for names[fmt.Sprintf("%s.%d", h.AvailabilityZone, i)] {
 		i++
 	}
-	h.take(accessor.Object{Kind: encoder.HolderKind, Name: fmt.Sprintf("%s.%d", h.AvailabilityZone, i)}, encoder.Holder{})
+	h.setObject(accessor.Object{Kind: encoder.HolderKind, Name: fmt.Sprintf("%s.%d", h.AvailabilityZone, i)}, encoder.Holder{})
 	return nil
 }
 
-// take makes o, which holds d, this host's object.
-func (h *Host) take(o accessor.Object, d encoder.Holder) {
+// setObject makes o, which decodes to d, this host's object.
+func (h *Host) setObject(o accessor.Object, d encoder.Holder) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.object = o
-	h.claims++
+	h.objectCount++
 	if !d.Retired && len(d.Members) > 0 {
 		h.summary.ReadBack(d.Members, h.clock.now())
 	}
 }
 
-// retire frees the host's object, so that no operator waits for it. As long as it
-// stands for other hosts it is left to be taken over with them: were it freed, they
-// would go on as if they still counted.
-func (h *Host) retire(ctx context.Context) {
+// retireObject frees the host's object, so that no operator waits for this host. An object
+// that still holds members is marked as left instead, for another host to take over with
+// them: if it were freed, the members would continue although they were not registered.
+func (h *Host) retireObject(ctx context.Context) {
 	if h.object.Version == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, retireTimeout)
 	defer cancel()
-	d := h.holder(h.toReport())
+	d := h.newHolder(h.currentReport())
 	h.mu.Lock()
 	d.Members = h.summary.Begin()
 	h.mu.Unlock()
@@ -191,13 +195,13 @@
 	o := h.object
 	o.Value = v
 	if _, err := h.Platform.Put(ctx, o); err != nil {
-		// An operator frees it after the lapse.
-		h.Log.WithError(err).Warn("host's object not freed")
+		// An operator frees the object after the time for which it waits for hosts.
+		h.Log.WithError(err).Warn("holder object not freed")
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.object = accessor.Object{}
 	h.summary.Lose()
-	h.announce()
+	h.notifyWaiters()
 }
--- a/internal/config/follower/worker.go
+++ b/internal/config/follower/worker.go
@@ -12,25 +12,26 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// Run follows the configuration until ctx ends, and then gives the host's
-// object back. The host must have stopped serving by then.
+// Run follows the configuration until ctx ends, and then frees the host's object. The
+// host must have stopped serving by the time ctx ends.
 func (h *Host) Run(ctx context.Context) error {
 	h.once.Do(h.init)
 	g, c := errgroup.WithContext(ctx)
 	if h.ownWatcher {
 		g.Go(func() error { return h.Watcher.Run(c) })
 	}
-	g.Go(func() error { return h.loopSights(c) })
+	g.Go(func() error { return h.loopHead(c) })
 	g.Go(func() error { return h.loopWork(c) })
 	err := g.Wait()
 	h.stop()
-	h.retire(context.WithoutCancel(ctx))
+	h.retireObject(context.WithoutCancel(ctx))
 	if ctx.Err() != nil {
 		return nil
 	}
 	return err
 }
 
+// stop ends all waits of Observe with ErrStopped.
 func (h *Host) stop() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -39,24 +40,26 @@
 	h.moved = make(chan struct{})
 }
 
-func (h *Host) see(o accessor.Object, sent time.Time) {
+// recordHead records the head that the platform returned to a call sent at sent.
+func (h *Host) recordHead(o accessor.Object, sent time.Time) {
 	d, err := encoder.Decode[encoder.Head](o)
 	if err != nil {
-		h.Log.WithError(err).Error("head of the configuration isn't readable")
+		h.Log.WithError(err).Error("head of the configuration can't be decoded")
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock.now()
 	h.state.See(d, o.Version, now-since(sent), now)
-	h.note(d)
-	h.announce()
-	h.settle()
+	h.recordDigests(d)
+	h.notifyWaiters()
+	h.publish()
 }
 
-// note keeps the digests that the files must have, and what leads to the staged one.
-func (h *Host) note(d encoder.Head) {
-	h.change = d.Change
+// recordDigests keeps the digests that d states for files, and its change to the staged
+// file; the caller holds h.mu.
+func (h *Host) recordDigests(d encoder.Head) {
+	h.headChange = d.Change
 	if d.Staged != nil {
 		h.digests[d.Staged.Revision] = d.Staged.Digest
 	}
@@ -65,11 +68,11 @@
 	}
 }
 
-// loopWork fetches files and reports, one after the other.
+// loopWork fetches files and reports, one step after the other, until ctx ends.
 func (h *Host) loopWork(ctx context.Context) error {
 	failures := 0
 	for ctx.Err() == nil {
-		busy, wait, err := h.work(ctx)
+		busy, wait, err := h.step(ctx)
 		switch {
 		case err != nil:
 			failures++
@@ -78,15 +81,15 @@
 		case busy:
 			failures = 0
 		default:
-			h.idle(ctx, wait)
+			h.waitForWork(ctx, wait)
 		}
 	}
 	return ctx.Err()
 }
 
-// idle waits for news, for the time wait unless it is zero, or until it is time
-// to report again.
-func (h *Host) idle(ctx context.Context, wait time.Duration) {
+// waitForWork waits until h.wake receives, wait has passed unless it is zero, or the
+// periodic report is due, which it then makes.
+func (h *Host) waitForWork(ctx context.Context, wait time.Duration) {
 	d := h.ReportInterval
 	if d <= 0 {
 		d = DefaultReportInterval
@@ -102,38 +105,38 @@
 	case <-h.wake:
 	case <-t:
 		if !gathering {
-			h.reportAgain(ctx)
+			h.repeatReport(ctx)
 		}
 	case <-ctx.Done():
 	}
 }
 
-// reportAgain reports although nothing has changed.
-func (h *Host) reportAgain(ctx context.Context) {
+// repeatReport makes the periodic report, although nothing has changed.
+func (h *Host) repeatReport(ctx context.Context) {
 	h.reportedAt = time.Now()
-	if h.left() {
+	if h.hasDeparted() {
 		return
 	}
-	if err := h.report(ctx, h.toReport()); err != nil {
+	if err := h.report(ctx, h.currentReport()); err != nil {
 		h.Log.WithError(err).Warn("report failed")
 	}
 }
 
-func (h *Host) left() bool {
+func (h *Host) hasDeparted() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.departed
 }
 
-// work takes the next step and reports whether there was one, or else how long
-// the next one may wait.
-func (h *Host) work(ctx context.Context) (bool, time.Duration, error) {
+// step fetches the wanted file or reports, and says whether there was anything to do. If
+// not it returns for how long the next report may wait, zero for no limit.
+func (h *Host) step(ctx context.Context) (bool, time.Duration, error) {
 	h.mu.Lock()
 	r := h.state.Wanted()
 	p, due := h.state.Report()
-	due, wait := h.due(p, due)
-	// While the platform fails the watch alone tries it, or else each host
-	// would make three calls at each attempt instead of one.
+	due, wait := h.reportDue(p, due)
+	// While the platform fails only the watch retries it; otherwise each host would
+	// make three calls per attempt instead of one.
 	if !h.failingSince().IsZero() {
 		due, wait = false, 0
 	}
@@ -142,14 +145,14 @@
 	if r != 0 {
 		err = h.fetch(ctx, r)
 	}
-	// A file that can't be had must not keep the host from reporting.
+	// A file that can't be fetched must not prevent the host from reporting.
 	if due && (r == 0 || err != nil) {
 		err = errors.Trace(h.report(ctx, p))
 	}
 	return r != 0 || due, wait, err
 }
 
-func (h *Host) toReport() adopter.Report {
+func (h *Host) currentReport() adopter.Report {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r, _ := h.state.Report()
