--- a/internal/config/follower/advise.go
+++ b/internal/config/follower/advise.go
@@ -34,12 +34,12 @@
 	t, x := h.Clock.Timer(min(max(q.Wait, 0), maximumWait))
 	defer x.Cancel()
 	for {
-		a, news := h.advice(q, arrived)
-		if news == nil {
+		a, updated := h.advice(q, arrived)
+		if updated == nil {
 			return a
 		}
 		select {
-		case <-news:
+		case <-updated:
 		case <-t:
 			return a
 		case <-ctx.Done():
--- a/internal/config/follower/fetcher.go
+++ b/internal/config/follower/fetcher.go
@@ -58,7 +58,7 @@
 // base is the file in force, from which a change may make the next one.
 type base struct {
 	revision declarer.Revision
-	file     *revisionFile
+	current  *revisionFile
 	// digest is the digest that the head states for the wanted file, empty if unknown.
 	digest string
 }
@@ -66,7 +66,7 @@
 // changeBase returns the revision of the base, zero if there is no base or if no digest
 // is known to check the resulting file against.
 func (b base) changeBase() declarer.Revision {
-	if b.file == nil || b.digest == "" {
+	if b.current == nil || b.digest == "" {
 		return 0
 	}
 	return b.revision
@@ -77,7 +77,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.state.InForce
-	return base{revision: n, file: h.files[n], digest: h.digests[r]}
+	return base{revision: n, current: h.files[n], digest: h.digests[r]}
 }
 
 // fromHead makes the file of r from the change in the latest head. It returns nil if the
--- a/internal/config/follower/held.go
+++ b/internal/config/follower/held.go
@@ -67,10 +67,10 @@
 // computeChange computes the change from b in advance, because many hosts request it.
 // Without a usable or worthwhile change f.change stays nil.
 func (f *revisionFile) computeChange(b base) {
-	if b.file == nil {
+	if b.current == nil {
 		return
 	}
-	x, err := b.file.loadDocument()
+	x, err := b.current.loadDocument()
 	if err != nil {
 		return
 	}
@@ -86,7 +86,7 @@
 
 // apply makes the file of c.Revision by applying c to b.
 func (b base) apply(c *encoder.Change) (*revisionFile, error) {
-	x, err := b.file.loadDocument()
+	x, err := b.current.loadDocument()
 	if err != nil {
 		return nil, err
 	}
