--- a/internal/config/changer/benchmark_test.go
+++ b/internal/config/changer/benchmark_test.go
@@ -12,9 +12,10 @@
 	"github.com/cuminwick/cuminwick/internal/config/defaulter"
 )
 
-// large makes a configuration of n groups of three backend servers, with a team
-// and a routing rule for each; verifiers compress as badly as real ones.
-func large(n int) declarer.File {
+// largeFile returns a configuration of n groups of three backend servers, with a team
+// and a routing rule for each. Its verifiers are random, so that they compress as badly
+// as real ones.
+func largeFile(n int) declarer.File {
 	r := rand.NewChaCha8([32]byte{1})
 	var f declarer.File
 	for i := range n {
@@ -37,19 +38,19 @@
 	return defaulter.Fill(f)
 }
 
-// apart returns f with lists of its own.
-func apart(f declarer.File) declarer.File {
+// cloneLists returns f with copies of its lists, which can be edited independently.
+func cloneLists(f declarer.File) declarer.File {
 	f.DatabaseGroups = slices.Clone(f.DatabaseGroups)
 	f.RoutingRules = slices.Clone(f.RoutingRules)
 	f.Teams = slices.Clone(f.Teams)
 	return f
 }
 
-// BenchmarkChange measures, at 2,800 groups, what one change of the configuration
-// costs who makes it and each host that applies it, and its size.
+// BenchmarkChange measures, at 2,800 groups, the time to make and to apply one change of
+// the configuration, and its size.
 func BenchmarkChange(b *testing.B) {
-	f := large(2800)
-	x := split(b, f)
+	f := largeFile(2800)
+	x := newDocument(b, f)
 	for _, c := range []struct {
 		name string
 		edit func(f *declarer.File)
@@ -66,7 +67,7 @@
 			f.DatabaseGroups[1000].BackendServers = s
 		}},
 		{"added", func(f *declarer.File) {
-			g := large(2801)
+			g := largeFile(2801)
 			f.DatabaseGroups = append(f.DatabaseGroups, g.DatabaseGroups[2800])
 			f.RoutingRules = slices.Insert(f.RoutingRules, 0, g.RoutingRules[2800])
 			f.Teams = append(f.Teams, g.Teams[2800])
@@ -78,9 +79,9 @@
 		}},
 		{"rules-reversed", func(f *declarer.File) { slices.Reverse(f.RoutingRules) }},
 	} {
-		n := apart(f)
+		n := cloneLists(f)
 		c.edit(&n)
-		y := split(b, n)
+		y := newDocument(b, n)
 		p, err := changer.Make(x, y)
 		if err != nil {
 			b.Fatal(err)
@@ -101,7 +102,7 @@
 	}
 	b.Run("split", func(b *testing.B) {
 		for b.Loop() {
-			_ = split(b, f)
+			_ = newDocument(b, f)
 		}
 		b.ReportMetric(float64(len(x.Text())), "text-B")
 	})
--- a/internal/config/changer/builder.go
+++ b/internal/config/changer/builder.go
@@ -11,19 +11,21 @@
 	"github.com/cuminwick/cuminwick/internal/config/encoder"
 )
 
-// maximumEntries bounds a list, so that a few bytes can't ask for a large file.
+// maximumEntries bounds the entries of one list and of a whole file, so that a change of
+// a few bytes can't request a large file.
 const maximumEntries = 1 << 16
 
-// build carries out e on a.
-func build(a *Document, e edits) (*Document, error) {
-	var s size
+// applyEdits makes a new document by applying e to a, without its digest. It returns
+// ErrMalformed if e refers to entries that a doesn't have or exceeds the size limits.
+func applyEdits(a *Document, e edits) (*Document, error) {
+	var s fileSize
 	f := &declarer.File{}
 	b := &Document{File: f}
 	var err error
 	b.groups, f.DatabaseGroups, err = assemble(&s, a.groups, a.File.DatabaseGroups, e.Groups, err)
 	b.rules, f.RoutingRules, err = assemble(&s, a.rules, a.File.RoutingRules, e.Rules, err)
 	b.teams, f.Teams, err = assemble(&s, a.teams, a.File.Teams, e.Teams, err)
-	f.RoutingRules, f.Teams = nonEmpty(f.RoutingRules), nonEmpty(f.Teams)
+	f.RoutingRules, f.Teams = nilIfEmpty(f.RoutingRules), nilIfEmpty(f.Teams)
 	var l []declarer.Limits
 	b.limits, l, err = assemble(&s, a.limits, limits(a), e.Limits, err)
 	if err != nil {
@@ -38,7 +40,7 @@
 	return b, nil
 }
 
-// limits returns the limits as a list, which is empty where they stand in no text.
+// limits returns the limits as a list, which is empty if the file's text omits them.
 func limits(d *Document) []declarer.Limits {
 	if len(d.limits) == 0 {
 		return nil
@@ -46,13 +48,13 @@
 	return []declarer.Limits{d.File.Limits}
 }
 
-// size adds up what the file that is built takes up.
-type size struct {
+// fileSize sums up the size of the file that is being built.
+type fileSize struct {
 	entries, bytes int
 }
 
-// add reports whether l still fits.
-func (s *size) add(l list) bool {
+// add adds l and reports whether the file is still within its limits.
+func (s *fileSize) add(l entryTexts) bool {
 	s.entries += len(l)
 	for _, t := range l {
 		s.bytes += len(t)
@@ -60,9 +62,9 @@
 	return s.entries <= maximumEntries && s.bytes <= encoder.MaximumFileBytes
 }
 
-// assemble carries out r on one list, unless an earlier one failed. The entries
-// that are kept are shared with the base.
-func assemble[T any](s *size, texts list, entries []T, r []run, err error) (list, []T, error) {
+// assemble makes one list by the runs r from the base's texts and entries, unless err is
+// set because an earlier list failed. Entries that are kept are shared with the base.
+func assemble[T any](s *fileSize, texts entryTexts, entries []T, r []entryRun, err error) (entryTexts, []T, error) {
 	if r == nil || err != nil {
 		return nil, nil, err
 	}
@@ -73,9 +75,9 @@
 			return nil, nil, errors.Annotatef(ErrMalformed, "more than %d entries", maximumEntries)
 		}
 	}
-	t, l := make(list, 0, n), make([]T, 0, n)
+	t, l := make(entryTexts, 0, n), make([]T, 0, n)
 	for _, x := range r {
-		a, b, err := take(texts, entries, x)
+		a, b, err := entriesOf(texts, entries, x)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -87,14 +89,14 @@
 	return t, l, nil
 }
 
-// take returns the entries of one run.
-func take[T any](texts list, entries []T, x run) (list, []T, error) {
+// entriesOf returns the entries of one run, as texts and decoded.
+func entriesOf[T any](texts entryTexts, entries []T, x entryRun) (entryTexts, []T, error) {
 	if x.Count == 0 {
 		var v T
 		if err := decode(x.Text, &v); err != nil {
 			return nil, nil, err
 		}
-		return list{x.Text}, []T{v}, nil
+		return entryTexts{x.Text}, []T{v}, nil
 	}
 	if x.From < 0 || x.Count < 0 || x.From > len(texts) || x.Count > len(texts)-x.From || len(x.Text) > 0 {
 		return nil, nil, errors.Annotatef(ErrMalformed, "%d entries from %d of %d", x.Count, x.From, len(texts))
@@ -102,10 +104,10 @@
 	return texts[x.From : x.From+x.Count], entries[x.From : x.From+x.Count], nil
 }
 
-// decode reads one entry, strictly as encoder.Unpack reads a whole file.
+// decode decodes one entry as strictly as encoder.Unpack decodes a whole file.
 //
-// A text that went on after its value would pass the digest, as the comma between
-// two entries may stand in one text, and the host would decide by a file without
+// It refuses text after the value. One text that holds two entries and the comma between
+// them would produce the right digest, and the host would decide by a file that lacks
 // the second entry.
 func decode(t []byte, v any) error {
 	d := json.NewDecoder(bytes.NewReader(t))
--- a/internal/config/changer/changer_test.go
+++ b/internal/config/changer/changer_test.go
@@ -29,7 +29,7 @@
 	os.Exit(m.Run())
 }
 
-func split(t interface{ Fatal(...any) }, f declarer.File) *changer.Document {
+func newDocument(t interface{ Fatal(...any) }, f declarer.File) *changer.Document {
 	d, err := changer.NewDocument(&f)
 	if err != nil {
 		t.Fatal(err)
@@ -58,8 +58,8 @@
 	return f
 }
 
-// normal is f as it is read back from the platform.
-func normal(t rapid.TB, f declarer.File) *declarer.File {
+// storedFile returns f as it is read back from the platform.
+func storedFile(t rapid.TB, f declarer.File) *declarer.File {
 	p, d, err := encoder.Pack(f)
 	if err != nil {
 		t.Fatal(err)
@@ -71,14 +71,14 @@
 	return g
 }
 
-// A change that left out, doubled or swapped one entry would have hosts decide by
-// different files under one revision: callers would be routed or refused otherwise
-// at one host than at another. Here files with doubled names, changed orders and empty
-// or missing lists are made out of each other.
-func TestChangeMakesTheVeryFile(t *testing.T) {
+// Guards against changes that omit, duplicate or swap an entry. Hosts would then decide
+// by different files under one revision, and one host would route or refuse requests
+// differently from another. Random files with duplicate names, changed orders and empty
+// or missing lists are made from each other.
+func TestChangeReproducesFile(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x, y := drawFile(t), drawFile(t)
-		a, b := split(t, *normal(t, x)), split(t, y)
+		a, b := newDocument(t, *storedFile(t, x)), newDocument(t, y)
 		c, err := changer.Make(a, b)
 		if err != nil {
 			t.Fatal(err)
@@ -92,40 +92,42 @@
 		if s := cmp.Diff(string(want), string(d.Text())); s != "" || d.Digest != digest {
 			t.Fatalf("digest %s, want %s: %s", d.Digest, digest, s)
 		}
-		if s := cmp.Diff(normal(t, y), d.File); s != "" {
+		if s := cmp.Diff(storedFile(t, y), d.File); s != "" {
 			t.Fatal(s)
 		}
 	})
 }
 
-// A change comes to a host that holds another base, or with another digest than the
-// head names. The host must notice and take the whole file, whatever the change makes.
-func TestChangeOfAnotherBase(t *testing.T) {
+// Guards against accepting a change on the wrong base or for the wrong digest. A host
+// may receive a change that was made from another base than the one it holds, or whose
+// result has another digest than the head states. Apply must then fail rather than return
+// another file, so that the host fetches the whole file.
+func TestChangeFromAnotherBase(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, other := split(t, drawFile(t)), split(t, drawFile(t)), split(t, drawFile(t))
+		a, b, other := newDocument(t, drawFile(t)), newDocument(t, drawFile(t)), newDocument(t, drawFile(t))
 		c, err := changer.Make(a, b)
 		if err != nil {
 			t.Fatal(err)
 		}
 		d, err := changer.Apply(other, c, b.Digest)
 		if err == nil && string(d.Text()) != string(b.Text()) {
-			t.Fatalf("another file: %s", d.Text())
+			t.Fatalf("change on another base produced another file: %s", d.Text())
 		}
 		if other.Digest == b.Digest {
 			return
 		}
 		if _, err := changer.Apply(a, c, other.Digest); !errors.Is(err, changer.ErrMismatch) {
-			t.Fatalf("took another digest: %v", err)
+			t.Fatalf("change accepted for another digest: %v", err)
 		}
 	})
 }
 
-// A change by a host that doesn't keep to the format leaves the entries' boundaries
-// elsewhere than the file does. The text and its digest would be right, and the
-// host would decide by a file that lacks an entry.
-func TestEntriesKeepTheirBoundaries(t *testing.T) {
+// Guards against a change whose entries don't each hold exactly one value. A faulty host
+// could put two entries into one text: the whole text and its digest would be right, but
+// the host would decode, and decide by, a file that lacks an entry.
+func TestEntryBoundaries(t *testing.T) {
 	g := []declarer.DatabaseGroup{{Name: "a"}, {Name: "b"}}
-	a, b := split(t, declarer.File{}), split(t, declarer.File{DatabaseGroups: g})
+	a, b := newDocument(t, declarer.File{}), newDocument(t, declarer.File{DatabaseGroups: g})
 	x, _ := json.Marshal(g[0])
 	y, _ := json.Marshal(g[1])
 	for _, l := range [][]map[int]any{
@@ -139,19 +141,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c, err := changer.Packed(a, p)
+		c, err := changer.PackChange(a, p)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := changer.Apply(a, c, b.Digest); !errors.Is(err, changer.ErrMalformed) {
-			t.Errorf("%v: %v", l, err)
+			t.Errorf("entries %v: error %v, want ErrMalformed", l, err)
 		}
 	}
 }
 
-// A short change asks for a file larger than any that may be stored.
-func TestChangeThatAsksForTooMuch(t *testing.T) {
-	a := split(t, declarer.File{DatabaseGroups: []declarer.DatabaseGroup{{Name: strings.Repeat("a", 1<<20)}}})
+// Guards against running out of memory: a short change can request a file larger than any
+// that may be stored, by repeating a large entry or by compressing well.
+func TestOversizedChange(t *testing.T) {
+	a := newDocument(t, declarer.File{DatabaseGroups: []declarer.DatabaseGroup{{Name: strings.Repeat("a", 1<<20)}}})
 	l := make([]map[int]any, 40)
 	for i := range l {
 		l[i] = map[int]any{2: 1}
@@ -161,17 +164,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c, err := changer.Packed(a, p)
+		c, err := changer.PackChange(a, p)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := changer.Apply(a, c, ""); !errors.Is(err, changer.ErrMalformed) {
-			t.Errorf("change of %d bytes: %v", len(c), err)
+			t.Errorf("change of %d bytes: error %v, want ErrMalformed", len(c), err)
 		}
 	}
 }
 
-func files(t testing.TB) (a, b *changer.Document) {
+func exampleDocuments(t testing.TB) (a, b *changer.Document) {
 	t.Helper()
 	r, err := parser.ParseFile("../differ/testdata/before.yaml")
 	if err != nil {
@@ -181,18 +184,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return split(t, r.File), split(t, s.File)
+	return newDocument(t, r.File), newDocument(t, s.File)
 }
 
-// The format is what hosts of different versions have in common: the golden file's
-// change must also be read by later versions.
+// Guards against an incompatible change of the format, by which hosts of different
+// versions exchange changes: the change in the golden file must stay readable.
 func TestFormat(t *testing.T) {
-	a, b := files(t)
+	a, b := exampleDocuments(t)
 	c, err := changer.Make(a, b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := changer.Unpacked(a, c)
+	p, err := changer.UnpackChange(a, c)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/changer/document.go
+++ b/internal/config/changer/document.go
@@ -1,4 +1,4 @@
-// Package changer makes one configuration file out of another one and what differs.
+// Package changer computes changes between two configuration files and applies them.
 package changer
 
 import (
@@ -14,21 +14,21 @@
 	"github.com/cuminwick/cuminwick/internal/config/declarer"
 )
 
-// Document is a file with the text of each of its parts, as the digest covers it.
-// It is never changed; documents made from each other share what they have in common.
+// Document is a file with the JSON text of each of its entries, over which the digest is
+// computed. It is immutable; documents made from each other share their common entries.
 type Document struct {
 	File *declarer.File
-	// Digest is the digest of the whole text.
+	// Digest is the SHA-256 digest of the whole text in hexadecimal.
 	Digest string
 
-	groups, rules, limits, teams list
+	groups, rules, limits, teams entryTexts
 }
 
-// list holds the texts of a list's entries. A nil one isn't in the text, or is
-// null where a key must be there.
-type list []json.RawMessage
+// entryTexts holds the JSON texts of a list's entries. A nil list is omitted from the
+// whole text, or is null if its key is always written.
+type entryTexts []json.RawMessage
 
-// Keys of the file's lists as they stand in the text.
+// Keys of the file's lists as they are written in the text.
 const (
 	groupsKey = `{"database-groups":`
 	rulesKey  = `,"routing-rules":`
@@ -36,12 +36,13 @@
 	teamsKey  = `,"teams":`
 )
 
-// NewDocument codes f part by part. The text is the one that encoder.Pack compresses.
+// NewDocument encodes f entry by entry. The whole text equals the one that encoder.Pack
+// compresses.
 func NewDocument(f *declarer.File) (*Document, error) {
 	g := *f
 	g.EditedFrom = 0
-	g.RoutingRules = nonEmpty(g.RoutingRules)
-	g.Teams = nonEmpty(g.Teams)
+	g.RoutingRules = nilIfEmpty(g.RoutingRules)
+	g.Teams = nilIfEmpty(g.Teams)
 	d := &Document{File: &g}
 	var err error
 	d.groups, err = texts(g.DatabaseGroups, err)
@@ -53,16 +54,16 @@
 	if err != nil {
 		return nil, err
 	}
-	d.Digest = d.sum()
+	d.Digest = d.computeDigest()
 	return d, nil
 }
 
-// texts codes the entries of a list, unless an earlier list failed.
-func texts[T any](l []T, err error) (list, error) {
+// texts encodes the entries of a list, unless err is set because an earlier list failed.
+func texts[T any](l []T, err error) (entryTexts, error) {
 	if l == nil || err != nil {
 		return nil, err
 	}
-	r := make(list, len(l))
+	r := make(entryTexts, len(l))
 	for i := range l {
 		if r[i], err = json.Marshal(&l[i]); err != nil {
 			return nil, errors.Annotatef(err, "encode entry %d of the configuration", i)
@@ -71,24 +72,24 @@
 	return r, nil
 }
 
-// nonEmpty returns nil for a list without entries, which stands in no text.
-func nonEmpty[T any](l []T) []T {
+// nilIfEmpty returns nil for a list without entries, because the text omits such a list.
+func nilIfEmpty[T any](l []T) []T {
 	if len(l) == 0 {
 		return nil
 	}
 	return l
 }
 
-// Text returns the whole text.
+// Text returns the whole JSON text.
 func (d *Document) Text() []byte {
 	var b bytes.Buffer
 	d.write(&b)
 	return b.Bytes()
 }
 
-func (d *Document) sum() string {
+func (d *Document) computeDigest() string {
 	h := sha256.New()
-	w := &gatherer{hash: h}
+	w := &hashBuffer{hash: h}
 	d.write(w)
 	w.flush()
 	return hex.EncodeToString(h.Sum(nil))
@@ -96,51 +97,52 @@
 
 // write writes the whole text to w, which never fails.
 func (d *Document) write(w io.Writer) {
-	put(w, groupsKey)
+	writeString(w, groupsKey)
 	if d.groups == nil {
-		put(w, "null")
+		writeString(w, "null")
 	} else {
 		d.groups.write(w)
 	}
 	if len(d.rules) > 0 {
-		put(w, rulesKey)
+		writeString(w, rulesKey)
 		d.rules.write(w)
 	}
 	if len(d.limits) > 0 {
-		put(w, limitsKey)
+		writeString(w, limitsKey)
 		_, _ = w.Write(d.limits[0])
 	}
 	if len(d.teams) > 0 {
-		put(w, teamsKey)
+		writeString(w, teamsKey)
 		d.teams.write(w)
 	}
-	put(w, "}")
+	writeString(w, "}")
 }
 
-func (l list) write(w io.Writer) {
-	put(w, "[")
+func (l entryTexts) write(w io.Writer) {
+	writeString(w, "[")
 	for i, t := range l {
 		if i > 0 {
-			put(w, ",")
+			writeString(w, ",")
 		}
 		_, _ = w.Write(t)
 	}
-	put(w, "]")
+	writeString(w, "]")
 }
 
-func put(w io.Writer, s string) {
+func writeString(w io.Writer, s string) {
 	_, _ = io.WriteString(w, s)
 }
 
-// gatherer hands short texts to the hash in larger pieces, which takes less time.
-type gatherer struct {
+// hashBuffer collects short texts and writes them to the hash in larger blocks, which
+// takes less time.
+type hashBuffer struct {
 	hash hash.Hash
 	n    int
 	b    [8192]byte
 }
 
 // Write implements io.Writer.
-func (g *gatherer) Write(p []byte) (int, error) {
+func (g *hashBuffer) Write(p []byte) (int, error) {
 	if g.n+len(p) > len(g.b) {
 		g.flush()
 	}
@@ -151,8 +153,8 @@
 	return len(p), nil
 }
 
-// WriteString implements io.StringWriter; s is shorter than the piece.
-func (g *gatherer) WriteString(s string) (int, error) {
+// WriteString implements io.StringWriter; s must be shorter than the buffer.
+func (g *hashBuffer) WriteString(s string) (int, error) {
 	if g.n+len(s) > len(g.b) {
 		g.flush()
 	}
@@ -160,7 +162,7 @@
 	return len(s), nil
 }
 
-func (g *gatherer) flush() {
+func (g *hashBuffer) flush() {
 	_, _ = g.hash.Write(g.b[:g.n])
 	g.n = 0
 }
--- a/internal/config/changer/export_test.go
+++ b/internal/config/changer/export_test.go
@@ -1,11 +1,11 @@
 package changer
 
-// Unpacked is a change without its compression.
-func Unpacked(a *Document, change []byte) ([]byte, error) {
-	return unpack(change, a.sample())
+// UnpackChange decompresses a change made from a.
+func UnpackChange(a *Document, change []byte) ([]byte, error) {
+	return unpack(change, a.compressionDictionary())
 }
 
-// Packed is the reverse of Unpacked.
-func Packed(a *Document, p []byte) ([]byte, error) {
-	return pack(p, a.sample())
+// PackChange compresses a change; it is the inverse of UnpackChange.
+func PackChange(a *Document, p []byte) ([]byte, error) {
+	return pack(p, a.compressionDictionary())
 }
--- a/internal/config/changer/fuzz_test.go
+++ b/internal/config/changer/fuzz_test.go
@@ -10,16 +10,16 @@
 	"github.com/cuminwick/cuminwick/internal/config/declarer"
 )
 
-// FuzzApply looks for changes that end the process, and for changes that lead to a
-// file other than its text says. data is a change without its compression, which
-// the fuzzer would seldom get through.
+// FuzzApply looks for changes that crash the process, and for changes that produce a file
+// other than the one that its text encodes. data is an uncompressed change, unless packed
+// is set, because the fuzzer seldom produces valid compressed data.
 func FuzzApply(f *testing.F) {
-	a, b := files(f)
+	a, b := exampleDocuments(f)
 	c, err := changer.Make(a, b)
 	if err != nil {
 		f.Fatal(err)
 	}
-	p, err := changer.Unpacked(a, c)
+	p, err := changer.UnpackChange(a, c)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 	f.Add(c, true)
 	f.Fuzz(func(t *testing.T, data []byte, packed bool) {
 		if !packed {
-			if data, err = changer.Packed(a, data); err != nil {
+			if data, err = changer.PackChange(a, data); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/config/changer/packer.go
+++ b/internal/config/changer/packer.go
@@ -10,11 +10,11 @@
 	"github.com/cuminwick/cuminwick/internal/config/encoder"
 )
 
-// sample returns a text that the entries of the file resemble. Compressing against
-// it spares the keys, which make up most of a small change.
-func (d *Document) sample() []byte {
+// compressionDictionary returns the first entry of each list, which the other entries
+// resemble. As a preset dictionary it saves the keys, which make up most of a small change.
+func (d *Document) compressionDictionary() []byte {
 	var b []byte
-	for _, l := range []list{d.limits, d.rules, d.teams, d.groups} {
+	for _, l := range []entryTexts{d.limits, d.rules, d.teams, d.groups} {
 		if len(l) > 0 {
 			b = append(b, l[0]...)
 		}
@@ -22,9 +22,9 @@
 	return b
 }
 
-func pack(p, sample []byte) ([]byte, error) {
+func pack(p, dictionary []byte) ([]byte, error) {
 	var b bytes.Buffer
-	w, err := flate.NewWriterDict(&b, flate.BestCompression, sample)
+	w, err := flate.NewWriterDict(&b, flate.BestCompression, dictionary)
 	if err != nil {
 		return nil, errors.Annotate(err, "compress change")
 	}
@@ -37,8 +37,8 @@
 	return b.Bytes(), nil
 }
 
-func unpack(p, sample []byte) ([]byte, error) {
-	r := flate.NewReaderDict(bytes.NewReader(p), sample)
+func unpack(p, dictionary []byte) ([]byte, error) {
+	r := flate.NewReaderDict(bytes.NewReader(p), dictionary)
 	b, err := io.ReadAll(io.LimitReader(r, encoder.MaximumFileBytes+1))
 	if err != nil {
 		return nil, errors.Annotatef(ErrMalformed, "%v", err)
--- a/internal/config/follower/advise.go
+++ b/internal/config/follower/advise.go
@@ -99,14 +99,15 @@
 			a.Registration.Member = &m
 		}
 	}
-	if h.followsRelay() || h.storesReport(*q.Report) {
+	if h.followsRelay() || h.reportHandled(*q.Report) {
 		return a, nil
 	}
 	return a, h.updated
 }
 
-// storesReport reports whether the stored object reflects r; the caller holds h.mu.
-func (h *Host) storesReport(r MemberReport) bool {
+// reportHandled reports whether the stored object reflects r, or isn't expected to any
+// more; the caller holds h.mu.
+func (h *Host) reportHandled(r MemberReport) bool {
 	if r.Leaving {
 		return h.summary.Left(r.Member)
 	}
