--- a/internal/config/encoder/encoder_test.go
+++ b/internal/config/encoder/encoder_test.go
@@ -19,9 +19,9 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// large makes a configuration of n database groups of three backend servers,
+// largeFile returns a configuration of n database groups of three backend servers,
 // with a team and a routing rule for each.
-func large(n int) declarer.File {
+func largeFile(n int) declarer.File {
 	r := rand.NewChaCha8([32]byte{1})
 	var f declarer.File
 	for i := range n {
@@ -36,14 +36,14 @@
 		f.DatabaseGroups = append(f.DatabaseGroups, g)
 		f.RoutingRules = append(f.RoutingRules, declarer.RoutingRule{Name: g.Name, Match: declarer.Match{DatabaseGroup: g.Name}})
 		f.Teams = append(f.Teams, declarer.Team{Name: "team-" + g.Name, DatabaseGroups: []string{g.Name}, Roles: []declarer.Role{
-			{Name: "role-" + g.Name, Verifier: verifier(r)},
+			{Name: "role-" + g.Name, Verifier: randomVerifier(r)},
 		}})
 	}
 	return defaulter.Fill(f)
 }
 
-// verifier makes one that compresses as badly as a real one.
-func verifier(r *rand.ChaCha8) string {
+// randomVerifier returns a verifier that compresses as badly as a real one.
+func randomVerifier(r *rand.ChaCha8) string {
 	var b [80]byte
 	_, _ = r.Read(b[:])
 	e := base64.StdEncoding.EncodeToString
@@ -51,7 +51,7 @@
 }
 
 func TestPackAndUnpack(t *testing.T) {
-	f := large(10)
+	f := largeFile(10)
 	f.EditedFrom = 7
 	p, d, err := encoder.Pack(f)
 	if err != nil {
@@ -66,15 +66,15 @@
 		t.Error(s)
 	}
 	if _, err := encoder.Unpack(encoder.Body{Revision: 1, Digest: strings.Repeat("0", 64), Packed: p}); !errors.Is(err, encoder.ErrDigest) {
-		t.Errorf("wrong digest: %v", err)
+		t.Errorf("wrong digest: error %v, want ErrDigest", err)
 	}
 	if _, err := encoder.Unpack(encoder.Body{Revision: 1, Digest: d, Packed: p[:len(p)/2]}); !errors.Is(err, encoder.ErrDigest) {
-		t.Errorf("half a file: %v", err)
+		t.Errorf("truncated file: error %v, want ErrDigest", err)
 	}
 }
 
-func TestLargeFileFitsIntoOneObject(t *testing.T) {
-	p, _, err := encoder.Pack(large(2800))
+func TestLargeFileFitsOneObject(t *testing.T) {
+	p, _, err := encoder.Pack(largeFile(2800))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 	t.Logf("2800 database groups: %d bytes packed, object of %d", len(p), len(b))
 }
 
-func TestNextSkipsTheAcceptedSlot(t *testing.T) {
+func TestNextRevisionSkipsAcceptedSlot(t *testing.T) {
 	for _, c := range []struct {
 		accepted, highest, want declarer.Revision
 	}{
@@ -101,7 +101,7 @@
 }
 
 func BenchmarkPack(b *testing.B) {
-	f := large(2800)
+	f := largeFile(2800)
 	for b.Loop() {
 		if _, _, err := encoder.Pack(f); err != nil {
 			b.Fatal(err)
@@ -110,7 +110,7 @@
 }
 
 func BenchmarkUnpack(b *testing.B) {
-	p, d, err := encoder.Pack(large(2800))
+	p, d, err := encoder.Pack(largeFile(2800))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -121,14 +121,14 @@
 	}
 }
 
-// BenchmarkFile reports what a file of n groups takes, packed as the platform
-// stores it and unpacked as each entry host holds it.
+// BenchmarkFile reports the size of a file of n groups per group, packed as the platform
+// stores it and unpacked as each entry host holds it in memory.
 func BenchmarkFile(b *testing.B) {
 	for _, n := range []int{28, 280, 2800} {
 		b.Run(fmt.Sprintf("groups=%d", n), func(b *testing.B) {
-			c := packed(b, n)
+			c := packedBody(b, n)
 			var f *declarer.File
-			before := inUse()
+			before := heapInUse()
 			for b.Loop() {
 				var err error
 				if f, err = encoder.Unpack(c); err != nil {
@@ -136,34 +136,36 @@
 				}
 			}
 			b.ReportMetric(float64(len(c.Packed))/float64(n), "packed-B/group")
-			b.ReportMetric(float64(inUse()-before)/float64(n), "heap-B/group")
+			b.ReportMetric(float64(heapInUse()-before)/float64(n), "heap-B/group")
 			runtime.KeepAlive(f)
 		})
 	}
 }
 
-// packed is apart, so that the file it packs doesn't stay in use.
-func packed(b *testing.B, n int) encoder.Body {
-	p, d, err := encoder.Pack(large(n))
+// packedBody packs a file of n groups. It is a function of its own, so that the unpacked file
+// isn't counted as heap in use.
+func packedBody(b *testing.B, n int) encoder.Body {
+	p, d, err := encoder.Pack(largeFile(n))
 	if err != nil {
 		b.Fatal(err)
 	}
 	return encoder.Body{Digest: d, Packed: p}
 }
 
-// inUse returns the heap that garbage collection leaves.
-func inUse() int64 {
+// heapInUse returns the bytes of heap in use after garbage collection.
+func heapInUse() int64 {
 	runtime.GC()
-	runtime.GC() // empties the pools that the first one has set aside
+	runtime.GC() // the first collection only moves pooled objects to the victim cache
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
 
-// A change in the head holds roles' verifiers. Shown with the head, as status does
-// to any reader, it would give them away; left out of the object or of what relays
-// pass on, each host would take the whole file.
-func TestChangeIsStoredAndNotShown(t *testing.T) {
+// The change in the head may contain verifiers of roles. Guards against disclosing them
+// where the head is shown as JSON, for instance by status, and against omitting the change
+// from the stored object or from messages of relays: each host would then fetch the whole
+// file.
+func TestChangeIsStoredButNotShown(t *testing.T) {
 	h := encoder.Head{Accepted: 1, Staged: &encoder.Entry{Revision: 2}, Change: &encoder.Change{Revision: 2, Base: 1, Packed: []byte{1}}}
 	v, err := encoder.Encode(h)
 	if err != nil {
@@ -179,9 +181,9 @@
 		t.Fatal(err)
 	}
 	if err := peer.Unmarshal(b, &p); err != nil || !p.Change.Matches(1, 2) {
-		t.Errorf("passed on as %+v, error %v", p.Change, err)
+		t.Errorf("sent between hosts as %+v, error %v", p.Change, err)
 	}
 	if s, err := json.Marshal(h); err != nil || strings.Contains(string(s), "change") {
-		t.Errorf("shown as %s, error %v", s, err)
+		t.Errorf("JSON contains the change: %s, error %v", s, err)
 	}
 }
--- a/internal/config/encoder/report.go
+++ b/internal/config/encoder/report.go
@@ -7,8 +7,8 @@
 	"github.com/cuminwick/cuminwick/internal/config/declarer"
 )
 
-// HostReport is what a relay's object says of another host of its zone, with the
-// meanings that the fields have in Holder.
+// HostReport is the state that a host of the zone reported through a relay, as the relay's
+// object holds it. Its fields have the same meaning as those of Holder.
 type HostReport struct {
 	Host        string            `json:"host"`
 	Incarnation string            `json:"incarnation"`
@@ -16,24 +16,24 @@
 	Refused     declarer.Revision `json:"refused,omitempty"`
 	Reason      string            `json:"reason,omitempty"`
 	InForce     declarer.Revision `json:"in-force"`
-	// ReportedAt is the relay's clock when it heard of the host last, for people to read.
+	// ReportedAt is when the relay last received a report of the host; for display only.
 	ReportedAt time.Time `json:"reported-at"`
 }
 
-// SameIncarnation reports whether m and o are the same start of the same host.
+// SameIncarnation reports whether m and o are of the same incarnation of the same host.
 func (m HostReport) SameIncarnation(o HostReport) bool {
 	return m.Host == o.Host && m.Incarnation == o.Incarnation
 }
 
-// SameContent reports whether m and o say the same, if not at the same time.
+// SameContent reports whether m and o are equal except for ReportedAt.
 func (m HostReport) SameContent(o HostReport) bool {
 	m.ReportedAt = o.ReportedAt
 	return m == o
 }
 
-// Merge returns what m and o, which are of the same start of a host, show
-// together. Revisions only move up and a number means one file, so the higher
-// one is the later word, in whatever order the two were written.
+// Merge combines m and o, which are of the same incarnation of a host. Revisions only
+// increase and each number stands for one file, so the higher revision is the later
+// report, in whatever order the two were written.
 func (m HostReport) Merge(o HostReport) HostReport {
 	m.Ready = max(m.Ready, o.Ready)
 	m.InForce = max(m.InForce, o.InForce)
@@ -47,7 +47,7 @@
 	return m
 }
 
-// OwnReport returns what h says of its host.
+// OwnReport returns the report of h's own host, without its members.
 func (h Holder) OwnReport() HostReport {
 	return HostReport{
 		Host: h.Host, Incarnation: h.Incarnation, Ready: h.Ready, Refused: h.Refused,
@@ -55,8 +55,9 @@
 	}
 }
 
-// Reports returns what one object says of each host that it stands for, each
-// start of a host once. A host may take over an object that has it as a member.
+// Reports returns the reports of the hosts that one object holds, each incarnation of a
+// host once. A host may have taken over an object that has it as a member; the two
+// reports are then merged.
 func (h Holder) Reports() []HostReport {
 	if h.Retired {
 		return nil
@@ -76,25 +77,25 @@
 	return l
 }
 
-// MergeHolders returns the hosts that the objects l stand for, each start of a host
-// once. A host that changed its relay may stand in several objects.
+// MergeHolders returns the hosts that the objects l hold, each incarnation of a host once. A
+// host that changed its relay may be in several objects.
 func MergeHolders(l []Holder) []Holder {
 	var n []Holder
 	for _, h := range l {
 		for _, m := range h.Reports() {
-			n = add(n, h, m)
+			n = mergeReport(n, h, m)
 		}
 	}
 	return n
 }
 
-// add merges m, which the object h holds, into n.
-func add(n []Holder, h Holder, m HostReport) []Holder {
+// mergeReport merges m, which the object h holds, into n and returns the result.
+func mergeReport(n []Holder, h Holder, m HostReport) []Holder {
 	i := slices.IndexFunc(n, func(x Holder) bool { return x.OwnReport().SameIncarnation(m) })
 	if i < 0 {
-		return append(n, holder(h, m))
+		return append(n, newHolder(h, m))
 	}
-	x := holder(h, n[i].OwnReport().Merge(m))
+	x := newHolder(h, n[i].OwnReport().Merge(m))
 	if m.ReportedAt.Before(n[i].ReportedAt) {
 		x.Relay = n[i].Relay
 	}
@@ -102,7 +103,8 @@
 	return n
 }
 
-func holder(h Holder, m HostReport) Holder {
+// newHolder returns m as a Holder of its own; h is the object that holds m.
+func newHolder(h Holder, m HostReport) Holder {
 	x := Holder{
 		Host: m.Host, Incarnation: m.Incarnation, AvailabilityZone: h.AvailabilityZone, Ready: m.Ready,
 		Refused: m.Refused, Reason: m.Reason, InForce: m.InForce, ReportedAt: m.ReportedAt,
