--- a/internal/config/encoder/encoder.go
+++ b/internal/config/encoder/encoder.go
@@ -1,4 +1,4 @@
-// Package encoder defines the objects that hold the configuration on the platform, and encodes them.
+// Package encoder defines and encodes the objects that hold the configuration on the platform.
 package encoder
 
 import (
--- a/internal/config/parser/checker.go
+++ b/internal/config/parser/checker.go
@@ -13,12 +13,12 @@
 	addresses := map[string]string{}
 	for i, g := range c.file.DatabaseGroups {
 		k := fmt.Sprintf("database-groups[%d]", i)
-		c.unique(seen, k+".name", g.Name)
+		c.checkUnique(seen, k+".name", g.Name)
 		servers := map[string]string{}
 		for j, b := range g.BackendServers {
 			kb := fmt.Sprintf("%s.backend-servers[%d]", k, j)
-			c.unique(servers, kb+".name", b.Name)
-			c.unique(addresses, kb+".address", b.Address)
+			c.checkUnique(servers, kb+".name", b.Name)
+			c.checkUnique(addresses, kb+".address", b.Address)
 			c.checkServer(kb, b)
 		}
 	}
@@ -26,15 +26,15 @@
 
 func (c *checker) checkServer(key string, b declarer.BackendServer) {
 	for _, k := range []string{key + ".slots", key + ".connections"} {
-		if !c.set(k) {
-			c.fault(k, "nothing", "a whole number, above zero")
+		if !c.isSet(k) {
+			c.addFault(k, "nothing", "a whole number, above zero")
 		}
 	}
 	if b.ReservedConnections < 0 {
-		c.fault(key+".reserved-connections", strconv.Itoa(b.ReservedConnections), "a whole number of zero or more")
+		c.addFault(key+".reserved-connections", strconv.Itoa(b.ReservedConnections), "a whole number of zero or more")
 	}
 	if b.Connections > 0 && b.ReservedConnections >= b.Connections {
-		c.fault(key+".reserved-connections", strconv.Itoa(b.ReservedConnections),
+		c.addFault(key+".reserved-connections", strconv.Itoa(b.ReservedConnections),
 			fmt.Sprintf("fewer than the %d connections", b.Connections))
 	}
 }
@@ -43,24 +43,24 @@
 	seen := map[string]string{}
 	for i, r := range c.file.RoutingRules {
 		k := fmt.Sprintf("routing-rules[%d]", i)
-		c.unique(seen, k+".name", r.Name)
-		if !c.set(k + ".maximum-age") {
-			c.fault(k+".maximum-age", "nothing", "a duration such as 500ms, 30s or 5m, or 0s for the latest")
+		c.checkUnique(seen, k+".name", r.Name)
+		if !c.isSet(k + ".maximum-age") {
+			c.addFault(k+".maximum-age", "nothing", "a duration such as 500ms, 30s or 5m, or 0s for the latest")
 		}
-		c.atLeastZero(k+".maximum-age", r.MaximumAge)
+		c.checkDurationNotNegative(k+".maximum-age", r.MaximumAge)
 		c.checkMatch(k+".match", r.Match)
 	}
 }
 
 func (c *checker) checkMatch(key string, m declarer.Match) {
 	if m.Service != "" && !c.hasService(m.Service) {
-		c.fault(key+".service", strconv.Quote(m.Service), "the service of a database group in this file")
+		c.addFault(key+".service", strconv.Quote(m.Service), "the service of a database group in this file")
 	}
 	if m.DatabaseGroup != "" && c.group(m.DatabaseGroup) == nil {
-		c.fault(key+".database-group", strconv.Quote(m.DatabaseGroup), "a database group in this file")
+		c.addFault(key+".database-group", strconv.Quote(m.DatabaseGroup), "a database group in this file")
 	}
-	if m.Role != "" && c.team(m.Role) == nil {
-		c.fault(key+".role", strconv.Quote(m.Role), "a role of a team in this file")
+	if m.Role != "" && c.teamOfRole(m.Role) == nil {
+		c.addFault(key+".role", strconv.Quote(m.Role), "a role of a team in this file")
 	}
 }
 
@@ -69,20 +69,20 @@
 	roles := map[string]string{}
 	for i, t := range c.file.Teams {
 		k := fmt.Sprintf("teams[%d]", i)
-		c.unique(teams, k+".name", t.Name)
-		c.notNegative(k+".share", t.Share)
-		c.notNegative(k+".request-limit", t.RequestLimit)
+		c.checkUnique(teams, k+".name", t.Name)
+		c.checkNotNegative(k+".share", t.Share)
+		c.checkNotNegative(k+".request-limit", t.RequestLimit)
 		for j, g := range t.DatabaseGroups {
 			if c.group(g) == nil {
-				c.fault(fmt.Sprintf("%s.database-groups[%d]", k, j), strconv.Quote(g), "a database group in this file")
+				c.addFault(fmt.Sprintf("%s.database-groups[%d]", k, j), strconv.Quote(g), "a database group in this file")
 			}
 		}
 		for j, r := range t.Roles {
 			kr := fmt.Sprintf("%s.roles[%d]", k, j)
-			c.unique(roles, kr+".name", r.Name)
+			c.checkUnique(roles, kr+".name", r.Name)
 			if r.Verifier != "" && !isVerifier(r.Verifier) {
-				// The value isn't shown: it may be a password put there by mistake.
-				c.fault(kr+".verifier", "something else", "SCRAM-SHA-256$iterations:salt$stored-key:server-key")
+				// The fault doesn't show the value: it may be a password entered by mistake.
+				c.addFault(kr+".verifier", "something else", "SCRAM-SHA-256$iterations:salt$stored-key:server-key")
 			}
 		}
 	}
@@ -90,24 +90,24 @@
 
 func (c *checker) checkLimits() {
 	l := c.file.Limits
-	c.notNegative("limits.queue-length", l.QueueLength)
-	c.atLeastZero("limits.request-timeout", l.RequestTimeout)
-	c.atLeastZero("limits.idle-in-transaction-timeout", l.IdleInTransactionTimeout)
-	c.atLeastZero("limits.outcome-retention", l.OutcomeRetention)
+	c.checkNotNegative("limits.queue-length", l.QueueLength)
+	c.checkDurationNotNegative("limits.request-timeout", l.RequestTimeout)
+	c.checkDurationNotNegative("limits.idle-in-transaction-timeout", l.IdleInTransactionTimeout)
+	c.checkDurationNotNegative("limits.outcome-retention", l.OutcomeRetention)
 	if l.RetryShare < 0 || l.RetryShare > 1 {
-		c.fault("limits.retry-share", strconv.FormatFloat(l.RetryShare, 'g', -1, 64), "a number from 0 to 1")
+		c.addFault("limits.retry-share", strconv.FormatFloat(l.RetryShare, 'g', -1, 64), "a number from 0 to 1")
 	}
 }
 
-func (c *checker) notNegative(key string, n int) {
+func (c *checker) checkNotNegative(key string, n int) {
 	if n < 0 {
-		c.fault(key, strconv.Itoa(n), "a whole number of zero or more")
+		c.addFault(key, strconv.Itoa(n), "a whole number of zero or more")
 	}
 }
 
-func (c *checker) atLeastZero(key string, d time.Duration) {
+func (c *checker) checkDurationNotNegative(key string, d time.Duration) {
 	if d < 0 {
-		c.fault(key, d.String(), "a duration of zero or more")
+		c.addFault(key, d.String(), "a duration of zero or more")
 	}
 }
 
@@ -129,8 +129,8 @@
 	return false
 }
 
-// team returns the team that has the role.
-func (c *checker) team(role string) *declarer.Team {
+// teamOfRole returns the team that has the role, nil if none does.
+func (c *checker) teamOfRole(role string) *declarer.Team {
 	for i, t := range c.file.Teams {
 		for _, r := range t.Roles {
 			if r.Name == role {
--- a/internal/config/parser/fuzz_test.go
+++ b/internal/config/parser/fuzz_test.go
@@ -12,8 +12,8 @@
 	"github.com/cuminwick/cuminwick/internal/config/parser"
 )
 
-// FuzzParse looks for files that end the process, and for files without a fault
-// that can't be stored and read back, or have faults once they have their defaults.
+// FuzzParse looks for files that crash the process, and for files without faults that
+// can't be packed and unpacked or that have faults once defaults are filled in.
 func FuzzParse(f *testing.F) {
 	l, err := filepath.Glob("testdata/*.yaml")
 	if err != nil {
--- a/internal/config/parser/parser.go
+++ b/internal/config/parser/parser.go
@@ -1,4 +1,5 @@
-// Package parser reads the file that operators apply and reports all its faults at once.
+// Package parser parses the configuration file that operators apply and reports all its
+// faults at once.
 package parser
 
 import (
@@ -14,17 +15,19 @@
 	"github.com/cuminwick/cuminwick/internal/settings/decoder"
 )
 
-// Result is what the parser makes of one file.
+// Result is the outcome of parsing one file.
 type Result struct {
 	// File is as written, without defaults; it is usable only if Faults is empty.
 	File declarer.File
-	// Faults keep the file from being applied.
+	// Faults are the errors that prevent the file from being applied.
 	Faults decoder.Faults
-	// Warnings point at what is allowed but probably not meant.
+	// Warnings are settings that are allowed but probably not intended; they are only
+	// looked for in a file without faults.
 	Warnings decoder.Faults
 }
 
-// ParseFile reads and parses the named file; faults in it are no error.
+// ParseFile reads and parses the named file. It returns an error only if the file can't be
+// read; faults in it are part of the result.
 func ParseFile(name string) (Result, error) {
 	b, err := os.ReadFile(name)
 	if err != nil {
@@ -33,12 +36,12 @@
 	return Parse(name, b), nil
 }
 
-// Parse parses data; name stands for the file in the faults.
+// Parse parses data; name is the file name stated in the faults.
 func Parse(name string, data []byte) Result {
 	return ParseWithBase(name, data, declarer.File{})
 }
 
-// ParseWithBase parses data whose hidden verifiers are those of base.
+// ParseWithBase parses data and replaces hidden verifiers by those of base.
 func ParseWithBase(name string, data []byte, base declarer.File) Result {
 	var r Result
 	l, f := decoder.Decode(name, data, &r.File)
@@ -48,17 +51,17 @@
 	if len(c.faults) == 0 {
 		c.warn()
 	}
-	r.Faults = sorted(c.faults)
-	r.Warnings = sorted(c.warnings)
+	r.Faults = sortByLine(c.faults)
+	r.Warnings = sortByLine(c.warnings)
 	return r
 }
 
-func sorted(f decoder.Faults) decoder.Faults {
+func sortByLine(f decoder.Faults) decoder.Faults {
 	slices.SortStableFunc(f, func(a, b decoder.Fault) int { return a.Line - b.Line })
 	return f
 }
 
-// checker checks what spans several keys of a file.
+// checker checks rules of a file that the decoder can't check key by key.
 type checker struct {
 	name     string
 	lines    decoder.Lines
@@ -67,16 +70,17 @@
 	warnings decoder.Faults
 }
 
-func (c *checker) fault(key, found, expected string) {
-	c.faults = append(c.faults, c.at(key, found, expected))
+func (c *checker) addFault(key, found, expected string) {
+	c.faults = append(c.faults, c.newFault(key, found, expected))
 }
 
-func (c *checker) warning(key, found, expected string) {
-	c.warnings = append(c.warnings, c.at(key, found, expected))
+func (c *checker) addWarning(key, found, expected string) {
+	c.warnings = append(c.warnings, c.newFault(key, found, expected))
 }
 
-// at makes a fault that points at key, or at the nearest key around it.
-func (c *checker) at(key, found, expected string) decoder.Fault {
+// newFault returns a fault at the line of key or, if the file doesn't set key, of the
+// nearest key that encloses it.
+func (c *checker) newFault(key, found, expected string) decoder.Fault {
 	l := 0
 	for k := key; k != "" && l == 0; k = parent(k) {
 		l = c.line(k)
@@ -84,8 +88,8 @@
 	return decoder.Fault{File: c.name, Line: max(l, 1), Key: key, Found: found, Expected: expected}
 }
 
-// line returns where key is set, or its first member if it is a list's entry,
-// zero if neither is there.
+// line returns the line on which key is set, or that of its first member if key is an
+// entry of a list; zero if the file has neither.
 func (c *checker) line(key string) int {
 	if l := c.lines[key]; l != 0 {
 		return l
@@ -99,7 +103,7 @@
 	return first
 }
 
-// parent drops the last part of a key's path.
+// parent returns key without the last part of its path, empty if it has only one.
 func parent(key string) string {
 	for i := len(key) - 1; i > 0; i-- {
 		if key[i] == '.' || key[i] == '[' {
@@ -109,8 +113,8 @@
 	return ""
 }
 
-// set reports whether the file sets key.
-func (c *checker) set(key string) bool {
+// isSet reports whether the file sets key.
+func (c *checker) isSet(key string) bool {
 	return c.lines[key] != 0
 }
 
@@ -121,13 +125,14 @@
 	c.checkLimits()
 }
 
-// unique reports a second use of a name among its kind.
-func (c *checker) unique(seen map[string]string, key, name string) {
+// checkUnique adds a fault if name is in seen, which maps each name of one kind to the key
+// that set it first. Otherwise it adds name to seen.
+func (c *checker) checkUnique(seen map[string]string, key, name string) {
 	if name == "" {
 		return
 	}
 	if first, ok := seen[name]; ok {
-		c.fault(key, fmt.Sprintf("%q again, first in %s", name, first), "each name once")
+		c.addFault(key, fmt.Sprintf("%q again, first in %s", name, first), "each name once")
 		return
 	}
 	seen[name] = key
--- a/internal/config/parser/parser_test.go
+++ b/internal/config/parser/parser_test.go
@@ -60,22 +60,22 @@
 	}
 	f := defaulter.Fill(r.File)
 	if n := f.DatabaseGroups[0].BackendServers[1].ReservedConnections; n != defaulter.ReservedConnections {
-		t.Errorf("%d reserved connections", n)
+		t.Errorf("%d reserved connections, want the default of %d", n, defaulter.ReservedConnections)
 	}
 	if d := cmp.Diff(f, defaulter.Fill(f)); d != "" {
-		t.Errorf("defaults aren't stable: %s", d)
+		t.Errorf("filling in defaults twice changes the file: %s", d)
 	}
 	b, err := yaml.Marshal(concealer.Hide(f))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if strings.Contains(string(b), "SCRAM") {
-		t.Error("a verifier is shown")
+		t.Error("hidden file contains a verifier")
 	}
 	if r := parser.Parse("x", b); len(r.Faults) != 2 {
-		t.Errorf("hidden verifiers of new roles: %v", r.Faults)
+		t.Errorf("hidden verifiers without a base: %d faults, want 2: %v", len(r.Faults), r.Faults)
 	}
 	if d := cmp.Diff(parser.Result{File: f}, parser.ParseWithBase("x", b, f)); d != "" {
-		t.Errorf("a file that was read and written back differs: %s", d)
+		t.Errorf("file with hidden verifiers differs after parsing it with its base: %s", d)
 	}
 }
--- a/internal/config/parser/verifier.go
+++ b/internal/config/parser/verifier.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// verifierPrefix starts a SCRAM-SHA-256 verifier in PostgreSQL's form.
+// verifierPrefix is the prefix of a SCRAM-SHA-256 verifier in PostgreSQL's format.
 const verifierPrefix = "SCRAM-SHA-256$"
 
-// isVerifier reports whether s has the form
+// isVerifier reports whether s is a verifier of the form
 // SCRAM-SHA-256$iterations:salt$stored-key:server-key.
 func isVerifier(s string) bool {
 	s, ok := strings.CutPrefix(s, verifierPrefix)
@@ -24,12 +24,12 @@
 	iterations, salt, _ := strings.Cut(a, ":")
 	stored, server, _ := strings.Cut(b, ":")
 	n, err := strconv.Atoi(iterations)
-	return err == nil && n > 0 && length(salt) > 0 &&
-		length(stored) == sha256.Size && length(server) == sha256.Size
+	return err == nil && n > 0 && decodedLength(salt) > 0 &&
+		decodedLength(stored) == sha256.Size && decodedLength(server) == sha256.Size
 }
 
-// length returns how many bytes s holds in base64, -1 if it isn't base64.
-func length(s string) int {
+// decodedLength returns the number of bytes that s encodes in base64, -1 if it isn't base64.
+func decodedLength(s string) int {
 	b, err := base64.StdEncoding.DecodeString(s)
 	if err != nil {
 		return -1
