--- a/internal/config/defaulter/defaulter.go
+++ b/internal/config/defaulter/defaulter.go
@@ -1,4 +1,4 @@
-// Package defaulter fills the keys that an operator's file leaves out.
+// Package defaulter fills in defaults for the keys that a configuration file omits.
 package defaulter
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/cuminwick/cuminwick/internal/config/declarer"
 )
 
-// Defaults of an applied file.
+// Defaults of the settings of the same names in package declarer.
 const (
 	ReservedConnections      = 2
 	QueueLength              = 200
@@ -19,9 +19,9 @@
 	Share                    = 1
 )
 
-// Fill returns f with all defaults set. It is done once, before a file is
-// stored: were each host to fill in its own, hosts of two versions of cuminwick
-// could decide differently under one revision.
+// Fill returns f with all defaults set; it doesn't modify f. It is called once, before a
+// file is stored: if each host filled in its own defaults, hosts of different versions of
+// cuminwick could decide differently under one revision.
 func Fill(f declarer.File) declarer.File {
 	f.DatabaseGroups = slices.Clone(f.DatabaseGroups)
 	for i := range f.DatabaseGroups {
@@ -33,31 +33,32 @@
 	}
 	f.RoutingRules = slices.Clone(f.RoutingRules)
 	for i := range f.RoutingRules {
-		set(&f.RoutingRules[i].WhenUnconfirmed, declarer.Refuse)
+		setIfZero(&f.RoutingRules[i].WhenUnconfirmed, declarer.Refuse)
 	}
 	f.Teams = slices.Clone(f.Teams)
 	for i := range f.Teams {
-		set(&f.Teams[i].Share, Share)
+		setIfZero(&f.Teams[i].Share, Share)
 	}
 	fillLimits(&f.Limits)
 	return f
 }
 
-// fillServer reserves connections only where the server has some to spare.
+// fillServer reserves only connections that the server has beyond its slots.
 func fillServer(b *declarer.BackendServer) {
 	n := min(ReservedConnections, b.Connections-b.Slots)
-	set(&b.ReservedConnections, max(n, 0))
+	setIfZero(&b.ReservedConnections, max(n, 0))
 }
 
 func fillLimits(l *declarer.Limits) {
-	set(&l.QueueLength, QueueLength)
-	set(&l.RequestTimeout, RequestTimeout)
-	set(&l.IdleInTransactionTimeout, IdleInTransactionTimeout)
-	set(&l.OutcomeRetention, OutcomeRetention)
-	set(&l.RetryShare, RetryShare)
+	setIfZero(&l.QueueLength, QueueLength)
+	setIfZero(&l.RequestTimeout, RequestTimeout)
+	setIfZero(&l.IdleInTransactionTimeout, IdleInTransactionTimeout)
+	setIfZero(&l.OutcomeRetention, OutcomeRetention)
+	setIfZero(&l.RetryShare, RetryShare)
 }
 
-func set[T comparable](p *T, v T) {
+// setIfZero sets *p to v if *p is the zero value.
+func setIfZero[T comparable](p *T, v T) {
 	var zero T
 	if *p == zero {
 		*p = v
