--- a/internal/config/differ/differ.go
+++ b/internal/config/differ/differ.go
@@ -1,4 +1,4 @@
-// Package differ tells in an operator's words what changes between two configurations.
+// Package differ lists the differences between two configurations for operators.
 package differ
 
 import (
@@ -10,30 +10,31 @@
 	"github.com/cuminwick/cuminwick/internal/config/declarer"
 )
 
-// Action is what became of one thing.
+// Action is the kind of a change.
 type Action string
 
-// Actions of a change.
+// Kinds of changes.
 const (
 	Added   Action = "added"
 	Removed Action = "removed"
 	Changed Action = "changed"
-	// Reordered is a list whose order counts and whose entries are the same.
+	// Reordered means that the entries common to both lists have another order, in a list
+	// whose order is significant.
 	Reordered Action = "reordered"
 )
 
 // Change is one difference between two configurations.
 type Change struct {
 	Action Action `json:"action"`
-	// Subject names the thing, for instance "database group a, backend server a1".
+	// Subject names what changed, for instance "database group a, backend server a1".
 	Subject string `json:"subject"`
-	// Key is the key that changed, empty where the whole thing was added or removed.
+	// Key is the key that changed, empty if the subject was added or removed as a whole.
 	Key    string `json:"key,omitempty"`
 	Before string `json:"before,omitempty"`
 	After  string `json:"after,omitempty"`
 }
 
-// String returns the change as one line.
+// String returns the change as one line of text.
 func (c Change) String() string {
 	if c.Key == "" {
 		return fmt.Sprintf("%s: %s", c.Subject, c.Action)
@@ -41,29 +42,31 @@
 	if c.Before == "" && c.After == "" {
 		return fmt.Sprintf("%s: %s %s", c.Subject, c.Key, c.Action)
 	}
-	return fmt.Sprintf("%s: %s %s -> %s", c.Subject, c.Key, shown(c.Before), shown(c.After))
+	return fmt.Sprintf("%s: %s %s -> %s", c.Subject, c.Key, displayValue(c.Before), displayValue(c.After))
 }
 
-func shown(s string) string {
+func displayValue(s string) string {
 	if s == "" {
 		return "unset"
 	}
 	return s
 }
 
-// secretKey is never shown, a change of it is only mentioned.
+// secretKey is the key whose values are left out of the changes, because they are secret.
 const secretKey = "verifier"
 
-// provenanceKey says where a file came from and isn't part of what it sets.
+// provenanceKey is the key that is ignored, because it states from which revision a file was
+// edited and configures nothing.
 const provenanceKey = "edited-from"
 
-// Diff returns what changes from a to b, in the order of the file.
+// Diff returns the changes from a to b, in the order of the keys in the file.
 func Diff(a, b declarer.File) []Change {
 	var d differ
-	d.structure("", reflect.ValueOf(a), reflect.ValueOf(b))
+	d.diffStruct("", reflect.ValueOf(a), reflect.ValueOf(b))
 	return d.changes
 }
 
+// differ collects the changes found so far.
 type differ struct {
 	changes []Change
 }
@@ -75,30 +78,30 @@
 	d.changes = append(d.changes, c)
 }
 
-func (d *differ) structure(subject string, a, b reflect.Value) {
+func (d *differ) diffStruct(subject string, a, b reflect.Value) {
 	for i := range a.NumField() {
 		f := a.Type().Field(i)
 		k, _, _ := strings.Cut(f.Tag.Get("yaml"), ",")
 		if k == provenanceKey {
 			continue
 		}
-		d.member(subject, k, a.Field(i), b.Field(i))
+		d.diffField(subject, k, a.Field(i), b.Field(i))
 	}
 }
 
-func (d *differ) member(subject, key string, a, b reflect.Value) {
+func (d *differ) diffField(subject, key string, a, b reflect.Value) {
 	switch {
 	case a.Kind() == reflect.Struct:
-		d.structure(join(subject, key), a, b)
+		d.diffStruct(joinSubject(subject, key), a, b)
 	case a.Kind() == reflect.Slice && a.Type().Elem().Kind() == reflect.Struct:
-		d.list(subject, key, a, b)
+		d.diffList(subject, key, a, b)
 	default:
-		d.scalar(subject, key, a, b)
+		d.diffValue(subject, key, a, b)
 	}
 }
 
-func (d *differ) scalar(subject, key string, a, b reflect.Value) {
-	x, y := text(a), text(b)
+func (d *differ) diffValue(subject, key string, a, b reflect.Value) {
+	x, y := valueText(a), valueText(b)
 	if x == y {
 		return
 	}
@@ -109,29 +112,29 @@
 	d.add(c)
 }
 
-// list compares two lists of named things by their names.
-func (d *differ) list(subject, key string, a, b reflect.Value) {
-	x, y := names(a), names(b)
+// diffList compares two lists of structs, whose entries it matches by their Name.
+func (d *differ) diffList(subject, key string, a, b reflect.Value) {
+	x, y := entryNames(a), entryNames(b)
 	for i, n := range x {
-		s := join(subject, singular(key)+" "+n)
+		s := joinSubject(subject, singular(key)+" "+n)
 		j := slices.Index(y, n)
 		if j < 0 {
 			d.add(Change{Action: Removed, Subject: s})
 			continue
 		}
-		d.structure(s, a.Index(i), b.Index(j))
+		d.diffStruct(s, a.Index(i), b.Index(j))
 	}
 	for _, n := range y {
 		if !slices.Contains(x, n) {
-			d.add(Change{Action: Added, Subject: join(subject, singular(key)+" "+n)})
+			d.add(Change{Action: Added, Subject: joinSubject(subject, singular(key)+" "+n)})
 		}
 	}
-	d.order(subject, key, common(x, y), common(y, x))
+	d.diffOrder(subject, key, common(x, y), common(y, x))
 }
 
-// order reports a changed order of the entries that stayed; the first routing
-// rule that matches counts, so their order is part of what a file sets.
-func (d *differ) order(subject, key string, x, y []string) {
+// diffOrder adds a change if the remaining routing rules have another order. Their order
+// is significant, because the first matching rule applies.
+func (d *differ) diffOrder(subject, key string, x, y []string) {
 	if key != "routing-rules" || slices.Equal(x, y) {
 		return
 	}
@@ -149,7 +152,7 @@
 	return slices.DeleteFunc(slices.Clone(x), func(s string) bool { return !slices.Contains(y, s) })
 }
 
-func names(l reflect.Value) []string {
+func entryNames(l reflect.Value) []string {
 	var n []string
 	for i := range l.Len() {
 		n = append(n, l.Index(i).FieldByName("Name").String())
@@ -157,7 +160,7 @@
 	return n
 }
 
-func text(v reflect.Value) string {
+func valueText(v reflect.Value) string {
 	if v.Kind() == reflect.Slice {
 		return strings.Join(v.Interface().([]string), ", ")
 	}
@@ -167,11 +170,12 @@
 	return fmt.Sprint(v.Interface())
 }
 
+// singular returns the name of one entry of the list key.
 func singular(key string) string {
 	return strings.ReplaceAll(strings.TrimSuffix(key, "s"), "-", " ")
 }
 
-func join(subject, s string) string {
+func joinSubject(subject, s string) string {
 	if subject == "" {
 		return s
 	}
--- a/internal/config/differ/differ_test.go
+++ b/internal/config/differ/differ_test.go
@@ -28,14 +28,14 @@
 	a := parse(t, "testdata/before.yaml")
 	b := parse(t, "testdata/after.yaml")
 	if l := differ.Diff(a, a); len(l) > 0 {
-		t.Errorf("a file differs from itself: %v", l)
+		t.Errorf("changes from a file to itself: %v", l)
 	}
 	var s strings.Builder
 	for _, c := range differ.Diff(a, b) {
 		s.WriteString(c.String() + "\n")
 	}
 	if strings.Contains(s.String(), "SCRAM") {
-		t.Error("a verifier is shown")
+		t.Error("changes contain a verifier")
 	}
 	const name = "testdata/diff.golden"
 	if *update {
