--- a/internal/config/describer/describer.go
+++ b/internal/config/describer/describer.go
@@ -1,4 +1,4 @@
-// Package describer generates the JSON schema of the file that operators apply.
+// Package describer generates the JSON schema of the configuration file that operators apply.
 package describer
 
 import (
@@ -12,13 +12,13 @@
 	"github.com/cuminwick/cuminwick/internal/config/declarer"
 )
 
-// durationPattern is what time.ParseDuration reads, without a sign.
+// durationPattern matches the durations that time.ParseDuration accepts, without a sign.
 const durationPattern = `^([0-9]+(\.[0-9]+)?(ns|us|µs|ms|s|m|h))+$|^0$`
 
 // Schema returns the schema as indented JSON.
 func Schema() ([]byte, error) {
 	r := jsonschema.Reflector{
-		Mapper:         mapType,
+		Mapper:         typeSchema,
 		ExpandedStruct: true,
 	}
 	s := r.Reflect(&declarer.File{})
@@ -27,8 +27,9 @@
 	return append(b, '\n'), errors.Annotate(err, "encode schema")
 }
 
-// mapType describes the types whose YAML form isn't their Go form.
-func mapType(t reflect.Type) *jsonschema.Schema {
+// typeSchema returns the schema of a type whose YAML form differs from its Go form, nil for
+// other types.
+func typeSchema(t reflect.Type) *jsonschema.Schema {
 	switch t {
 	case reflect.TypeFor[time.Duration]():
 		return &jsonschema.Schema{Type: "string", Pattern: durationPattern}
--- a/internal/config/describer/describer_test.go
+++ b/internal/config/describer/describer_test.go
@@ -13,7 +13,7 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// name is the committed schema, which operators point their editors at.
+// name is the path of the committed schema, which operators use in their editors.
 const name = "../../../docs/configuration.schema.json"
 
 func TestCommittedSchemaIsCurrent(t *testing.T) {
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	if d := cmp.Diff(string(want), string(got)); d != "" {
-		t.Errorf("run make golden: %s", d)
+		t.Errorf("committed schema is outdated, run make golden: %s", d)
 	}
 	for _, k := range []string{"database-groups", "when-unconfirmed", "idle-in-transaction-timeout", "verifier"} {
 		if !bytes.Contains(got, []byte(`"`+k+`"`)) {
