--- a/internal/config/concealer/concealer.go
+++ b/internal/config/concealer/concealer.go
@@ -1,4 +1,4 @@
-// Package concealer keeps verifiers out of what people read of a configuration.
+// Package concealer hides verifiers in configurations that are shown to people.
 package concealer
 
 import (
@@ -7,29 +7,30 @@
 	"github.com/cuminwick/cuminwick/internal/config/declarer"
 )
 
-// Hidden stands for a verifier that isn't shown. In a file that is applied it
-// means the verifier that the role has already.
+// Hidden replaces a verifier that isn't shown. In a file that is applied it stands for the
+// verifier that the role has in the configuration in force.
 const Hidden = "hidden"
 
-// Hide returns f with all verifiers hidden.
+// Hide returns f with all verifiers replaced by Hidden.
 func Hide(f declarer.File) declarer.File {
-	return replace(f, func(string, declarer.Role) string { return Hidden })
+	return replaceVerifiers(f, func(string, declarer.Role) string { return Hidden })
 }
 
-// Restore returns f with hidden verifiers taken from base; those that base
-// doesn't have stay hidden.
+// Restore returns f with hidden verifiers taken from base; those of roles that base doesn't
+// have stay hidden.
 func Restore(f, base declarer.File) declarer.File {
-	return replace(f, func(team string, r declarer.Role) string {
+	return replaceVerifiers(f, func(team string, r declarer.Role) string {
 		if r.Verifier != Hidden {
 			return r.Verifier
 		}
-		return find(base, team, r.Name)
+		return findVerifier(base, team, r.Name)
 	})
 }
 
-// find returns the verifier of a role of the same team. Were it looked for in
-// all teams, a team could take over another one's role with its password.
-func find(f declarer.File, team, role string) string {
+// findVerifier returns the verifier of the role in the given team of f, Hidden if there is
+// none. It doesn't search other teams, because a team could otherwise take over a role of
+// another team with its password.
+func findVerifier(f declarer.File, team, role string) string {
 	for _, t := range f.Teams {
 		for _, r := range t.Roles {
 			if t.Name == team && r.Name == role {
@@ -40,7 +41,8 @@
 	return Hidden
 }
 
-func replace(f declarer.File, verifier func(team string, r declarer.Role) string) declarer.File {
+// replaceVerifiers returns a copy of f with the verifiers that verifier returns.
+func replaceVerifiers(f declarer.File, verifier func(team string, r declarer.Role) string) declarer.File {
 	f.Teams = slices.Clone(f.Teams)
 	for i := range f.Teams {
 		t := &f.Teams[i]
