--- a/internal/config/follower/advise.go
+++ b/internal/config/follower/advise.go
@@ -83,8 +83,8 @@
 	now := h.clock.now()
 	x, seen := h.state.Sight(q.Known, now)
 	if seen {
-		held := x.Held(now - arrived)
-		a.Sight = &held
+		sight := x.Held(now - arrived)
+		a.Sight = &sight
 	}
 	if q.Report == nil {
 		if seen && x.Version > q.Known {
--- a/internal/config/follower/follower.go
+++ b/internal/config/follower/follower.go
@@ -30,9 +30,9 @@
 }
 
 // Host follows the configuration for one entry host. It reads the head of the
-// configuration from the platform or a relay, reports which revision it is ready for
-// and which one is in force here, and puts a revision in force once it is accepted or a
-// peer uses it already.
+// configuration (encoder.Head) from the platform or a relay, reports which revision it is
+// ready for and which one is in force here, and puts a revision in force once it is
+// accepted or a peer uses it already.
 type Host struct {
 	// Name is unique among the entry hosts; Incarnation differs at each start.
 	Name             string
@@ -63,10 +63,12 @@
 	Clock *scheduler.Scheduler
 	Log   log.Interface
 
-	current    atomic.Pointer[snapshot]
-	once       sync.Once
-	changed    chan struct{}
-	wake       chan struct{}
+	current atomic.Pointer[snapshot]
+	once    sync.Once
+	changed chan struct{}
+	// wake receives when loopWork may have something to do.
+	wake chan struct{}
+	// ownWatcher says that Run also runs Watcher.
 	ownWatcher bool
 
 	mu    sync.Mutex
@@ -125,8 +127,9 @@
 	}
 }
 
-// Current returns the revision that requests are decided by and its file, zero
-// and nil before the first one. It costs one atomic load.
+// Current returns the revision that requests are decided by, which means that they are
+// routed and limited according to its file, and that file; zero and nil before the first
+// revision. It costs one atomic load.
 func (h *Host) Current() (uint64, *declarer.File) {
 	s := h.current.Load()
 	if s == nil {
@@ -154,8 +157,10 @@
 
 // Status is the state of a host's own configuration.
 type Status struct {
+	// Revision is the revision in force at this host, zero if none.
 	Revision declarer.Revision `json:"revision"`
-	Standing adopter.Standing  `json:"standing"`
+	// Standing says whether Revision is confirmed to be the only one in force.
+	Standing adopter.Standing `json:"standing"`
 	// Staged is the revision that may be accepted next, zero if none.
 	Staged declarer.Revision `json:"staged,omitempty"`
 	// Target is the highest revision known to be accepted.
@@ -208,7 +213,7 @@
 	}
 	for {
 		m, done := h.learn(declarer.Revision(r))
-		if done || ctx.Value(waitingKey{}) != nil {
+		if done || ctx.Value(noWaitKey{}) != nil {
 			return nil
 		}
 		if m == nil {
@@ -222,14 +227,14 @@
 	}
 }
 
-// waitingKey marks the context of a call that must not wait for a revision.
-type waitingKey struct{}
+// noWaitKey marks the context of a call that must not wait for a revision.
+type noWaitKey struct{}
 
 // WithoutWaiting returns a context with which Observe records a revision without
 // waiting for it. Calls that fetch the revision's file need it: waiting for the revision
 // before its file has arrived would never end.
 func WithoutWaiting(ctx context.Context) context.Context {
-	return context.WithValue(ctx, waitingKey{}, true)
+	return context.WithValue(ctx, noWaitKey{}, true)
 }
 
 // Learn records that a peer decides by r; it doesn't wait until this host does.
--- a/internal/config/follower/worker.go
+++ b/internal/config/follower/worker.go
@@ -152,6 +152,7 @@
 	return r != 0 || due, wait, err
 }
 
+// currentReport returns the present report, due or not.
 func (h *Host) currentReport() adopter.Report {
 	h.mu.Lock()
 	defer h.mu.Unlock()
