--- a/internal/host/runner/peers.go
+++ b/internal/host/runner/peers.go
@@ -156,8 +156,8 @@
 	p.dialer.Serve = p.listener.Serve
 	if o, ok := h.Source.(RevisionObserver); ok {
 		a := &ascender{host: h, observer: o}
-		p.dialer.Heard = a.heard
-		p.listener.Heard = a.heard
+		p.dialer.CatchUp = a.heard
+		p.listener.CatchUp = a.heard
 	}
 	if p.keeper != nil {
 		p.keeper.Dialer = p.dialer
--- a/internal/member/keeper/keeper.go
+++ b/internal/member/keeper/keeper.go
@@ -276,7 +276,7 @@
 	if err != nil {
 		return encoder.ObserveAnswer{Detail: err.Error()}, nil
 	}
-	return encoder.ObserveAnswer{Heard: true}, nil
+	return encoder.ObserveAnswer{Reachable: true}, nil
 }
 
 func (k *Keeper) probe(ctx context.Context, host string) error {
--- a/internal/member/keeper/worker.go
+++ b/internal/member/keeper/worker.go
@@ -103,7 +103,7 @@
 		return
 	}
 	var e error
-	if !r.Heard {
+	if !r.Reachable {
 		e = errors.New(r.Detail)
 	}
 	k.conclude(a.Subject, a.To, e)
@@ -171,7 +171,7 @@
 func (k *Keeper) seed(ctx context.Context, address string) bool {
 	c, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	h, err := k.Dialer.Seed(c, address)
+	h, err := k.Dialer.DialSeed(c, address)
 	if err == nil {
 		err = k.sync(c, h)
 	}
--- a/internal/peer/dialer/caller.go
+++ b/internal/peer/dialer/caller.go
@@ -168,7 +168,7 @@
 	if s.Host != l.Host {
 		return errors.Annotatef(encoder.ErrMalformed, "answer in the name of %q", s.Host)
 	}
-	if d.Heard != nil && s.Revision > d.Self().Revision {
+	if d.CatchUp != nil && s.Revision > d.Self().Revision {
 		go d.runHeard(d.lifetime(), s)
 	}
 	return nil
@@ -177,5 +177,5 @@
 // runHeard passes a sender on, whose revision may take a while to reach.
 func (d *Dialer) runHeard(ctx context.Context, s encoder.Sender) {
 	// The next message of a higher revision tries again.
-	_ = d.Heard(ctx, s)
+	_ = d.CatchUp(ctx, s)
 }
--- a/internal/peer/dialer/dialer.go
+++ b/internal/peer/dialer/dialer.go
@@ -38,9 +38,9 @@
 	Self func() encoder.Sender
 	// Locate returns a host's peer address.
 	Locate func(host string) (address string, ok bool)
-	// Heard is told of the sender of an answer that is at a higher revision
+	// CatchUp is told of the sender of an answer that is at a higher revision
 	// than this host; it may be nil.
-	Heard func(ctx context.Context, s encoder.Sender) error
+	CatchUp func(ctx context.Context, s encoder.Sender) error
 	// Serve serves the streams that a peer opens on a link that this host
 	// dialed, until the link ends.
 	Serve func(ctx context.Context, l *linker.Link)
@@ -88,7 +88,7 @@
 		_ = t.Conn.Close()
 		return nil, err
 	}
-	l.Own(t)
+	l.OwnTransport(t)
 	return l, nil
 }
 
@@ -120,7 +120,7 @@
 	}
 	s := d.Securer.Client(host)
 	if host == "" {
-		s = d.Securer.ClientOfAny()
+		s = d.Securer.ClientForAnyHost()
 	}
 	c, cancel := context.WithTimeout(ctx, d.ConnectTimeout)
 	defer cancel()
@@ -154,8 +154,8 @@
 	return d.context
 }
 
-// Seed connects to whichever entry host listens at address and returns its name.
-func (d *Dialer) Seed(ctx context.Context, address string) (host string, err error) {
+// DialSeed connects to whichever entry host listens at address and returns its name.
+func (d *Dialer) DialSeed(ctx context.Context, address string) (host string, err error) {
 	l, err := d.dial(ctx, d.Transport, "", address)
 	if err != nil {
 		return "", wrapper.Wrap(err, "dial seed", address)
--- a/internal/peer/dialer/prober.go
+++ b/internal/peer/dialer/prober.go
@@ -58,7 +58,7 @@
 
 func (d *Dialer) look(ctx context.Context, now time.Time) {
 	for _, l := range d.Links.All() {
-		quiet, n := l.Look()
+		quiet, n := l.CheckTraffic()
 		switch {
 		case l.IdleSince(now.Add(-idleAfter)):
 			l.Close(linker.CodeIdle)
@@ -95,7 +95,7 @@
 	if err != nil {
 		return
 	}
-	l.Own(t)
+	l.OwnTransport(t)
 	c, cancel := context.WithTimeout(ctx, d.ConnectTimeout)
 	defer cancel()
 	p, err := l.Conn.AddPath(t)
--- a/internal/peer/encoder/message.go
+++ b/internal/peer/encoder/message.go
@@ -28,10 +28,10 @@
 	KindConfiguration Kind = "configuration"
 )
 
-// IsDecided reports whether the configuration decides requests of this kind, so
+// RequiresRevision reports whether the configuration decides requests of this kind, so
 // that the host must be at the sender's revision before it handles them. Others
 // must not wait, least of all those by which a host gets the revision.
-func (k Kind) IsDecided() bool {
+func (k Kind) RequiresRevision() bool {
 	return k == KindForward
 }
 
@@ -133,9 +133,9 @@
 	// AskParameters asks for the statuses that the backend server reported at
 	// connect; a host that has them already spares their bytes.
 	AskParameters bool `cbor:"11,keyasint,omitempty"`
-	// CallUp asks for a word ahead of the connection, so that the first exchange,
+	// BatchHeld asks for a word ahead of the connection, so that the first exchange,
 	// which the sender holds back, is there when the connection is.
-	CallUp bool `cbor:"12,keyasint,omitempty"`
+	BatchHeld bool `cbor:"12,keyasint,omitempty"`
 }
 
 // Grant answers a Forward.
@@ -198,8 +198,8 @@
 
 // ObserveAnswer is the second observer's word.
 type ObserveAnswer struct {
-	// Heard says that a connection made after the request arrived was answered.
-	Heard bool `cbor:"1,keyasint"`
+	// Reachable says that a connection made after the request arrived was answered.
+	Reachable bool `cbor:"1,keyasint"`
 	// Detail says what failed, for logs.
 	Detail string `cbor:"2,keyasint,omitempty"`
 }
--- a/internal/peer/linker/linker.go
+++ b/internal/peer/linker/linker.go
@@ -50,8 +50,8 @@
 	sockets []*quic.Transport
 }
 
-// Own has t, which was made for this link alone, closed when the link ends.
-func (l *Link) Own(t *quic.Transport) {
+// OwnTransport has t, which was made for this link alone, closed when the link ends.
+func (l *Link) OwnTransport(t *quic.Transport) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sockets = append(l.sockets, t)
@@ -80,14 +80,14 @@
 	l.used.Store(time.Now().UnixNano())
 }
 
-// Begin counts a stream in.
-func (l *Link) Begin() {
+// BeginStream counts a stream in.
+func (l *Link) BeginStream() {
 	l.streams.Add(1)
 	l.Touch()
 }
 
-// End counts a stream out.
-func (l *Link) End() {
+// EndStream counts a stream out.
+func (l *Link) EndStream() {
 	l.Touch()
 	l.streams.Add(-1)
 }
@@ -112,10 +112,10 @@
 	return l.Streams() == 0 && l.used.Load() < t.UnixNano()
 }
 
-// Look compares the connection with the last look. Quiet says that no packet
+// CheckTraffic compares the connection with the last look. Quiet says that no packet
 // has come since, and silent for how many looks in a row packets were sent and
 // none came: even a peer that has nothing to say acknowledges them.
-func (l *Link) Look() (quiet bool, silent int) {
+func (l *Link) CheckTraffic() (quiet bool, silent int) {
 	s := l.Conn.ConnectionStats()
 	p := &l.probe
 	switch {
--- a/internal/peer/linker/stream.go
+++ b/internal/peer/linker/stream.go
@@ -19,7 +19,7 @@
 
 // NewStream counts s in at l until it is closed.
 func NewStream(s *quic.Stream, l *Link) *Stream {
-	l.Begin()
+	l.BeginStream()
 	return &Stream{Stream: s, Link: l}
 }
 
@@ -45,7 +45,7 @@
 }
 
 func (s *Stream) end() {
-	s.once.Do(s.Link.End)
+	s.once.Do(s.Link.EndStream)
 }
 
 // LocalAddr returns this host's end of the connection.
--- a/internal/peer/listener/exchange.go
+++ b/internal/peer/listener/exchange.go
@@ -95,8 +95,8 @@
 	_ = x.stream.Close()
 }
 
-// Forwarded is a forwarded transaction that waits for its grant.
-type Forwarded struct {
+// ForwardRequest is a forwarded transaction that waits for its grant.
+type ForwardRequest struct {
 	encoder.Forward
 	Sender encoder.Sender
 	// Stream carries raw bytes once Grant has returned.
@@ -107,7 +107,7 @@
 }
 
 // Grant tells the other host that it has the connection.
-func (f *Forwarded) Grant(g encoder.Grant) error {
+func (f *ForwardRequest) Grant(g encoder.Grant) error {
 	b, err := encoder.Marshal(g)
 	if err != nil {
 		return err
@@ -117,7 +117,7 @@
 }
 
 func (x *exchange) forward(ctx context.Context, r encoder.Request) {
-	f := &Forwarded{Sender: r.Sender, Stream: x.stream, exchange: x}
+	f := &ForwardRequest{Sender: r.Sender, Stream: x.stream, exchange: x}
 	if err := encoder.Unmarshal(r.Body, &f.Forward); err != nil {
 		x.refuse(err)
 		return
--- a/internal/peer/listener/listener.go
+++ b/internal/peer/listener/listener.go
@@ -21,7 +21,7 @@
 	// f.Grant and then serves the stream until the transaction has ended. An
 	// error before the grant refuses the request, one after it aborts the
 	// stream. The context ends when the other host gives up.
-	HandleForward(ctx context.Context, f *Forwarded) error
+	HandleForward(ctx context.Context, f *ForwardRequest) error
 }
 
 // Listener serves the links of this host, whichever side dialed them.
@@ -31,9 +31,9 @@
 	Links     *linker.Table
 	// Self is put on each answer.
 	Self func() encoder.Sender
-	// Heard is told of the sender of a request that is at a higher revision
+	// CatchUp is told of the sender of a request that is at a higher revision
 	// than this host, which has to move up; it may be nil.
-	Heard func(ctx context.Context, s encoder.Sender) error
+	CatchUp func(ctx context.Context, s encoder.Sender) error
 	// Forwards serves forwarded transactions.
 	Forwards ForwardHandler
 	// Routes serve all other kinds of request.
@@ -129,7 +129,7 @@
 // as a lost one would be.
 func (l *Listener) datagram(ctx context.Context, k *linker.Link, b []byte) {
 	var r encoder.Request
-	if err := encoder.Unmarshal(b, &r); err != nil || r.Kind.IsDecided() {
+	if err := encoder.Unmarshal(b, &r); err != nil || r.Kind.RequiresRevision() {
 		return
 	}
 	if err := l.heard(ctx, r, k); err != nil {
@@ -142,7 +142,7 @@
 
 // runHeard passes a sender on, whose revision may take a while to reach.
 func (l *Listener) runHeard(ctx context.Context, s encoder.Sender) {
-	if err := l.Heard(ctx, s); err != nil && ctx.Err() == nil {
+	if err := l.CatchUp(ctx, s); err != nil && ctx.Err() == nil {
 		l.Log.WithFields(log.Fields{"peer": s.Host, "step": "move up"}).WithError(err).Debug("not at the peer's revision")
 	}
 }
@@ -154,14 +154,14 @@
 	if s.Host != k.Host {
 		return &encoder.Refusal{Reason: encoder.ReasonMalformed, Detail: "message in another host's name"}
 	}
-	if l.Heard == nil || s.Revision <= l.Self().Revision {
+	if l.CatchUp == nil || s.Revision <= l.Self().Revision {
 		return nil
 	}
-	if !r.Kind.IsDecided() {
+	if !r.Kind.RequiresRevision() {
 		go l.runHeard(ctx, s)
 		return nil
 	}
-	if err := l.Heard(ctx, s); err != nil {
+	if err := l.CatchUp(ctx, s); err != nil {
 		return &encoder.Refusal{Reason: encoder.ReasonRevision, Detail: err.Error()}
 	}
 	return nil
--- a/internal/peer/listener/listener_test.go
+++ b/internal/peer/listener/listener_test.go
@@ -94,7 +94,7 @@
 	h.links = &linker.Table{Self: name}
 	h.listener = &listener.Listener{
 		Transport: q, Securer: s, Links: h.links, Self: self, Forwards: f, PeerStreams: 16,
-		Heard: func(_ context.Context, x encoder.Sender) error {
+		CatchUp: func(_ context.Context, x encoder.Sender) error {
 			if h.stuck.Load() {
 				return errors.New("revision not to be had")
 			}
@@ -128,7 +128,7 @@
 	if q.Name == "" {
 		return encoder.ObserveAnswer{}, &encoder.Refusal{Reason: encoder.ReasonQueueFull, RetryAfter: time.Second}
 	}
-	return encoder.ObserveAnswer{Heard: true}, nil
+	return encoder.ObserveAnswer{Reachable: true}, nil
 }
 
 // echo grants and sends back what it gets.
@@ -136,7 +136,7 @@
 	ended chan error
 }
 
-func (e echo) HandleForward(_ context.Context, f *listener.Forwarded) error {
+func (e echo) HandleForward(_ context.Context, f *listener.ForwardRequest) error {
 	if f.BackendServer == "absent" {
 		return &encoder.Refusal{Reason: encoder.ReasonNotOwner, RetryAfter: time.Second}
 	}
@@ -157,7 +157,7 @@
 	for _, d := range []*host{x, y, x} {
 		to := map[string]string{"a": "b", "b": "a"}[d.name]
 		r, err := dialer.Call[encoder.Observe, encoder.ObserveAnswer](t.Context(), d.dialer, to, encoder.KindObserve, encoder.Observe{Name: "s"})
-		if err != nil || !r.Heard {
+		if err != nil || !r.Reachable {
 			t.Fatalf("call from %s: %+v, %v", d.name, r, err)
 		}
 	}
@@ -300,7 +300,7 @@
 	a, b := authority(t), &book{}
 	x := start(t, a, b, "a", nil)
 	y := start(t, a, b, "b", nil)
-	if _, err := x.dialer.Seed(t.Context(), y.address); err != nil {
+	if _, err := x.dialer.DialSeed(t.Context(), y.address); err != nil {
 		t.Fatal(err)
 	}
 	l := x.links.Find("b")
--- a/internal/peer/securer/securer.go
+++ b/internal/peer/securer/securer.go
@@ -53,10 +53,10 @@
 	}
 }
 
-// ClientOfAny returns the configuration for dialing an address whose host name
+// ClientForAnyHost returns the configuration for dialing an address whose host name
 // isn't known yet. The certificate must be the authority's all the same; the
 // caller learns the name from Identity.
-func (s *Securer) ClientOfAny() *tls.Config {
+func (s *Securer) ClientForAnyHost() *tls.Config {
 	c := s.Client("")
 	// The library's own check would ask for a name. Without VerifyConnection a
 	// stranger at the address could pass for an entry host; it checks the rest.
--- a/internal/pool/forwarder/forwarder.go
+++ b/internal/pool/forwarder/forwarder.go
@@ -128,7 +128,7 @@
 	defer cancel()
 	q := newRequest(p, d)
 	q.AskParameters = f.knownParameters(p) == nil
-	q.CallUp = callUp
+	q.BatchHeld = callUp
 	n, err := f.Peers.Begin(x, p.Host, q)
 	if err != nil {
 		f.recordAnswer(ctx, p.Host, err)
--- a/internal/pool/granter/granter.go
+++ b/internal/pool/granter/granter.go
@@ -37,7 +37,7 @@
 
 // HandleForward implements listener.ForwardHandler. It accepts the request before the request is
 // queued, so that the forwarding host can distinguish a long queue from a failed host.
-func (g *Granter) HandleForward(_ context.Context, f *listener.Forwarded) error {
+func (g *Granter) HandleForward(_ context.Context, f *listener.ForwardRequest) error {
 	g.open.Add(1)
 	defer g.open.Add(-1)
 	if g.leaving.Load() {
@@ -56,7 +56,7 @@
 		pool:           p,
 		demand:         demand(&f.Forward),
 		sendParameters: f.AskParameters,
-		batchHeld:      f.CallUp,
+		batchHeld:      f.BatchHeld,
 	}
 	return s.serve()
 }
