--- a/internal/member/keeper/worker.go
+++ b/internal/member/keeper/worker.go
@@ -104,7 +104,7 @@
 		return
 	}
 	var e error
-	if !r.Heard {
+	if !r.Reachable {
 		e = errors.New(r.Detail)
 	}
 	k.recordObservation(a.Subject, a.To, e)
@@ -172,7 +172,7 @@
 func (k *Keeper) contactSeed(ctx context.Context, address string) bool {
 	c, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	h, err := k.Dialer.Seed(c, address)
+	h, err := k.Dialer.DialSeed(c, address)
 	if err == nil {
 		err = k.sync(c, h)
 	}
