--- a/internal/backend/commander/commander_test.go
+++ b/internal/backend/commander/commander_test.go
@@ -174,7 +174,7 @@
 	s.answers <- 9
 	want := controller.Status{
 		BackendServer: "db-1", Role: controller.RolePrimary, Term: 3,
-		Last: marker.Mark{Term: 3, Position: 9}, TermStart: 1, SinceHeard: 20 * time.Millisecond, Leaving: true,
+		Last: marker.Mark{Term: 3, Position: 9}, TermStart: 1, SinceLastContact: 20 * time.Millisecond, Leaving: true,
 	}
 	if g := <-r; g.err != nil || g.status != want {
 		t.Errorf("%+v", g)
--- a/internal/backend/commander/read.go
+++ b/internal/backend/commander/read.go
@@ -43,13 +43,13 @@
 			Term:     marker.Term(w.number("last_term")),
 			Position: marker.Position(w.number("last_position")),
 		},
-		TermStart:  marker.Position(w.number("term_start")),
-		SinceHeard: time.Duration(w.number("since_heard_ms")) * time.Millisecond,
-		Following:  w.text("following"),
-		Leaving:    w.text("leaving") == "t",
+		TermStart:        marker.Position(w.number("term_start")),
+		SinceLastContact: time.Duration(w.number("since_heard_ms")) * time.Millisecond,
+		Following:        w.text("following"),
+		Leaving:          w.text("leaving") == "t",
 	}
 	s.PreviousTerm = marker.Term(w.optional("previous_term"))
-	s.Writing = int(w.optional("writing"))
+	s.WriteTransactions = int(w.optional("writing"))
 	s.SystemIdentifier = w.optional("system_identifier")
 	return s, errors.Annotatef(w.err, "read status of backend server %s", c.Name)
 }
--- a/internal/backend/commander/stranger_test.go
+++ b/internal/backend/commander/stranger_test.go
@@ -44,10 +44,10 @@
 			}
 			at.Store(b)
 			a.Crash()
-			if _, err := c.Status(t.Context()); errors.Is(err, controller.ErrStranger) != tt.stranger || err != nil && !tt.stranger {
+			if _, err := c.Status(t.Context()); errors.Is(err, controller.ErrWrongServer) != tt.stranger || err != nil && !tt.stranger {
 				t.Errorf("status: %v", err)
 			}
-			if _, err := c.RaiseTerm(t.Context(), 5); errors.Is(err, controller.ErrStranger) != tt.stranger || err != nil && !tt.stranger {
+			if _, err := c.RaiseTerm(t.Context(), 5); errors.Is(err, controller.ErrWrongServer) != tt.stranger || err != nil && !tt.stranger {
 				t.Errorf("raise term: %v", err)
 			}
 			if got := b.Store().Status(time.Now()).Term; (got == marker.Term(5)) == tt.stranger {
--- a/internal/backend/commander/verify.go
+++ b/internal/backend/commander/verify.go
@@ -20,7 +20,7 @@
 		c.verified = true
 		return nil
 	}
-	err := errors.Annotatef(controller.ErrStranger, "backend server %s at %s: got %s with system identifier %d, want %d", c.Name, c.Address, p.BackendServer, p.SystemIdentifier, c.identifier)
+	err := errors.Annotatef(controller.ErrWrongServer, "backend server %s at %s: got %s with system identifier %d, want %d", c.Name, c.Address, p.BackendServer, p.SystemIdentifier, c.identifier)
 	c.dropBroken(err)
 	return err
 }
--- a/internal/backend/controller/controller.go
+++ b/internal/backend/controller/controller.go
@@ -15,11 +15,11 @@
 // silence: the server has ended.
 const ErrRefused = errors.ConstError("no server takes connections")
 
-// ErrStranger says that another server answers at a backend server's address: its own
+// ErrWrongServer says that another server answers at a backend server's address: its own
 // process has ended, and one of another database group has taken the address over.
 // Taken for the group's, that server would count towards a majority that doesn't hold
 // the group's records, and be fenced or promoted in place of the right one.
-const ErrStranger = errors.ConstError("another server answers at the address")
+const ErrWrongServer = errors.ConstError("another server answers at the address")
 
 // Role is what a backend server does in its database group.
 type Role string
@@ -45,8 +45,8 @@
 	Last marker.Mark `cbor:"4,keyasint" json:"last"`
 	// TermStart is the position of the first record of Last.Term, the term-start record.
 	TermStart marker.Position `cbor:"5,keyasint" json:"term-start"`
-	// SinceHeard is the time since the server last heard its primary, zero on a primary.
-	SinceHeard time.Duration `cbor:"6,keyasint" json:"since-heard"`
+	// SinceLastContact is the time since the server last heard its primary, zero on a primary.
+	SinceLastContact time.Duration `cbor:"6,keyasint" json:"since-heard"`
 	// Following names the primary a replica follows, empty if none.
 	Following string `cbor:"7,keyasint" json:"following"`
 	// Leaving says that the server will stop soon.
@@ -55,9 +55,9 @@
 	// doesn't say or there is none. With it any host tells whether a commit of
 	// that term is part of the log; without it the commit's outcome stays open.
 	PreviousTerm marker.Term `cbor:"9,keyasint" json:"previous-term"`
-	// Writing counts the open transactions that have written, zero if the server
+	// WriteTransactions counts the open transactions that have written, zero if the server
 	// doesn't say. A planned hand-over waits for their end.
-	Writing int `cbor:"10,keyasint" json:"writing"`
+	WriteTransactions int `cbor:"10,keyasint" json:"writing"`
 	// SystemIdentifier is shared by the servers of a group and differs from those of others,
 	// zero if the server doesn't tell it.
 	SystemIdentifier uint64 `cbor:"11,keyasint,omitempty" json:"-"`
--- a/internal/backend/dialer/cancel_test.go
+++ b/internal/backend/dialer/cancel_test.go
@@ -37,7 +37,7 @@
 					return near, nil
 				}}
 				err := d.Cancel(t.Context(), "10.0.0.1:5432", 1, 2)
-				if errors.Is(err, ErrUnseen) != tt.unseen || (err == nil) != (tt.err == nil && !tt.unseen) {
+				if errors.Is(err, ErrCancelUnconfirmed) != tt.unseen || (err == nil) != (tt.err == nil && !tt.unseen) {
 					t.Errorf("got %v, want unseen %t", err, tt.unseen)
 				}
 			})
--- a/internal/backend/dialer/dialer.go
+++ b/internal/backend/dialer/dialer.go
@@ -25,9 +25,9 @@
 	cancelRequestBytes = 16
 )
 
-// ErrUnseen says that a cancel request was sent and that the server wasn't seen to have
+// ErrCancelUnconfirmed says that a cancel request was sent and that the server wasn't seen to have
 // acted on it, so that it may take effect at any later time.
-const ErrUnseen = errors.ConstError("cancel may still arrive")
+const ErrCancelUnconfirmed = errors.ConstError("cancel may still arrive")
 
 // Dialer opens connections under the role that cuminwick uses at backend servers.
 type Dialer struct {
@@ -53,26 +53,26 @@
 	SecretKey uint32
 	// Parameters are the parameter statuses that the server reported.
 	Parameters map[string]string
-	// Patience is how long Read waits for a byte before it asks Silence whether
+	// ReadTimeout is how long Read waits for a byte before it asks Silence whether
 	// to go on waiting; it is used only while Silence is set.
-	Patience time.Duration
-	Silence  func() error
+	ReadTimeout   time.Duration
+	OnReadTimeout func() error
 }
 
 // Read reads from the server. A connection that something in between has lost
 // track of brings neither bytes nor an error, for good; without the question
 // its reader would wait as long.
 func (c *Conn) Read(b []byte) (int, error) {
-	if c.Silence == nil {
+	if c.OnReadTimeout == nil {
 		return c.Conn.Read(b)
 	}
 	for {
-		c.SetReadDeadline(time.Now().Add(c.Patience))
+		c.SetReadDeadline(time.Now().Add(c.ReadTimeout))
 		n, err := c.Conn.Read(b)
 		if n > 0 || !isTimeout(err) {
 			return n, err
 		}
-		if err := c.Silence(); err != nil {
+		if err := c.OnReadTimeout(); err != nil {
 			return 0, errors.Annotatef(err, "read from backend server %s", c.Address)
 		}
 	}
@@ -111,7 +111,7 @@
 //
 // It returns once the server has closed the cancel connection, which it does
 // after it has signalled the connection's process; an effect that is seen
-// later than that and a following round trip can't belong to this request. ErrUnseen
+// later than that and a following round trip can't belong to this request. ErrCancelUnconfirmed
 // says that it didn't come to that after the request was sent.
 func (d *Dialer) Cancel(ctx context.Context, address string, processID, secretKey uint32) error {
 	x, cancel := context.WithTimeout(ctx, d.Timeout)
@@ -124,10 +124,10 @@
 	t, _ := x.Deadline()
 	n.SetDeadline(t)
 	if _, err := n.Write(cancelRequest(processID, secretKey)); err != nil {
-		return errors.WithType(errors.Annotatef(err, "send cancel to backend server %s", address), ErrUnseen)
+		return errors.WithType(errors.Annotatef(err, "send cancel to backend server %s", address), ErrCancelUnconfirmed)
 	}
 	if _, err := io.Copy(io.Discard, n); err != nil {
-		return errors.WithType(errors.Annotatef(err, "await cancel at backend server %s", address), ErrUnseen)
+		return errors.WithType(errors.Annotatef(err, "await cancel at backend server %s", address), ErrCancelUnconfirmed)
 	}
 	return nil
 }
--- a/internal/backend/relayer/relayer.go
+++ b/internal/backend/relayer/relayer.go
@@ -37,9 +37,9 @@
 // Peers makes a call at another entry host.
 type Peers interface {
 	Control(ctx context.Context, host string, q Request) (controller.Status, error)
-	// Reach reports whether there is a connection to host. If there is none it
+	// EnsureConnection reports whether there is a connection to host. If there is none it
 	// sees to one without waiting.
-	Reach(host string) bool
+	EnsureConnection(host string) bool
 }
 
 // Relayer implements controller.Control for one backend server, so that only
@@ -122,7 +122,7 @@
 	if opinion != nil {
 		return controller.Status{}, opinion
 	}
-	return r.Direct(x, q)
+	return r.CallDirectly(x, q)
 }
 
 func (r *Relayer) prepare() {
@@ -149,7 +149,7 @@
 	if host == r.Self {
 		return false
 	}
-	if r.silent.Suspect(host) && !r.Peers.Reach(host) {
+	if r.silent.Suspect(host) && !r.Peers.EnsureConnection(host) {
 		return true
 	}
 	n := time.Now()
@@ -159,7 +159,7 @@
 // ask asks one host and notes whether it answered.
 func (r *Relayer) ask(ctx context.Context, host string, q Request) (controller.Status, error) {
 	if host == r.Self {
-		return r.Direct(ctx, q)
+		return r.CallDirectly(ctx, q)
 	}
 	q.Remaining = remaining(ctx)
 	s, err := r.Peers.Control(ctx, host, q)
@@ -190,14 +190,14 @@
 	if errors.As(err, &f) {
 		return !tried(f) && f.Reason != encoder.ReasonFault
 	}
-	return errors.Is(err, ErrNotAsked)
+	return errors.Is(err, ErrNotSent)
 }
 
-// ErrNotAsked says that the other host didn't get the call.
-const ErrNotAsked = errors.ConstError("entry host not asked")
+// ErrNotSent says that the other host didn't get the call.
+const ErrNotSent = errors.ConstError("entry host not asked")
 
-// Direct makes the call over this host's own connection.
-func (r *Relayer) Direct(ctx context.Context, q Request) (controller.Status, error) {
+// CallDirectly makes the call over this host's own connection.
+func (r *Relayer) CallDirectly(ctx context.Context, q Request) (controller.Status, error) {
 	r.used.Store(time.Now().UnixNano())
 	switch q.Call {
 	case CallStatus:
--- a/internal/backend/relayer/relayer_test.go
+++ b/internal/backend/relayer/relayer_test.go
@@ -32,7 +32,7 @@
 	return h.answer(host)
 }
 
-func (h *hosts) Reach(string) bool { return true }
+func (h *hosts) EnsureConnection(string) bool { return true }
 
 func (h *hosts) Status(context.Context) (controller.Status, error) { return h.answer("self") }
 
@@ -73,7 +73,7 @@
 		{name: "owner can't and next is silent", errs: map[string]error{"owner": unreachable, "next": silent}, asked: []string{"owner", "next"}, fails: true},
 		{name: "answer to command lost", errs: map[string]error{"owner": silent}, command: true, asked: []string{"owner"}, fails: true},
 		{name: "command not taken on", errs: map[string]error{"owner": &encoder.Refusal{Reason: encoder.ReasonNotOwner}}, command: true, asked: []string{"owner", "next"}},
-		{name: "command not sent", errs: map[string]error{"owner": relayer.ErrNotAsked, "next": relayer.ErrNotAsked}, command: true, asked: []string{"owner", "next", "self"}},
+		{name: "command not sent", errs: map[string]error{"owner": relayer.ErrNotSent, "next": relayer.ErrNotSent}, command: true, asked: []string{"owner", "next", "self"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/backend/relayer/request.go
+++ b/internal/backend/relayer/request.go
@@ -52,8 +52,8 @@
 // reachTimeout bounds an attempt to connect that no call waits for.
 const reachTimeout = 2 * time.Second
 
-// Reach implements Peers.
-func (d *Dialer) Reach(host string) bool {
+// EnsureConnection implements Peers.
+func (d *Dialer) EnsureConnection(host string) bool {
 	if d.Dialer.Links.Find(host) != nil {
 		return true
 	}
@@ -73,7 +73,7 @@
 func (d *Dialer) runDial(host string) {
 	x, cancel := context.WithTimeout(context.Background(), reachTimeout)
 	defer cancel()
-	// A failure shows in the next Reach.
+	// A failure shows in the next EnsureConnection.
 	_ = d.Dialer.Send(x, host, dialer.KindProbe, struct{}{})
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,7 +84,7 @@
 func (d *Dialer) Control(ctx context.Context, host string, q Request) (controller.Status, error) {
 	s, err := dialer.Call[Request, controller.Status](ctx, d.Dialer, host, KindControl, q)
 	if errors.Is(err, dialer.ErrBackoff) || errors.Is(err, dialer.ErrUnknownHost) {
-		err = errors.WithType(err, ErrNotAsked)
+		err = errors.WithType(err, ErrNotSent)
 	}
 	var f *encoder.Refusal
 	if errors.As(err, &f) && f.Reason == encoder.ReasonNotRunning {
@@ -129,7 +129,7 @@
 	}
 	x, cancel := context.WithTimeout(ctx, served(q.Remaining))
 	defer cancel()
-	v, err := r.Direct(x, q)
+	v, err := r.CallDirectly(x, q)
 	if err != nil {
 		return v, &encoder.Refusal{Reason: reason(err), Detail: err.Error()}
 	}
--- a/internal/group/driver/attempter.go
+++ b/internal/group/driver/attempter.go
@@ -157,7 +157,7 @@
 	defer cancel()
 	if _, err := d.wait(c, &waiter{kind: waitDrained, server: server}); err != nil {
 		s, _ := d.View().Server(server)
-		d.logger().WithField("backend-server", server).WithField("writing", s.Status.Writing).Warn("transactions still open at hand-over")
+		d.logger().WithField("backend-server", server).WithField("writing", s.Status.WriteTransactions).Warn("transactions still open at hand-over")
 	}
 }
 
--- a/internal/group/driver/identities.go
+++ b/internal/group/driver/identities.go
@@ -58,8 +58,8 @@
 }
 
 // recordIdentity records the identifier that the instance reports and drops the observations of all
-// mismatched servers. It returns an error of controller.ErrStranger if the instance is mismatched.
-// The mutex is held.
+// mismatched servers. It returns an error of controller.ErrWrongServer if the instance is
+// mismatched. The mutex is held.
 func (d *Driver) recordIdentity(i *instance, identifier uint64) error {
 	d.identities.record(i.name, identifier)
 	for _, o := range d.instances {
@@ -71,16 +71,16 @@
 	return d.identityError(i)
 }
 
-// identityError returns an error of controller.ErrStranger if the instance is mismatched. The mutex
-// is held.
+// identityError returns an error of controller.ErrWrongServer if the instance is mismatched. The
+// mutex is held.
 func (d *Driver) identityError(i *instance) error {
 	if !d.identities.mismatched(i.name) {
 		return nil
 	}
-	return errors.Annotatef(controller.ErrStranger, "backend server %s at %s: system identifier %d, others of the group differ", i.name, i.address, d.identities.reported[i.name])
+	return errors.Annotatef(controller.ErrWrongServer, "backend server %s at %s: system identifier %d, others of the group differ", i.name, i.address, d.identities.reported[i.name])
 }
 
-// checkIdentity returns an error of controller.ErrStranger if the instance is mismatched. It is
+// checkIdentity returns an error of controller.ErrWrongServer if the instance is mismatched. It is
 // called before a command is sent.
 func (d *Driver) checkIdentity(i *instance) error {
 	d.mu.Lock()
--- a/internal/group/driver/poller.go
+++ b/internal/group/driver/poller.go
@@ -127,7 +127,7 @@
 // logMismatch logs that a server of another group answers at the instance's address, once for each
 // loss of the instance. Operators thus find an address that was assigned twice.
 func (d *Driver) logMismatch(i *instance, err error) {
-	if i.observation.Failures == 1 && errors.Is(err, controller.ErrStranger) {
+	if i.observation.Failures == 1 && errors.Is(err, controller.ErrWrongServer) {
 		d.logger().WithError(err).WithField("backend-server", i.name).Error("backend server's address taken over")
 	}
 }
--- a/internal/group/driver/scheduler.go
+++ b/internal/group/driver/scheduler.go
@@ -86,7 +86,7 @@
 func primaryMayBeLost(v *observer.View, d time.Duration) bool {
 	n := 0
 	for _, s := range v.Servers {
-		if s.Name != v.Primary && s.Status.Role == controller.RoleReplica && s.Status.Following == v.Primary && s.Status.SinceHeard >= d {
+		if s.Name != v.Primary && s.Status.Role == controller.RoleReplica && s.Status.Following == v.Primary && s.Status.SinceLastContact >= d {
 			n++
 		}
 	}
--- a/internal/group/driver/waiter.go
+++ b/internal/group/driver/waiter.go
@@ -241,7 +241,7 @@
 		return answer{}, lastMark(v, w.server).Covers(w.mark)
 	case waitDrained:
 		i := d.instance(w.server)
-		return answer{}, i.answered > w.demand.AfterPoll && i.observation.Status.Writing == 0
+		return answer{}, i.answered > w.demand.AfterPoll && i.observation.Status.WriteTransactions == 0
 	default:
 		return d.answerPrimary(v)
 	}
--- a/internal/group/observer/observer.go
+++ b/internal/group/observer/observer.go
@@ -131,7 +131,7 @@
 	answeredAt time.Duration
 	// resumedAt is when the server last answered after a gap above MaximumAnswerInterval.
 	resumedAt time.Duration
-	// pausedSilence is the part of Status.SinceHeard for which the server itself may have been
+	// pausedSilence is the part of Status.SinceLastContact for which the server itself may have been
 	// paused, so that it is no evidence against the primary.
 	pausedSilence time.Duration
 }
--- a/internal/group/observer/observer_test.go
+++ b/internal/group/observer/observer_test.go
@@ -14,7 +14,7 @@
 
 // replica is the status of a replica of db-1 that last received from it d ago.
 func replica(d time.Duration) controller.Status {
-	return controller.Status{Role: controller.RoleReplica, Term: 2, Last: marker.Mark{Term: 2, Position: 9}, Following: "db-1", SinceHeard: d}
+	return controller.Status{Role: controller.RoleReplica, Term: 2, Last: marker.Mark{Term: 2, Position: 9}, Following: "db-1", SinceLastContact: d}
 }
 
 // observed is an observation of age a after n failed calls.
--- a/internal/group/observer/pause.go
+++ b/internal/group/observer/pause.go
@@ -53,13 +53,13 @@
 	// If this host was paused, the answer was made long before the host received it.
 	s.answeredAt = min(now, s.PolledAt+limit/2)
 	d := now - o.answeredAt
-	if s.Status.SinceHeard < d {
+	if s.Status.SinceLastContact < d {
 		// The server received from its primary since its previous answer, so the silence is new.
-		d, s.pausedSilence = s.Status.SinceHeard, 0
+		d, s.pausedSilence = s.Status.SinceLastContact, 0
 	}
 	switch {
 	case !o.Answered:
-		s.resumedAt, s.pausedSilence = now, s.Status.SinceHeard
+		s.resumedAt, s.pausedSilence = now, s.Status.SinceLastContact
 	case d > limit:
 		s.resumedAt = now
 		s.pausedSilence += d - limit
@@ -71,7 +71,7 @@
 // primarySilence returns for how long the replica has received nothing from its primary, without
 // the time for which the replica itself may have been paused.
 func (s *Server) primarySilence() time.Duration {
-	return s.Status.SinceHeard - s.pausedSilence
+	return s.Status.SinceLastContact - s.pausedSilence
 }
 
 // unansweredFor returns for how long the server has not answered, without the time for which this
--- a/internal/group/observer/pause_test.go
+++ b/internal/group/observer/pause_test.go
@@ -127,9 +127,9 @@
 }
 
 func (r *simulation) status(i int) controller.Status {
-	t := controller.Status{Role: controller.RoleReplica, Term: 1, Last: marker.Mark{Term: 1, Position: 9}, Following: "db-1", SinceHeard: r.now - r.servers[i].receivedAt}
+	t := controller.Status{Role: controller.RoleReplica, Term: 1, Last: marker.Mark{Term: 1, Position: 9}, Following: "db-1", SinceLastContact: r.now - r.servers[i].receivedAt}
 	if i == 0 {
-		t.Role, t.Following, t.SinceHeard = controller.RolePrimary, "", 0
+		t.Role, t.Following, t.SinceLastContact = controller.RolePrimary, "", 0
 	}
 	return t
 }
@@ -289,7 +289,7 @@
 func TestPrimaryReachedOnlyByReplicasIsNotMissing(t *testing.T) {
 	for _, receivedAgo := range []time.Duration{20 * ms, settings.SuspicionTimeout} {
 		old := controller.Status{Role: controller.RoleFenced, Term: 1, Last: marker.Mark{Term: 1, Position: 9}}
-		follows := controller.Status{Role: controller.RoleReplica, Term: 2, Last: marker.Mark{Term: 2, Position: 10}, Following: "db-1", SinceHeard: receivedAgo}
+		follows := controller.Status{Role: controller.RoleReplica, Term: 2, Last: marker.Mark{Term: 2, Position: 10}, Following: "db-1", SinceLastContact: receivedAgo}
 		var v View
 		for _, at := range []time.Duration{9 * time.Second, 10 * time.Second} {
 			v = Observe(at, settings, servers([3]Observation{observed(old, 2*time.Second, 9), observed(follows, 0, 0), observed(follows, 0, 0)}, at), nil, v)
--- a/internal/group/promoter/model_test.go
+++ b/internal/group/promoter/model_test.go
@@ -84,7 +84,7 @@
 		}
 	}
 	if i.role != controller.RolePrimary {
-		s.SinceHeard = i.w.now - i.lastContact
+		s.SinceLastContact = i.w.now - i.lastContact
 	}
 	return s
 }
--- a/internal/pool/exchanger/cancelling.go
+++ b/internal/pool/exchanger/cancelling.go
@@ -57,7 +57,7 @@
 		}
 		// The error is ignored: the request is repeated, and the answer may come without it.
 		err := c.Canceller.Cancel(context.Background(), c.Conn.Address, c.Conn.ProcessID, c.Conn.SecretKey)
-		c.unconfirmed = c.unconfirmed || errors.Is(err, dialer.ErrUnseen)
+		c.unconfirmed = c.unconfirmed || errors.Is(err, dialer.ErrCancelUnconfirmed)
 		select {
 		case <-c.done:
 			return
@@ -69,7 +69,7 @@
 // settle waits until the last cancel request is delivered and makes one round trip on the
 // connection, which absorbs any late effect. A cancel request whose delivery is unconfirmed may
 // arrive at any time, even after the round trip, and would abort a request of the connection's next
-// user, so in that case the connection is closed and dialer.ErrUnseen returned.
+// user, so in that case the connection is closed and dialer.ErrCancelUnconfirmed returned.
 func (c *cancellation) settle(ctx context.Context) error {
 	select {
 	case <-c.ended:
@@ -78,7 +78,7 @@
 	}
 	if c.unconfirmed {
 		c.Conn.Close()
-		return errors.Trace(dialer.ErrUnseen)
+		return errors.Trace(dialer.ErrCancelUnconfirmed)
 	}
 	return RoundTrip(c.Conn, settleTimeout)
 }
--- a/internal/pool/exchanger/cancelling_test.go
+++ b/internal/pool/exchanger/cancelling_test.go
@@ -110,8 +110,8 @@
 	hits    *atomic.Int64
 }
 
-// Cancel delivers a cancel request after a random delay, fails to connect, or returns ErrUnseen
-// although the request arrives later.
+// Cancel delivers a cancel request after a random delay, fails to connect, or returns
+// ErrCancelUnconfirmed although the request arrives later.
 func (w *unreliableCanceller) Cancel(context.Context, string, uint32, uint32) error {
 	d := w.random.delay(100)
 	switch w.random.intN(6) {
@@ -120,7 +120,7 @@
 	case 1:
 		go w.hitAfter(d)
 		time.Sleep(w.random.delay(25))
-		return errors.WithType(errors.New("timeout"), dialer.ErrUnseen)
+		return errors.WithType(errors.New("timeout"), dialer.ErrCancelUnconfirmed)
 	default:
 		time.Sleep(d)
 		w.hit()
--- a/internal/pool/exchanger/silence.go
+++ b/internal/pool/exchanger/silence.go
@@ -62,15 +62,15 @@
 	}
 	c := x.Conn.Conn
 	s := &silenceDetector{ctx: ctx, conn: c, prober: x.Prober}
-	c.Patience = probeDelay
-	c.Silence = s.probe
+	c.ReadTimeout = probeDelay
+	c.OnReadTimeout = s.probe
 	return func() {
-		c.Silence = nil
+		c.OnReadTimeout = nil
 		c.SetReadDeadline(time.Time{})
 	}
 }
 
-// probe is called when no byte has arrived for conn.Patience. It returns an error once
+// probe is called when no byte has arrived for conn.ReadTimeout. It returns an error once
 // requiredIdleProbes have found that the server isn't running the batch. A long-running statement,
 // or one that waits for a lock, never causes an error.
 func (s *silenceDetector) probe() error {
@@ -81,11 +81,11 @@
 	case w:
 		s.idleProbes = 0
 		s.activeProbes++
-		s.conn.Patience = min(probeDelay<<min(s.activeProbes, maximumDoublings), maximumProbeDelay)
+		s.conn.ReadTimeout = min(probeDelay<<min(s.activeProbes, maximumDoublings), maximumProbeDelay)
 		return nil
 	}
 	s.idleProbes++
-	s.conn.Patience = confirmationDelay
+	s.conn.ReadTimeout = confirmationDelay
 	if s.idleProbes < requiredIdleProbes {
 		return nil
 	}
--- a/internal/pool/exchanger/silence_test.go
+++ b/internal/pool/exchanger/silence_test.go
@@ -52,7 +52,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			c := &dialer.Conn{Patience: probeDelay}
+			c := &dialer.Conn{ReadTimeout: probeDelay}
 			s := &silenceDetector{ctx: tt.ctx, conn: c, prober: tt.prober}
 			var err error
 			for range tt.rounds {
@@ -61,8 +61,8 @@
 			if errors.Is(err, ErrSilent) != tt.silent || !tt.silent && err != nil {
 				t.Errorf("error %v, want silent %t", err, tt.silent)
 			}
-			if c.Patience != tt.next {
-				t.Errorf("next probe after %v, want %v", c.Patience, tt.next)
+			if c.ReadTimeout != tt.next {
+				t.Errorf("next probe after %v, want %v", c.ReadTimeout, tt.next)
 			}
 		})
 	}
--- a/internal/standin/executor/control.go
+++ b/internal/standin/executor/control.go
@@ -94,10 +94,10 @@
 		int64(t.Last.Term),
 		int64(t.Last.Position),
 		int64(t.TermStart),
-		t.SinceHeard.Milliseconds(),
+		t.SinceLastContact.Milliseconds(),
 		t.Following,
 		t.Leaving,
 		int64(t.PreviousTerm),
-		int64(t.Writing),
+		int64(t.WriteTransactions),
 	}
 }
--- a/internal/standin/replicator/replicator.go
+++ b/internal/standin/replicator/replicator.go
@@ -115,16 +115,16 @@
 
 func (s *Store) status(now time.Time) controller.Status {
 	t := controller.Status{
-		BackendServer: s.Name,
-		Role:          s.role,
-		Term:          s.term,
-		Last:          s.last(),
-		Following:     s.leader.Name,
-		Leaving:       s.leaving,
-		Writing:       s.writing(),
+		BackendServer:     s.Name,
+		Role:              s.role,
+		Term:              s.term,
+		Last:              s.last(),
+		Following:         s.leader.Name,
+		Leaving:           s.leaving,
+		WriteTransactions: s.writing(),
 	}
 	if s.role != controller.RolePrimary {
-		t.SinceHeard = s.following.silence(now)
+		t.SinceLastContact = s.following.silence(now)
 	}
 	h := s.history()
 	if len(h) > 0 {
--- a/internal/standin/replicator/replicator_test.go
+++ b/internal/standin/replicator/replicator_test.go
@@ -250,7 +250,7 @@
 	s.Heard(1, now.Add(time.Second))
 	l, n := s.Leader()
 	s.mutex.Unlock()
-	if d := s.Status(now.Add(time.Second)).SinceHeard; d != 0 || l.Name != "db-1" || n != 1 {
+	if d := s.Status(now.Add(time.Second)).SinceLastContact; d != 0 || l.Name != "db-1" || n != 1 {
 		t.Errorf("heard %v ago, follows %q under %d", d, l.Name, n)
 	}
 }
--- a/internal/standin/streamer/streamer_test.go
+++ b/internal/standin/streamer/streamer_test.go
@@ -94,7 +94,7 @@
 // silence is how long ago the replica heard its primary.
 func (g *group) silence() time.Duration {
 	now := time.Now()
-	return g.replica.Status(now).SinceHeard
+	return g.replica.Status(now).SinceLastContact
 }
 
 // A COPY of 2 MB is one record, and a slow line carries it in five seconds. A
