--- a/internal/config/applier/applier.go
+++ b/internal/config/applier/applier.go
@@ -1,4 +1,5 @@
-// Package applier decides an operator's next step while a configuration is applied.
+// Package applier is the state machine of an operator's run that applies, resumes or withdraws a
+// configuration revision.
 package applier
 
 import (
@@ -11,30 +12,31 @@
 )
 
 // DefaultAcknowledgementTimeout is how long an operator waits for a host's acknowledgement
-// before it takes the host's lease to have run out. Both are durations, each on
-// its own clock: the tenth on top allows for clocks that run at different rates.
+// before it assumes that the host's lease has expired. The operator and the host measure on their
+// own clocks; the extra tenth allows for clocks that run at different rates.
 const DefaultAcknowledgementTimeout = adopter.DefaultLease + adopter.DefaultLease/10
 
-// headInterval is how often a waiting operator reads the head.
-const headInterval = time.Second
+// headReadInterval is the minimum time between two reads of the head while an operator waits.
+const headReadInterval = time.Second
 
-// Mode is what the operator asks for.
+// Mode is the kind of an operator's run.
 type Mode string
 
 // Modes of an operator.
 const (
-	// Apply stages a file and brings it into force.
+	// Apply stages a file and puts it in force.
 	Apply Mode = "apply"
-	// Resume goes on with what another operator staged.
+	// Resume continues with the revision that another operator staged.
 	Resume Mode = "resume"
-	// Withdraw takes back what is staged, whoever staged it.
+	// Withdraw removes the staged revision, whichever operator staged it.
 	Withdraw Mode = "withdraw"
 )
 
 // Action is the next step of an operator.
 type Action string
 
-// Actions of an operator; after each the answer is taken in and Next is asked again.
+// Actions of an operator. After each one the caller passes the result to the Observe or Invalidate
+// method for it and calls Next again.
 const (
 	// ReadHead reads the head object.
 	ReadHead Action = "read-head"
@@ -44,19 +46,20 @@
 	ReadBody Action = "read-body"
 	// PutBody writes the file into the slot of Step.Revision at Step.Version.
 	PutBody Action = "put-body"
-	// ReadHolders lists the hosts' objects, and the host list if Step.Hosts is set.
+	// ReadHolders lists the hosts' objects, and also reads the host list if Step.Hosts is set.
 	ReadHolders Action = "read-holders"
 	// RetireHolder marks the object Step.Holder as retired.
 	RetireHolder Action = "retire-holder"
-	// PutHolder writes the object Step.Holder as it is.
+	// PutHolder writes the object Step.Holder unchanged.
 	PutHolder Action = "put-holder"
-	// Wait waits for a moment.
+	// Wait pauses briefly before the next step.
 	Wait Action = "wait"
-	// Done ends with Step.Result.
+	// Done ends the run with Step.Result.
 	Done Action = "done"
 )
 
-// Step is an action with what it needs.
+// Step is an action with its arguments. Each field other than Action is set only for the actions
+// that name it.
 type Step struct {
 	Action   Action
 	Head     encoder.Head
@@ -67,47 +70,50 @@
 	Result   Result
 }
 
-// HolderObject is one host's object as listed.
+// HolderObject is one host's object and its version, as listed from the platform.
 type HolderObject struct {
 	Name    string
 	Version accessor.Version
 	Holder  encoder.Holder
 }
 
-// Operator is one run of an operator's command: what it asks for and what it
-// has seen so far. It reads no clock; times are on its own monotonic clock.
+// Operator holds one run of an operator's command: its request and what it has observed so far.
+// It reads no clock; the caller passes times of one monotonic clock.
 type Operator struct {
 	Mode Mode
-	// ID tells this run's changes from all others, also after a lost answer.
+	// ID identifies this run's changes, so that they are recognised after an answer was lost.
 	ID string
-	// Entry describes what is to be staged; its revision is chosen here.
+	// Entry describes what is to be staged. Operator assigns its Revision, ID and From.
 	Entry encoder.Entry
-	// Base is the revision that the file was edited from, checked if CheckBase is set.
+	// Base is the revision that the file was edited from. If CheckBase is set and Base isn't the
+	// accepted revision, the run ends with Conflict.
 	Base      declarer.Revision
 	CheckBase bool
-	// HasFile says that the file is at hand and can be put into its slot.
+	// HasFile says that the caller has the file and can put it into its slot.
 	HasFile bool
-	// AcknowledgementTimeout is how long to wait for hosts, DefaultLapse if unset.
+	// AcknowledgementTimeout is how long to wait for hosts, DefaultAcknowledgementTimeout if unset.
 	AcknowledgementTimeout time.Duration
 
 	head        encoder.Head
 	headVersion accessor.Version
 	headKnown   bool
 	headSent    time.Duration
-	// headLater says that the head was read after the holders.
-	headLater bool
-	// doubtful is the head version that a put without an answer was based on.
-	doubtful    accessor.Version
-	hasDoubtful bool
+	// headAfterHolders says that the head was read after the hosts' objects.
+	headAfterHolders bool
+	// uncertainPutBase is the head version that a put of unknown outcome was based on, if
+	// hasUncertainPut is set.
+	uncertainPutBase accessor.Version
+	hasUncertainPut  bool
 
 	stagedSeen bool
 	stagedAt   time.Duration
-	// listedAt is when the hosts' objects were asked for first after stagedAt.
-	listedAt     time.Duration
-	hasListed    bool
-	acceptedSeen bool
-	acceptedAt   time.Duration
-	staged       encoder.Entry
+	// holdersFirstListedAt is when the first listing of the hosts' objects was requested, if
+	// holdersListed is set. They are listed only once the revision is staged.
+	holdersFirstListedAt time.Duration
+	holdersListed        bool
+	acceptedSeen         bool
+	acceptedAt           time.Duration
+	staged               encoder.Entry
 
 	bodyStored  bool
 	slotRead    bool
@@ -116,31 +122,33 @@
 	holders      []HolderObject
 	holdersSent  time.Duration
 	holdersKnown bool
-	hosts        map[string]bool
-	// lapsed holds the hosts that didn't acknowledge before the lapse.
-	lapsed map[start]bool
-	// silent tells since when an entry was listed without an acknowledgement.
-	silent map[silence]time.Duration
+	listedHosts  map[string]bool
+	// timedOut holds the hosts that didn't acknowledge within the acknowledgement timeout.
+	timedOut map[hostIncarnation]bool
+	// unacknowledgedSince holds, for each entry without an acknowledgement, when the first listing
+	// that showed it so was requested.
+	unacknowledgedSince map[unacknowledgedEntry]time.Duration
 
-	// abort asks for the revision to be withdrawn, left for it to be left staged.
-	abort  bool
-	left   bool
-	reason string
+	// abort ends the run by withdrawing the revision, leaveStaged by leaving it staged. reason is
+	// the cause of either.
+	abort       bool
+	leaveStaged bool
+	reason      string
 }
 
-// Abort asks for what this run has staged to be withdrawn; an accepted revision
-// stays. What another operator has staged, and this one resumed, stays staged.
+// Abort ends the run: the revision that it has staged is withdrawn, but an accepted one stays. A
+// resumed revision, which another operator staged, is left staged.
 func (o *Operator) Abort(reason string) {
 	if o.Mode == Resume {
-		o.left = true
+		o.leaveStaged = true
 		o.reason = reason
 		return
 	}
-	o.giveBack(reason)
+	o.requestWithdrawal(reason)
 }
 
-// giveBack makes the run withdraw its revision, for the first reason given.
-func (o *Operator) giveBack(reason string) {
+// requestWithdrawal makes the run withdraw its revision. Only the first reason is kept.
+func (o *Operator) requestWithdrawal(reason string) {
 	if o.abort {
 		return
 	}
@@ -148,15 +156,15 @@
 	o.reason = reason
 }
 
-// ObserveHead takes in the head that answered a call sent at sent; now is the time
+// ObserveHead records the head that was read or written by a call sent at sent; now is the time
 // of the answer.
 func (o *Operator) ObserveHead(h encoder.Head, v accessor.Version, sent, now time.Duration) {
 	o.head = h
 	o.headVersion = v
 	o.headKnown = true
 	o.headSent = sent
-	o.headLater = true
-	o.adopt()
+	o.headAfterHolders = true
+	o.adoptRun()
 	if h.Staged != nil && h.Staged.ID == o.ID && !o.stagedSeen {
 		o.stagedSeen = true
 		o.stagedAt = now
@@ -169,9 +177,9 @@
 	}
 }
 
-// adopt takes over a run that another operator began, where asked to or where
-// it brings the very same file.
-func (o *Operator) adopt() {
+// adoptRun takes over the run of another operator if the mode asks for it or if that run applies
+// the same file.
+func (o *Operator) adoptRun() {
 	if o.stagedSeen || o.acceptedSeen {
 		return
 	}
@@ -186,31 +194,31 @@
 	}
 }
 
-// InvalidateHead takes in that a call for the head failed, so that a put may
-// have taken effect, or may yet.
+// InvalidateHead records that a call for the head failed and the head must be read again. put says
+// that it was a put of unknown outcome: it may have taken effect, or may do so later.
 func (o *Operator) InvalidateHead(put bool) {
 	if put {
-		o.doubtful = o.headVersion
-		o.hasDoubtful = true
+		o.uncertainPutBase = o.headVersion
+		o.hasUncertainPut = true
 	}
 	o.headKnown = false
 }
 
-// ObserveBody takes in what lies in the slot: whether it is the staged file, and
-// the slot's version.
+// ObserveBody records the content of the slot: whether it is the staged file, and the slot's
+// version.
 func (o *Operator) ObserveBody(same bool, v accessor.Version) {
 	o.bodyStored = same
 	o.slotRead = true
 	o.slotVersion = v
 	if !same {
-		// The slot may be written only by the one whose revision is still staged
-		// after the slot was read. A run that was paused between the two would
-		// otherwise overwrite a later revision that uses the same slot.
+		// An operator may write the slot only if its revision is still staged after the slot was
+		// read. Otherwise a run that was paused between reading the head and the slot would
+		// overwrite a later revision that uses the same slot.
 		o.headKnown = false
 	}
 }
 
-// ObserveBodyPut takes in the answer to a put of the file.
+// ObserveBodyPut records whether a put of the file succeeded.
 func (o *Operator) ObserveBodyPut(ok bool) {
 	o.bodyStored = ok
 	if !ok {
@@ -218,45 +226,46 @@
 	}
 }
 
-// ObserveHolders takes in the hosts' objects and the names in the host list, nil if
-// that wasn't read; sent is when the list was asked for.
+// ObserveHolders records the hosts' objects and the names in the host list, which is nil if it
+// wasn't read; sent is when the objects were requested.
 func (o *Operator) ObserveHolders(l []HolderObject, hosts map[string]bool, sent time.Duration) {
 	o.holders = l
 	o.holdersSent = sent
 	o.holdersKnown = true
-	o.headLater = false
+	o.headAfterHolders = false
 	if hosts != nil {
-		o.hosts = hosts
+		o.listedHosts = hosts
 	}
-	o.listen(l, sent)
+	o.trackUnacknowledged(l, sent)
 }
 
-// InvalidateHolders takes in that listing or retiring failed.
+// InvalidateHolders records that listing the hosts' objects failed or that one was written, so that
+// they must be listed again.
 func (o *Operator) InvalidateHolders() {
 	o.holdersKnown = false
 }
 
-// ObserveWait takes in that a wait is over: what hosts say may have changed. The
-// head is read again only now and then, to notice a withdrawal by another
-// operator; putting it is safe in any case.
+// ObserveWait records that a wait is over, so that the hosts' objects must be listed again. The
+// head is read again only once per headReadInterval, to detect a withdrawal by another operator;
+// puts of the head are conditional and so safe in any case.
 func (o *Operator) ObserveWait(now time.Duration) {
 	o.holdersKnown = false
-	if now-o.headSent >= headInterval {
+	if now-o.headSent >= headReadInterval {
 		o.headKnown = false
 	}
 }
 
-// Revision returns the revision that this run is about, zero before it is staged.
+// Revision returns the revision that this run stages or resumes, zero before it is staged.
 func (o *Operator) Revision() declarer.Revision {
 	return o.staged.Revision
 }
 
-// Accepted reports whether the revision is known to be accepted.
+// Accepted reports whether the run has observed that its revision was accepted.
 func (o *Operator) Accepted() bool {
 	return o.acceptedSeen
 }
 
-func (o *Operator) lapse() time.Duration {
+func (o *Operator) acknowledgementTimeout() time.Duration {
 	if o.AcknowledgementTimeout <= 0 {
 		return DefaultAcknowledgementTimeout
 	}
--- a/internal/config/applier/applier_test.go
+++ b/internal/config/applier/applier_test.go
@@ -9,8 +9,9 @@
 	"github.com/cuminwick/cuminwick/internal/config/encoder"
 )
 
-// directed is a world with one host, driven step by step.
-func directed() *world {
+// newSingleHostSimulation returns a simulation with one host that has registered, for tests that
+// choose each step.
+func newSingleHostSimulation() *simulation {
 	w := newWorld()
 	w.hosts = []*host{{name: "h1", id: "1", clock: clock{rate: 1000}, files: map[declarer.Revision]string{}}}
 	for range 3 {
@@ -19,7 +20,8 @@
 	return w
 }
 
-func (w *world) apply(id, file string) *operator {
+// startApply adds an operator that applies file under the run ID id.
+func (w *simulation) startApply(id, file string) *operator {
 	o := &operator{clock: clock{rate: 1000}}
 	o.Mode = applier.Apply
 	o.ID = id
@@ -29,8 +31,8 @@
 	return o
 }
 
-// answer serves and answers the operator's outstanding call.
-func (w *world) answer(o *operator) {
+// serveAndAnswer serves and answers the operator's outstanding call.
+func (w *simulation) serveAndAnswer(o *operator) {
 	c := o.call
 	if c == nil {
 		return
@@ -40,22 +42,22 @@
 	c.answer(false)
 }
 
-// until takes steps of o until its next call is a.
-func (w *world) until(t *testing.T, o *operator, a applier.Action) {
+// stepUntil takes steps of o until its next action is a.
+func (w *simulation) stepUntil(t *testing.T, o *operator, a applier.Action) {
 	t.Helper()
 	for range 100 {
 		if s := o.Next(o.clock.at(w.now)); s.Action == a {
 			return
 		}
-		w.step(o)
-		w.answer(o)
+		w.stepOperator(o)
+		w.serveAndAnswer(o)
 		w.now += 10 * time.Millisecond
 	}
-	t.Fatalf("operator %s never gets to %s\n%s", o.ID, a, w.story())
+	t.Fatalf("operator %s doesn't reach action %s\n%s", o.ID, a, w.traceText())
 }
 
-// finish lets everybody go on until o has a result.
-func (w *world) finish(t *testing.T, o *operator, want applier.Outcome) {
+// runUntilResult lets all hosts and operators progress until o has a result, and checks its outcome.
+func (w *simulation) runUntilResult(t *testing.T, o *operator, want applier.Outcome) {
 	t.Helper()
 	for range 1000 {
 		if o.result != nil {
@@ -65,47 +67,49 @@
 		w.round()
 		w.check()
 	}
-	if w.fault != "" {
-		t.Fatalf("%s\n%s", w.fault, w.story())
+	if w.failure != "" {
+		t.Fatalf("%s\n%s", w.failure, w.traceText())
 	}
 	if o.result == nil || o.result.Outcome != want {
-		t.Fatalf("operator %s ended with %+v, want %s\n%s", o.ID, o.result, want, w.story())
+		t.Fatalf("operator %s ended with %+v, want %s\n%s", o.ID, o.result, want, w.traceText())
 	}
 }
 
+// Two operators put the head at the same version: one put fails. A third operator applies a file
+// that was edited from an outdated revision.
 func TestRacingOperators(t *testing.T) {
-	w := directed()
-	a, b := w.apply("anna", "file1"), w.apply("bela", "file2")
-	w.until(t, a, applier.PutHead)
-	w.until(t, b, applier.PutHead)
-	w.step(a)
-	w.answer(a)
-	w.finish(t, b, applier.Conflict)
+	w := newSingleHostSimulation()
+	a, b := w.startApply("anna", "file1"), w.startApply("bela", "file2")
+	w.stepUntil(t, a, applier.PutHead)
+	w.stepUntil(t, b, applier.PutHead)
+	w.stepOperator(a)
+	w.serveAndAnswer(a)
+	w.runUntilResult(t, b, applier.Conflict)
 	if n := b.result.Entry.Operator; n != "anna" {
 		t.Errorf("conflict names %q", n)
 	}
-	w.finish(t, a, applier.InForce)
-	c := w.apply("cela", "file3")
+	w.runUntilResult(t, a, applier.InForce)
+	c := w.startApply("cela", "file3")
 	c.CheckBase = true
-	w.finish(t, c, applier.Conflict)
+	w.runUntilResult(t, c, applier.Conflict)
 	if n := c.result.Entry.Operator; n != "anna" {
 		t.Errorf("conflict names %q", n)
 	}
 }
 
-// An operator's machine dies after it has stored the file. Another operator goes
-// on with it, by name or by bringing the same file.
+// An operator's machine fails after the file was stored. Another operator continues the run, by
+// Resume or by applying the same file.
 func TestResume(t *testing.T) {
 	for _, m := range []applier.Mode{applier.Resume, applier.Apply} {
 		t.Run(string(m), func(t *testing.T) {
-			w := directed()
-			a := w.apply("anna", "file1")
-			w.until(t, a, applier.Wait)
+			w := newSingleHostSimulation()
+			a := w.startApply("anna", "file1")
+			w.stepUntil(t, a, applier.Wait)
 			a.dead = true
-			b := w.apply("bela", "file1")
+			b := w.startApply("bela", "file1")
 			b.Mode = m
 			b.HasFile = m == applier.Apply
-			w.finish(t, b, applier.InForce)
+			w.runUntilResult(t, b, applier.InForce)
 			if w.head.Latest().Operator != "anna" || w.head.Accepted != 1 {
 				t.Errorf("accepted %+v", w.head.Latest())
 			}
@@ -113,65 +117,64 @@
 	}
 }
 
-// A host runs an older version of cuminwick that doesn't know a key of the file.
+// A host runs an older version of cuminwick that doesn't support a key of the file.
 func TestRefusedByHost(t *testing.T) {
-	w := directed()
-	a := w.apply("anna", "file1")
-	w.until(t, a, applier.Wait)
+	w := newSingleHostSimulation()
+	a := w.startApply("anna", "file1")
+	w.stepUntil(t, a, applier.Wait)
 	h := w.hosts[0]
 	h.state.ObserveHead(w.head, w.version, 0, 0)
 	h.state.MarkRefused(1, "unknown key")
-	w.finish(t, a, applier.Withdrawn)
+	w.runUntilResult(t, a, applier.Withdrawn)
 	if w.head.Accepted != 0 {
 		t.Error("accepted a refused revision")
 	}
 }
 
-// An operator gives up while its put, whose answer is lost, is still under way.
-// It says "not applied", and then the put arrives and another operator resumes
-// what nobody wanted any more.
-func TestGivenUpPutArrivesLate(t *testing.T) {
-	w := directed()
-	a := w.apply("anna", "file1")
-	w.until(t, a, applier.PutHead)
-	w.step(a)
+// An operator aborts while a put whose answer was lost is still in transit. It reports the revision
+// as withdrawn; if the put took effect afterwards, another operator could resume that revision.
+func TestAbortDefeatsLatePut(t *testing.T) {
+	w := newSingleHostSimulation()
+	a := w.startApply("anna", "file1")
+	w.stepUntil(t, a, applier.PutHead)
+	w.stepOperator(a)
 	late := a.call
 	w.remove(late)
 	late.answer(true)
 	a.Abort("gave up")
-	w.finish(t, a, applier.Withdrawn)
+	w.runUntilResult(t, a, applier.Withdrawn)
 	late.serve()
-	b := w.apply("bela", "")
+	b := w.startApply("bela", "")
 	b.Mode = applier.Resume
-	w.finish(t, b, applier.NothingStaged)
+	w.runUntilResult(t, b, applier.NothingStaged)
 }
 
-// An operator is paused just before it reads the slot of its file. Its revision
-// is withdrawn, and 64 numbers later another one is accepted in the same slot.
-// Writing now would destroy the accepted file: new hosts could not read it.
-func TestPausedOperatorLeavesSlotAlone(t *testing.T) {
-	w := directed()
-	a := w.apply("anna", "file1")
-	w.until(t, a, applier.ReadBody)
+// An operator is paused just before it reads the slot of its file. Its revision is withdrawn, and
+// 64 revisions later another one is accepted in the same slot. Writing the slot now would destroy
+// the accepted file, and new hosts could not read it.
+func TestPausedOperatorDoesNotOverwriteSlot(t *testing.T) {
+	w := newSingleHostSimulation()
+	a := w.startApply("anna", "file1")
+	w.stepUntil(t, a, applier.ReadBody)
 	w.head.Staged = nil
 	w.head.Highest = encoder.RevisionSlots
 	w.version++
 	a.dead = true
-	w.finish(t, w.apply("bela", "file2"), applier.InForce)
+	w.runUntilResult(t, w.startApply("bela", "file2"), applier.InForce)
 	a.dead = false
-	w.step(a)
-	w.answer(a)
-	w.finish(t, a, applier.Withdrawn)
+	w.stepOperator(a)
+	w.serveAndAnswer(a)
+	w.runUntilResult(t, a, applier.Withdrawn)
 	if d := w.bodies[encoder.Slot(1)].digest; d != "file2" {
 		t.Errorf("slot holds %s", d)
 	}
 }
 
-// Every host is cut off. Accepting would put a revision in force nowhere.
-func TestNobodyAcknowledges(t *testing.T) {
-	w := directed()
+// Every host is cut off. An accepted revision would be in force nowhere.
+func TestNoHostAcknowledges(t *testing.T) {
+	w := newSingleHostSimulation()
 	w.hosts[0].cut = true
-	a := w.apply("anna", "file1")
+	a := w.startApply("anna", "file1")
 	for range 100 {
 		w.now += time.Second
 		w.round()
@@ -180,41 +183,41 @@
 		t.Error("accepted")
 	}
 	a.Abort("gave up")
-	w.finish(t, a, applier.Withdrawn)
+	w.runUntilResult(t, a, applier.Withdrawn)
 }
 
-// A host is cut off, another operator withdraws the revision, and the host comes
-// back before the first operator notices. Were its object freed now, the next
-// revision would be accepted without a host that believes it counts.
-func TestStaleOperatorFreesNothing(t *testing.T) {
-	w := directed()
-	a := w.apply("anna", "file1")
-	w.until(t, a, applier.Wait)
+// A host is cut off, another operator withdraws the revision, and the host returns before the first
+// operator has read the head again. If that operator retired the host's object, the next revision
+// would be accepted without a host that assumes it is registered.
+func TestStaleOperatorRetiresNoObject(t *testing.T) {
+	w := newSingleHostSimulation()
+	a := w.startApply("anna", "file1")
+	w.stepUntil(t, a, applier.Wait)
 	w.head.Staged = nil
 	w.version++
 	w.now += applier.DefaultAcknowledgementTimeout
 	w.hosts[0].name = "renamed"
-	w.finish(t, a, applier.Withdrawn)
+	w.runUntilResult(t, a, applier.Withdrawn)
 	for n, h := range w.holders {
 		if h.Holder.Retired {
-			t.Errorf("object %s was freed", n)
+			t.Errorf("object %s was retired", n)
 		}
 	}
 }
 
-// An operator resumes what another one staged and is interrupted. It isn't its
-// own to withdraw.
-func TestInterruptedResumeLeavesStage(t *testing.T) {
-	w := directed()
-	a := w.apply("anna", "file1")
-	w.until(t, a, applier.Wait)
+// An operator that resumes another one's revision is interrupted. It must not withdraw a revision
+// that it didn't stage.
+func TestInterruptedResumeLeavesRevisionStaged(t *testing.T) {
+	w := newSingleHostSimulation()
+	a := w.startApply("anna", "file1")
+	w.stepUntil(t, a, applier.Wait)
 	a.dead = true
-	b := w.apply("bela", "")
+	b := w.startApply("bela", "")
 	b.Mode = applier.Resume
 	b.HasFile = false
-	w.until(t, b, applier.ReadBody)
+	w.stepUntil(t, b, applier.ReadBody)
 	b.Abort("interrupted")
-	w.finish(t, b, applier.LeftStaged)
+	w.runUntilResult(t, b, applier.LeftStaged)
 	if w.head.Staged == nil {
 		t.Error("withdrawn")
 	}
--- a/internal/config/applier/change_test.go
+++ b/internal/config/applier/change_test.go
@@ -11,21 +11,22 @@
 	"github.com/cuminwick/cuminwick/internal/config/encoder"
 )
 
-// taker is what a host of the world knows for taking a file as a change.
-type taker struct {
+// changeState holds what a simulated host needs to receive a file as a change of another one.
+type changeState struct {
 	digests map[declarer.Revision]string
 	change  *encoder.Change
-	// made is what leads to a revision from the one that was in force when it came.
-	made map[declarer.Revision]*encoder.Change
-	// useless is the revision whose change in the head didn't lead there.
-	useless declarer.Revision
+	// madeChanges holds, for each revision, the change to it from the revision that was in force when
+	// its file arrived.
+	madeChanges map[declarer.Revision]*encoder.Change
+	// uselessRevision is the revision for which the change in the head didn't yield the file.
+	uselessRevision declarer.Revision
 }
 
-// hold keeps what a head says of files.
-func (x *taker) hold(d encoder.Head) {
+// recordHead stores the change and the digests that a head holds.
+func (x *changeState) recordHead(d encoder.Head) {
 	if x.digests == nil {
 		x.digests = map[declarer.Revision]string{}
-		x.made = map[declarer.Revision]*encoder.Change{}
+		x.madeChanges = map[declarer.Revision]*encoder.Change{}
 	}
 	x.change = d.Change
 	if d.Staged != nil {
@@ -36,8 +37,8 @@
 	}
 }
 
-// documents are the files that operators apply, by digest.
-var documents = func() map[string]*changer.Document {
+// documentsByDigest holds the files that operators apply.
+var documentsByDigest = func() map[string]*changer.Document {
 	m := map[string]*changer.Document{}
 	for i := range 6 {
 		g := []declarer.DatabaseGroup{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}}
@@ -50,18 +51,19 @@
 	return m
 }()
 
-// fileDigests returns the digests in an order that doesn't change.
+// fileDigests returns the digests of the files in a stable order.
 func fileDigests() []string {
 	var l []string
-	for d := range documents {
+	for d := range documentsByDigest {
 		l = append(l, d)
 	}
 	slices.Sort(l)
 	return l
 }
 
-// digest returns the digest of a file that operators apply by its name.
-func (w *world) digest(name string) string {
+// digest returns the digest of the file with the given name, or the name itself if files aren't
+// sent as changes.
+func (w *simulation) digest(name string) string {
 	i := slices.Index([]string{"file1", "file2", "file3", "file4", "file5", "last"}, name)
 	if !w.changes || i < 0 {
 		return name
@@ -69,30 +71,30 @@
 	return fileDigests()[i]
 }
 
-// pair is a file and one that is made of it.
-type pair struct{ from, to string }
+// filePair identifies a change by the digests of the files that it starts from and leads to.
+type filePair struct{ base, target string }
 
-var packed = map[pair][]byte{}
+var packedChanges = map[filePair][]byte{}
 
-// differences is changer.Make, which takes long, made once for each pair.
-func differences(from, to string) []byte {
-	p, ok := packed[pair{from, to}]
+// makeChange calls changer.Make, which is slow, once for each pair of files.
+func makeChange(from, to string) []byte {
+	p, ok := packedChanges[filePair{from, to}]
 	if !ok {
-		p, _ = changer.Make(documents[from], documents[to])
-		packed[pair{from, to}] = p
+		p, _ = changer.Make(documentsByDigest[from], documentsByDigest[to])
+		packedChanges[filePair{from, to}] = p
 	}
 	return p
 }
 
-// attach returns the change that an operator writes beside a stage: none, the
-// right one, one that was cut short, or one between other files than it says.
-func (w *world) attach(o *operator, h encoder.Head) *encoder.Change {
+// attachChange returns the change that an operator writes with a staged revision: none, the right
+// one, a truncated one, or one between other files than it states.
+func (w *simulation) attachChange(o *operator, h encoder.Head) *encoder.Change {
 	e := h.Staged
 	if !w.changes || e == nil || e.ID != o.ID || e.From == 0 {
 		return nil
 	}
 	from, l := w.accepted[e.From].Digest, fileDigests()
-	c := &encoder.Change{Revision: e.Revision, Base: e.From, Packed: differences(from, e.Digest)}
+	c := &encoder.Change{Revision: e.Revision, Base: e.From, Packed: makeChange(from, e.Digest)}
 	n := int(w.version) + len(w.calls)
 	switch n % 8 {
 	case 0:
@@ -100,63 +102,64 @@
 	case 1:
 		c.Packed = c.Packed[:len(c.Packed)/2]
 	case 2:
-		c.Packed = differences(l[n/8%len(l)], e.Digest)
+		c.Packed = makeChange(l[n/8%len(l)], e.Digest)
 	case 3:
-		c.Packed = differences(from, l[n/8%len(l)])
+		c.Packed = makeChange(from, l[n/8%len(l)])
 	}
 	return c
 }
 
-// appliedChanges and uselessChanges count, over all histories, changes that led to
-// their revision and ones that didn't.
+// appliedChanges and uselessChanges count, over all histories, the changes that yielded the file of
+// their revision and those that didn't.
 var appliedChanges, uselessChanges int
 
-// take has h make r's file of a change, as follower does.
-func (w *world) take(h *host, c *encoder.Change, base, r declarer.Revision) bool {
-	if !c.Leads(base, r) || h.digests[r] == "" || documents[h.files[base]] == nil {
+// applyChange makes h build r's file from a change, as package follower does, and reports whether it
+// could.
+func (w *simulation) applyChange(h *host, c *encoder.Change, base, r declarer.Revision) bool {
+	if !c.Leads(base, r) || h.digests[r] == "" || documentsByDigest[h.files[base]] == nil {
 		return false
 	}
-	d, err := changer.Apply(documents[h.files[base]], c.Packed, h.digests[r])
+	d, err := changer.Apply(documentsByDigest[h.files[base]], c.Packed, h.digests[r])
 	if err != nil {
 		uselessChanges++
-		w.note("host %s/%s can't use a change to %d: %v", h.name, h.id, r, err)
+		w.record("host %s/%s can't use a change to %d: %v", h.name, h.id, r, err)
 		return false
 	}
 	appliedChanges++
-	h.keep(r, string(d.Text()))
-	w.note("host %s/%s made revision %d of %d", h.name, h.id, r, base)
+	h.storeFile(r, string(d.Text()))
+	w.record("host %s/%s built revision %d from %d", h.name, h.id, r, base)
 	return true
 }
 
-// keep takes in a file by its text, so that only what was really made counts, and
-// notes what led to it.
-func (h *host) keep(r declarer.Revision, text string) {
+// storeFile stores r's file, identified by its text so that a wrongly built file is detected, and
+// the change to it from the revision in force.
+func (h *host) storeFile(r declarer.Revision, text string) {
 	h.files[r] = "another file"
-	for n, d := range documents {
+	for n, d := range documentsByDigest {
 		if string(d.Text()) == text {
 			h.files[r] = n
 		}
 	}
-	if b := h.state.InForce; documents[h.files[b]] != nil && documents[h.files[r]] != nil {
-		h.made[r] = &encoder.Change{Revision: r, Base: b, Packed: differences(h.files[b], h.files[r])}
+	if b := h.state.InForce; documentsByDigest[h.files[b]] != nil && documentsByDigest[h.files[r]] != nil {
+		h.madeChanges[r] = &encoder.Change{Revision: r, Base: b, Packed: makeChange(h.files[b], h.files[r])}
 	}
 	h.state.MarkFetched(r)
 }
 
-// fetchChange has h take r's file by the change in the head, or ask another host
-// for it, and reports whether it does.
-func (w *world) fetchChange(h *host, r declarer.Revision) bool {
+// fetchChange makes h apply the change in the head to get r's file, or else request the file from
+// another host. It reports whether it did either.
+func (w *simulation) fetchChange(h *host, r declarer.Revision) bool {
 	if !w.changes {
 		return false
 	}
 	base := h.state.InForce
-	if h.useless != r && w.take(h, h.change, base, r) {
+	if h.uselessRevision != r && w.applyChange(h, h.change, base, r) {
 		return true
 	}
-	if h.useless == r {
+	if h.uselessRevision == r {
 		return false
 	}
-	h.useless = r
+	h.uselessRevision = r
 	i := slices.IndexFunc(w.hosts, func(x *host) bool { return !x.dead && x != h && x.files[r] != "" })
 	if i < 0 {
 		return false
@@ -164,31 +167,30 @@
 	x := w.hosts[i]
 	var c *encoder.Change
 	digest := ""
-	h.working = w.send(&call{
+	h.pendingCall = w.send(&call{
 		serve: func() {
-			if c = x.made[r]; !c.Leads(base, r) {
+			if c = x.madeChanges[r]; !c.Leads(base, r) {
 				c, digest = nil, x.files[r]
 			}
 		},
 		answer: func(lost bool) {
-			h.working = nil
+			h.pendingCall = nil
 			switch {
 			case lost:
 			case c != nil:
-				w.take(h, c, base, r)
+				w.applyChange(h, c, base, r)
 			case h.digests[r] == digest:
-				h.keep(r, string(documents[digest].Text()))
+				h.storeFile(r, string(documentsByDigest[digest].Text()))
 			}
 		},
 	})
 	return true
 }
 
-// Files travel as what differs from the file before, with the head or from another
-// host. A change is lost, comes late or to a host that has moved on, is cut short,
-// or was made from another file or leads to another one than it says. Callers would
-// notice two hosts treating one request differently, or a host that never comes
-// into force because it takes nothing else.
+// Files are sent as changes of the previous file, in the head or by another host. A change is lost,
+// late, arrives at a host that has moved up, is truncated, or starts from or leads to another file
+// than it states. A fault would show as two hosts handling one request by different files, or as a
+// host on which the revision never comes into force because it accepts nothing but changes.
 func TestNeverHalfInForceByChanges(t *testing.T) {
 	appliedChanges, uselessChanges = 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -200,16 +202,16 @@
 		}
 		for range 150 {
 			if w.relays {
-				w.actRelayed(t)
+				w.randomRelayedAction(t)
 			} else {
-				w.act(t)
+				w.randomAction(t)
 			}
 			w.verify(t)
 		}
 		w.settle(t)
 	})
 	if appliedChanges < 1000 || uselessChanges < 1000 {
-		t.Errorf("%d changes applied, %d useless: the histories show too little", appliedChanges, uselessChanges)
+		t.Errorf("%d changes applied, %d useless: the histories exercise too few", appliedChanges, uselessChanges)
 	}
 	t.Logf("%d changes applied, %d useless", appliedChanges, uselessChanges)
 }
--- a/internal/config/applier/count.go
+++ b/internal/config/applier/count.go
@@ -6,36 +6,36 @@
 	"github.com/cuminwick/cuminwick/internal/config/encoder"
 )
 
-// start is one start of a host. A host that was replaced isn't counted by what its
-// predecessor acknowledged.
-type start struct {
+// hostIncarnation identifies one start of a host. What an earlier incarnation acknowledged doesn't
+// count for the host that replaced it.
+type hostIncarnation struct {
 	host        string
 	incarnation string
 }
 
-func startOf(h encoder.Holder) start {
-	return start{host: h.Host, incarnation: h.Incarnation}
+func incarnationOf(h encoder.Holder) hostIncarnation {
+	return hostIncarnation{host: h.Host, incarnation: h.Incarnation}
 }
 
-func starts(l []encoder.Holder) map[start]bool {
-	m := map[start]bool{}
+func incarnationsOf(l []encoder.Holder) map[hostIncarnation]bool {
+	m := map[hostIncarnation]bool{}
 	for _, h := range l {
-		m[startOf(h)] = true
+		m[incarnationOf(h)] = true
 	}
 	return m
 }
 
-func (o *Operator) allLapsed(l []encoder.Holder) bool {
+func (o *Operator) allTimedOut(l []encoder.Holder) bool {
 	for _, h := range l {
-		if !o.lapsed[startOf(h)] {
+		if !o.timedOut[incarnationOf(h)] {
 			return false
 		}
 	}
 	return true
 }
 
-// active returns the hosts that the objects stand for, each once.
-func (o *Operator) active() []encoder.Holder {
+// activeHosts returns the hosts that the listed objects register, each incarnation once.
+func (o *Operator) activeHosts() []encoder.Holder {
 	var l []encoder.Holder
 	for _, h := range o.holders {
 		l = append(l, h.Holder)
@@ -43,21 +43,21 @@
 	return encoder.Count(l)
 }
 
-// missing returns the active hosts that don't meet f.
+// missing returns the active hosts for which f is false.
 func (o *Operator) missing(f func(encoder.Holder) bool) []encoder.Holder {
-	return slices.DeleteFunc(o.active(), func(h encoder.Holder) bool { return f(h) })
+	return slices.DeleteFunc(o.activeHosts(), func(h encoder.Holder) bool { return f(h) })
 }
 
 func (o *Operator) acknowledged(h encoder.Holder) bool {
 	return h.Ready >= o.staged.Revision
 }
 
-func (o *Operator) told(h encoder.Holder) bool {
+func (o *Operator) reportedInForce(h encoder.Holder) bool {
 	return h.InForce >= o.staged.Revision
 }
 
 func (o *Operator) refusal() (encoder.Holder, bool) {
-	for _, h := range o.active() {
+	for _, h := range o.activeHosts() {
 		if h.Refused == o.staged.Revision {
 			return h, true
 		}
--- a/internal/config/applier/free.go
+++ b/internal/config/applier/free.go
@@ -7,24 +7,25 @@
 	"github.com/cuminwick/cuminwick/internal/config/encoder"
 )
 
-// silence is an entry that doesn't acknowledge: one start of a host in one object.
-type silence struct {
+// unacknowledgedEntry identifies an entry without an acknowledgement: one incarnation of a host in
+// one object.
+type unacknowledgedEntry struct {
 	object string
-	start  start
+	owner  hostIncarnation
 }
 
-// listen notes since when each entry is known to stand without an acknowledgement;
-// sent is when the objects were asked for.
-func (o *Operator) listen(l []HolderObject, sent time.Duration) {
-	if !o.hasListed {
-		o.listedAt = sent
-		o.hasListed = true
+// trackUnacknowledged records for each entry since when it has been listed without an
+// acknowledgement; sent is when the objects were requested.
+func (o *Operator) trackUnacknowledged(l []HolderObject, sent time.Duration) {
+	if !o.holdersListed {
+		o.holdersFirstListedAt = sent
+		o.holdersListed = true
 	}
-	m := map[silence]time.Duration{}
+	m := map[unacknowledgedEntry]time.Duration{}
 	for _, h := range l {
 		for _, e := range h.Holder.Entries() {
-			k := silence{object: h.Name, start: start{host: e.Host, incarnation: e.Incarnation}}
-			at, ok := o.silent[k]
+			k := unacknowledgedEntry{object: h.Name, owner: hostIncarnation{host: e.Host, incarnation: e.Incarnation}}
+			at, ok := o.unacknowledgedSince[k]
 			if !ok {
 				at = sent
 			}
@@ -33,27 +34,28 @@
 			}
 		}
 	}
-	o.silent = m
+	o.unacknowledgedSince = m
 }
 
-// free returns the step that takes hosts that are gone out of an object. Only
-// one that left a staged revision unacknowledged for a lapse may be taken out: it
-// knows that it has to register again. One that acknowledged and merely hasn't
-// told what it decides by would go on as if it still counted, and the next
-// revision would be accepted without it.
+// removeGoneHosts returns the next step that removes a host that is gone from an object, false if
+// there is none. It reads the host list first. A host may be removed only if it left a staged
+// revision unacknowledged for the whole timeout, because such a host registers again before it
+// reports its revision as confirmed. A host that acknowledged, and only hasn't reported the
+// revision in force, would continue as if registered, and the next revision would be accepted
+// without it.
 //
-// The same holds for each other host in the object. So the whole object is freed
-// only where none of them has acknowledged in it.
-func (o *Operator) free(missing []encoder.Holder, now time.Duration) (Step, bool) {
-	if o.hosts == nil {
+// The same applies to every other host in the object. So the whole object is retired only if no
+// host has acknowledged in it.
+func (o *Operator) removeGoneHosts(missing []encoder.Holder, now time.Duration) (Step, bool) {
+	if o.listedHosts == nil {
 		return Step{Action: ReadHolders, Hosts: true}, true
 	}
 	for _, h := range missing {
-		if !o.gone(h) {
+		if !o.isGone(h) {
 			continue
 		}
 		for _, x := range o.holders {
-			if s, ok := o.without(x, h, now); ok {
+			if s, ok := o.removeFrom(x, h, now); ok {
 				return s, true
 			}
 		}
@@ -61,16 +63,16 @@
 	return Step{}, false
 }
 
-// without returns the step that takes h out of the object x, false if h isn't in
-// it or may not be taken out.
-func (o *Operator) without(x HolderObject, h encoder.Holder, now time.Duration) (Step, bool) {
+// removeFrom returns the step that removes h from the object x, false if h isn't in it or may not
+// be removed.
+func (o *Operator) removeFrom(x HolderObject, h encoder.Holder, now time.Duration) (Step, bool) {
 	own := h.Own()
 	l := x.Holder.Entries()
 	i := slices.IndexFunc(l, own.Is)
 	switch {
-	case i < 0 || !o.lapsedIn(x, l[i], now):
+	case i < 0 || !o.timedOutIn(x, l[i], now):
 		return Step{}, false
-	case !slices.ContainsFunc(l, func(m encoder.HostReport) bool { return !o.lapsedIn(x, m, now) }):
+	case !slices.ContainsFunc(l, func(m encoder.HostReport) bool { return !o.timedOutIn(x, m, now) }):
 		return Step{Action: RetireHolder, Holder: x}, true
 	case x.Holder.Own().Is(own) && !x.Holder.Left:
 		x.Holder.Left = true
@@ -80,23 +82,24 @@
 	return Step{Action: PutHolder, Holder: x}, true
 }
 
-// lapsedIn reports whether the entry m has stood in x for a whole lapse without
-// acknowledging. One that was added meanwhile may not have seen what is staged.
-func (o *Operator) lapsedIn(x HolderObject, m encoder.HostReport, now time.Duration) bool {
-	at, ok := o.silent[silence{object: x.Name, start: start{host: m.Host, incarnation: m.Incarnation}}]
-	return ok && now-at >= o.lapse()
+// timedOutIn reports whether the entry m has been in x for the whole timeout without an
+// acknowledgement. A host added more recently may not have received the staged revision.
+func (o *Operator) timedOutIn(x HolderObject, m encoder.HostReport, now time.Duration) bool {
+	at, ok := o.unacknowledgedSince[unacknowledgedEntry{object: x.Name, owner: hostIncarnation{host: m.Host, incarnation: m.Incarnation}}]
+	return ok && now-at >= o.acknowledgementTimeout()
 }
 
-// gone reports whether h, which hasn't answered for a lapse, isn't coming back as
-// the same start of its host. A host list that names none of the hosts says nothing.
-func (o *Operator) gone(h encoder.Holder) bool {
+// isGone reports whether h, which hasn't acknowledged within the timeout, can't return as the same
+// incarnation: another incarnation is registered, or the host list lacks the host. A host list
+// that names none of the active hosts is ignored.
+func (o *Operator) isGone(h encoder.Holder) bool {
 	listed := false
-	for _, a := range o.active() {
+	for _, a := range o.activeHosts() {
 		if a.Host == h.Host && a.Incarnation != h.Incarnation {
 			// The host was restarted and has registered again.
 			return true
 		}
-		listed = listed || o.hosts[a.Host]
+		listed = listed || o.listedHosts[a.Host]
 	}
-	return listed && !o.hosts[h.Host]
+	return listed && !o.listedHosts[h.Host]
 }
--- a/internal/config/applier/property_test.go
+++ b/internal/config/applier/property_test.go
@@ -19,20 +19,20 @@
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for k, v := range map[string]string{"rapid.seed": "1", "rapid.checks": "1000"} {
-		if !given(k) {
+		if !flagGiven(k) {
 			_ = flag.Set(k, v)
 		}
 	}
 	os.Exit(m.Run())
 }
 
-func given(name string) bool {
+func flagGiven(name string) bool {
 	found := false
 	flag.Visit(func(f *flag.Flag) { found = found || f.Name == name })
 	return found
 }
 
-// uniform returns one of n numbers; rapid's own ranges favour the small ones.
+// uniform returns a number in [0, n) with equal probability; rapid's own ranges prefer small ones.
 func uniform(t *rapid.T, n int) int {
 	v := 0
 	for m := 1; m < 8*n; m *= 2 {
@@ -55,7 +55,7 @@
 	}
 }
 
-func (w *world) startHost(t *rapid.T) {
+func (w *simulation) startHost(t *rapid.T) {
 	if len(w.hosts) >= 12 {
 		return
 	}
@@ -67,7 +67,7 @@
 	})
 }
 
-func (w *world) startOperator(t *rapid.T) {
+func (w *simulation) startOperator(t *rapid.T) {
 	if len(w.operators) >= 20 {
 		return
 	}
@@ -81,20 +81,21 @@
 	w.operators = append(w.operators, o)
 }
 
-// round lets everybody reachable make some progress, in a fair order.
-func (w *world) round() {
+// round lets every reachable host and every operator take one step, then serves and answers the
+// outstanding calls.
+func (w *simulation) round() {
 	for _, h := range w.hosts {
 		if !h.cut {
-			w.read(h)
-			w.work(h)
+			w.startHeadRead(h)
+			w.startWork(h)
 		}
 		w.askRelay(h)
 	}
 	for _, o := range w.operators {
-		w.step(o)
+		w.stepOperator(o)
 	}
 	for _, c := range slices.Clone(w.calls) {
-		if c.orphan || c.waits != nil && c.waits() {
+		if c.orphan || c.heldBack != nil && c.heldBack() {
 			continue
 		}
 		if !c.served {
@@ -105,8 +106,8 @@
 	}
 }
 
-// check holds after every single action.
-func (w *world) check() {
+// check verifies the invariants that hold after every action.
+func (w *simulation) check() {
 	for _, h := range w.hosts {
 		if h.dead {
 			continue
@@ -117,10 +118,10 @@
 		}
 		h.highest = r
 		if r != 0 && w.accepted[r].Digest != h.files[r] {
-			w.fail("host %s decides by %s as revision %d, accepted is %s", h.name, h.files[r], r, w.accepted[r].Digest)
+			w.fail("host %s has %s in force as revision %d, accepted is %s", h.name, h.files[r], r, w.accepted[r].Digest)
 		}
 		if s := h.state.Standing(h.clock.at(w.now)); s == adopter.Confirmed && r != w.head.Accepted {
-			w.fail("host %s calls revision %d confirmed while %d is accepted", h.name, r, w.head.Accepted)
+			w.fail("host %s reports revision %d confirmed while %d is accepted", h.name, r, w.head.Accepted)
 		}
 	}
 	for _, o := range w.operators {
@@ -128,7 +129,7 @@
 	}
 }
 
-func (w *world) checkResult(o *operator) {
+func (w *simulation) checkResult(o *operator) {
 	if o.result == nil {
 		return
 	}
@@ -136,41 +137,41 @@
 	switch o.result.Outcome {
 	case applier.InForce, applier.Accepted:
 		if !accepted {
-			w.fail("%s said %s but was never accepted", o.ID, o.result.Outcome)
+			w.fail("%s reported %s but was never accepted", o.ID, o.result.Outcome)
 		}
 	case applier.Withdrawn, applier.Conflict, applier.NothingStaged:
 		if accepted {
-			w.fail("%s said %s but was accepted", o.ID, o.result.Outcome)
+			w.fail("%s reported %s but was accepted", o.ID, o.result.Outcome)
 		}
 	}
 }
 
-// checkInForce checks that no host that the operator counted lags behind.
-func (w *world) checkInForce(o *operator) {
+// checkInForce checks that the revision is in force on every host that the operator listed.
+func (w *simulation) checkInForce(o *operator) {
 	for _, h := range w.hosts {
 		listed := slices.ContainsFunc(o.listed, func(x applier.HolderObject) bool {
 			own := x.Name == h.object && x.Holder.Incarnation == h.id && !x.Holder.Retired && !x.Holder.Left
 			return own || w.relays && slices.ContainsFunc(x.Holder.Entries(), h.member().Is)
 		})
 		if listed && !h.dead && o.result.Outcome == applier.InForce && h.state.InForce < o.Revision() {
-			w.fail("%s said in force but host %s has revision %d", o.ID, h.name, h.state.InForce)
+			w.fail("%s reported in force but host %s has revision %d", o.ID, h.name, h.state.InForce)
 		}
 	}
 }
 
-// message sends a request's message from one host to another.
-func (w *world) message(a, b *host) {
+// sendMessage sends a message of a request from host a to host b.
+func (w *simulation) sendMessage(a, b *host) {
 	r := a.state.InForce
 	if adopter.CheckRevision(b.state.InForce, r) == adopter.MoveUp && !b.state.ObserveAccepted(r) {
 		return
 	}
 	if adopter.CheckRevision(b.state.InForce, r) == adopter.Handle && a.files[r] != b.files[r] {
-		w.fail("one request decided by %s at %s and by %s at %s", a.files[r], a.name, b.files[r], b.name)
+		w.fail("one request handled by %s on %s and by %s on %s", a.files[r], a.name, b.files[r], b.name)
 	}
 }
 
-// act takes one action at random.
-func (w *world) act(t *rapid.T) {
+// randomAction takes one action at random.
+func (w *simulation) randomAction(t *rapid.T) {
 	h := pick(t, w.hosts...)
 	var o *operator
 	if len(w.operators) > 0 {
@@ -182,9 +183,9 @@
 	case n < 28:
 		w.now += pick(t, 10*time.Millisecond, time.Second, 4*time.Second, 11900*time.Millisecond, 13*time.Second)
 	case n < 36:
-		w.read(h)
+		w.startHeadRead(h)
 	case n < 44:
-		w.work(h)
+		w.startWork(h)
 	case n < 50:
 		w.serveOne(t)
 	case n < 56:
@@ -194,7 +195,7 @@
 	case n < 68:
 		w.renew(t, h, pick(t, w.hosts...))
 	case n < 74:
-		w.message(h, pick(t, w.hosts...))
+		w.sendMessage(h, pick(t, w.hosts...))
 	case n < 78:
 		h.cut = !h.cut
 	case n < 80:
@@ -204,10 +205,10 @@
 	case n < 85:
 		w.startOperator(t)
 	case n < 86:
-		w.burst(t)
+		w.skipRevisions(t)
 	case o == nil:
 	case n < 96:
-		w.step(o)
+		w.stepOperator(o)
 	case n < 98:
 		o.dead = true
 	default:
@@ -215,9 +216,9 @@
 	}
 }
 
-// burst stands for other operators who stage and withdraw until the numbers
-// come round to the slots in use.
-func (w *world) burst(t *rapid.T) {
+// skipRevisions simulates other operators that stage and withdraw revisions until the revision
+// numbers wrap around to the slots in use.
+func (w *simulation) skipRevisions(t *rapid.T) {
 	if w.head.Staged != nil {
 		return
 	}
@@ -225,14 +226,14 @@
 	w.version++
 }
 
-func (w *world) verify(t *rapid.T) {
+func (w *simulation) verify(t *rapid.T) {
 	w.check()
-	if w.fault != "" {
-		t.Fatalf("%s\n%s", w.fault, w.story())
+	if w.failure != "" {
+		t.Fatalf("%s\n%s", w.failure, w.traceText())
 	}
 }
 
-func (w *world) serveOne(t *rapid.T) {
+func (w *simulation) serveOne(t *rapid.T) {
 	if len(w.calls) == 0 {
 		return
 	}
@@ -246,7 +247,7 @@
 	}
 }
 
-func (w *world) answerOne(t *rapid.T) {
+func (w *simulation) answerOne(t *rapid.T) {
 	if len(w.calls) == 0 {
 		return
 	}
@@ -257,8 +258,8 @@
 	}
 }
 
-// loseOne fails a call at its caller; one that wasn't served may be served later.
-func (w *world) loseOne(t *rapid.T) {
+// loseOne fails a call for its caller. If the call wasn't served yet, it may be served later.
+func (w *simulation) loseOne(t *rapid.T) {
 	if len(w.calls) == 0 {
 		return
 	}
@@ -273,19 +274,19 @@
 	}
 }
 
-// renew lets a host that is cut off ask a peer.
-func (w *world) renew(t *rapid.T, a, b *host) {
+// renew makes host a renew its lease by a claim of host b, with delays on both ways.
+func (w *simulation) renew(t *rapid.T, a, b *host) {
 	sent := a.clock.at(w.now)
 	w.now += pick(t, 0, time.Millisecond, 3*time.Second)
 	c, ok := b.state.Claim(b.clock.at(w.now))
 	w.now += pick(t, 0, time.Millisecond, 3*time.Second)
 	if ok && !a.dead && !b.dead {
 		a.state.Renew(c, sent, a.clock.at(w.now))
-		w.note("host %s/%s renewed by %s/%s: %+v", a.name, a.id, b.name, b.id, c)
+		w.record("host %s/%s renewed by %s/%s: %+v", a.name, a.id, b.name, b.id, c)
 	}
 }
 
-func (w *world) progress(t *rapid.T) {
+func (w *simulation) progress(t *rapid.T) {
 	for range pick(t, 1, 2, 3, 5, 20) {
 		w.now += pick(t, time.Millisecond, time.Millisecond, 500*time.Millisecond)
 		w.round()
@@ -293,36 +294,37 @@
 	}
 }
 
-// settle ends all faults; everything must come to rest in force everywhere.
-func (w *world) settle(t *rapid.T) {
+// settle ends all faults and applies a last file, which must come into force and be confirmed on
+// every host.
+func (w *simulation) settle(t *rapid.T) {
 	for _, o := range w.operators {
 		o.dead = true
 	}
 	for _, h := range w.hosts {
 		h.cut = false
 	}
-	w.arrange()
+	w.assignRelays()
 	w.hosts = append(w.hosts, &host{name: "fresh", id: "fresh", clock: clock{rate: 1000}, files: map[declarer.Revision]string{}})
 	w.runToEnd(t, &operator{Operator: applier.Operator{Mode: applier.Withdraw, ID: "withdraw"}})
 	o := &operator{Operator: applier.Operator{Mode: applier.Apply, ID: "last", HasFile: true}}
 	o.Entry.Digest = w.digest("last")
 	w.runToEnd(t, o)
 	if o.result.Outcome != applier.InForce {
-		t.Fatalf("the last apply ended as %+v\n%s", o.result, w.story())
+		t.Fatalf("the last apply ended as %+v\n%s", o.result, w.traceText())
 	}
 	for range 100 {
-		if w.rested() {
+		if w.allConfirmed() {
 			return
 		}
 		w.now += 100 * time.Millisecond
 		w.round()
 		w.verify(t)
 	}
-	t.Fatalf("not every host stands confirmed in the end\n%s", w.story())
+	t.Fatalf("not every host is confirmed at the end\n%s", w.traceText())
 }
 
-// runToEnd lets an operator work until it has a result.
-func (w *world) runToEnd(t *rapid.T, o *operator) {
+// runToEnd adds the operator o and runs the simulation until o has a result.
+func (w *simulation) runToEnd(t *rapid.T, o *operator) {
 	o.clock = clock{rate: 1000}
 	w.operators = append(w.operators, o)
 	for range 400 {
@@ -333,21 +335,20 @@
 		w.round()
 		w.verify(t)
 	}
-	t.Fatalf("operator %s doesn't come to an end\n%s", o.ID, w.story())
+	t.Fatalf("operator %s doesn't finish\n%s", o.ID, w.traceText())
 }
 
-// rested reports whether every host decides by the accepted revision and knows it.
-func (w *world) rested() bool {
+// allConfirmed reports whether every live host has its revision confirmed.
+func (w *simulation) allConfirmed() bool {
 	return !slices.ContainsFunc(w.hosts, func(h *host) bool {
 		return !h.dead && h.state.Standing(h.clock.at(w.now)) != adopter.Confirmed
 	})
 }
 
-// Operators race, stop at any step or give up; hosts die, restart, are paused
-// or cut off and come back with an old revision; calls and answers are lost or
-// come late, and every clock has its own offset and rate. Callers would notice
-// two hosts treating one request differently, or a limit that was raised and
-// falls back; an operator would be told something that isn't so.
+// Operators race, stop at any step or abort; hosts fail, restart, are paused or cut off and return
+// with an old revision; calls and answers are lost or late, and every clock has its own offset and
+// rate. A fault would show as two hosts handling one request by different files, as a host whose
+// revision goes down, or as a wrong result reported to an operator.
 func TestNeverHalfInForce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld()
@@ -355,27 +356,27 @@
 			w.startHost(t)
 		}
 		for range 200 {
-			w.act(t)
+			w.randomAction(t)
 			w.verify(t)
 		}
 		w.settle(t)
 	})
 }
 
-// Each of these seeds showed a fault once: a host that had acknowledged lost its
-// object; one moved up by a peer kept believing it was registered; a host that
-// had come back lost its object to an operator who hadn't noticed a withdrawal.
+// Each of these seeds reproduces a fault: a host that had acknowledged lost its object; a host that
+// moved up because of a peer still assumed that it was registered; a host that had returned lost
+// its object to an operator that hadn't observed a withdrawal.
 func TestSeedsThatShowedFaults(t *testing.T) {
 	for _, s := range []string{"142312", "5781777", "25529162"} {
 		t.Run(s, func(t *testing.T) {
-			setForTest(t, "rapid.seed", s)
-			setForTest(t, "rapid.checks", "1")
+			setFlag(t, "rapid.seed", s)
+			setFlag(t, "rapid.checks", "1")
 			TestNeverHalfInForce(t)
 		})
 	}
 }
 
-func setForTest(t *testing.T, name, value string) {
+func setFlag(t *testing.T, name, value string) {
 	t.Helper()
 	before := flag.Lookup(name).Value.String()
 	if err := flag.Set(name, value); err != nil {
--- a/internal/config/applier/relay_test.go
+++ b/internal/config/applier/relay_test.go
@@ -15,19 +15,20 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// relay is what a host of the world does for others, or has done by others.
-type relay struct {
-	summary summarizer.State
-	// relayed says that the host follows and reports through others.
-	relayed  bool
-	asking   int
-	sequence uint64
-	claims   int
-	storedAt time.Duration
+// relayState holds a simulated host's state as a relay and as a host that uses relays.
+type relayState struct {
+	memberState summarizer.State
+	// relayed says that the host follows the configuration and reports through relays.
+	relayed bool
+	// questions is the number of outstanding questions.
+	questions int
+	sequence  uint64
+	claims    int
+	storedAt  time.Duration
 }
 
-// maximumWaits is how many rounds a relay holds a question back at most.
-const maximumWaits = 4
+// maximumHeldRounds is the maximum number of rounds for which a relay holds a question.
+const maximumHeldRounds = 4
 
 func (h *host) registrar() string {
 	return fmt.Sprintf("%s/%s/%d", h.name, h.id, h.claims)
@@ -45,29 +46,30 @@
 		own = true
 	}
 	r, _ := h.state.Report()
-	d, wait := h.summary.Due(r.Ready, r.InForce, own, now)
+	d, wait := h.memberState.Due(r.Ready, r.InForce, own, now)
 	return d || wait > 0
 }
 
-// take makes the object o this host's own, with the members that it holds.
-func (h *host) take(o encoder.Holder, now time.Duration) {
+// takeObject makes o the host's own object and adopts its members if the former owner left it.
+func (h *host) takeObject(o encoder.Holder, now time.Duration) {
 	h.claims++
-	h.summary.Self = h.member()
-	h.summary.Reset()
+	h.memberState.Self = h.member()
+	h.memberState.Reset()
 	if o.Left && !o.Retired {
-		h.summary.ReadBack(o.Members, now)
+		h.memberState.ReadBack(o.Members, now)
 	}
 }
 
-// store takes in that h's object was written.
-func (h *host) store(r adopter.Report, sent, now time.Duration) {
-	h.summary.CompletePut()
+// completeReport records that h's object was written with the report r.
+func (h *host) completeReport(r adopter.Report, sent, now time.Duration) {
+	h.memberState.CompletePut()
 	h.storedAt = now
 	h.state.ProcessReceipt(adopter.Receipt{Report: r, AskedAt: sent, Fresh: true}, now)
 }
 
-// leave frees the object of a host that reports through another one by now.
-func (w *world) leave(h *host) bool {
+// leaveObject starts a put that frees h's own object if h is registered through a relay. It reports
+// whether it did.
+func (w *simulation) leaveObject(h *host) bool {
 	id, ok := h.state.Registrar()
 	if !h.relayed || !ok || id == "" || h.object == "" {
 		return false
@@ -75,31 +77,31 @@
 	o := w.holders[h.object]
 	o.Version = h.version
 	o.Holder.Left = true
-	o.Holder.Retired = h.summary.Members() == 0
+	o.Holder.Retired = h.memberState.Members() == 0
 	done := false
-	h.working = w.send(&call{
+	h.pendingCall = w.send(&call{
 		serve: func() { _, done = w.putHolder(o) },
 		answer: func(lost bool) {
-			h.working = nil
+			h.pendingCall = nil
 			if lost || !done {
 				w.readBack(h)
 				return
 			}
 			h.object = ""
-			h.summary.Reset()
-			w.note("host %s/%s left its object", h.name, h.id)
+			h.memberState.Reset()
+			w.record("host %s/%s freed its object", h.name, h.id)
 		},
 	})
 	return true
 }
 
-// ask has a ask b as its relay: one call takes the question there, and another
-// one the answer back, which b makes at some later moment.
-func (w *world) ask(a, b *host) {
-	if a.dead || a == b || a.asking >= 2 {
+// askHost makes host a send its relay b a question. One call carries the question, and a second one
+// the answer, which b makes at some later time.
+func (w *simulation) askHost(a, b *host) {
+	if a.dead || a == b || a.questions >= 2 {
 		return
 	}
-	a.asking++
+	a.questions++
 	a.sequence++
 	asked, n := a.clock.at(w.now), a.sequence
 	m, known := a.member(), a.state.Version
@@ -110,23 +112,23 @@
 	c.serve = func() {
 		arrived = b.clock.at(w.now)
 		if !b.dead && b.object != "" {
-			b.summary.AddReport(m, n, !fresh && id == b.registrar(), arrived)
+			b.memberState.AddReport(m, n, !fresh && id == b.registrar(), arrived)
 		}
 	}
 	c.answer = func(lost bool) {
-		a.asking--
+		a.questions--
 		if !lost && !b.dead {
-			a.asking++
-			w.send(w.reply(a, b, question{member: m, receipt: adopter.Receipt{AskedAt: asked, Fresh: fresh}, known: known, arrived: arrived}))
+			a.questions++
+			w.send(w.reply(a, b, relayQuestion{member: m, receipt: adopter.Receipt{AskedAt: asked, Fresh: fresh}, known: known, arrived: arrived}))
 		}
 	}
 	w.send(c)
 }
 
-// forget tells b that a, which has no question under way, isn't registered there
-// any more.
-func (w *world) forget(a, b *host) {
-	if id, ok := a.state.Registrar(); a.asking > 0 || a == b || ok && strings.HasPrefix(id, b.name+"/") {
+// leaveRelay makes a, if it has no outstanding question and isn't registered at b, send b a message
+// that it leaves.
+func (w *simulation) leaveRelay(a, b *host) {
+	if id, ok := a.state.Registrar(); a.questions > 0 || a == b || ok && strings.HasPrefix(id, b.name+"/") {
 		return
 	}
 	a.sequence++
@@ -134,15 +136,15 @@
 	w.send(&call{
 		serve: func() {
 			if !b.dead {
-				b.summary.RemoveMember(m, n, b.clock.at(w.now))
+				b.memberState.RemoveMember(m, n, b.clock.at(w.now))
 			}
 		},
 		answer: func(bool) {},
 	})
 }
 
-// answer is what a relay answers.
-type answer struct {
+// relayAnswer is a relay's answer to a relayQuestion.
+type relayAnswer struct {
 	sight     adopter.Sight
 	seen      bool
 	held      encoder.HostReport
@@ -151,42 +153,42 @@
 	confirmed bool
 }
 
-// question is what a host asked its relay.
-type question struct {
+// relayQuestion is a host's question to its relay.
+type relayQuestion struct {
 	member  encoder.HostReport
 	receipt adopter.Receipt
 	known   accessor.Version
-	// arrived is when the question came, by the relay's clock.
+	// arrived is when the question arrived, on the relay's clock.
 	arrived time.Duration
 }
 
-func (w *world) reply(a, b *host, q question) *call {
-	var y answer
+func (w *simulation) reply(a, b *host, q relayQuestion) *call {
+	var y relayAnswer
 	waits := 0
 	return &call{
-		waits: func() bool {
+		heldBack: func() bool {
 			waits++
-			return waits < maximumWaits && b.object != "" && !b.summary.CanAnswer(q.member)
+			return waits < maximumHeldRounds && b.object != "" && !b.memberState.CanAnswer(q.member)
 		},
 		serve: func() {
 			t := b.clock.at(w.now)
 			y.sight, y.seen = b.state.Sight(q.known, t)
-			y.held, y.isHeld = b.summary.Held(q.member)
+			y.held, y.isHeld = b.memberState.Held(q.member)
 			y.registrar = b.registrar()
 			y.confirmed = y.sight.Age <= t-b.storedAt
 			y.sight = y.sight.AsOfArrival(t - q.arrived)
 		},
 		answer: func(lost bool) {
-			a.asking--
+			a.questions--
 			if !lost {
-				w.hear(a, y, q.receipt)
+				w.observeAnswer(a, y, q.receipt)
 			}
 		},
 	}
 }
 
-// hear has a take in a relay's answer.
-func (w *world) hear(a *host, y answer, x adopter.Receipt) {
+// observeAnswer makes host a process a relay's answer.
+func (w *simulation) observeAnswer(a *host, y relayAnswer, x adopter.Receipt) {
 	now := a.clock.at(w.now)
 	x.Registrar = y.registrar
 	x.Report = adopter.Report{Ready: y.held.Ready, InForce: y.held.InForce, Refused: y.held.Refused}
@@ -201,26 +203,26 @@
 	}
 	if y.seen {
 		if y.sight.Head != nil {
-			a.hold(*y.sight.Head)
+			a.recordHead(*y.sight.Head)
 		}
 		a.state.ObserveSight(y.sight, x.AskedAt, now)
 	}
-	w.note("host %s/%s heard %+v", a.name, a.id, y)
+	w.record("host %s/%s received %+v", a.name, a.id, y)
 }
 
-// askRelay has a relayed host ask the first host that could be its relay.
-func (w *world) askRelay(h *host) {
+// askRelay makes a relayed host send a question to the first host that can be its relay.
+func (w *simulation) askRelay(h *host) {
 	if !h.relayed {
 		return
 	}
 	i := slices.IndexFunc(w.hosts, func(x *host) bool { return !x.dead && !x.relayed && x != h })
 	if i >= 0 {
-		w.ask(h, w.hosts[i])
+		w.askHost(h, w.hosts[i])
 	}
 }
 
-// arrange leaves two hosts to be relays and has the others report through them.
-func (w *world) arrange() {
+// assignRelays makes the first settledRelays live hosts relays, through which the others report.
+func (w *simulation) assignRelays() {
 	if !w.relays {
 		return
 	}
@@ -230,22 +232,22 @@
 		if !h.dead {
 			n++
 		}
-		h.relayed = n > summarizedRelays
+		h.relayed = n > settledRelays
 	}
 }
 
-// summarizedRelays is how many hosts report themselves in the end.
-const summarizedRelays = 2
+// settledRelays is the number of relays while the simulation settles.
+const settledRelays = 2
 
-// actRelayed takes one action at random among hosts that may report through each other.
-func (w *world) actRelayed(t *rapid.T) {
+// randomRelayedAction takes one action at random in a simulation with relays.
+func (w *simulation) randomRelayedAction(t *rapid.T) {
 	switch n := uniform(t, 100); {
 	case n < 25:
-		w.ask(pick(t, w.hosts...), pick(t, w.hosts...))
+		w.askHost(pick(t, w.hosts...), pick(t, w.hosts...))
 	case n < 28:
-		w.forget(pick(t, w.hosts...), pick(t, w.hosts...))
+		w.leaveRelay(pick(t, w.hosts...), pick(t, w.hosts...))
 	case n < 38:
-		w.outlast(t)
+		w.runOperatorAlone(t)
 	case n < 41:
 		n := pick(t, w.hosts...).name
 		w.unlisted[n] = !w.unlisted[n]
@@ -253,20 +255,20 @@
 		h := pick(t, w.hosts...)
 		h.relayed = !h.relayed
 	default:
-		w.act(t)
+		w.randomAction(t)
 	}
 }
 
-// outlast has an operator go on while most of the others stand still, so that it
-// comes to take hosts out that are alive, as an operator does whose host list lags.
-func (w *world) outlast(t *rapid.T) {
+// runOperatorAlone runs an operator while most hosts make no progress, so that it removes live hosts,
+// as an operator with an outdated host list does.
+func (w *simulation) runOperatorAlone(t *rapid.T) {
 	w.startOperator(t)
 	if len(w.operators) == 0 {
 		return
 	}
 	o := pick(t, w.operators[max(0, len(w.operators)-2):]...)
 	for range pick(t, 4, 8, 16) {
-		w.step(o)
+		w.stepOperator(o)
 		if c := o.call; c != nil {
 			if !c.served {
 				c.serve()
@@ -275,21 +277,21 @@
 			c.answer(false)
 		}
 		w.verify(t)
-		w.stir(t)
+		w.progressOneHost(t)
 		w.now += pick(t, 0, 0, 0, time.Millisecond, 2*time.Second, 13300*time.Millisecond)
 	}
 }
 
-// stir has one host do one thing, or one call come through.
-func (w *world) stir(t *rapid.T) {
+// progressOneHost makes one host take one step, or serves and answers one call each.
+func (w *simulation) progressOneHost(t *rapid.T) {
 	h := pick(t, w.hosts...)
 	switch uniform(t, 8) {
 	case 0:
-		w.ask(h, pick(t, w.hosts...))
+		w.askHost(h, pick(t, w.hosts...))
 	case 1:
-		w.work(h)
+		w.startWork(h)
 	case 2:
-		w.read(h)
+		w.startHeadRead(h)
 	case 3, 4:
 		w.serveOne(t)
 		w.answerOne(t)
@@ -297,12 +299,11 @@
 	w.verify(t)
 }
 
-// Hosts follow the configuration and acknowledge through relays. A relay dies, is
-// paused, is cut off from the platform or from its zone, loses its object without
-// noticing, or is one of several; hosts change their relays, ask two at once, go
-// back to the platform, and are replaced under their names. Callers would notice
-// two hosts treating one request differently, because a revision was accepted
-// without a host that went on in good faith.
+// Hosts follow the configuration and acknowledge through relays. A relay fails, is paused, is cut off
+// from the platform or from its zone, loses its object without detecting it, or is one of several;
+// hosts change relays, use two at once, return to the platform, and are replaced under the same
+// names. A fault would show as two hosts handling one request by different files, because a revision
+// was accepted without a host that still assumed it was registered.
 func TestNeverHalfInForceThroughRelays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld()
@@ -312,7 +313,7 @@
 			w.startHost(t)
 		}
 		for range 150 {
-			w.actRelayed(t)
+			w.randomRelayedAction(t)
 			w.verify(t)
 		}
 		w.settle(t)
--- a/internal/config/applier/step.go
+++ b/internal/config/applier/step.go
@@ -7,8 +7,8 @@
 	"github.com/cuminwick/cuminwick/internal/config/encoder"
 )
 
-// Next returns the next step at now. It depends on nothing but what was seen,
-// so another operator can go on where this one was interrupted.
+// Next returns the next step at now. It depends only on what was observed, so another operator can
+// continue where this one was interrupted.
 func (o *Operator) Next(now time.Duration) Step {
 	switch {
 	case !o.headKnown:
@@ -18,13 +18,13 @@
 	case o.head.Staged != nil && o.head.Staged.ID == o.ID:
 		return o.whileStaged(now)
 	case o.stagedSeen:
-		return o.done(Result{Outcome: Withdrawn, Reason: o.withdrawal(), Entry: o.staged})
+		return o.done(Result{Outcome: Withdrawn, Reason: o.withdrawalReason(), Entry: o.staged})
 	case o.head.Staged != nil:
 		return o.done(Result{Outcome: Conflict, Reason: "another configuration is being applied", Entry: *o.head.Staged})
 	case o.Mode != Apply:
 		return o.done(Result{Outcome: NothingStaged, Reason: "nothing is staged", Entry: o.head.Latest()})
 	case o.abort:
-		return o.giveUp()
+		return o.abortBeforeStaging()
 	}
 	return o.stage()
 }
@@ -34,19 +34,19 @@
 	return Step{Action: Done, Result: r}
 }
 
-// withdrawal says why the staged revision isn't there any more.
-func (o *Operator) withdrawal() string {
+// withdrawalReason returns why the revision that was staged has been withdrawn.
+func (o *Operator) withdrawalReason() string {
 	if o.reason != "" {
 		return o.reason
 	}
 	return "withdrawn by another operator"
 }
 
-// giveUp ends before anything was staged. A put that is still under way could
-// stage the revision after all, so the head is written once more: the put then
-// finds another version than the one it was based on.
-func (o *Operator) giveUp() Step {
-	if o.hasDoubtful && o.doubtful == o.headVersion {
+// abortBeforeStaging ends the run before anything was staged. If a put of unknown outcome could
+// still stage the revision, the head is written once more first: the late put then fails because
+// the version that it was based on has changed.
+func (o *Operator) abortBeforeStaging() Step {
+	if o.hasUncertainPut && o.uncertainPutBase == o.headVersion {
 		h := o.head
 		h.Highest = encoder.Next(o.head)
 		return o.putHead(h)
@@ -58,8 +58,8 @@
 	return Step{Action: PutHead, Head: h, Version: o.headVersion}
 }
 
-// stage puts the file forward, unless the configuration has moved on since the
-// file was edited.
+// stage returns the put of the head that stages the revision, or a conflict if another revision
+// was accepted since the file was edited.
 func (o *Operator) stage() Step {
 	if o.CheckBase && o.head.Accepted != o.Base {
 		return o.done(Result{Outcome: Conflict, Reason: "another configuration came into force since the file was edited", Entry: o.head.Latest()})
@@ -75,15 +75,16 @@
 	return o.putHead(h)
 }
 
-// whileStaged stores the file, gathers acknowledgements and accepts.
+// whileStaged returns the next step while the revision is staged: store the file, wait for the
+// hosts' acknowledgements, then accept the revision.
 func (o *Operator) whileStaged(now time.Duration) Step {
 	if o.Mode == Withdraw {
-		o.giveBack("withdrawn")
+		o.requestWithdrawal("withdrawn")
 	}
 	if o.abort {
 		return o.withdraw()
 	}
-	if o.left {
+	if o.leaveStaged {
 		return o.done(Result{Outcome: LeftStaged, Reason: o.reason, Entry: o.staged})
 	}
 	if !o.bodyStored {
@@ -93,37 +94,36 @@
 		return Step{Action: ReadHolders}
 	}
 	if h, ok := o.refusal(); ok {
-		o.giveBack("host " + h.Host + " refused it: " + h.Reason)
+		o.requestWithdrawal("host " + h.Host + " refused it: " + h.Reason)
 		return o.withdraw()
 	}
 	missing := o.missing(o.acknowledged)
 	switch {
 	case len(missing) == 0:
 		return o.accept()
-	case now-o.listedAt >= o.lapse():
-		return o.withoutMissing(missing, now)
+	case now-o.holdersFirstListedAt >= o.acknowledgementTimeout():
+		return o.proceedWithoutMissing(missing, now)
 	}
 	return Step{Action: Wait}
 }
 
-// withoutMissing goes on without the hosts whose lease has run out. A revision
-// that no host at all has acknowledged isn't accepted, or it would be in force
-// nowhere.
+// proceedWithoutMissing accepts the revision without the hosts whose lease has expired. A revision
+// that no host has acknowledged isn't accepted, as it would be in force nowhere.
 //
-// The revision must have been staged for the whole lapse since the hosts' objects
-// were listed first, and still when they were listed last. Had it been withdrawn in between, a host could have
-// been confirmed since, and would not notice that it lost its object.
-func (o *Operator) withoutMissing(missing []encoder.Holder, now time.Duration) Step {
-	if !o.headLater || o.headSent < o.listedAt+o.lapse() {
+// The revision must have been staged without interruption from the first listing of the hosts'
+// objects until after the last one, for at least the acknowledgement timeout. If it was withdrawn
+// in between, a host may have been confirmed since and would not detect that it lost its object.
+func (o *Operator) proceedWithoutMissing(missing []encoder.Holder, now time.Duration) Step {
+	if !o.headAfterHolders || o.headSent < o.holdersFirstListedAt+o.acknowledgementTimeout() {
 		return Step{Action: ReadHead}
 	}
-	if s, ok := o.free(missing, now); ok {
+	if s, ok := o.removeGoneHosts(missing, now); ok {
 		return s
 	}
-	if len(missing) == len(o.active()) {
+	if len(missing) == len(o.activeHosts()) {
 		return Step{Action: Wait}
 	}
-	o.lapsed = starts(missing)
+	o.timedOut = incarnationsOf(missing)
 	return o.accept()
 }
 
@@ -138,7 +138,7 @@
 		return Step{Action: ReadBody, Revision: o.staged.Revision}
 	}
 	if !o.HasFile {
-		o.giveBack("its operator stopped before storing the file")
+		o.requestWithdrawal("its operator stopped before storing the file")
 		return o.withdraw()
 	}
 	return Step{Action: PutBody, Revision: o.staged.Revision, Version: o.slotVersion}
@@ -155,20 +155,20 @@
 	return o.putHead(h)
 }
 
-// afterAcceptance waits until every host has told that it decides by the
-// revision, or until those that don't are known to be cut off.
+// afterAcceptance waits until every host reports the revision in force, or until the leases of
+// those that don't have expired.
 func (o *Operator) afterAcceptance(now time.Duration) Step {
 	if !o.holdersKnown || o.holdersSent < o.acceptedAt {
 		return Step{Action: ReadHolders}
 	}
-	missing := o.missing(o.told)
+	missing := o.missing(o.reportedInForce)
 	if len(missing) == 0 {
 		return o.done(Result{Outcome: InForce, Entry: o.staged})
 	}
-	if o.abort || o.left {
+	if o.abort || o.leaveStaged {
 		return o.done(Result{Outcome: Accepted, Reason: o.reason, Entry: o.staged, Missing: missing})
 	}
-	if now-o.acceptedAt < o.lapse() && !o.allLapsed(missing) {
+	if now-o.acceptedAt < o.acknowledgementTimeout() && !o.allTimedOut(missing) {
 		return Step{Action: Wait}
 	}
 	return o.done(Result{Outcome: Accepted, Reason: "some hosts don't answer", Entry: o.staged, Missing: missing})
--- a/internal/config/applier/world_test.go
+++ b/internal/config/applier/world_test.go
@@ -14,10 +14,10 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// clock is one actor's own clock, with an offset and a rate of its own.
+// clock is the clock of one host or operator, with its own offset and rate.
 type clock struct {
 	offset time.Duration
-	// rate is how far the clock goes in a thousand units of true time.
+	// rate is by how much the clock advances in a thousand units of true time.
 	rate time.Duration
 }
 
@@ -25,19 +25,19 @@
 	return c.offset + t*c.rate/1000
 }
 
-// call is one call to the store on its way: it is served at some moment, and
-// its answer arrives later or never.
+// call is an outstanding call to the store or a host: it is served at some time, and its answer
+// arrives later or is lost.
 type call struct {
 	serve  func()
 	answer func(lost bool)
 	served bool
-	// waits says that whoever serves the call isn't ready to, unless it is nil.
-	waits func() bool
-	// orphan has no caller any more; it may still be served.
+	// heldBack reports whether the server holds the call back; nil if it never does.
+	heldBack func() bool
+	// orphan says that the call has failed for its caller; it may still be served.
 	orphan bool
 }
 
-// event is one line of the trace, put into words only if it is needed.
+// event is one line of the trace, formatted only if a test fails.
 type event struct {
 	at        time.Duration
 	format    string
@@ -51,20 +51,20 @@
 }
 
 type host struct {
-	name    string
-	id      string
-	clock   clock
-	state   adopter.State
-	files   map[declarer.Revision]string
-	object  string
-	version accessor.Version
-	dead    bool
-	cut     bool
-	reading int
-	working *call
-	highest declarer.Revision
-	relay
-	taker
+	name        string
+	id          string
+	clock       clock
+	state       adopter.State
+	files       map[declarer.Revision]string
+	object      string
+	version     accessor.Version
+	dead        bool
+	cut         bool
+	headReads   int
+	pendingCall *call
+	highest     declarer.Revision
+	relayState
+	changeState
 }
 
 type operator struct {
@@ -76,8 +76,8 @@
 	result *applier.Result
 }
 
-// world is a plain fake of the store, the hosts, the operators and true time.
-type world struct {
+// simulation is a deterministic simulation of the store, the hosts, the operators and true time.
+type simulation struct {
 	now       time.Duration
 	head      encoder.Head
 	version   accessor.Version
@@ -86,40 +86,40 @@
 	hosts     []*host
 	operators []*operator
 	calls     []*call
-	// accepted holds the digest of every revision that was ever accepted.
+	// accepted holds the entry of every revision that was ever accepted.
 	accepted map[declarer.Revision]encoder.Entry
-	// names counts the names given to hosts' objects.
-	names int
-	fault string
-	// relays says that hosts may follow and report through each other.
+	// objectCount is the number of objects created for hosts; it provides their names.
+	objectCount int
+	failure     string
+	// relays says that hosts may use each other as relays.
 	relays bool
-	// changes says that files may travel as changes.
+	// changes says that files may be sent as changes.
 	changes bool
-	// unlisted names hosts that the lagging host list lacks.
+	// unlisted holds the names of live hosts that the outdated host list lacks.
 	unlisted map[string]bool
-	// trace tells what happened, for the reader of a failure.
+	// trace holds the events so far; it is printed if a test fails.
 	trace []event
 }
 
-func newWorld() *world {
-	return &world{
+func newWorld() *simulation {
+	return &simulation{
 		bodies:   map[string]body{},
 		holders:  map[string]applier.HolderObject{},
 		accepted: map[declarer.Revision]encoder.Entry{},
 	}
 }
 
-func (w *world) fail(format string, a ...any) {
-	if w.fault == "" {
-		w.fault = fmt.Sprintf(format, a...)
+func (w *simulation) fail(format string, a ...any) {
+	if w.failure == "" {
+		w.failure = fmt.Sprintf(format, a...)
 	}
 }
 
-func (w *world) note(format string, a ...any) {
+func (w *simulation) record(format string, a ...any) {
 	w.trace = append(w.trace, event{w.now, format, a})
 }
 
-func (w *world) story() string {
+func (w *simulation) traceText() string {
 	var s strings.Builder
 	for _, e := range w.trace {
 		fmt.Fprintf(&s, "%10s %s\n", e.at, fmt.Sprintf(e.format, e.arguments...))
@@ -127,17 +127,17 @@
 	return s.String()
 }
 
-func (w *world) send(c *call) *call {
+func (w *simulation) send(c *call) *call {
 	w.calls = append(w.calls, c)
 	return c
 }
 
-func (w *world) remove(c *call) {
+func (w *simulation) remove(c *call) {
 	w.calls = slices.DeleteFunc(w.calls, func(x *call) bool { return x == c })
 }
 
 // putHead is the store's conditional put; it records what was accepted.
-func (w *world) putHead(h encoder.Head, v accessor.Version) bool {
+func (w *simulation) putHead(h encoder.Head, v accessor.Version) bool {
 	if v != w.version {
 		return false
 	}
@@ -152,23 +152,23 @@
 	}
 	w.head = h
 	w.version++
-	w.note("store: head %d accepted %d staged %v", w.version, h.Accepted, h.Staged)
+	w.record("store: head %d accepted %d staged %v", w.version, h.Accepted, h.Staged)
 	return true
 }
 
-func (w *world) putHolder(o applier.HolderObject) (accessor.Version, bool) {
+func (w *simulation) putHolder(o applier.HolderObject) (accessor.Version, bool) {
 	if w.holders[o.Name].Version != o.Version {
 		return 0, false
 	}
 	o.Version++
 	w.holders[o.Name] = o
-	w.note("store: holder %s version %d %+v", o.Name, o.Version, o.Holder)
+	w.record("store: holder %s version %d %+v", o.Name, o.Version, o.Holder)
 	return o.Version, true
 }
 
-// read starts a host's reading of the head.
-func (w *world) read(h *host) {
-	if h.dead || h.reading >= 2 {
+// startHeadRead starts a host's read of the head.
+func (w *simulation) startHeadRead(h *host) {
+	if h.dead || h.headReads >= 2 {
 		return
 	}
 	sent := h.clock.at(w.now)
@@ -177,44 +177,44 @@
 	c := &call{}
 	c.serve = func() { d, v = w.head, w.version }
 	c.answer = func(lost bool) {
-		h.reading--
+		h.headReads--
 		if !lost {
-			h.hold(d)
+			h.recordHead(d)
 			h.state.ObserveHead(d, v, sent, h.clock.at(w.now))
-			w.note("host %s/%s saw head %d", h.name, h.id, v)
+			w.record("host %s/%s observed head %d", h.name, h.id, v)
 		}
 	}
-	h.reading++
+	h.headReads++
 	w.send(c)
 }
 
-// work starts a host's next fetch or report.
-func (w *world) work(h *host) {
-	if h.dead || h.working != nil || w.leave(h) {
+// startWork starts a host's next fetch or report.
+func (w *simulation) startWork(h *host) {
+	if h.dead || h.pendingCall != nil || w.leaveObject(h) {
 		return
 	}
 	if r := h.state.Wanted(); r != 0 {
 		if !w.fetchChange(h, r) {
-			h.working = w.send(w.fetch(h, r))
+			h.pendingCall = w.send(w.fetch(h, r))
 		}
 		return
 	}
 	if r, due := h.state.Report(); !h.relayed && h.due(due, h.clock.at(w.now)) {
-		h.working = w.send(w.report(h, r))
+		h.pendingCall = w.send(w.report(h, r))
 	}
 }
 
-func (w *world) fetch(h *host, r declarer.Revision) *call {
+func (w *simulation) fetch(h *host, r declarer.Revision) *call {
 	var b body
 	return &call{
 		serve: func() { b = w.bodies[encoder.Slot(r)] },
 		answer: func(lost bool) {
-			h.working = nil
+			h.pendingCall = nil
 			if lost || b.revision != r {
 				return
 			}
 			if w.changes {
-				h.keep(r, string(documents[b.digest].Text()))
+				h.storeFile(r, string(documentsByDigest[b.digest].Text()))
 				return
 			}
 			h.files[r] = b.digest
@@ -223,42 +223,42 @@
 	}
 }
 
-// claim picks a retired object or a new one for a host that has none.
-func (w *world) claim(h *host) {
+// claim assigns a free object or a new one to a host that has none.
+func (w *simulation) claim(h *host) {
 	for _, n := range slices.Sorted(maps.Keys(w.holders)) {
 		if o := w.holders[n].Holder; o.Retired || o.Left {
 			h.object = n
 			h.version = w.holders[n].Version
-			h.take(o, h.clock.at(w.now))
+			h.takeObject(o, h.clock.at(w.now))
 			return
 		}
 	}
-	w.names++
-	h.object = fmt.Sprint(w.names)
+	w.objectCount++
+	h.object = fmt.Sprint(w.objectCount)
 	h.version = 0
-	h.take(encoder.Holder{}, h.clock.at(w.now))
+	h.takeObject(encoder.Holder{}, h.clock.at(w.now))
 }
 
-// readBack finds out what a put did whose answer was a conflict or was lost.
-func (w *world) readBack(h *host) {
+// readBack reads h's object after a put that conflicted or whose answer was lost.
+func (w *simulation) readBack(h *host) {
 	p := w.holders[h.object]
 	h.version = p.Version
 	h.state.MarkUnregistered()
 	if p.Holder.Retired || p.Holder.Left || p.Holder.Incarnation != h.id {
 		h.object = ""
-		h.summary.Reset()
+		h.memberState.Reset()
 		return
 	}
-	h.summary.ReadBack(p.Holder.Members, h.clock.at(w.now))
+	h.memberState.ReadBack(p.Holder.Members, h.clock.at(w.now))
 }
 
-func (w *world) report(h *host, r adopter.Report) *call {
+func (w *simulation) report(h *host, r adopter.Report) *call {
 	if h.object == "" {
 		w.claim(h)
 	}
 	o := applier.HolderObject{Name: h.object, Version: h.version, Holder: encoder.Holder{
 		Host: h.name, Incarnation: h.id, Ready: r.Ready, InForce: r.InForce,
-		Refused: r.Refused, Reason: r.Reason, Members: h.summary.BeginPut(),
+		Refused: r.Refused, Reason: r.Reason, Members: h.memberState.BeginPut(),
 	}}
 	sent := h.clock.at(w.now)
 	var v accessor.Version
@@ -266,27 +266,27 @@
 	return &call{
 		serve: func() { v, ok = w.putHolder(o) },
 		answer: func(lost bool) {
-			h.working = nil
+			h.pendingCall = nil
 			if lost || !ok {
 				w.readBack(h)
-				w.note("host %s/%s report failed", h.name, h.id)
+				w.record("host %s/%s report failed", h.name, h.id)
 				return
 			}
 			h.version = v
-			h.store(r, sent, h.clock.at(w.now))
-			w.note("host %s/%s reported %+v", h.name, h.id, r)
+			h.completeReport(r, sent, h.clock.at(w.now))
+			w.record("host %s/%s reported %+v", h.name, h.id, r)
 		},
 	}
 }
 
-// step makes an operator's next call.
-func (w *world) step(o *operator) {
+// stepOperator takes an operator's next step.
+func (w *simulation) stepOperator(o *operator) {
 	if o.dead || o.call != nil || o.result != nil {
 		return
 	}
 	t := o.clock.at(w.now)
 	s := o.Next(t)
-	w.note("%s %s: %s %s", o.Mode, o.ID, s.Action, s.Result.Outcome)
+	w.record("%s %s: %s %s", o.Mode, o.ID, s.Action, s.Result.Outcome)
 	switch s.Action {
 	case applier.Wait:
 		o.ObserveWait(t)
@@ -294,11 +294,11 @@
 		o.result = &s.Result
 		w.checkInForce(o)
 	default:
-		o.call = w.send(w.operate(o, s, t))
+		o.call = w.send(w.operatorCall(o, s, t))
 	}
 }
 
-func (w *world) operate(o *operator, s applier.Step, sent time.Duration) *call {
+func (w *simulation) operatorCall(o *operator, s applier.Step, sent time.Duration) *call {
 	c := &call{serve: func() {}}
 	done := func(f func()) func(bool) {
 		return func(lost bool) {
@@ -307,7 +307,7 @@
 				f()
 				return
 			}
-			w.lost(o, s)
+			w.answerLost(o, s)
 		}
 	}
 	switch s.Action {
@@ -318,7 +318,7 @@
 		c.answer = done(func() { o.ObserveHead(h, v, sent, o.clock.at(w.now)) })
 	case applier.PutHead:
 		var ok bool
-		s.Head.Change = w.attach(o, s.Head)
+		s.Head.Change = w.attachChange(o, s.Head)
 		c.serve = func() { ok = w.putHead(s.Head, s.Version) }
 		c.answer = done(func() {
 			if ok {
@@ -366,7 +366,7 @@
 	return c
 }
 
-func (w *world) lost(o *operator, s applier.Step) {
+func (w *simulation) answerLost(o *operator, s applier.Step) {
 	switch s.Action {
 	case applier.ReadHead, applier.PutHead:
 		o.InvalidateHead(s.Action == applier.PutHead)
