--- a/internal/config/adopter/adopter.go
+++ b/internal/config/adopter/adopter.go
@@ -1,4 +1,5 @@
-// Package adopter decides which revision an entry host decides by and what it may say of it.
+// Package adopter is the state machine by which an entry host determines its configuration revision
+// in force and whether that revision is confirmed.
 package adopter
 
 import (
@@ -9,70 +10,73 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// DefaultLease is how long a host calls its revision confirmed after it sent
-// the call by which the platform or a confirmed peer confirmed it.
+// DefaultLease is how long a host's revision is confirmed, counted from when the host sent the call
+// by which the platform or a confirmed peer confirmed it.
 const DefaultLease = 12 * time.Second
 
-// Standing is what a host may say of the revision that it decides by.
+// Standing is the confirmation status of a host's revision in force.
 type Standing string
 
 // Standings of a revision.
 const (
-	// Confirmed means that no other revision can have been accepted without
-	// this host's acknowledgement, as long as its lease lasts.
+	// Confirmed means that, until the lease expires, no other revision can be accepted without this
+	// host's acknowledgement.
 	Confirmed Standing = "confirmed"
-	// Changing means that another revision is staged or accepted and may come
-	// into force at any moment.
+	// Changing means that another revision is staged or accepted and may come into force at any
+	// time.
 	Changing Standing = "changing"
-	// Unconfirmed means that the lease has run out; another revision may be in force.
+	// Unconfirmed means that the lease has expired or the host isn't registered, so another revision
+	// may be in force elsewhere.
 	Unconfirmed Standing = "unconfirmed"
 )
 
-// State is all that a host knows about revisions. It reads no clock: times are
-// on the host's own clock that only moves forward.
+// State holds what a host has observed of the configuration's revisions. It reads no clock: times
+// are on the host's own monotonic clock.
 type State struct {
 	// Lease is how long a confirmation lasts, DefaultLease if unset.
 	Lease time.Duration
-	// DeferredActivation says that whatever decides requests takes up InForce some time after
-	// it has changed, and then tells Decided.
+	// DeferredActivation says that requests are handled by a new InForce only some time after it has
+	// changed, when the caller reports that by MarkActivated.
 	DeferredActivation bool
-	// InForce is the revision that requests are decided by; it never goes down.
+	// InForce is the revision in force on this host; it never decreases.
 	InForce declarer.Revision
-	// Target is the highest revision known to be accepted.
+	// Target is the highest revision that the host has observed to be accepted.
 	Target declarer.Revision
 	// Staged is the revision that may be accepted next, zero if none.
 	Staged declarer.Revision
-	// Version is the version of the latest head seen.
+	// Version is the version of the latest head observed.
 	Version accessor.Version
 
-	// decided is the revision that Decided told of.
-	decided declarer.Revision
-	// ready holds the revisions above InForce whose file is at hand.
+	// activated is the highest revision passed to MarkActivated.
+	activated declarer.Revision
+	// ready holds the revisions above InForce whose file the host has.
 	ready map[declarer.Revision]bool
-	// refused is the staged revision that can't be put in force here.
-	refused     declarer.Revision
-	reason      string
-	toldRefused declarer.Revision
-	// acknowledged is the highest revision whose readiness the platform holds.
+	// refused is the staged revision that can't be put in force here, reason why, and
+	// reportedRefused the refused revision that the platform holds.
+	refused         declarer.Revision
+	reason          string
+	reportedRefused declarer.Revision
+	// acknowledged is the highest revision that the platform holds as ready on this host.
 	acknowledged declarer.Revision
-	// reported is the revision in force that the platform holds.
+	// reported is the revision that the platform holds as in force on this host.
 	reported   declarer.Revision
 	registered bool
-	// registrar is who holds the registration, empty for the host's own object.
+	// registrar identifies the relay whose object registers the host, empty for the host's own
+	// object.
 	registrar string
-	// askedFrom is when the call was sent that registered the host.
-	askedFrom time.Duration
-	// confirmed is when the call was sent that confirmed the head last.
-	confirmed    time.Duration
-	hasConfirmed bool
-	// renewFrom is when the registration was last checked; only a confirmation
-	// that was asked for after it counts.
-	renewFrom time.Duration
-	// head is what the platform showed as Version, in answer to a call that was
-	// sent at seen.
-	head    encoder.Head
-	seen    time.Duration
-	hasSeen bool
+	// registrationAskedAt is when the call that registered the host was sent.
+	registrationAskedAt time.Duration
+	// confirmedAt is when the call was sent that last confirmed the head.
+	confirmedAt  time.Duration
+	wasConfirmed bool
+	// registrationCheckedAt is when the registration was last checked; only a confirmation requested
+	// after it counts.
+	registrationCheckedAt time.Duration
+	// head is the head of version Version, which answered a call sent at headSentAt. hasHead says
+	// that there is one.
+	head       encoder.Head
+	headSentAt time.Duration
+	hasHead    bool
 }
 
 func (s *State) lease() time.Duration {
@@ -82,37 +86,38 @@
 	return s.Lease
 }
 
-// ObserveHead takes in the head as the platform showed it in answer to a call that was
-// sent at sent; now is the time of the answer.
+// ObserveHead records the head h of version v, which answered a call to the platform sent at sent;
+// now is the time of the answer. A head older than Version is ignored.
 func (s *State) ObserveHead(h encoder.Head, v accessor.Version, sent, now time.Duration) {
 	if v < s.Version {
 		return
 	}
-	s.lapse(now)
-	s.keep(h, v, sent)
+	s.checkExpiry(now)
+	s.storeHead(h, v, sent)
 	s.Version = v
 	s.Target = max(s.Target, h.Accepted)
-	s.stage(h)
+	s.observeStaged(h)
 	s.confirm(sent)
 	s.moveUp()
 }
 
-// lapse notes that the lease ran out. An operator may have gone on without
-// this host since, so its registration must be checked before it counts again.
-// One that no confirmation followed in time is as old: a stage may have begun and
-// ended since that cost the host its registration, and that it never saw.
-func (s *State) lapse(now time.Duration) {
-	if s.hasConfirmed && now >= s.confirmed+s.lease() {
+// checkExpiry drops the registration if the lease has expired by now. An operator may have continued
+// without this host since, so the registration must be checked before it counts again. A registration
+// that wasn't confirmed within a lease is dropped too: meanwhile a revision may have been staged and
+// withdrawn without the host observing it, and its entry removed.
+func (s *State) checkExpiry(now time.Duration) {
+	if s.wasConfirmed && now >= s.confirmedAt+s.lease() {
 		s.registered = false
 	}
-	if s.confirmed < s.renewFrom && now >= s.askedFrom+s.lease() {
+	if s.confirmedAt < s.registrationCheckedAt && now >= s.registrationAskedAt+s.lease() {
 		s.registered = false
 	}
 }
 
-// stage notes which revision is staged. A stage that ended without this host's
-// acknowledgement may have ended without waiting for it.
-func (s *State) stage(h encoder.Head) {
+// observeStaged records which revision is staged. If the previous one was accepted or withdrawn
+// without this host's acknowledgement, the operator may not have waited for the host and have removed
+// it from its object, so the registration is dropped.
+func (s *State) observeStaged(h encoder.Head) {
 	var r declarer.Revision
 	if h.Staged != nil {
 		r = h.Staged.Revision
@@ -123,43 +128,43 @@
 	s.Staged = r
 }
 
-// confirm moves the confirmation up; a call that waited long doesn't undo a
-// later one.
+// confirm extends the confirmation to a call sent at sent. The answer to an earlier call doesn't
+// shorten it.
 func (s *State) confirm(sent time.Duration) {
-	if !s.hasConfirmed || sent > s.confirmed {
-		s.confirmed = sent
+	if !s.wasConfirmed || sent > s.confirmedAt {
+		s.confirmedAt = sent
 	}
-	s.hasConfirmed = true
+	s.wasConfirmed = true
 }
 
-// ObserveAccepted takes in that a peer decides by r, so r has been accepted. It reports
-// whether this host decides by r or a later revision now.
+// ObserveAccepted records that r is in force on a peer and so was accepted. It reports whether r or a
+// later revision is in force on this host now.
 func (s *State) ObserveAccepted(r declarer.Revision) bool {
 	s.Target = max(s.Target, r)
 	s.moveUp()
 	return s.InForce >= r
 }
 
-// Claim is what a confirmed host passes on to a peer that can't reach the platform.
+// Claim is the confirmation that a confirmed host gives a peer that can't reach the platform.
 type Claim struct {
 	Revision declarer.Revision `json:"revision" cbor:"1,keyasint"`
-	// Remaining is how long the sender's own confirmation lasts.
+	// Remaining is how long the sender's own lease still lasts.
 	Remaining time.Duration `json:"remaining" cbor:"2,keyasint"`
 }
 
-// Claim returns what this host may pass on, false unless it is confirmed.
+// Claim returns this host's claim for peers, false unless its revision is confirmed.
 func (s *State) Claim(now time.Duration) (Claim, bool) {
 	if s.Standing(now) != Confirmed {
 		return Claim{}, false
 	}
-	return Claim{Revision: s.InForce, Remaining: s.confirmed + s.lease() - now}, true
+	return Claim{Revision: s.InForce, Remaining: s.confirmedAt + s.lease() - now}, true
 }
 
-// Renew takes in a peer's claim that answered a question sent at sent. The
-// confirmation ends no later than the peer's, whatever the two clocks show,
-// because the question was sent before the peer measured what remains.
+// Renew extends the lease by a peer's claim that answered a question sent at sent. The lease ends no
+// later than the peer's, whatever the two clocks show, because the question was sent before the peer
+// measured Remaining.
 func (s *State) Renew(c Claim, sent, now time.Duration) {
-	s.lapse(now)
+	s.checkExpiry(now)
 	s.ObserveAccepted(c.Revision)
 	if c.Revision < s.InForce {
 		return
@@ -167,7 +172,7 @@
 	s.confirm(sent + c.Remaining - s.lease())
 }
 
-// MarkFetched takes in that the file of r is at hand.
+// MarkFetched records that the host has the file of r.
 func (s *State) MarkFetched(r declarer.Revision) {
 	if r <= s.InForce {
 		return
@@ -179,18 +184,18 @@
 	s.moveUp()
 }
 
-// MarkRefused takes in that the file of r can't be put in force here.
+// MarkRefused records that the file of r can't be put in force here, and why.
 func (s *State) MarkRefused(r declarer.Revision, reason string) {
 	s.refused = r
 	s.reason = reason
 }
 
-// moveUp puts the target in force once its file is at hand; never a lower one.
+// moveUp puts Target in force if the host has its file. It never puts a lower revision in force.
 func (s *State) moveUp() {
 	if s.Target > s.InForce && s.ready[s.Target] {
 		s.InForce = s.Target
 		if s.acknowledged < s.InForce {
-			// It was accepted without this host, which may have lost its object.
+			// It was accepted without this host, which may have been removed from its object.
 			s.registered = false
 		}
 	}
@@ -201,7 +206,7 @@
 	}
 }
 
-// Wanted returns the revision whose file is needed next, zero if none.
+// Wanted returns the revision whose file the host needs next, zero if none.
 func (s *State) Wanted() declarer.Revision {
 	switch {
 	case s.Target > s.InForce:
@@ -212,20 +217,21 @@
 	return 0
 }
 
-// Standing returns what the host may say of its revision at now.
+// Standing returns the confirmation status of InForce at now.
 func (s *State) Standing(now time.Duration) Standing {
 	switch {
-	case !s.hasConfirmed || now >= s.confirmed+s.lease():
+	case !s.wasConfirmed || now >= s.confirmedAt+s.lease():
 		return Unconfirmed
 	case s.Target > s.InForce || s.Staged > s.InForce:
 		return Changing
-	case !s.registered || s.confirmed < s.renewFrom:
+	case !s.registered || s.confirmedAt < s.registrationCheckedAt:
 		return Unconfirmed
 	}
 	return Confirmed
 }
 
-// Report is what a host tells the platform about itself.
+// Report is what a host reports to the platform about itself, with the meanings that the fields have
+// in encoder.Holder.
 type Report struct {
 	Ready   declarer.Revision
 	Refused declarer.Revision
@@ -233,10 +239,10 @@
 	InForce declarer.Revision
 }
 
-// Report returns what the host has to tell, and whether it differs from what
-// the platform holds.
+// Report returns the host's current report and whether it is due: the host isn't registered, or the
+// platform holds another report.
 func (s *State) Report() (Report, bool) {
-	r := Report{Ready: s.acknowledged, InForce: s.decides()}
+	r := Report{Ready: s.acknowledged, InForce: s.activeRevision()}
 	if s.Staged != 0 && s.ready[s.Staged] {
 		r.Ready = s.Staged
 	}
@@ -244,46 +250,47 @@
 		r.Refused = s.refused
 		r.Reason = s.reason
 	}
-	due := !s.registered || r.Ready != s.acknowledged || r.InForce != s.reported || r.Refused != s.toldRefused && r.Refused != 0
+	due := !s.registered || r.Ready != s.acknowledged || r.InForce != s.reported || r.Refused != s.reportedRefused && r.Refused != 0
 	return r, due
 }
 
-// MarkActivated takes in that requests are decided by r from now on.
+// MarkActivated records that requests are handled by r from now on; see DeferredActivation.
 func (s *State) MarkActivated(r declarer.Revision) {
-	s.decided = max(s.decided, r)
+	s.activated = max(s.activated, r)
 }
 
-// decides returns the revision that requests are decided by already. To report one
-// that is only about to be taken up would tell its operator that it is in force
-// everywhere while callers here are still served by the one before.
-func (s *State) decides() declarer.Revision {
+// activeRevision returns the revision that requests are already handled by. If the host reported
+// InForce before its activation, the operator would be told that the revision is in force everywhere
+// while requests here are still handled by the previous one.
+func (s *State) activeRevision() declarer.Revision {
 	if s.DeferredActivation {
-		return min(s.decided, s.InForce)
+		return min(s.activated, s.InForce)
 	}
 	return s.InForce
 }
 
-// MarkUnregistered takes in that the platform doesn't hold this host's object any more.
+// MarkUnregistered records that no object on the platform is known to register this host.
 func (s *State) MarkUnregistered() {
 	s.registered = false
 }
 
-// RevisionCheck is what becomes of a message that bears a revision.
+// RevisionCheck says how the receiver of a message with a revision proceeds.
 type RevisionCheck string
 
-// Verdicts on a message.
+// Results of CheckRevision.
 const (
-	// Handle means that both sides decide by the same revision.
+	// Handle means that both hosts have the same revision in force.
 	Handle RevisionCheck = "handle"
-	// MoveUp means that the receiver has to move up first.
+	// MoveUp means that the receiver has to put the sender's revision in force first.
 	MoveUp RevisionCheck = "move-up"
-	// Outdated means that the sender has to move up and decide again; nothing was done.
+	// Outdated means that the receiver did nothing, and the sender has to put the receiver's
+	// revision in force and handle the request again.
 	Outdated RevisionCheck = "outdated"
 )
 
-// CheckRevision decides on a message that was decided under theirs, at a host that
-// decides by mine. Handling it under another revision would decide one request
-// by two configurations.
+// CheckRevision compares the revision theirs of a message with the revision mine in force on its
+// receiver. A message handled under another revision would have one request handled by two
+// configurations.
 func CheckRevision(mine, theirs declarer.Revision) RevisionCheck {
 	switch {
 	case theirs > mine:
--- a/internal/config/adopter/adopter_test.go
+++ b/internal/config/adopter/adopter_test.go
@@ -19,7 +19,7 @@
 	return encoder.Head{Accepted: r, Highest: r}
 }
 
-// confirmed returns a host that decides by revision 1 and has just had it confirmed at 0.
+// confirmed returns a host that has revision 1 in force, confirmed at 0.
 func confirmed(t *testing.T) *adopter.State {
 	t.Helper()
 	s := &adopter.State{}
@@ -47,7 +47,7 @@
 	s.ObserveHead(staged(1, 2), 2, time.Second, time.Second)
 	expect(t, s, 1, adopter.Changing, time.Second)
 	if r := s.Wanted(); r != 2 {
-		t.Errorf("wants revision %d", r)
+		t.Errorf("wanted revision is %d", r)
 	}
 	s.MarkFetched(2)
 	if r, due := s.Report(); !due || r.Ready != 2 || r.InForce != 1 {
@@ -70,47 +70,46 @@
 	expect(t, s, 1, adopter.Confirmed, 0)
 }
 
-// A peer that heard of the acceptance first sends a request's message. The host
-// has the file already and moves up before it handles the message.
+// A peer that observed the acceptance earlier sends a message of a request. The host already has the
+// file and moves up before it handles the message.
 func TestPeerIsAhead(t *testing.T) {
 	s := confirmed(t)
 	s.ObserveHead(staged(1, 2), 2, 0, 0)
 	s.MarkFetched(2)
-	if v := adopter.CheckRevision(s.InForce, 2); v != adopter.MoveUp {
-		t.Errorf("verdict %s", v)
+	if check := adopter.CheckRevision(s.InForce, 2); check != adopter.MoveUp {
+		t.Errorf("check gives %s", check)
 	}
 	if !s.ObserveAccepted(2) {
 		t.Error("didn't move up")
 	}
 	if v := adopter.CheckRevision(s.InForce, 1); v != adopter.Outdated {
-		t.Errorf("verdict %s on a message of an older revision", v)
+		t.Errorf("check gives %s for a message of an older revision", v)
 	}
 }
 
-// The platform's answer arrives eleven seconds after the call was sent, while
-// the host was paused or the network slow. Another revision may come into force
-// without the host soon after, so a lease counted from the answer would let it
-// call an old limit the present one.
-func TestLateAnswerConfirmsForShort(t *testing.T) {
+// The platform's answer arrives eleven seconds after the call was sent, because the host was paused
+// or the network slow. Another revision may come into force without the host soon after, so with a
+// lease counted from the answer the host would report an outdated limit as confirmed.
+func TestLeaseCountsFromCall(t *testing.T) {
 	s := confirmed(t)
 	s.ObserveHead(accepted(1), 1, 0, lease-time.Second)
 	expect(t, s, 1, adopter.Confirmed, lease-time.Second)
 	expect(t, s, 1, adopter.Unconfirmed, lease)
 }
 
-// Two answers of the platform overtake each other. The older one doesn't show
-// the staged revision, which may have been accepted meanwhile.
-func TestOvertakenAnswerIsIgnored(t *testing.T) {
+// Two answers of the platform arrive out of order. The older one doesn't show the staged revision,
+// which may have been accepted meanwhile.
+func TestOutOfOrderAnswerIsIgnored(t *testing.T) {
 	s := confirmed(t)
 	s.ObserveHead(staged(1, 2), 2, 0, 0)
 	s.ObserveHead(accepted(1), 1, time.Second, time.Second)
 	expect(t, s, 1, adopter.Changing, time.Second)
 }
 
-// A host reads the platform but can't write to it, so it never acknowledges the
-// staged revision. After a lapse the operator goes on without it and frees its
-// object; the next revision will not wait for it.
-func TestStageThatEndedWithoutAcknowledgement(t *testing.T) {
+// A host can read from the platform but not write to it, so it never acknowledges the staged
+// revision. After the timeout the operator continues without it and retires its object; the next
+// revision doesn't wait for it.
+func TestAcceptedWithoutAcknowledgement(t *testing.T) {
 	s := confirmed(t)
 	s.ObserveHead(staged(1, 2), 2, time.Second, time.Second)
 	s.ObserveHead(accepted(2), 3, 2*time.Second, 2*time.Second)
@@ -122,8 +121,8 @@
 	expect(t, s, 2, adopter.Confirmed, 4*time.Second)
 }
 
-// An availability zone was cut off for an hour and comes back with an old
-// revision, of which one was staged when it was cut off.
+// An availability zone was cut off for an hour while a revision was staged. It returns with an old
+// revision in force, which it must not report as confirmed.
 func TestComesBackWithOldRevision(t *testing.T) {
 	s := confirmed(t)
 	s.ObserveHead(staged(1, 2), 2, 0, 0)
@@ -139,8 +138,8 @@
 	expect(t, s, 7, adopter.Confirmed, time.Hour)
 }
 
-// The platform was restored from a backup and shows a lower revision than the
-// hosts decide by. A host that followed it would bring old limits back.
+// The platform was restored from a backup and shows a lower revision than the hosts have in force. A
+// host that followed it would restore outdated limits.
 func TestLowerRevisionIsNotFollowed(t *testing.T) {
 	s := confirmed(t)
 	s.ObserveAccepted(5)
@@ -152,7 +151,8 @@
 	}
 }
 
-// A zone can't reach the platform, but a confirmed peer in another zone.
+// A zone can't reach the platform, but it can reach a confirmed peer in another zone, which renews
+// the lease.
 func TestPeerRenewsLease(t *testing.T) {
 	a, b := confirmed(t), confirmed(t)
 	a.ObserveHead(accepted(1), 1, 10*time.Second, 10*time.Second)
@@ -164,11 +164,11 @@
 	expect(t, b, 1, adopter.Confirmed, 20*time.Second)
 	expect(t, b, 1, adopter.Unconfirmed, 22*time.Second)
 	if _, ok := b.Claim(22 * time.Second); ok {
-		t.Error("an unconfirmed host passes on a claim")
+		t.Error("an unconfirmed host returned a claim")
 	}
 }
 
-func TestRefusedRevisionIsToldOnce(t *testing.T) {
+func TestRefusalIsReportedOnce(t *testing.T) {
 	s := confirmed(t)
 	s.ObserveHead(staged(1, 2), 2, 0, 0)
 	s.MarkRefused(2, "unknown key")
@@ -178,12 +178,12 @@
 	}
 	s.MarkReported(r, 0)
 	if _, due := s.Report(); due || s.Wanted() != 0 {
-		t.Error("goes on reporting")
+		t.Error("a report or file is due after the refusal was reported")
 	}
 }
 
-// A host never acknowledged the staged revision and hears of it in force from a
-// peer. It was accepted without this host, so the next one may be as well.
+// A host didn't acknowledge the staged revision and receives it as in force from a peer. That
+// revision was accepted without this host, so the next one may be as well.
 func TestMovedUpWithoutAcknowledgement(t *testing.T) {
 	s := confirmed(t)
 	s.ObserveHead(staged(1, 2), 2, time.Second, time.Second)
--- a/internal/config/adopter/relay_test.go
+++ b/internal/config/adopter/relay_test.go
@@ -8,9 +8,9 @@
 	"github.com/cuminwick/cuminwick/internal/config/encoder"
 )
 
-// An answer of a relay comes late, or says what was so before the host asked. A
-// host that counted on it could have been taken out of the relay's object
-// meanwhile: it would call its revision confirmed while another one is in force.
+// A relay's answer is late, or describes its object as of before the host sent its report. Meanwhile
+// an operator may have removed the host from the object. A host that relied on the answer would
+// report its revision as confirmed while another one is in force.
 func TestReceipts(t *testing.T) {
 	const asked = time.Second
 	for _, c := range []struct {
@@ -20,11 +20,11 @@
 		now        time.Duration
 		want       bool
 	}{
-		{"written since it asked", false, adopter.Receipt{Registrar: "r", Fresh: true}, asked, true},
-		{"written before it asked", false, adopter.Receipt{Registrar: "r"}, asked, false},
+		{"written after the report", false, adopter.Receipt{Registrar: "r", Fresh: true}, asked, true},
+		{"written before the report", false, adopter.Receipt{Registrar: "r"}, asked, false},
 		{"later than a lease", false, adopter.Receipt{Registrar: "r", Fresh: true}, asked + lease, false},
 		{"still registered", true, adopter.Receipt{Registrar: "first"}, asked, true},
-		{"another relay's old word", true, adopter.Receipt{Registrar: "r"}, asked, false},
+		{"another relay's earlier object", true, adopter.Receipt{Registrar: "r"}, asked, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := &adopter.State{}
@@ -41,8 +41,8 @@
 	}
 }
 
-// A host acknowledged through one relay, and the late answer of another one shows
-// it as before. That entry may have been taken out for lack of the acknowledgement.
+// A host acknowledged through one relay, and the late answer of another one shows it without the
+// acknowledgement. That entry may have been removed because the acknowledgement was missing.
 func TestReceiptBelowAcknowledgement(t *testing.T) {
 	s := confirmed(t)
 	s.ObserveHead(staged(1, 2), 2, 0, 0)
@@ -54,9 +54,9 @@
 	}
 }
 
-// A host registers at the end of a stage and is held up. Its entry is taken out and
-// the stage withdrawn before it sees the head again.
-func TestRegistrationWithoutConfirmationEnds(t *testing.T) {
+// A host registers shortly before a staged revision is withdrawn and is paused. Its entry is removed
+// and the revision withdrawn before it reads the head again.
+func TestUnconfirmedRegistrationExpires(t *testing.T) {
 	s := &adopter.State{}
 	s.ObserveHead(accepted(1), 1, 0, 0)
 	s.MarkFetched(1)
@@ -65,13 +65,13 @@
 	s.ObserveHead(accepted(1), 3, time.Second+lease, time.Second+lease)
 	expect(t, s, 1, adopter.Unconfirmed, time.Second+lease)
 	if _, due := s.Report(); !due {
-		t.Error("doesn't register again")
+		t.Error("no report is due, so the host doesn't register again")
 	}
 }
 
-// A relay's answer arrives late, or is passed on by a second one. The lease must
-// end as if the host had asked the platform before it asked the relay.
-func TestSightsAge(t *testing.T) {
+// A relay's answer arrives late, or is forwarded by a second relay. The lease must end as if the host
+// had called the platform before it sent the relay its question.
+func TestSightAge(t *testing.T) {
 	const age = 5 * time.Second
 	r, s := confirmed(t), confirmed(t)
 	r.ObserveHead(accepted(1), 2, 0, 0)
@@ -84,7 +84,7 @@
 	expect(t, s, 1, adopter.Confirmed, asked-age+lease-1)
 	expect(t, s, 1, adopter.Unconfirmed, asked-age+lease)
 	if y, _ := s.Sight(2, asked); y.Head != nil || y.Age != age {
-		t.Errorf("passes on %+v", y)
+		t.Errorf("forwards %+v", y)
 	}
 	s.ObserveSight(adopter.Sight{Version: 2, Age: age}, asked+1, asked+time.Second)
 	expect(t, s, 1, adopter.Unconfirmed, asked+1-age+lease)
@@ -93,9 +93,9 @@
 	expect(t, s, 1, adopter.Unconfirmed, asked+1-age+lease)
 }
 
-// A relay holds a question back and answers it late. The asking host counts from
-// when it asked, so the time in between must not make the sight older, and a sight
-// from after the question must not make it newer than the question.
+// A relay holds a question back and answers it late. The asking host counts from when it sent the
+// question, so the time in between must not make the sight older, and a sight taken after the
+// question arrived must not count as newer than the question.
 func TestSightOfHeldQuestion(t *testing.T) {
 	const age = 5 * time.Second
 	r := confirmed(t)
@@ -109,8 +109,8 @@
 	}
 }
 
-// A relay registers a host and shows the head as it was before. Another revision
-// may have been staged and accepted between the two without the host.
+// A relay registers a host and shows a head from before the registration. Another revision may have
+// been staged and accepted in between without the host.
 func TestRegistrationIsConfirmedBySameAnswer(t *testing.T) {
 	const asked = 5 * time.Second
 	s := confirmed(t)
--- a/internal/config/publisher/benchmark_test.go
+++ b/internal/config/publisher/benchmark_test.go
@@ -34,17 +34,17 @@
 // zones, which the others ask by a call in the same process.
 func BenchmarkApplyThroughRelays(b *testing.B) {
 	for _, n := range []int{3, 9, 27, 81} {
-		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) { benchmarkApply(b, n, (&zones{}).join) })
+		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) { benchmarkApply(b, n, (&relayNetwork{}).join) })
 	}
 }
 
-// zones is hosts that ask each other as relays.
-type zones struct {
+// relayNetwork is hosts that ask each other as relays.
+type relayNetwork struct {
 	mu  sync.Mutex
 	all map[string]*sharer.Sharer
 }
 
-func (z *zones) join(h *follower.Host) {
+func (z *relayNetwork) join(h *follower.Host) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	if z.all == nil {
@@ -56,7 +56,7 @@
 	h.Relays = s
 }
 
-func (z *zones) live(zone string) []string {
+func (z *relayNetwork) live(zone string) []string {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	var l []string
@@ -68,7 +68,7 @@
 	return l
 }
 
-func (z *zones) ask(ctx context.Context, host string, q sharer.Question) (sharer.Share, error) {
+func (z *relayNetwork) ask(ctx context.Context, host string, q sharer.Question) (sharer.Share, error) {
 	z.mu.Lock()
 	s := z.all[host]
 	z.mu.Unlock()
--- a/internal/config/publisher/change_test.go
+++ b/internal/config/publisher/change_test.go
@@ -14,23 +14,23 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// reading counts the files that an operator reads, and looks into the head that it stages.
-type reading struct {
+// countingPlatform counts the files that an operator reads, and looks into the head that it stages.
+type countingPlatform struct {
 	accessor.Platform
-	files, changes atomic.Int32
+	fileReads, changes atomic.Int32
 }
 
 // Get implements accessor.Platform.
-func (p *reading) Get(ctx context.Context, kind, name string) (accessor.Object, error) {
+func (p *countingPlatform) Get(ctx context.Context, kind, name string) (accessor.Object, error) {
 	o, err := p.Platform.Get(ctx, kind, name)
 	if kind == encoder.BodyKind && err == nil {
-		p.files.Add(1)
+		p.fileReads.Add(1)
 	}
 	return o, err
 }
 
 // Put implements accessor.Platform.
-func (p *reading) Put(ctx context.Context, o accessor.Object) (accessor.Object, error) {
+func (p *countingPlatform) Put(ctx context.Context, o accessor.Object) (accessor.Object, error) {
 	h, err := encoder.Decode[encoder.Head](accessor.Object{Version: 1, Value: o.Value})
 	switch {
 	case err != nil || o.Kind != encoder.HeadKind:
@@ -52,25 +52,25 @@
 		d := deploy(s, 3)
 		defer d.end()
 		time.Sleep(time.Second)
-		p := &reading{Platform: s}
+		p := &countingPlatform{Platform: s}
 		o := &publisher.Operator{Platform: p, Name: "anna"}
-		f := grown(50)
+		f := largeFile(50)
 		for n, want := range []int32{0, 1, 2} {
 			f.Limits.QueueLength = n + 1
 			if _, _, err := o.Preview(t.Context(), f); err != nil {
 				t.Fatal(err)
 			}
-			p.files.Store(0)
+			p.fileReads.Store(0)
 			if r, err := o.Apply(t.Context(), f, publisher.Options{}); err != nil || r.Outcome != applier.InForce {
 				t.Fatalf("got %+v, error %v", r, err)
 			}
-			if p.files.Load() != 0 || p.changes.Load() != want {
-				t.Errorf("%d files read, %d changes staged, want %d", p.files.Load(), p.changes.Load(), want)
+			if p.fileReads.Load() != 0 || p.changes.Load() != want {
+				t.Errorf("%d files read, %d changes staged, want %d", p.fileReads.Load(), p.changes.Load(), want)
 			}
 		}
 		c, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		d.ways[0].set(true)
+		d.platforms[0].set(true)
 		f.Limits.QueueLength = 9
 		if r, err := o.Apply(c, f, publisher.Options{}); err != nil || r.Outcome != applier.Withdrawn {
 			t.Errorf("got %+v, error %v", r, err)
--- a/internal/config/publisher/decided_test.go
+++ b/internal/config/publisher/decided_test.go
@@ -13,14 +13,14 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// taker takes up each revision some time after the follower has moved up to it.
-type taker struct {
-	host    *follower.Host
-	pause   time.Duration
-	decided atomic.Uint64
+// delayedActivator takes up each revision some time after the follower has moved up to it.
+type delayedActivator struct {
+	host      *follower.Host
+	pause     time.Duration
+	activated atomic.Uint64
 }
 
-func (k *taker) run(ctx context.Context) {
+func (k *delayedActivator) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -31,7 +31,7 @@
 		if scheduler.Pause(ctx, k.pause) != nil {
 			return
 		}
-		k.decided.Store(r)
+		k.activated.Store(r)
 		k.host.Decided(r)
 	}
 }
@@ -46,9 +46,9 @@
 		defer d.end()
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		var l []*taker
+		var l []*delayedActivator
 		for i, h := range d.hosts {
-			k := &taker{host: h, pause: time.Duration(i) * 700 * time.Millisecond}
+			k := &delayedActivator{host: h, pause: time.Duration(i) * 700 * time.Millisecond}
 			l = append(l, k)
 			go k.run(ctx)
 		}
@@ -56,7 +56,7 @@
 		for n := 1; n <= 5; n++ {
 			r := apply(t, s, n, applier.InForce)
 			for i, k := range l {
-				if g := k.decided.Load(); g < uint64(r.Entry.Revision) {
+				if g := k.activated.Load(); g < uint64(r.Entry.Revision) {
 					t.Errorf("revision %d was told to be in force; host %d decides by %d", r.Entry.Revision, i, g)
 				}
 			}
--- a/internal/config/publisher/large_test.go
+++ b/internal/config/publisher/large_test.go
@@ -22,8 +22,8 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// grown makes a configuration of n groups, with a team for each.
-func grown(n int) declarer.File {
+// largeFile makes a configuration of n groups, with a team for each.
+func largeFile(n int) declarer.File {
 	r := rand.NewChaCha8([32]byte{1})
 	var f declarer.File
 	for i := range n {
@@ -45,14 +45,14 @@
 	return f
 }
 
-// counting adds up what relays answer, as coded for the wire.
-type counting struct {
-	zones
+// countingRelays adds up what relays answer, as coded for the wire.
+type countingRelays struct {
+	relayNetwork
 	bytes atomic.Int64
 }
 
-func (c *counting) join(h *follower.Host) {
-	c.zones.join(h)
+func (c *countingRelays) join(h *follower.Host) {
+	c.relayNetwork.join(h)
 	s := c.all[h.Name]
 	s.Ask = func(ctx context.Context, host string, q sharer.Question) (sharer.Share, error) {
 		a, err := c.ask(ctx, host, q)
@@ -88,12 +88,12 @@
 	go func() { _ = s.Run(ctx) }()
 	s.Store.SetLatency(2 * time.Millisecond)
 	c := &requester.Client{Address: a, HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2 * hosts}}}
-	z := &counting{}
+	z := &countingRelays{}
 	d := deployWith(c, hosts, z.join)
 	defer d.end()
 	o := &publisher.Operator{Platform: c, Name: "anna"}
 	d.settle()
-	f := grown(2800)
+	f := largeFile(2800)
 	if _, err := o.Apply(ctx, f, publisher.Options{}); err != nil {
 		b.Fatal(err)
 	}
--- a/internal/config/publisher/publisher.go
+++ b/internal/config/publisher/publisher.go
@@ -25,8 +25,8 @@
 	minimumPause   = 10 * time.Millisecond
 	maximumPause   = 500 * time.Millisecond
 	cleanupTimeout = 10 * time.Second
-	// maximumTroublePause spaces calls while the platform fails.
-	maximumTroublePause = 5 * time.Second
+	// maximumFailurePause spaces calls while the platform fails.
+	maximumFailurePause = 5 * time.Second
 )
 
 // ErrNotKept says that a revision's file isn't kept any more, or never was.
@@ -45,11 +45,11 @@
 	// last is the file that was read last. Who shows what a file changes has read the
 	// one in force already, so that it needn't be read again between the look at the
 	// head and the put, when another operator may come first.
-	last atomic.Pointer[read]
+	last atomic.Pointer[revisionFile]
 }
 
-// read is a revision's file as it was read.
-type read struct {
+// revisionFile is a revision's file as it was revisionFile.
+type revisionFile struct {
 	revision declarer.Revision
 	digest   string
 	file     declarer.File
@@ -85,7 +85,7 @@
 	if err != nil {
 		return applier.Result{}, err
 	}
-	r := &run{operator: o, packed: packed, file: &f, decision: applier.Operator{
+	r := &run{operator: o, packed: packed, file: &f, stateMachine: applier.Operator{
 		Mode:                   applier.Apply,
 		ID:                     newID(),
 		Base:                   from,
@@ -93,7 +93,7 @@
 		HasFile:                true,
 		AcknowledgementTimeout: o.AcknowledgementTimeout,
 	}}
-	r.decision.Entry = encoder.Entry{
+	r.stateMachine.Entry = encoder.Entry{
 		Operator: o.Name,
 		Digest:   digest,
 		At:       time.Now().UTC().Truncate(time.Second),
@@ -104,13 +104,13 @@
 
 // Resume goes on with what another operator has staged.
 func (o *Operator) Resume(ctx context.Context) (applier.Result, error) {
-	r := &run{operator: o, decision: applier.Operator{Mode: applier.Resume, ID: newID(), AcknowledgementTimeout: o.AcknowledgementTimeout}}
+	r := &run{operator: o, stateMachine: applier.Operator{Mode: applier.Resume, ID: newID(), AcknowledgementTimeout: o.AcknowledgementTimeout}}
 	return r.run(ctx)
 }
 
 // Withdraw takes back what is staged, whoever staged it.
 func (o *Operator) Withdraw(ctx context.Context) (applier.Result, error) {
-	r := &run{operator: o, decision: applier.Operator{Mode: applier.Withdraw, ID: newID(), AcknowledgementTimeout: o.AcknowledgementTimeout}}
+	r := &run{operator: o, stateMachine: applier.Operator{Mode: applier.Withdraw, ID: newID(), AcknowledgementTimeout: o.AcknowledgementTimeout}}
 	return r.run(ctx)
 }
 
@@ -153,7 +153,7 @@
 		return declarer.File{}, err
 	}
 	f.EditedFrom = r
-	o.last.Store(&read{revision: r, digest: d.Digest, file: *f})
+	o.last.Store(&revisionFile{revision: r, digest: d.Digest, file: *f})
 	return *f, nil
 }
 
@@ -170,7 +170,7 @@
 			o.Progress(Progress{PlatformError: err.Error()})
 		}
 		_ = scheduler.Pause(ctx, pause)
-		pause = min(2*pause, maximumTroublePause)
+		pause = min(2*pause, maximumFailurePause)
 	}
 }
 
--- a/internal/config/publisher/publisher_test.go
+++ b/internal/config/publisher/publisher_test.go
@@ -25,15 +25,15 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// cut is one host's way to the platform, which can be cut.
-type cut struct {
+// cuttablePlatform is one host's way to the platform, which can be cuttablePlatform.
+type cuttablePlatform struct {
 	accessor.Platform
 	mu     sync.Mutex
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-func (c *cut) set(on bool) {
+func (c *cuttablePlatform) set(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !on {
@@ -47,7 +47,7 @@
 	c.cancel()
 }
 
-func (c *cut) check() error {
+func (c *cuttablePlatform) check() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ctx != nil {
@@ -56,14 +56,14 @@
 	return nil
 }
 
-func (c *cut) Put(ctx context.Context, o accessor.Object) (accessor.Object, error) {
+func (c *cuttablePlatform) Put(ctx context.Context, o accessor.Object) (accessor.Object, error) {
 	if err := c.check(); err != nil {
 		return o, err
 	}
 	return c.Platform.Put(ctx, o)
 }
 
-func (c *cut) Watch(ctx context.Context, kind, name string, after accessor.Version) (accessor.Object, error) {
+func (c *cuttablePlatform) Watch(ctx context.Context, kind, name string, after accessor.Version) (accessor.Object, error) {
 	if err := c.check(); err != nil {
 		return accessor.Object{}, err
 	}
@@ -76,10 +76,10 @@
 
 // deployment is followers in three zones.
 type deployment struct {
-	hosts []*follower.Host
-	ways  []*cut
-	stops []func()
-	wait  sync.WaitGroup
+	hosts     []*follower.Host
+	platforms []*cuttablePlatform
+	stops     []func()
+	wait      sync.WaitGroup
 }
 
 // end stops all hosts before the virtual clock of the test ends.
@@ -99,7 +99,7 @@
 	d := &deployment{}
 	l := &log.Logger{Handler: json.New(io.Discard), Level: log.ErrorLevel}
 	for i := range hosts {
-		w := &cut{Platform: p}
+		w := &cuttablePlatform{Platform: p}
 		r := rand.New(rand.NewPCG(1, uint64(i)))
 		q := rand.New(rand.NewPCG(2, uint64(i)))
 		t := &watcher.Watcher{Platform: w, Random: r.Float64}
@@ -117,7 +117,7 @@
 		d.wait.Go(func() { _ = t.Run(ctx) })
 		d.wait.Go(func() { _ = h.Run(ctx) })
 		d.hosts = append(d.hosts, h)
-		d.ways = append(d.ways, w)
+		d.platforms = append(d.platforms, w)
 		d.stops = append(d.stops, cancel)
 	}
 	return d
@@ -150,7 +150,7 @@
 	}
 }
 
-var all = []int{0, 1, 2, 3, 4, 5, 6, 7, 8}
+var allHosts = []int{0, 1, 2, 3, 4, 5, 6, 7, 8}
 
 func TestApplyInForceEverywhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -171,7 +171,7 @@
 		if c.Total() > 80 {
 			t.Errorf("one apply takes %d calls at nine hosts", c.Total())
 		}
-		d.expect(t, 2, adopter.Confirmed, all...)
+		d.expect(t, 2, adopter.Confirmed, allHosts...)
 		if r.Entry.Revision != 2 || len(r.Zones) != 3 || r.Zones[0].InForce != 3 {
 			t.Errorf("got %+v", r)
 		}
@@ -199,7 +199,7 @@
 				t.Errorf("apply %d became revision %d", i, r.Entry.Revision)
 			}
 			time.Sleep(10 * time.Second)
-			d.expect(t, i, adopter.Confirmed, all...)
+			d.expect(t, i, adopter.Confirmed, allHosts...)
 		}
 	})
 }
@@ -219,7 +219,7 @@
 		apply(t, s, 1, applier.InForce)
 		zone, rest := []int{0, 3, 6}, []int{1, 2, 4, 5, 7, 8}
 		for _, i := range zone {
-			d.ways[i].set(true)
+			d.platforms[i].set(true)
 		}
 		start := time.Now()
 		r := apply(t, s, 2, applier.Accepted)
@@ -232,10 +232,10 @@
 		d.expect(t, 1, adopter.Unconfirmed, zone...)
 		d.expect(t, 2, adopter.Confirmed, rest...)
 		for _, i := range zone {
-			d.ways[i].set(false)
+			d.platforms[i].set(false)
 		}
 		time.Sleep(20 * time.Second)
-		d.expect(t, 2, adopter.Confirmed, all...)
+		d.expect(t, 2, adopter.Confirmed, allHosts...)
 	})
 }
 
@@ -257,7 +257,7 @@
 			t.Errorf("%d calls a minute and host in an outage", perHost)
 		}
 		time.Sleep(20 * time.Second)
-		d.expect(t, 2, adopter.Confirmed, all...)
+		d.expect(t, 2, adopter.Confirmed, allHosts...)
 	})
 }
 
@@ -278,7 +278,7 @@
 		if e := time.Since(start); e > time.Second {
 			t.Errorf("apply waited %s for a host that had left", e)
 		}
-		d.ways[7].set(true)
+		d.platforms[7].set(true)
 		d.stops[7]()
 		time.Sleep(2 * time.Second)
 		apply(t, s, 3, applier.InForce)
@@ -302,7 +302,7 @@
 		defer d.end()
 		time.Sleep(10 * time.Second)
 		apply(t, s, 1, applier.InForce)
-		d.ways[0].set(true)
+		d.platforms[0].set(true)
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
 		o := &publisher.Operator{Platform: s, Name: "anna"}
@@ -310,9 +310,9 @@
 		if err != nil || r.Outcome != applier.Withdrawn {
 			t.Errorf("got %+v, error %v", r, err)
 		}
-		d.ways[0].set(false)
+		d.platforms[0].set(false)
 		time.Sleep(20 * time.Second)
-		d.expect(t, 1, adopter.Confirmed, all...)
+		d.expect(t, 1, adopter.Confirmed, allHosts...)
 	})
 }
 
@@ -333,7 +333,7 @@
 		if err != nil || r.Outcome != applier.InForce || r.Entry.Revision != 3 {
 			t.Errorf("got %+v, error %v", r, err)
 		}
-		d.expect(t, 1, adopter.Confirmed, all...)
+		d.expect(t, 1, adopter.Confirmed, allHosts...)
 		if _, err := o.File(t.Context(), 65); !errors.Is(err, publisher.ErrNotKept) {
 			t.Errorf("file of revision 65: %v", err)
 		}
--- a/internal/config/publisher/run.go
+++ b/internal/config/publisher/run.go
@@ -16,9 +16,9 @@
 
 // run is one command under way.
 type run struct {
-	operator *Operator
-	decision applier.Operator
-	packed   []byte
+	operator     *Operator
+	stateMachine applier.Operator
+	packed       []byte
 	// file is what is applied, nil where the run goes on with another one's.
 	file *declarer.File
 	// change is what differs from its Base, made for one revision at a time.
@@ -26,29 +26,29 @@
 	watch  scheduler.Stopwatch
 	pause  time.Duration
 	last   Progress
-	// tried says that a put of the head was sent.
-	tried bool
+	// headPutSent says that a put of the head was sent.
+	headPutSent bool
 }
 
 // run takes one step after the other until the decision says that it is done.
 func (r *run) run(ctx context.Context) (applier.Result, error) {
 	work := ctx
 	for {
-		if ctx.Err() != nil && !r.tried && r.decision.Revision() == 0 {
-			return r.untried(context.Cause(ctx))
+		if ctx.Err() != nil && !r.headPutSent && r.stateMachine.Revision() == 0 {
+			return r.endWithoutPut(context.Cause(ctx))
 		}
 		if ctx.Err() != nil && work == ctx {
-			r.decision.Abort("interrupted: " + context.Cause(ctx).Error())
+			r.stateMachine.Abort("interrupted: " + context.Cause(ctx).Error())
 			c, cancel := context.WithTimeout(context.WithoutCancel(ctx), cleanupTimeout)
 			defer cancel()
 			work = c
 		}
-		s := r.decision.Next(r.now())
+		s := r.stateMachine.Next(r.now())
 		if s.Action == applier.Done {
 			return s.Result, nil
 		}
-		err := r.take(work, s)
-		r.tell(err)
+		err := r.execute(work, s)
+		r.reportProgress(err)
 		if err != nil && work.Err() != nil && work != ctx {
 			return applier.Result{}, errors.Annotate(err, "outcome unknown, see status")
 		}
@@ -60,10 +60,10 @@
 	}
 }
 
-// untried ends a run that has sent no change. A file that was never staged is
+// endWithoutPut ends a run that has sent no change. A file that was never staged is
 // surely not in force; of what another operator has staged nothing is known.
-func (r *run) untried(err error) (applier.Result, error) {
-	if r.decision.Mode != applier.Apply {
+func (r *run) endWithoutPut(err error) (applier.Result, error) {
+	if r.stateMachine.Mode != applier.Apply {
 		return applier.Result{}, errors.Annotate(err, "nothing was tried, see status")
 	}
 	return applier.Result{Outcome: applier.Withdrawn, Reason: "nothing was tried: " + err.Error()}, nil
@@ -79,19 +79,19 @@
 func (r *run) wait(ctx context.Context, failed bool) {
 	m := maximumPause
 	if failed {
-		m = maximumTroublePause
+		m = maximumFailurePause
 	}
 	r.pause = min(max(r.pause*3/2, minimumPause), m)
 	_ = scheduler.Pause(ctx, r.pause)
-	r.decision.ObserveWait(r.now())
+	r.stateMachine.ObserveWait(r.now())
 }
 
-// tell reports progress where it has changed.
-func (r *run) tell(err error) {
+// reportProgress reports progress where it has changed.
+func (r *run) reportProgress(err error) {
 	p := Progress{
-		Revision: r.decision.Revision(),
-		Accepted: r.decision.Accepted(),
-		Zones:    r.decision.Zones(),
+		Revision: r.stateMachine.Revision(),
+		Accepted: r.stateMachine.Accepted(),
+		Zones:    r.stateMachine.Zones(),
 	}
 	if err != nil {
 		p.PlatformError = err.Error()
@@ -103,7 +103,7 @@
 	r.operator.Progress(p)
 }
 
-func (r *run) take(ctx context.Context, s applier.Step) error {
+func (r *run) execute(ctx context.Context, s applier.Step) error {
 	switch s.Action {
 	case applier.ReadHead:
 		return r.readHead(ctx)
@@ -128,15 +128,15 @@
 	t := r.now()
 	h, v, err := r.operator.head(ctx)
 	if err != nil {
-		r.decision.InvalidateHead(false)
+		r.stateMachine.InvalidateHead(false)
 		return err
 	}
-	r.decision.ObserveHead(h, v, t, r.now())
+	r.stateMachine.ObserveHead(h, v, t, r.now())
 	return nil
 }
 
 func (r *run) putHead(ctx context.Context, s applier.Step) error {
-	if e := s.Head.Staged; e != nil && e.ID == r.decision.ID {
+	if e := s.Head.Staged; e != nil && e.ID == r.stateMachine.ID {
 		s.Head.Change = r.changeTo(ctx, *e)
 	}
 	t := r.now()
@@ -144,20 +144,20 @@
 	if err != nil {
 		return err
 	}
-	r.tried = true
+	r.headPutSent = true
 	o, err := r.operator.Platform.Put(ctx, accessor.Object{
-		Kind: encoder.HeadKind, Name: encoder.HeadName, Version: s.Version, Writer: r.decision.ID, Value: b,
+		Kind: encoder.HeadKind, Name: encoder.HeadName, Version: s.Version, Writer: r.stateMachine.ID, Value: b,
 	})
 	if errors.Is(err, accessor.ErrConflict) {
 		// Somebody else was first; the head is read again.
-		r.decision.InvalidateHead(false)
+		r.stateMachine.InvalidateHead(false)
 		return nil
 	}
 	if err != nil {
-		r.decision.InvalidateHead(true)
+		r.stateMachine.InvalidateHead(true)
 		return errors.Trace(err)
 	}
-	r.decision.ObserveHead(s.Head, o.Version, t, r.now())
+	r.stateMachine.ObserveHead(s.Head, o.Version, t, r.now())
 	return nil
 }
 
@@ -167,19 +167,19 @@
 		return errors.Trace(err)
 	}
 	b, err := encoder.Decode[encoder.Body](o)
-	r.decision.ObserveBody(err == nil && b.Revision == s.Revision, o.Version)
+	r.stateMachine.ObserveBody(err == nil && b.Revision == s.Revision, o.Version)
 	return nil
 }
 
 func (r *run) putBody(ctx context.Context, s applier.Step) error {
-	b, err := encoder.Encode(encoder.Body{Revision: s.Revision, Digest: r.decision.Entry.Digest, Packed: r.packed})
+	b, err := encoder.Encode(encoder.Body{Revision: s.Revision, Digest: r.stateMachine.Entry.Digest, Packed: r.packed})
 	if err != nil {
 		return err
 	}
 	_, err = r.operator.Platform.Put(ctx, accessor.Object{
-		Kind: encoder.BodyKind, Name: encoder.Slot(s.Revision), Version: s.Version, Writer: r.decision.ID, Value: b,
+		Kind: encoder.BodyKind, Name: encoder.Slot(s.Revision), Version: s.Version, Writer: r.stateMachine.ID, Value: b,
 	})
-	r.decision.ObserveBodyPut(err == nil)
+	r.stateMachine.ObserveBodyPut(err == nil)
 	if errors.Is(err, accessor.ErrConflict) {
 		return nil
 	}
@@ -190,7 +190,7 @@
 	t := r.now()
 	l, err := r.operator.Platform.List(ctx, encoder.HolderKind)
 	if err != nil {
-		r.decision.InvalidateHolders()
+		r.stateMachine.InvalidateHolders()
 		return errors.Trace(err)
 	}
 	var n []applier.HolderObject
@@ -203,10 +203,10 @@
 	}
 	names, err := r.hosts(ctx, s)
 	if err != nil {
-		r.decision.InvalidateHolders()
+		r.stateMachine.InvalidateHolders()
 		return err
 	}
-	r.decision.ObserveHolders(n, names, t)
+	r.stateMachine.ObserveHolders(n, names, t)
 	return nil
 }
 
@@ -232,9 +232,9 @@
 		return err
 	}
 	_, err = r.operator.Platform.Put(ctx, accessor.Object{
-		Kind: encoder.HolderKind, Name: s.Holder.Name, Version: s.Holder.Version, Writer: r.decision.ID, Value: b,
+		Kind: encoder.HolderKind, Name: s.Holder.Name, Version: s.Holder.Version, Writer: r.stateMachine.ID, Value: b,
 	})
-	r.decision.InvalidateHolders()
+	r.stateMachine.InvalidateHolders()
 	if errors.Is(err, accessor.ErrConflict) {
 		return nil
 	}
--- a/internal/config/sharer/change_test.go
+++ b/internal/config/sharer/change_test.go
@@ -18,35 +18,35 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// meter counts how files come to the hosts of a region, and may spoil the changes
+// transferMeter counts how files come to the hosts of a region, and may spoil the changes
 // on their way.
-type meter struct {
-	mu                   sync.Mutex
-	read, bodies, passed int
+type transferMeter struct {
+	mu                         sync.Mutex
+	fileReads, bodies, changes int
 	// old says that the hosts asked are of a version that knows no changes.
 	old bool
 	// spoil alters the packed change, nil for none.
 	spoil func(p []byte) []byte
 }
 
-func (m *meter) reset() {
+func (m *transferMeter) reset() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.read, m.bodies, m.passed = 0, 0, 0
+	m.fileReads, m.bodies, m.changes = 0, 0, 0
 }
 
-func (m *meter) expect(t *testing.T, read, bodies, passed int) {
+func (m *transferMeter) expect(t *testing.T, read, bodies, passed int) {
 	t.Helper()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.read != read || m.bodies != bodies || m.passed != passed {
+	if m.fileReads != read || m.bodies != bodies || m.changes != passed {
 		t.Errorf("%d files read from the platform, %d passed on whole, %d as changes; want %d, %d and %d",
-			m.read, m.bodies, m.passed, read, bodies, passed)
+			m.fileReads, m.bodies, m.changes, read, bodies, passed)
 	}
 }
 
 // alter returns c as it arrives.
-func (m *meter) alter(c *encoder.Change) *encoder.Change {
+func (m *transferMeter) alter(c *encoder.Change) *encoder.Change {
 	if m.old {
 		return nil
 	}
@@ -59,7 +59,7 @@
 }
 
 // ask counts what the answers hold.
-func (m *meter) ask(f func(context.Context, string, sharer.Question) (sharer.Share, error)) func(context.Context, string, sharer.Question) (sharer.Share, error) {
+func (m *transferMeter) ask(f func(context.Context, string, sharer.Question) (sharer.Share, error)) func(context.Context, string, sharer.Question) (sharer.Share, error) {
 	return func(ctx context.Context, to string, q sharer.Question) (sharer.Share, error) {
 		if m.old {
 			q.Base = 0
@@ -71,7 +71,7 @@
 			m.bodies++
 		}
 		if a.Change != nil {
-			m.passed++
+			m.changes++
 			a.Change = m.alter(a.Change)
 		}
 		if a.Advice != nil && a.Advice.Sight != nil && a.Advice.Sight.Head != nil {
@@ -83,19 +83,19 @@
 	}
 }
 
-// metered is a platform that counts the files that hosts read.
-type metered struct {
+// meteredPlatform is a platform that counts the files that hosts read.
+type meteredPlatform struct {
 	accessor.Platform
-	meter *meter
+	meter *transferMeter
 }
 
 // Watch implements accessor.Platform.
-func (p *metered) Watch(ctx context.Context, kind, name string, after accessor.Version) (accessor.Object, error) {
+func (p *meteredPlatform) Watch(ctx context.Context, kind, name string, after accessor.Version) (accessor.Object, error) {
 	o, err := p.Platform.Watch(ctx, kind, name, after)
 	p.meter.mu.Lock()
 	defer p.meter.mu.Unlock()
 	if kind == encoder.BodyKind {
-		p.meter.read++
+		p.meter.fileReads++
 	}
 	if kind == encoder.HeadKind && err == nil {
 		h, e := encoder.Decode[encoder.Head](o)
@@ -107,8 +107,8 @@
 	return o, err
 }
 
-// groups makes a file of n groups, of which the first one has a service of its own.
-func groups(n int, service string) declarer.File {
+// fileOfGroups makes a file of n fileOfGroups, of which the first one has a service of its own.
+func fileOfGroups(n int, service string) declarer.File {
 	var f declarer.File
 	for i := range n {
 		s := sha256.Sum256([]byte{byte(i), byte(i >> 8)})
@@ -118,22 +118,22 @@
 	return f
 }
 
-// counted settles three zones of five hosts, of which two each are relays.
-func counted() (*region, *meter) {
-	r, m := newRegion(), &meter{}
+// newMeteredRegion settles three zones of five hosts, of which two each are relays.
+func newMeteredRegion() (*region, *transferMeter) {
+	r, m := newRegion(), &transferMeter{}
 	r.meter = m
 	r.settle(5)
 	return r, m
 }
 
-// follow waits until each host that has a relay follows it. A relay's sight is 4 to
+// awaitRelays waits until each host that has a relay follows it. A relay's sight is 4 to
 // 8 s old at rest, and a host that asks it just then, or while timers coincide at a
 // round second, turns to the platform for ten seconds.
-func (r *region) follow() {
+func (r *region) awaitRelays() {
 	for {
 		time.Sleep(1300 * time.Millisecond)
 		n := 0
-		for _, x := range r.all {
+		for _, x := range r.hosts {
 			if len(x.sharer.Relays()) > 0 && x.host.Status().Relay == "" {
 				n++
 			}
@@ -144,15 +144,15 @@
 	}
 }
 
-func (r *region) put(t *testing.T, f declarer.File) {
+func (r *region) applyFile(t *testing.T, f declarer.File) {
 	t.Helper()
-	r.follow()
+	r.awaitRelays()
 	o := &publisher.Operator{Platform: r.store, Name: "anna"}
 	x, err := o.Apply(t.Context(), f, publisher.Options{})
 	if err != nil || x.Outcome != applier.InForce {
 		t.Fatalf("got %+v, error %v", x, err)
 	}
-	for n, x := range r.all {
+	for n, x := range r.hosts {
 		_, g := x.host.Current()
 		if s := x.host.Status(); g.DatabaseGroups[0].Service != f.DatabaseGroups[0].Service || s.Standing != adopter.Confirmed {
 			t.Errorf("host %s has %+v, %+v", n, g.DatabaseGroups[0], s)
@@ -164,12 +164,12 @@
 // their relays. A small change then comes with the head alone, and nobody takes the file.
 func TestSmallChangeComesWithTheHead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, m := counted()
+		r, m := newMeteredRegion()
 		defer r.end()
-		r.put(t, groups(500, "a"))
+		r.applyFile(t, fileOfGroups(500, "a"))
 		m.expect(t, 6, 9, 0)
 		m.reset()
-		r.put(t, groups(500, "b"))
+		r.applyFile(t, fileOfGroups(500, "b"))
 		m.expect(t, 0, 0, 0)
 	})
 }
@@ -178,13 +178,13 @@
 // Relays take the file from the platform and pass the difference on.
 func TestLargeChangeComesFromTheRelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, m := counted()
+		r, m := newMeteredRegion()
 		defer r.end()
-		r.put(t, groups(500, "a"))
+		r.applyFile(t, fileOfGroups(500, "a"))
 		m.reset()
-		f := groups(750, "b")
+		f := fileOfGroups(750, "b")
 		f.DatabaseGroups = f.DatabaseGroups[:650]
-		r.put(t, f)
+		r.applyFile(t, f)
 		m.expect(t, 6, 0, 9)
 	})
 }
@@ -200,12 +200,12 @@
 	} {
 		t.Run(n, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r, m := counted()
+				r, m := newMeteredRegion()
 				defer r.end()
-				r.put(t, groups(500, "a"))
+				r.applyFile(t, fileOfGroups(500, "a"))
 				m.reset()
 				m.spoil = f
-				r.put(t, groups(500, "b"))
+				r.applyFile(t, fileOfGroups(500, "b"))
 				// Each of the nine hosts is offered its relay's change once more.
 				m.expect(t, 6, 9, 9)
 			})
@@ -217,12 +217,12 @@
 // its other hosts are new already. They must be served as before.
 func TestOldVersionsPassFilesOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, m := counted()
+		r, m := newMeteredRegion()
 		defer r.end()
-		r.put(t, groups(500, "a"))
+		r.applyFile(t, fileOfGroups(500, "a"))
 		m.reset()
 		m.old = true
-		r.put(t, groups(500, "b"))
+		r.applyFile(t, fileOfGroups(500, "b"))
 		m.expect(t, 6, 9, 0)
 	})
 }
@@ -232,22 +232,22 @@
 // changes alone.
 func TestHostThatMissedAChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, m := counted()
+		r, m := newMeteredRegion()
 		defer r.end()
-		r.put(t, groups(500, "a"))
-		n := r.last("z0")
+		r.applyFile(t, fileOfGroups(500, "a"))
+		n := r.lastHost("z0")
 		x, _ := r.find(n)
-		x.way.set(true)
-		r.silence(n, true)
+		x.platform.set(true)
+		r.setSilent(n, true)
 		o := &publisher.Operator{Platform: r.store, Name: "anna"}
 		for _, s := range []string{"b", "c"} {
-			if _, err := o.Apply(t.Context(), groups(500, s), publisher.Options{}); err != nil {
+			if _, err := o.Apply(t.Context(), fileOfGroups(500, s), publisher.Options{}); err != nil {
 				t.Fatal(err)
 			}
 		}
 		m.reset()
-		x.way.set(false)
-		r.silence(n, false)
+		x.platform.set(false)
+		r.setSilent(n, false)
 		time.Sleep(time.Minute)
 		if _, f := x.host.Current(); f.DatabaseGroups[0].Service != "c" || x.host.Status().Standing != adopter.Confirmed {
 			t.Errorf("decides by %+v, %+v", f.DatabaseGroups[0], x.host.Status())
--- a/internal/config/sharer/region_test.go
+++ b/internal/config/sharer/region_test.go
@@ -26,20 +26,20 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// way is one host's way to the platform, which can be cut.
-type way struct {
+// cuttablePlatform is one host's cuttablePlatform to the platform, which can be cut.
+type cuttablePlatform struct {
 	accessor.Platform
 	mu  sync.Mutex
 	cut bool
 }
 
-func (w *way) set(cut bool) {
+func (w *cuttablePlatform) set(cut bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cut = cut
 }
 
-func (w *way) check() error {
+func (w *cuttablePlatform) check() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.cut {
@@ -48,14 +48,14 @@
 	return nil
 }
 
-func (w *way) Put(ctx context.Context, o accessor.Object) (accessor.Object, error) {
+func (w *cuttablePlatform) Put(ctx context.Context, o accessor.Object) (accessor.Object, error) {
 	if err := w.check(); err != nil {
 		return o, err
 	}
 	return w.Platform.Put(ctx, o)
 }
 
-func (w *way) Watch(ctx context.Context, kind, name string, after accessor.Version) (accessor.Object, error) {
+func (w *cuttablePlatform) Watch(ctx context.Context, kind, name string, after accessor.Version) (accessor.Object, error) {
 	if err := w.check(); err != nil {
 		return accessor.Object{}, err
 	}
@@ -66,13 +66,13 @@
 	return o, err
 }
 
-// resident is one host of a zone.
-type resident struct {
-	host   *follower.Host
-	sharer *sharer.Sharer
-	way    *way
-	stop   context.CancelFunc
-	silent bool
+// regionHost is one host of a zone.
+type regionHost struct {
+	host     *follower.Host
+	sharer   *sharer.Sharer
+	platform *cuttablePlatform
+	stop     context.CancelFunc
+	silent   bool
 	// leaving says that others don't take the host for a relay any more.
 	leaving bool
 }
@@ -81,16 +81,16 @@
 type region struct {
 	store *storekeeper.Store
 	mu    sync.Mutex
-	all   map[string]*resident
+	hosts map[string]*regionHost
 	wait  sync.WaitGroup
 	// meter counts how files travel, unless it is nil.
-	meter *meter
+	meter *transferMeter
 }
 
 var errSilent = errors.New("peer is silent")
 
 func newRegion() *region {
-	return &region{store: &storekeeper.Store{}, all: map[string]*resident{}}
+	return &region{store: &storekeeper.Store{}, hosts: map[string]*regionHost{}}
 }
 
 // zone returns the live hosts of a zone by name.
@@ -98,7 +98,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var l []string
-	for n, x := range r.all {
+	for n, x := range r.hosts {
 		if x.host.AvailabilityZone == zone && !x.leaving {
 			l = append(l, n)
 		}
@@ -107,17 +107,17 @@
 	return l
 }
 
-func (r *region) find(name string) (*resident, bool) {
+func (r *region) find(name string) (*regionHost, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	x, ok := r.all[name]
+	x, ok := r.hosts[name]
 	return x, ok && !x.silent
 }
 
-func (r *region) silence(name string, silent bool) {
+func (r *region) setSilent(name string, silent bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.all[name].silent = silent
+	r.hosts[name].silent = silent
 }
 
 // ask passes a question on, and the answer with the revision that it bears.
@@ -141,14 +141,14 @@
 // platform returns the platform as hosts reach it.
 func (r *region) platform() accessor.Platform {
 	if r.meter != nil {
-		return &metered{Platform: r.store, meter: r.meter}
+		return &meteredPlatform{Platform: r.store, meter: r.meter}
 	}
 	return r.store
 }
 
-func (r *region) start(name, incarnation, zone string) *resident {
+func (r *region) start(name, incarnation, zone string) *regionHost {
 	ctx, cancel := context.WithCancel(context.Background())
-	x := &resident{stop: cancel, way: &way{Platform: r.platform()}}
+	x := &regionHost{stop: cancel, platform: &cuttablePlatform{Platform: r.platform()}}
 	l := &log.Logger{Handler: json.New(io.Discard)}
 	n := rand.New(rand.NewPCG(1, uint64(len(name))))
 	var mu sync.Mutex
@@ -157,8 +157,8 @@
 		defer mu.Unlock()
 		return n.Float64()
 	}
-	w := &watcher.Watcher{Platform: x.way, Random: random}
-	x.host = &follower.Host{Name: name, Incarnation: incarnation, AvailabilityZone: zone, Platform: x.way, Watcher: w, Random: random, Log: l}
+	w := &watcher.Watcher{Platform: x.platform, Random: random}
+	x.host = &follower.Host{Name: name, Incarnation: incarnation, AvailabilityZone: zone, Platform: x.platform, Watcher: w, Random: random, Log: l}
 	x.sharer = &sharer.Sharer{
 		Host: x.host, Random: random, Log: l, Ask: r.ask(x.host),
 		Peers: func() []string { return r.zone(zone) },
@@ -175,7 +175,7 @@
 	}
 	x.host.Peers, x.host.Relays = x.sharer, x.sharer
 	r.mu.Lock()
-	r.all[name] = x
+	r.hosts[name] = x
 	r.mu.Unlock()
 	r.wait.Go(func() { _ = w.Run(ctx) })
 	r.wait.Go(func() { _ = x.host.Run(ctx) })
@@ -192,7 +192,7 @@
 }
 
 func (r *region) end() {
-	for _, x := range r.all {
+	for _, x := range r.hosts {
 		x.stop()
 	}
 	r.wait.Wait()
@@ -202,13 +202,13 @@
 func (r *region) remove(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.all, name)
+	delete(r.hosts, name)
 }
 
-func (r *region) leave(name string) {
+func (r *region) markLeaving(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.all[name].leaving = true
+	r.hosts[name].leaving = true
 }
 
 func (r *region) apply(t *testing.T, queue int, want applier.Outcome) (applier.Result, time.Duration) {
@@ -224,22 +224,22 @@
 
 func (r *region) expect(t *testing.T, queue int, g adopter.Standing, except ...string) {
 	t.Helper()
-	for n, x := range r.all {
-		if s := x.host.Status(); !slices.Contains(except, n) && (queueOf(x) != queue || s.Standing != g) {
-			t.Errorf("host %s has queue length %d, %+v; want %d, %s", n, queueOf(x), s, queue, g)
+	for n, x := range r.hosts {
+		if s := x.host.Status(); !slices.Contains(except, n) && (hostQueueLength(x) != queue || s.Standing != g) {
+			t.Errorf("host %s has queue length %d, %+v; want %d, %s", n, hostQueueLength(x), s, queue, g)
 		}
 	}
 }
 
-func queueOf(x *resident) int { return queue(x.host) }
+func hostQueueLength(x *regionHost) int { return queueLength(x.host) }
 
-// last returns a host of a zone that isn't a relay.
-func (r *region) last(zone string) string {
+// lastHost returns a host of a zone that isn't a relay.
+func (r *region) lastHost(zone string) string {
 	l := arranger.Rank(zone, r.zone(zone))
 	return l[len(l)-1]
 }
 
-// first returns the first relay of a zone.
-func (r *region) first(zone string) string {
+// firstRelay returns the firstRelay relay of a zone.
+func (r *region) firstRelay(zone string) string {
 	return arranger.Rank(zone, r.zone(zone))[0]
 }
--- a/internal/config/sharer/relay.go
+++ b/internal/config/sharer/relay.go
@@ -11,8 +11,8 @@
 	"github.com/cuminwick/cuminwick/internal/config/summarizer"
 )
 
-// bodyWait is how long a relay waits for a file that it doesn't hold yet.
-const bodyWait = time.Second
+// maximumBodyWait is how long a relay waits for a file that it doesn't hold yet.
+const maximumBodyWait = time.Second
 
 // Relays implements follower.Relays.
 func (s *Sharer) Relays() []string {
@@ -36,7 +36,7 @@
 
 // FetchFrom implements follower.Relays.
 func (s *Sharer) FetchFrom(ctx context.Context, relay string, r, base declarer.Revision) (follower.Delivery, error) {
-	a, err := s.ask(ctx, relay, Question{Revision: r, Wait: bodyWait, Base: base})
+	a, err := s.ask(ctx, relay, Question{Revision: r, Wait: maximumBodyWait, Base: base})
 	if err != nil {
 		return follower.Delivery{}, err
 	}
@@ -53,13 +53,13 @@
 	return Share{InForce: declarer.Revision(r), Advice: &a}
 }
 
-// await waits until this host holds the file that is asked for, for as long as
+// awaitFile waits until this host holds the file that is asked for, for as long as
 // the other one waits.
-func (s *Sharer) await(ctx context.Context, q Question) {
+func (s *Sharer) awaitFile(ctx context.Context, q Question) {
 	if q.Revision == 0 || q.Wait <= 0 {
 		return
 	}
-	c, cancel := context.WithTimeout(ctx, min(q.Wait, bodyWait))
+	c, cancel := context.WithTimeout(ctx, min(q.Wait, maximumBodyWait))
 	defer cancel()
 	s.Host.Await(c, q.Revision)
 }
--- a/internal/config/sharer/relay_test.go
+++ b/internal/config/sharer/relay_test.go
@@ -54,8 +54,8 @@
 			r.start(fmt.Sprintf("h%d", n), "1", "z0")
 		}
 		time.Sleep(time.Minute)
-		x, _ := r.find(r.first("z0"))
-		m := &member{relay: x.host}
+		x, _ := r.find(r.firstRelay("z0"))
+		m := &reportingMember{relay: x.host}
 		m.report(t)
 		for n := range 9 {
 			time.Sleep(500 * time.Millisecond)
@@ -69,15 +69,15 @@
 	})
 }
 
-// member is a host that reports to a relay again and again.
-type member struct {
+// reportingMember is a host that reports to a relay again and again.
+type reportingMember struct {
 	relay     *follower.Host
 	registrar string
 	reports   uint64
 }
 
 // report tells the relay of a further revision.
-func (m *member) report(t *testing.T) {
+func (m *reportingMember) report(t *testing.T) {
 	m.reports++
 	r := &follower.MemberReport{
 		Member:    encoder.HostReport{Host: "g", Incarnation: "1", Ready: declarer.Revision(m.reports)},
@@ -93,7 +93,7 @@
 }
 
 // reportAfter does so after d, and closes what it returns when the relay has answered.
-func (m *member) reportAfter(t *testing.T, d time.Duration) <-chan struct{} {
+func (m *reportingMember) reportAfter(t *testing.T, d time.Duration) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -112,9 +112,9 @@
 		r.store.SetHost(accessor.Host{Name: "h1", Kind: accessor.EntryHost, State: accessor.HostLive})
 		r.settle(5)
 		r.apply(t, 1, applier.InForce)
-		n := r.first("z0")
+		n := r.firstRelay("z0")
 		x, _ := r.find(n)
-		x.way.set(true)
+		x.platform.set(true)
 		x.stop()
 		r.remove(n)
 		if _, d := r.apply(t, 2, applier.InForce); d > 2*applier.DefaultAcknowledgementTimeout {
@@ -141,16 +141,16 @@
 		}
 		r.settle(5)
 		r.apply(t, 1, applier.InForce)
-		n := r.first("z0")
+		n := r.firstRelay("z0")
 		x, _ := r.find(n)
-		x.way.set(true)
+		x.platform.set(true)
 		a, _ := r.apply(t, 2, applier.Accepted)
 		if len(a.Missing) != 1 || a.Missing[0].Host != n {
 			t.Errorf("missing %+v", a.Missing)
 		}
 		time.Sleep(20 * time.Second)
 		r.expect(t, 2, adopter.Confirmed, n)
-		x.way.set(false)
+		x.platform.set(false)
 		time.Sleep(30 * time.Second)
 		r.expect(t, 2, adopter.Confirmed)
 		r.apply(t, 3, applier.InForce)
@@ -168,7 +168,7 @@
 		r.apply(t, 1, applier.InForce)
 		z := r.zone("z0")
 		for _, n := range z {
-			r.silence(n, true)
+			r.setSilent(n, true)
 		}
 		time.Sleep(30 * time.Second)
 		r.expect(t, 1, adopter.Confirmed)
@@ -181,7 +181,7 @@
 		r.apply(t, 2, applier.InForce)
 		r.expect(t, 2, adopter.Confirmed)
 		for _, n := range z {
-			r.silence(n, false)
+			r.setSilent(n, false)
 		}
 		time.Sleep(30 * time.Second)
 		r.expect(t, 2, adopter.Confirmed)
@@ -205,7 +205,7 @@
 		l := arranger.Rank("z0", r.zone("z0"))
 		for i, n := range []string{l[4], l[0], l[3]} {
 			x, _ := r.find(n)
-			r.leave(n)
+			r.markLeaving(n)
 			time.Sleep(20 * time.Second)
 			x.host.Depart(t.Context())
 			x.stop()
--- a/internal/config/sharer/sharer.go
+++ b/internal/config/sharer/sharer.go
@@ -101,7 +101,7 @@
 	if q.Consultation != nil {
 		return s.advise(ctx, *q.Consultation)
 	}
-	s.await(ctx, q)
+	s.awaitFile(ctx, q)
 	r, _ := s.Host.Current()
 	a := Share{InForce: declarer.Revision(r)}
 	if c, ok := s.Host.Claim(); ok {
@@ -115,7 +115,7 @@
 
 // Fetch implements follower.Fetcher: it asks a few peers in random order.
 func (s *Sharer) Fetch(ctx context.Context, r declarer.Revision) (encoder.Body, error) {
-	for _, p := range s.pick(maximumAttempts) {
+	for _, p := range s.pickPeers(maximumAttempts) {
 		a, err := s.ask(ctx, p, Question{Revision: r})
 		if err != nil {
 			s.Log.WithError(err).WithField("peer", p).Warn("peer doesn't answer for a configuration")
@@ -136,8 +136,8 @@
 	return s.Ask(ctx, p, q)
 }
 
-// pick returns up to n peers in random order.
-func (s *Sharer) pick(n int) []string {
+// pickPeers returns up to n peers in random order.
+func (s *Sharer) pickPeers(n int) []string {
 	l := s.Peers()
 	for i := range l {
 		j := i + int(s.Random()*float64(len(l)-i))
@@ -170,7 +170,7 @@
 	if s.Host.Status().FailingSince.IsZero() {
 		return
 	}
-	for _, p := range s.pick(1) {
+	for _, p := range s.pickPeers(1) {
 		t := s.Host.Now()
 		a, err := s.ask(ctx, p, Question{})
 		if err != nil {
--- a/internal/config/sharer/sharer_test.go
+++ b/internal/config/sharer/sharer_test.go
@@ -23,22 +23,22 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// fleet is hosts that ask each other directly.
-type fleet struct {
+// directPeers is hosts that ask each other directly.
+type directPeers struct {
 	ctx     context.Context
 	mu      sync.Mutex
 	sharers map[string]*sharer.Sharer
 	wait    sync.WaitGroup
 }
 
-func (f *fleet) find(name string) (*sharer.Sharer, bool) {
+func (f *directPeers) find(name string) (*sharer.Sharer, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s, ok := f.sharers[name]
 	return s, ok
 }
 
-func (f *fleet) add(name string, p accessor.Platform, peers ...string) *follower.Host {
+func (f *directPeers) add(name string, p accessor.Platform, peers ...string) *follower.Host {
 	l := &log.Logger{Handler: json.New(io.Discard)}
 	r := rand.New(rand.NewPCG(1, uint64(len(f.sharers))))
 	var mu sync.Mutex
@@ -70,7 +70,7 @@
 	return h
 }
 
-func queue(h *follower.Host) int {
+func queueLength(h *follower.Host) int {
 	_, f := h.Current()
 	if f == nil {
 		return 0
@@ -84,7 +84,7 @@
 func TestPeersStandInForPlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		f := &fleet{ctx: ctx, sharers: map[string]*sharer.Sharer{}}
+		f := &directPeers{ctx: ctx, sharers: map[string]*sharer.Sharer{}}
 		defer f.wait.Wait()
 		defer cancel()
 		s, down := &storekeeper.Store{}, &storekeeper.Store{}
@@ -99,15 +99,15 @@
 				t.Fatalf("got %+v, error %v", r, err)
 			}
 			time.Sleep(20 * time.Second)
-			if queue(a) != n || queue(b) != n {
-				t.Errorf("hosts decide by %d and %d, want %d", queue(a), queue(b), n)
+			if queueLength(a) != n || queueLength(b) != n {
+				t.Errorf("hosts decide by %d and %d, want %d", queueLength(a), queueLength(b), n)
 			}
 		}
 		s.SetOutage(true)
 		c := f.add("c", down, "b")
 		time.Sleep(20 * time.Second)
-		if queue(c) != 2 {
-			t.Errorf("replaced host decides by %d", queue(c))
+		if queueLength(c) != 2 {
+			t.Errorf("replaced host decides by %d", queueLength(c))
 		}
 		if g := c.Status().Standing; g != adopter.Unconfirmed {
 			t.Errorf("replaced host's revision is %s", g)
@@ -120,7 +120,7 @@
 func TestObserveGivesUpInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		f := &fleet{ctx: ctx, sharers: map[string]*sharer.Sharer{}}
+		f := &directPeers{ctx: ctx, sharers: map[string]*sharer.Sharer{}}
 		defer f.wait.Wait()
 		defer cancel()
 		h := f.add("a", &storekeeper.Store{})
--- a/internal/config/summarizer/relay.go
+++ b/internal/config/summarizer/relay.go
@@ -6,10 +6,10 @@
 	"github.com/cuminwick/cuminwick/internal/member/arranger"
 )
 
-// fewHosts is the number of hosts up to which a zone has one relay. There the
+// maximumSingleRelayHosts is the number of hosts up to which a zone has one relay. There the
 // others going to the platform themselves, while that relay doesn't answer, costs
 // no more than a second relay would cost all the time.
-const fewHosts = 3
+const maximumSingleRelayHosts = 3
 
 // Relays returns the relays that self asks, in order, out of the live hosts of its
 // zone; none if self is to be a relay, or is alone. Hosts differ for a while about
@@ -17,7 +17,7 @@
 // then writes its own object, and operators merge them.
 func Relays(zone, self string, live []string) []string {
 	n := arranger.Relays
-	if len(live) <= fewHosts {
+	if len(live) <= maximumSingleRelayHosts {
 		n = 1
 	}
 	l := arranger.Rank(zone, live)
--- a/internal/config/summarizer/summarizer.go
+++ b/internal/config/summarizer/summarizer.go
@@ -14,9 +14,9 @@
 	// MaximumGatherDelay is how long a change waits for those of other hosts, so that one
 	// write of the object holds them all.
 	MaximumGatherDelay = 50 * time.Millisecond
-	// recent is how long ago a host was heard of at most to be waited for. It is
+	// activeInterval is how long ago a host was heard of at most to be waited for. It is
 	// above the time between two questions of a host at rest.
-	recent = 5 * time.Second
+	activeInterval = 5 * time.Second
 )
 
 // State is what a relay knows of the hosts that report through it. It reads no
@@ -26,25 +26,25 @@
 	Self encoder.HostReport
 
 	members []member
-	// started and stored number the last put that was begun, and the last one
+	// beganPuts and storedPuts number the last put that was begun, and the last one
 	// that the platform is known to have taken.
-	started, stored uint64
-	dirty           bool
-	dirtySince      time.Duration
+	beganPuts, storedPuts uint64
+	dirty                 bool
+	dirtySince            time.Duration
 }
 
 // member is one start of a host.
 type member struct {
-	// told is what the host reported, put what the put under way holds, and held
+	// reported is what the host reported, putReport what the putReport under way holds, and storedReport
 	// what the object holds.
-	told, put, held encoder.HostReport
-	isPut, isHeld   bool
-	// fresh is the put that must have been stored before the host may be told
+	reported, putReport, storedReport encoder.HostReport
+	inPut, isStored                   bool
+	// registeringPut is the put that must have been stored before the host may be told
 	// that it is registered.
-	fresh uint64
+	registeringPut uint64
 	// sequence numbers the host's last question.
 	sequence uint64
-	heard    time.Duration
+	activeAt time.Duration
 }
 
 // AddReport takes in a host's report. A host that isn't registered here counts only
@@ -53,26 +53,26 @@
 func (s *State) AddReport(m encoder.HostReport, sequence uint64, registered bool, now time.Duration) {
 	i := s.find(m)
 	if i < 0 {
-		s.members = append(s.members, member{told: m})
+		s.members = append(s.members, member{reported: m})
 		i = len(s.members) - 1
 		registered = false
 	}
 	x := &s.members[i]
-	x.told = x.told.Merge(m)
+	x.reported = x.reported.Merge(m)
 	x.sequence = max(x.sequence, sequence)
-	x.heard = now
-	if !registered && x.fresh <= s.started {
-		x.fresh = s.started + 1
+	x.activeAt = now
+	if !registered && x.registeringPut <= s.beganPuts {
+		x.registeringPut = s.beganPuts + 1
 	}
-	if x.fresh > s.started || !x.isHeld || !x.told.Says(x.held) {
-		s.touch(now)
+	if x.registeringPut > s.beganPuts || !x.isStored || !x.reported.Says(x.storedReport) {
+		s.markDirty(now)
 	}
 }
 
 // MarkActive takes in that a host was heard of, so that it is waited for.
 func (s *State) MarkActive(m encoder.HostReport, now time.Duration) {
 	if i := s.find(m); i >= 0 {
-		s.members[i].heard = now
+		s.members[i].activeAt = now
 	}
 }
 
@@ -84,15 +84,15 @@
 		return
 	}
 	s.members = slices.Delete(s.members, i, i+1)
-	s.touch(now)
+	s.markDirty(now)
 }
 
 // MemberRemoved reports whether the object as stored doesn't hold m any more.
 func (s *State) MemberRemoved(m encoder.HostReport) bool {
-	return s.find(m) < 0 && !s.dirty && s.stored == s.started
+	return s.find(m) < 0 && !s.dirty && s.storedPuts == s.beganPuts
 }
 
-func (s *State) touch(now time.Duration) {
+func (s *State) markDirty(now time.Duration) {
 	if !s.dirty {
 		s.dirtySince = now
 	}
@@ -105,7 +105,7 @@
 // has changed.
 func (s *State) Due(ready, inForce declarer.Revision, ownDue bool, now time.Duration) (bool, time.Duration) {
 	if ownDue {
-		s.touch(now)
+		s.markDirty(now)
 	}
 	if !s.dirty {
 		return false, 0
@@ -121,23 +121,23 @@
 // soon, because the relay itself is further.
 func (s *State) lagging(ready, inForce declarer.Revision, now time.Duration) bool {
 	return slices.ContainsFunc(s.members, func(x member) bool {
-		if now-x.heard >= recent || x.told.Refused == ready && ready != 0 {
+		if now-x.activeAt >= activeInterval || x.reported.Refused == ready && ready != 0 {
 			return false
 		}
-		return max(x.told.Ready, x.told.InForce) < ready || x.told.InForce < inForce
+		return max(x.reported.Ready, x.reported.InForce) < ready || x.reported.InForce < inForce
 	})
 }
 
 // BeginPut starts a put and returns the members that it has to hold.
 func (s *State) BeginPut() []encoder.HostReport {
-	s.started++
+	s.beganPuts++
 	s.dirty = false
 	var l []encoder.HostReport
 	for i := range s.members {
 		x := &s.members[i]
-		x.put = x.told
-		x.isPut = true
-		l = append(l, x.put)
+		x.putReport = x.reported
+		x.inPut = true
+		l = append(l, x.putReport)
 	}
 	return l
 }
@@ -148,10 +148,10 @@
 	fresh := false
 	for i := range s.members {
 		x := &s.members[i]
-		fresh = fresh || x.isPut && x.fresh > s.stored && x.fresh <= s.started
-		x.held, x.isHeld = x.put, x.isPut
+		fresh = fresh || x.inPut && x.registeringPut > s.storedPuts && x.registeringPut <= s.beganPuts
+		x.storedReport, x.isStored = x.putReport, x.inPut
 	}
-	s.stored = s.started
+	s.storedPuts = s.beganPuts
 	return fresh
 }
 
@@ -160,10 +160,10 @@
 // out by an operator and know it; those that have asked since remain to be put.
 func (s *State) ReadBack(l []encoder.HostReport, now time.Duration) {
 	s.members = slices.DeleteFunc(s.members, func(x member) bool {
-		return x.fresh <= s.stored && !slices.ContainsFunc(l, x.told.Is)
+		return x.registeringPut <= s.storedPuts && !slices.ContainsFunc(l, x.reported.Is)
 	})
 	for i := range s.members {
-		s.members[i].isHeld, s.members[i].isPut = false, false
+		s.members[i].isStored, s.members[i].inPut = false, false
 	}
 	for _, m := range l {
 		if m.Is(s.Self) {
@@ -171,14 +171,14 @@
 		}
 		i := s.find(m)
 		if i < 0 {
-			s.members = append(s.members, member{told: m})
+			s.members = append(s.members, member{reported: m})
 			i = len(s.members) - 1
 		}
 		x := &s.members[i]
-		x.told = x.told.Merge(m)
-		x.held, x.isHeld = m, true
+		x.reported = x.reported.Merge(m)
+		x.storedReport, x.isStored = m, true
 	}
-	s.touch(now)
+	s.markDirty(now)
 }
 
 // Reset takes in that the object isn't this relay's any more. No host is
@@ -191,10 +191,10 @@
 // Held returns what the object is known to hold of m, false if that can't be said.
 func (s *State) Held(m encoder.HostReport) (encoder.HostReport, bool) {
 	i := s.find(m)
-	if i < 0 || !s.members[i].isHeld || s.members[i].fresh > s.stored {
+	if i < 0 || !s.members[i].isStored || s.members[i].registeringPut > s.storedPuts {
 		return encoder.HostReport{}, false
 	}
-	return s.members[i].held, true
+	return s.members[i].storedReport, true
 }
 
 // CanAnswer reports whether m may be told: either its last report is held, or it
@@ -213,5 +213,5 @@
 }
 
 func (s *State) find(m encoder.HostReport) int {
-	return slices.IndexFunc(s.members, func(x member) bool { return x.told.Is(m) })
+	return slices.IndexFunc(s.members, func(x member) bool { return x.reported.Is(m) })
 }
