--- a/internal/config/publisher/benchmark_test.go
+++ b/internal/config/publisher/benchmark_test.go
@@ -19,26 +19,25 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-const betweenApplies = 250 * time.Millisecond
+const pauseBetweenApplies = 250 * time.Millisecond
 
-// BenchmarkApply measures, over real sockets, the time until all hosts have told
-// that they decide by a new revision, with a store that answers in 2 ms, and
-// the store calls that one apply takes.
+// BenchmarkApply measures, over real sockets and with a store that answers in 2 ms, the time until all
+// hosts have reported a new revision in force, and the store calls that one apply takes.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{3, 9, 27, 81} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) { benchmarkApply(b, n, func(*follower.Host) {}) })
 	}
 }
 
-// BenchmarkApplyThroughRelays is BenchmarkApply with relays in each of the three
-// zones, which the others ask by a call in the same process.
+// BenchmarkApplyThroughRelays is BenchmarkApply with relays in each of the three zones. The other hosts
+// call them within the process.
 func BenchmarkApplyThroughRelays(b *testing.B) {
 	for _, n := range []int{3, 9, 27, 81} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) { benchmarkApply(b, n, (&relayNetwork{}).join) })
 	}
 }
 
-// relayNetwork is hosts that ask each other as relays.
+// relayNetwork connects hosts, by direct calls, to the relays of their zones.
 type relayNetwork struct {
 	mu  sync.Mutex
 	all map[string]*sharer.Sharer
@@ -75,7 +74,8 @@
 	return s.Answer(ctx, q), nil
 }
 
-// settle returns once each host follows the way that it will keep.
+// settle waits until each host is confirmed and, unless it is a relay itself, follows a relay if there
+// are relays.
 func (d *deployment) settle() {
 	for _, h := range d.hosts {
 		for r := h.Relays; h.Status().Standing != adopter.Confirmed || r != nil && (len(r.Relays()) > 0) != (h.Status().Relay != ""); {
@@ -103,8 +103,8 @@
 	n, calls := 0, 0
 	for b.Loop() {
 		n++
-		// Applied without a pause, the hosts' call budget would be measured.
-		time.Sleep(betweenApplies)
+		// Without a pause the hosts' call budget would be the limit that is measured.
+		time.Sleep(pauseBetweenApplies)
 		s.Store.ResetCalls()
 		t := time.Now()
 		r, err := o.Apply(ctx, file(n), publisher.Options{})
--- a/internal/config/publisher/change.go
+++ b/internal/config/publisher/change.go
@@ -7,14 +7,14 @@
 	"github.com/cuminwick/cuminwick/internal/config/encoder"
 )
 
-// changeTo returns what makes the file of e out of the one in force, nil where that
-// isn't worth a place in the head or can't be told. Hosts then take the whole file.
+// changeTo returns the change from the file in force to the file of e. It returns nil if the change
+// is too large for the head, saves too little or can't be made; hosts then fetch the whole file.
 func (r *run) changeTo(ctx context.Context, e encoder.Entry) *encoder.Change {
 	if r.file == nil || e.From == 0 {
 		return nil
 	}
 	if !r.change.Leads(e.From, e.Revision) {
-		r.change = &encoder.Change{Base: e.From, Revision: e.Revision, Packed: r.differences(ctx, e)}
+		r.change = &encoder.Change{Base: e.From, Revision: e.Revision, Packed: r.packChange(ctx, e)}
 	}
 	if n := len(r.change.Packed); n == 0 || n > encoder.MaximumHeadChangeBytes || !changer.Worthwhile(n, len(r.packed)) {
 		return nil
@@ -22,18 +22,18 @@
 	return r.change
 }
 
-// differences returns what differs from the file in force, nothing where that can't
-// be read.
-func (r *run) differences(ctx context.Context, e encoder.Entry) []byte {
-	f := r.operator.last.Load()
+// packChange returns the packed change from the file in force to the file of e, nil if the file in
+// force can't be read or one of the files doesn't match its digest.
+func (r *run) packChange(ctx context.Context, e encoder.Entry) []byte {
+	f := r.operator.lastRead.Load()
 	if f == nil || f.revision != e.From {
 		if _, err := r.operator.File(ctx, e.From); err != nil {
 			return nil
 		}
-		f = r.operator.last.Load()
+		f = r.operator.lastRead.Load()
 	}
 	if f.revision != e.From {
-		// Another command of the same operator has read another file meanwhile.
+		// Another command of the same Operator has read another file meanwhile.
 		return nil
 	}
 	a, err := changer.Split(&f.file)
--- a/internal/config/publisher/change_test.go
+++ b/internal/config/publisher/change_test.go
@@ -14,7 +14,7 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// countingPlatform counts the files that an operator reads, and looks into the head that it stages.
+// countingPlatform counts the files that an operator reads and the changes that it stages in the head.
 type countingPlatform struct {
 	accessor.Platform
 	fileReads, changes atomic.Int32
@@ -42,11 +42,10 @@
 	return p.Platform.Put(ctx, o)
 }
 
-// An operator is shown what a file changes and applies it. Reading the file in force
-// once more would leave other operators the time to come first. The change may stand
-// in the head only as long as its revision is staged: an accepted or withdrawn one would
-// be read by each host at each report.
-func TestChangeStandsBesideItsStage(t *testing.T) {
+// An operator previews a file and applies it. Reading the file in force again would leave other
+// operators time to put the head first. The change may be in the head only while its revision is
+// staged: a change left in the head afterwards would be read by every host at every report.
+func TestChangeIsInHeadOnlyWhileStaged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &storekeeper.Store{}
 		d := deploy(s, 3)
@@ -70,7 +69,7 @@
 		}
 		c, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		d.platforms[0].set(true)
+		d.platforms[0].setCut(true)
 		f.Limits.QueueLength = 9
 		if r, err := o.Apply(c, f, publisher.Options{}); err != nil || r.Outcome != applier.Withdrawn {
 			t.Errorf("got %+v, error %v", r, err)
--- a/internal/config/publisher/decided_test.go
+++ b/internal/config/publisher/decided_test.go
@@ -13,7 +13,7 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// delayedActivator takes up each revision some time after the follower has moved up to it.
+// delayedActivator activates each revision some time after the follower has put it in force.
 type delayedActivator struct {
 	host      *follower.Host
 	pause     time.Duration
@@ -36,9 +36,9 @@
 	}
 }
 
-// A file changes backend servers, and a busy entry host needs a while to make their
-// pools. Its operator is told that the file is in force everywhere, and callers there
-// are still served by the servers that the operator wants to take away.
+// A file changes backend servers, and a busy entry host needs some time to create their pools. If it
+// reported the file in force before that, the operator would remove the old servers while they still
+// serve requests.
 func TestInForceIsToldOnceDecidedBy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &storekeeper.Store{}
@@ -57,7 +57,7 @@
 			r := apply(t, s, n, applier.InForce)
 			for i, k := range l {
 				if g := k.activated.Load(); g < uint64(r.Entry.Revision) {
-					t.Errorf("revision %d was told to be in force; host %d decides by %d", r.Entry.Revision, i, g)
+					t.Errorf("revision %d was reported in force; host %d has activated %d", r.Entry.Revision, i, g)
 				}
 			}
 		}
--- a/internal/config/publisher/large_test.go
+++ b/internal/config/publisher/large_test.go
@@ -22,7 +22,7 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// largeFile makes a configuration of n groups, with a team for each.
+// largeFile returns a configuration of n groups with a team each.
 func largeFile(n int) declarer.File {
 	r := rand.NewChaCha8([32]byte{1})
 	var f declarer.File
@@ -45,7 +45,7 @@
 	return f
 }
 
-// countingRelays adds up what relays answer, as coded for the wire.
+// countingRelays adds up the encoded size of the relays' answers, in bytes.
 type countingRelays struct {
 	relayNetwork
 	bytes atomic.Int64
@@ -68,9 +68,9 @@
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
 }
 
-// BenchmarkApplyOneOfManyGroups changes one of 2,800 groups and measures the time until
-// that is in force, what relays send for it, and the processor time of the whole
-// process: two sizes give what a host takes.
+// BenchmarkApplyOneOfManyGroups changes one of 2,800 groups and measures the time until the change is
+// in force, the bytes that relays send for it, and the processor time of the whole process. The
+// difference between two sizes gives the processor time of one host.
 func BenchmarkApplyOneOfManyGroups(b *testing.B) {
 	for _, n := range []int{9, 27, 81} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) { benchmarkLarge(b, n) })
@@ -101,7 +101,7 @@
 	calls, spent := 0, time.Duration(0)
 	z.bytes.Store(0)
 	for b.Loop() {
-		time.Sleep(betweenApplies)
+		time.Sleep(pauseBetweenApplies)
 		s.Store.ResetCalls()
 		f.DatabaseGroups[len(l)].Service += "-changed"
 		t, p := time.Now(), processorTime()
--- a/internal/config/publisher/publisher.go
+++ b/internal/config/publisher/publisher.go
@@ -1,4 +1,4 @@
-// Package publisher carries out an operator's commands at the platform.
+// Package publisher executes an operator's configuration commands against the platform.
 package publisher
 
 import (
@@ -19,62 +19,65 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// Bounds of the pauses between looks at the hosts, and of the clean-up after
-// an interruption.
+// Bounds of the pauses between reads of the hosts' objects, and of the clean-up after an interruption.
 const (
 	minimumPause   = 10 * time.Millisecond
 	maximumPause   = 500 * time.Millisecond
 	cleanupTimeout = 10 * time.Second
-	// maximumFailurePause spaces calls while the platform fails.
+	// maximumFailurePause bounds the pause between calls while the platform fails.
 	maximumFailurePause = 5 * time.Second
 )
 
-// ErrNotKept says that a revision's file isn't kept any more, or never was.
+// ErrNotKept is returned for a revision whose file isn't stored: its slot is empty or holds another
+// revision.
 const ErrNotKept = errors.ConstError("revision isn't kept")
 
-// Operator carries out commands in an operator's name.
+// Operator executes commands on behalf of an operator.
 type Operator struct {
 	Platform accessor.Platform
-	// Name is shown to others as who did it.
+	// Name identifies the operator in the entries of the revisions that it stages.
 	Name string
-	// AcknowledgementTimeout is how long to wait for hosts, applier.DefaultLapse if unset.
+	// AcknowledgementTimeout is how long to wait for hosts, applier.DefaultAcknowledgementTimeout
+	// if unset.
 	AcknowledgementTimeout time.Duration
-	// Progress is told of each change in how far the command has got; it may be nil.
+	// Progress is called whenever the progress of a command changes; it may be nil.
 	Progress func(Progress)
 
-	// last is the file that was read last. Who shows what a file changes has read the
-	// one in force already, so that it needn't be read again between the look at the
-	// head and the put, when another operator may come first.
-	last atomic.Pointer[revisionFile]
+	// lastRead is the file that was read last. A caller that shows a preview has already read the
+	// file in force. Reading it again between the read and the put of the head would leave other
+	// operators more time to put the head first.
+	lastRead atomic.Pointer[revisionFile]
 }
 
-// revisionFile is a revision's file as it was revisionFile.
+// revisionFile is a revision's file as read from the platform.
 type revisionFile struct {
 	revision declarer.Revision
 	digest   string
 	file     declarer.File
 }
 
-// Progress is how far a command has got.
+// Progress describes the progress of a command.
 type Progress struct {
 	Revision declarer.Revision `json:"revision"`
 	Accepted bool              `json:"accepted"`
 	Zones    []applier.Zone    `json:"zones,omitempty"`
-	// PlatformError is what the platform answered last, empty if it answers well.
+	// PlatformError is the error of the last call to the platform, empty if it succeeded.
 	PlatformError string `json:"trouble,omitempty"`
 }
 
-// Options say how a file is applied.
+// Options holds the options of Apply.
 type Options struct {
-	// From is the revision that the file was edited from, checked if CheckFrom is set.
+	// From is the revision that the file was edited from. If CheckFrom is set and From isn't the
+	// accepted revision, Apply ends with applier.Conflict. If CheckFrom is unset, the file's
+	// EditedFrom is checked unless it is zero.
 	From      declarer.Revision
 	CheckFrom bool
-	// Note is kept with the revision.
+	// Note is stored in the entry of the revision.
 	Note string
 }
 
-// Apply brings f into force, or leaves everything as it was and says why. Once
-// ctx ends, what isn't accepted yet is withdrawn.
+// Apply puts f in force, or leaves the configuration unchanged and returns why. If ctx ends before the
+// revision is accepted, it is withdrawn.
 func (o *Operator) Apply(ctx context.Context, f declarer.File, p Options) (applier.Result, error) {
 	from, check := p.From, p.CheckFrom
 	if !check && f.EditedFrom != 0 {
@@ -102,19 +105,19 @@
 	return r.run(ctx)
 }
 
-// Resume goes on with what another operator has staged.
+// Resume continues with the revision that another operator has staged.
 func (o *Operator) Resume(ctx context.Context) (applier.Result, error) {
 	r := &run{operator: o, stateMachine: applier.Operator{Mode: applier.Resume, ID: newID(), AcknowledgementTimeout: o.AcknowledgementTimeout}}
 	return r.run(ctx)
 }
 
-// Withdraw takes back what is staged, whoever staged it.
+// Withdraw removes the staged revision, whichever operator staged it.
 func (o *Operator) Withdraw(ctx context.Context) (applier.Result, error) {
 	r := &run{operator: o, stateMachine: applier.Operator{Mode: applier.Withdraw, ID: newID(), AcknowledgementTimeout: o.AcknowledgementTimeout}}
 	return r.run(ctx)
 }
 
-// Head reads what is accepted and staged.
+// Head reads which revision is accepted and which one is staged.
 func (o *Operator) Head(ctx context.Context) (encoder.Head, error) {
 	h, _, err := o.head(ctx)
 	return h, err
@@ -129,7 +132,8 @@
 	return h, b.Version, err
 }
 
-// File reads the file of revision r; revision zero is an empty file.
+// File reads the file of revision r; revision zero is an empty file. It returns ErrNotKept if the file
+// isn't stored.
 func (o *Operator) File(ctx context.Context, r declarer.Revision) (declarer.File, error) {
 	if r == 0 {
 		return declarer.File{}, nil
@@ -153,12 +157,12 @@
 		return declarer.File{}, err
 	}
 	f.EditedFrom = r
-	o.last.Store(&revisionFile{revision: r, digest: d.Digest, file: *f})
+	o.lastRead.Store(&revisionFile{revision: r, digest: d.Digest, file: *f})
 	return *f, nil
 }
 
-// Preview returns what f would change, and the revision that it was compared
-// with. While the platform doesn't answer it waits until ctx ends.
+// Preview returns the changes that f would make, and the accepted revision that it was compared with.
+// While the platform fails, it retries until ctx ends.
 func (o *Operator) Preview(ctx context.Context, f declarer.File) ([]differ.Change, declarer.Revision, error) {
 	pause := minimumPause
 	for {
@@ -186,11 +190,12 @@
 	return differ.Diff(a, defaulter.Fill(f)), h.Accepted, nil
 }
 
-// Status is the state of the whole deployment's configuration.
+// Status describes the configuration of the whole deployment.
 type Status struct {
 	Head  encoder.Head     `json:"head"`
 	Hosts []encoder.Holder `json:"hosts"`
-	// Listed holds the entry hosts of the platform's host list by name.
+	// Listed holds the state of each entry host in the platform's host list by name, nil if the list
+	// can't be read.
 	Listed map[string]accessor.HostState `json:"listed,omitempty"`
 }
 
@@ -209,14 +214,15 @@
 		return Status{}, err
 	}
 	s := Status{Head: h, Hosts: n}
-	// The host list is only a hint; the rest is shown without it.
+	// The host list is only a hint, so the status is returned without it if it can't be read.
 	if k, err := o.Platform.Hosts(ctx); err == nil {
-		s.Listed = listed(k)
+		s.Listed = entryHostStates(k)
 	}
 	return s, nil
 }
 
-func listed(l []accessor.Host) map[string]accessor.HostState {
+// entryHostStates returns the states of the entry hosts in l by name.
+func entryHostStates(l []accessor.Host) map[string]accessor.HostState {
 	m := map[string]accessor.HostState{}
 	for _, h := range l {
 		if h.Kind == accessor.EntryHost {
@@ -226,10 +232,10 @@
 	return m
 }
 
-// newID returns a random id, by which a writer knows its own changes.
+// newID returns a random ID, by which a run recognises its own changes.
 func newID() string {
 	var b [12]byte
-	// It never fails, and ends the process where there is no randomness.
+	// rand.Read never returns an error; it ends the process if no randomness is available.
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
--- a/internal/config/publisher/publisher_test.go
+++ b/internal/config/publisher/publisher_test.go
@@ -25,7 +25,7 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// cuttablePlatform is one host's way to the platform, which can be cuttablePlatform.
+// cuttablePlatform is one host's connection to the platform, which can be cut.
 type cuttablePlatform struct {
 	accessor.Platform
 	mu     sync.Mutex
@@ -33,7 +33,7 @@
 	cancel context.CancelFunc
 }
 
-func (c *cuttablePlatform) set(on bool) {
+func (c *cuttablePlatform) setCut(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !on {
@@ -74,7 +74,7 @@
 	return o, err
 }
 
-// deployment is followers in three zones.
+// deployment holds the followers of hosts in three zones.
 type deployment struct {
 	hosts     []*follower.Host
 	platforms []*cuttablePlatform
@@ -82,7 +82,7 @@
 	wait      sync.WaitGroup
 }
 
-// end stops all hosts before the virtual clock of the test ends.
+// end stops all hosts; a test with a virtual clock must call it before it returns.
 func (d *deployment) end() {
 	for _, f := range d.stops {
 		f()
@@ -94,7 +94,7 @@
 	return deployWith(p, hosts, func(*follower.Host) {})
 }
 
-// deployWith lets prepare change each host before it runs.
+// deployWith starts the hosts and calls prepare for each one before it runs.
 func deployWith(p accessor.Platform, hosts int, prepare func(h *follower.Host)) *deployment {
 	d := &deployment{}
 	l := &log.Logger{Handler: json.New(io.Discard), Level: log.ErrorLevel}
@@ -177,16 +177,16 @@
 		}
 		s.ResetCalls()
 		if r := apply(t, s, 2, applier.InForce); r.Entry.Revision != 2 {
-			t.Errorf("the same file again became revision %d", r.Entry.Revision)
+			t.Errorf("applying the same file again gave revision %d", r.Entry.Revision)
 		}
 		if c := s.Calls(); c.Put > 0 {
-			t.Errorf("the same file again took %+v", c)
+			t.Errorf("applying the same file again took %+v", c)
 		}
 	})
 }
 
-// Every put's answer is lost in turn. Whoever took a lost answer for a failure
-// would stage a file twice, or call an accepted one withdrawn.
+// The answers of puts are lost. An operator that treated a lost answer as a failure would stage a file
+// twice, or report an accepted one as withdrawn.
 func TestAnswerLostAtEachPut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &storekeeper.Store{}
@@ -196,7 +196,7 @@
 		for i := 1; i <= 3; i++ {
 			s.LoseAnswers(7 * i)
 			if r := apply(t, s, i, applier.InForce); int(r.Entry.Revision) != i {
-				t.Errorf("apply %d became revision %d", i, r.Entry.Revision)
+				t.Errorf("apply %d gave revision %d", i, r.Entry.Revision)
 			}
 			time.Sleep(10 * time.Second)
 			d.expect(t, i, adopter.Confirmed, allHosts...)
@@ -204,9 +204,9 @@
 	})
 }
 
-// A zone is cut off from the platform. Its hosts go on with their revision but
-// stop calling it confirmed before another one is accepted, and move up when
-// they are back; the operator is told who is missing.
+// A zone is cut off from the platform. Its hosts keep their revision in force but must report it as
+// unconfirmed before another one is accepted, and move up once they are reconnected. The operator
+// receives the missing hosts.
 func TestZoneCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &storekeeper.Store{}
@@ -219,7 +219,7 @@
 		apply(t, s, 1, applier.InForce)
 		zone, rest := []int{0, 3, 6}, []int{1, 2, 4, 5, 7, 8}
 		for _, i := range zone {
-			d.platforms[i].set(true)
+			d.platforms[i].setCut(true)
 		}
 		start := time.Now()
 		r := apply(t, s, 2, applier.Accepted)
@@ -232,14 +232,14 @@
 		d.expect(t, 1, adopter.Unconfirmed, zone...)
 		d.expect(t, 2, adopter.Confirmed, rest...)
 		for _, i := range zone {
-			d.platforms[i].set(false)
+			d.platforms[i].setCut(false)
 		}
 		time.Sleep(20 * time.Second)
 		d.expect(t, 2, adopter.Confirmed, allHosts...)
 	})
 }
 
-// The platform is down while an operator applies, and comes back.
+// The platform fails while an operator applies a file, and recovers.
 func TestOutageOnlyDelaysApply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &storekeeper.Store{}
@@ -261,9 +261,9 @@
 	})
 }
 
-// Hosts are replaced one after the other by new ones of other names, and one dies
-// without a word.
-func TestHostsReplaced(t *testing.T) {
+// One host stops as planned and another one fails without freeing its object. No later apply may wait
+// for the first, and only one may wait for the second.
+func TestStoppedAndFailedHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &storekeeper.Store{}
 		s.SetHost(accessor.Host{Name: "h1", Kind: accessor.EntryHost})
@@ -276,16 +276,16 @@
 		start := time.Now()
 		apply(t, s, 2, applier.InForce)
 		if e := time.Since(start); e > time.Second {
-			t.Errorf("apply waited %s for a host that had left", e)
+			t.Errorf("apply waited %s for a host that had stopped", e)
 		}
-		d.platforms[7].set(true)
+		d.platforms[7].setCut(true)
 		d.stops[7]()
 		time.Sleep(2 * time.Second)
 		apply(t, s, 3, applier.InForce)
 		start = time.Now()
 		apply(t, s, 4, applier.InForce)
 		if e := time.Since(start); e > time.Second {
-			t.Errorf("apply waited %s for a host that was known dead", e)
+			t.Errorf("apply waited %s for a host that had been removed", e)
 		}
 		l, err := s.List(t.Context(), encoder.HolderKind)
 		if err != nil || len(l) != 9 {
@@ -294,7 +294,7 @@
 	})
 }
 
-// An operator presses Ctrl-C while a host doesn't answer.
+// An operator interrupts its command while a host doesn't answer.
 func TestInterruptedApplyIsWithdrawn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &storekeeper.Store{}
@@ -302,7 +302,7 @@
 		defer d.end()
 		time.Sleep(10 * time.Second)
 		apply(t, s, 1, applier.InForce)
-		d.platforms[0].set(true)
+		d.platforms[0].setCut(true)
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
 		o := &publisher.Operator{Platform: s, Name: "anna"}
@@ -310,13 +310,13 @@
 		if err != nil || r.Outcome != applier.Withdrawn {
 			t.Errorf("got %+v, error %v", r, err)
 		}
-		d.platforms[0].set(false)
+		d.platforms[0].setCut(false)
 		time.Sleep(20 * time.Second)
 		d.expect(t, 1, adopter.Confirmed, allHosts...)
 	})
 }
 
-func TestEarlierRevisionBecomesNewOne(t *testing.T) {
+func TestEarlierFileGetsNewRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &storekeeper.Store{}
 		d := deploy(s, 9)
--- a/internal/config/publisher/run.go
+++ b/internal/config/publisher/run.go
@@ -14,23 +14,24 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// run is one command under way.
+// run is the execution of one command.
 type run struct {
 	operator     *Operator
 	stateMachine applier.Operator
 	packed       []byte
-	// file is what is applied, nil where the run goes on with another one's.
+	// file is the file to apply, nil for Resume and Withdraw.
 	file *declarer.File
-	// change is what differs from its Base, made for one revision at a time.
-	change *encoder.Change
-	watch  scheduler.Stopwatch
-	pause  time.Duration
-	last   Progress
-	// headPutSent says that a put of the head was sent.
+	// change caches the change to the file for one pair of base and revision.
+	change       *encoder.Change
+	watch        scheduler.Stopwatch
+	pause        time.Duration
+	lastProgress Progress
+	// headPutSent says that at least one put of the head was sent.
 	headPutSent bool
 }
 
-// run takes one step after the other until the decision says that it is done.
+// run executes the steps of the state machine until it is done. Once ctx ends, the state machine is
+// aborted and gets cleanupTimeout to finish.
 func (r *run) run(ctx context.Context) (applier.Result, error) {
 	work := ctx
 	for {
@@ -60,8 +61,8 @@
 	}
 }
 
-// endWithoutPut ends a run that has sent no change. A file that was never staged is
-// surely not in force; of what another operator has staged nothing is known.
+// endWithoutPut ends a run that has sent no put of the head. A file that was never staged can't be in
+// force, but the state of a revision that another operator staged is unknown.
 func (r *run) endWithoutPut(err error) (applier.Result, error) {
 	if r.stateMachine.Mode != applier.Apply {
 		return applier.Result{}, errors.Annotate(err, "nothing was tried, see status")
@@ -69,13 +70,14 @@
 	return applier.Result{Outcome: applier.Withdrawn, Reason: "nothing was tried: " + err.Error()}, nil
 }
 
-// now returns the operator's clock. It is the monotonic one alone, so that a
-// jump of the wall clock can't shorten the wait for a lease.
+// now returns the time since the start of the run on the monotonic clock, so that a jump of the wall
+// clock can't shorten the wait for a lease.
 func (r *run) now() time.Duration {
 	return r.watch.Elapsed()
 }
 
-// wait pauses a little longer each time, and longer still while the platform fails.
+// wait pauses before the next step. The pause grows by half each time, up to maximumPause or, while
+// the platform fails, maximumFailurePause.
 func (r *run) wait(ctx context.Context, failed bool) {
 	m := maximumPause
 	if failed {
@@ -86,7 +88,7 @@
 	r.stateMachine.ObserveWait(r.now())
 }
 
-// reportProgress reports progress where it has changed.
+// reportProgress calls Progress if the progress has changed.
 func (r *run) reportProgress(err error) {
 	p := Progress{
 		Revision: r.stateMachine.Revision(),
@@ -96,10 +98,10 @@
 	if err != nil {
 		p.PlatformError = err.Error()
 	}
-	if r.operator.Progress == nil || reflect.DeepEqual(p, r.last) {
+	if r.operator.Progress == nil || reflect.DeepEqual(p, r.lastProgress) {
 		return
 	}
-	r.last = p
+	r.lastProgress = p
 	r.operator.Progress(p)
 }
 
@@ -149,7 +151,7 @@
 		Kind: encoder.HeadKind, Name: encoder.HeadName, Version: s.Version, Writer: r.stateMachine.ID, Value: b,
 	})
 	if errors.Is(err, accessor.ErrConflict) {
-		// Somebody else was first; the head is read again.
+		// Another operator wrote the head first, so it must be read again.
 		r.stateMachine.InvalidateHead(false)
 		return nil
 	}
@@ -201,7 +203,7 @@
 		}
 		n = append(n, applier.HolderObject{Name: o.Name, Version: o.Version, Holder: h})
 	}
-	names, err := r.hosts(ctx, s)
+	names, err := r.readHostList(ctx, s)
 	if err != nil {
 		r.stateMachine.InvalidateHolders()
 		return err
@@ -210,8 +212,9 @@
 	return nil
 }
 
-// hosts reads the host list where the step asks for it.
-func (r *run) hosts(ctx context.Context, s applier.Step) (map[string]bool, error) {
+// readHostList returns the names of the entry hosts in the host list if the step asks for them,
+// otherwise nil.
+func (r *run) readHostList(ctx context.Context, s applier.Step) (map[string]bool, error) {
 	if !s.Hosts {
 		return nil, nil
 	}
@@ -220,7 +223,7 @@
 		return nil, errors.Trace(err)
 	}
 	m := map[string]bool{}
-	for n := range listed(l) {
+	for n := range entryHostStates(l) {
 		m[n] = true
 	}
 	return m, nil
--- a/internal/config/sharer/change_test.go
+++ b/internal/config/sharer/change_test.go
@@ -237,7 +237,7 @@
 		r.applyFile(t, fileOfGroups(500, "a"))
 		n := r.lastHost("z0")
 		x, _ := r.find(n)
-		x.platform.set(true)
+		x.platform.setCut(true)
 		r.setSilent(n, true)
 		o := &publisher.Operator{Platform: r.store, Name: "anna"}
 		for _, s := range []string{"b", "c"} {
@@ -246,7 +246,7 @@
 			}
 		}
 		m.reset()
-		x.platform.set(false)
+		x.platform.setCut(false)
 		r.setSilent(n, false)
 		time.Sleep(time.Minute)
 		if _, f := x.host.Current(); f.DatabaseGroups[0].Service != "c" || x.host.Status().Standing != adopter.Confirmed {
--- a/internal/config/sharer/region_test.go
+++ b/internal/config/sharer/region_test.go
@@ -33,7 +33,7 @@
 	cut bool
 }
 
-func (w *cuttablePlatform) set(cut bool) {
+func (w *cuttablePlatform) setCut(cut bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cut = cut
@@ -138,8 +138,8 @@
 	}
 }
 
-// platform returns the platform as hosts reach it.
-func (r *region) platform() accessor.Platform {
+// basePlatform returns the basePlatform as hosts reach it.
+func (r *region) basePlatform() accessor.Platform {
 	if r.meter != nil {
 		return &meteredPlatform{Platform: r.store, meter: r.meter}
 	}
@@ -148,7 +148,7 @@
 
 func (r *region) start(name, incarnation, zone string) *regionHost {
 	ctx, cancel := context.WithCancel(context.Background())
-	x := &regionHost{stop: cancel, platform: &cuttablePlatform{Platform: r.platform()}}
+	x := &regionHost{stop: cancel, platform: &cuttablePlatform{Platform: r.basePlatform()}}
 	l := &log.Logger{Handler: json.New(io.Discard)}
 	n := rand.New(rand.NewPCG(1, uint64(len(name))))
 	var mu sync.Mutex
--- a/internal/config/sharer/relay_test.go
+++ b/internal/config/sharer/relay_test.go
@@ -114,7 +114,7 @@
 		r.apply(t, 1, applier.InForce)
 		n := r.firstRelay("z0")
 		x, _ := r.find(n)
-		x.platform.set(true)
+		x.platform.setCut(true)
 		x.stop()
 		r.remove(n)
 		if _, d := r.apply(t, 2, applier.InForce); d > 2*applier.DefaultAcknowledgementTimeout {
@@ -143,14 +143,14 @@
 		r.apply(t, 1, applier.InForce)
 		n := r.firstRelay("z0")
 		x, _ := r.find(n)
-		x.platform.set(true)
+		x.platform.setCut(true)
 		a, _ := r.apply(t, 2, applier.Accepted)
 		if len(a.Missing) != 1 || a.Missing[0].Host != n {
 			t.Errorf("missing %+v", a.Missing)
 		}
 		time.Sleep(20 * time.Second)
 		r.expect(t, 2, adopter.Confirmed, n)
-		x.platform.set(false)
+		x.platform.setCut(false)
 		time.Sleep(30 * time.Second)
 		r.expect(t, 2, adopter.Confirmed)
 		r.apply(t, 3, applier.InForce)
