--- a/internal/config/sharer/change_test.go
+++ b/internal/config/sharer/change_test.go
@@ -18,15 +18,14 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// transferMeter counts how files come to the hosts of a region, and may spoil the changes
-// on their way.
+// transferMeter counts how the hosts of a region get files, and may corrupt the changes in transit.
 type transferMeter struct {
 	mu                         sync.Mutex
 	fileReads, bodies, changes int
-	// old says that the hosts asked are of a version that knows no changes.
-	old bool
-	// spoil alters the packed change, nil for none.
-	spoil func(p []byte) []byte
+	// withoutChanges says that the hosts asked are of a version that doesn't support changes.
+	withoutChanges bool
+	// corrupt returns a corrupted packed change; nil leaves changes intact.
+	corrupt func(p []byte) []byte
 }
 
 func (m *transferMeter) reset() {
@@ -40,28 +39,28 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.fileReads != read || m.bodies != bodies || m.changes != passed {
-		t.Errorf("%d files read from the platform, %d passed on whole, %d as changes; want %d, %d and %d",
+		t.Errorf("%d files read from the platform, %d sent whole, %d as changes; want %d, %d and %d",
 			m.fileReads, m.bodies, m.changes, read, bodies, passed)
 	}
 }
 
-// alter returns c as it arrives.
-func (m *transferMeter) alter(c *encoder.Change) *encoder.Change {
-	if m.old {
+// received returns c as it arrives at the receiver.
+func (m *transferMeter) received(c *encoder.Change) *encoder.Change {
+	if m.withoutChanges {
 		return nil
 	}
-	if c == nil || m.spoil == nil {
+	if c == nil || m.corrupt == nil {
 		return c
 	}
 	x := *c
-	x.Packed = m.spoil(append([]byte{}, c.Packed...))
+	x.Packed = m.corrupt(append([]byte{}, c.Packed...))
 	return &x
 }
 
-// ask counts what the answers hold.
-func (m *transferMeter) ask(f func(context.Context, string, sharer.Question) (sharer.Share, error)) func(context.Context, string, sharer.Question) (sharer.Share, error) {
+// count wraps the function f for Sharer.Ask so that it counts the files and changes in the answers.
+func (m *transferMeter) count(f func(context.Context, string, sharer.Question) (sharer.Share, error)) func(context.Context, string, sharer.Question) (sharer.Share, error) {
 	return func(ctx context.Context, to string, q sharer.Question) (sharer.Share, error) {
-		if m.old {
+		if m.withoutChanges {
 			q.Base = 0
 		}
 		a, err := f(ctx, to, q)
@@ -72,18 +71,18 @@
 		}
 		if a.Change != nil {
 			m.changes++
-			a.Change = m.alter(a.Change)
+			a.Change = m.received(a.Change)
 		}
 		if a.Advice != nil && a.Advice.Sight != nil && a.Advice.Sight.Head != nil {
 			h := *a.Advice.Sight.Head
-			h.Change = m.alter(h.Change)
+			h.Change = m.received(h.Change)
 			a.Advice.Sight.Head = &h
 		}
 		return a, err
 	}
 }
 
-// meteredPlatform is a platform that counts the files that hosts read.
+// meteredPlatform counts the files that hosts read from the platform.
 type meteredPlatform struct {
 	accessor.Platform
 	meter *transferMeter
@@ -100,14 +99,14 @@
 	if kind == encoder.HeadKind && err == nil {
 		h, e := encoder.Decode[encoder.Head](o)
 		if e == nil && h.Change != nil {
-			h.Change = p.meter.alter(h.Change)
+			h.Change = p.meter.received(h.Change)
 			o.Value, err = encoder.Encode(h)
 		}
 	}
 	return o, err
 }
 
-// fileOfGroups makes a file of n fileOfGroups, of which the first one has a service of its own.
+// fileOfGroups returns a file of n groups, of which the first one has the given service.
 func fileOfGroups(n int, service string) declarer.File {
 	var f declarer.File
 	for i := range n {
@@ -118,7 +117,7 @@
 	return f
 }
 
-// newMeteredRegion settles three zones of five hosts, of which two each are relays.
+// newMeteredRegion returns a settled region of three zones of five hosts, of which two each are relays.
 func newMeteredRegion() (*region, *transferMeter) {
 	r, m := newRegion(), &transferMeter{}
 	r.meter = m
@@ -126,9 +125,9 @@
 	return r, m
 }
 
-// awaitRelays waits until each host that has a relay follows it. A relay's sight is 4 to
-// 8 s old at rest, and a host that asks it just then, or while timers coincide at a
-// round second, turns to the platform for ten seconds.
+// awaitRelays waits until each host that has a relay follows it. At rest a relay's sight is 4 to 8 s
+// old. A host that asks while the sight is too old, or while timers coincide at a round second,
+// switches to the platform for ten seconds.
 func (r *region) awaitRelays() {
 	for {
 		time.Sleep(1300 * time.Millisecond)
@@ -160,9 +159,9 @@
 	}
 }
 
-// The first file comes whole: relays take it from the platform, the others from
-// their relays. A small change then comes with the head alone, and nobody takes the file.
-func TestSmallChangeComesWithTheHead(t *testing.T) {
+// The first file is sent whole: relays read it from the platform, the others get it from their relays.
+// A small change is then sent in the head, and no host reads the file.
+func TestSmallChangeIsSentInHead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, m := newMeteredRegion()
 		defer r.end()
@@ -174,9 +173,9 @@
 	})
 }
 
-// A change is too large for the head, where each host and operator would read it.
-// Relays take the file from the platform and pass the difference on.
-func TestLargeChangeComesFromTheRelay(t *testing.T) {
+// A change is too large for the head, which every host and operator reads. Relays read the file from
+// the platform and send the change to their hosts.
+func TestLargeChangeIsSentByRelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, m := newMeteredRegion()
 		defer r.end()
@@ -189,10 +188,10 @@
 	})
 }
 
-// A relay's memory, its version or the way to it spoils each change: it is cut
-// short, altered, empty or another one. No host may decide by what comes of it, and none
-// may stay behind: each takes the whole file.
-func TestSpoiltChangesCostOnlyBytes(t *testing.T) {
+// Every change is corrupted, by a relay's memory, its version or the network: it is truncated, altered
+// or empty. No host may put a file built from it in force, and none may stay at the previous revision:
+// each fetches the whole file.
+func TestCorruptChangeFallsBackToWholeFile(t *testing.T) {
 	for n, f := range map[string]func(p []byte) []byte{
 		"cut short": func(p []byte) []byte { return p[:len(p)/2] },
 		"altered":   func(p []byte) []byte { p[len(p)/2]++; return p },
@@ -204,33 +203,32 @@
 				defer r.end()
 				r.applyFile(t, fileOfGroups(500, "a"))
 				m.reset()
-				m.spoil = f
+				m.corrupt = f
 				r.applyFile(t, fileOfGroups(500, "b"))
-				// Each of the nine hosts is offered its relay's change once more.
+				// Each of the nine hosts is sent the corrupted change of its relay too, after the one in the head.
 				m.expect(t, 6, 9, 9)
 			})
 		})
 	}
 }
 
-// The relays and operators of a zone are of a version that knows no changes, and
-// its other hosts are new already. They must be served as before.
-func TestOldVersionsPassFilesOn(t *testing.T) {
+// The relays and operators are of a version that doesn't support changes, and the other hosts already
+// do. The other hosts must get whole files.
+func TestRelaysWithoutChangesSendWholeFiles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, m := newMeteredRegion()
 		defer r.end()
 		r.applyFile(t, fileOfGroups(500, "a"))
 		m.reset()
-		m.old = true
+		m.withoutChanges = true
 		r.applyFile(t, fileOfGroups(500, "b"))
 		m.expect(t, 6, 9, 0)
 	})
 }
 
-// A host is paused while two changes come into force, and holds a base that its
-// relay has no change for. It must get the whole file, from a relay that took
-// changes alone.
-func TestHostThatMissedAChange(t *testing.T) {
+// A host is cut off while two changes come into force, so it has a base for which its relay has no
+// change. It must get the whole file from a relay that itself received only changes.
+func TestHostThatMissedChangeGetsWholeFile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, m := newMeteredRegion()
 		defer r.end()
@@ -238,7 +236,7 @@
 		n := r.lastHost("z0")
 		x, _ := r.find(n)
 		x.platform.setCut(true)
-		r.setSilent(n, true)
+		r.setUnreachable(n, true)
 		o := &publisher.Operator{Platform: r.store, Name: "anna"}
 		for _, s := range []string{"b", "c"} {
 			if _, err := o.Apply(t.Context(), fileOfGroups(500, s), publisher.Options{}); err != nil {
@@ -247,10 +245,10 @@
 		}
 		m.reset()
 		x.platform.setCut(false)
-		r.setSilent(n, false)
+		r.setUnreachable(n, false)
 		time.Sleep(time.Minute)
 		if _, f := x.host.Current(); f.DatabaseGroups[0].Service != "c" || x.host.Status().Standing != adopter.Confirmed {
-			t.Errorf("decides by %+v, %+v", f.DatabaseGroups[0], x.host.Status())
+			t.Errorf("has %+v in force, %+v", f.DatabaseGroups[0], x.host.Status())
 		}
 		m.expect(t, 0, 1, 0)
 	})
--- a/internal/config/sharer/region_test.go
+++ b/internal/config/sharer/region_test.go
@@ -26,7 +26,7 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// cuttablePlatform is one host's cuttablePlatform to the platform, which can be cut.
+// cuttablePlatform is one host's connection to the platform, which can be cut.
 type cuttablePlatform struct {
 	accessor.Platform
 	mu  sync.Mutex
@@ -68,26 +68,26 @@
 
 // regionHost is one host of a zone.
 type regionHost struct {
-	host     *follower.Host
-	sharer   *sharer.Sharer
-	platform *cuttablePlatform
-	stop     context.CancelFunc
-	silent   bool
-	// leaving says that others don't take the host for a relay any more.
+	host        *follower.Host
+	sharer      *sharer.Sharer
+	platform    *cuttablePlatform
+	stop        context.CancelFunc
+	unreachable bool
+	// leaving says that the host is leaving its zone, so that the others don't use it as a relay.
 	leaving bool
 }
 
-// region is hosts in zones that ask each other directly and know who is live.
+// region holds hosts in zones that call each other directly and know which hosts are live.
 type region struct {
 	store *storekeeper.Store
 	mu    sync.Mutex
 	hosts map[string]*regionHost
 	wait  sync.WaitGroup
-	// meter counts how files travel, unless it is nil.
+	// meter counts how files are transferred, unless it is nil.
 	meter *transferMeter
 }
 
-var errSilent = errors.New("peer is silent")
+var errUnreachable = errors.New("peer is unreachable")
 
 func newRegion() *region {
 	return &region{store: &storekeeper.Store{}, hosts: map[string]*regionHost{}}
@@ -111,34 +111,35 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	x, ok := r.hosts[name]
-	return x, ok && !x.silent
+	return x, ok && !x.unreachable
 }
 
-func (r *region) setSilent(name string, silent bool) {
+func (r *region) setUnreachable(name string, unreachable bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.hosts[name].silent = silent
+	r.hosts[name].unreachable = unreachable
 }
 
-// ask passes a question on, and the answer with the revision that it bears.
+// ask returns h's function for Sharer.Ask. As on the wire, h observes the revision that an answer
+// carries.
 func (r *region) ask(h *follower.Host) func(context.Context, string, sharer.Question) (sharer.Share, error) {
 	return func(ctx context.Context, to string, q sharer.Question) (sharer.Share, error) {
 		if _, ok := r.find(h.Name); !ok {
-			return sharer.Share{}, errSilent
+			return sharer.Share{}, errUnreachable
 		}
 		x, ok := r.find(to)
 		if !ok {
-			return sharer.Share{}, errSilent
+			return sharer.Share{}, errUnreachable
 		}
 		a := x.sharer.Answer(ctx, q)
 		if _, ok := r.find(to); !ok || ctx.Err() != nil {
-			return sharer.Share{}, errSilent
+			return sharer.Share{}, errUnreachable
 		}
 		return a, h.Observe(ctx, uint64(a.InForce))
 	}
 }
 
-// basePlatform returns the basePlatform as hosts reach it.
+// basePlatform returns the platform that the hosts' connections lead to, metered if there is a meter.
 func (r *region) basePlatform() accessor.Platform {
 	if r.meter != nil {
 		return &meteredPlatform{Platform: r.store, meter: r.meter}
@@ -171,7 +172,7 @@
 		},
 	}
 	if r.meter != nil {
-		x.sharer.Ask = r.meter.ask(x.sharer.Ask)
+		x.sharer.Ask = r.meter.count(x.sharer.Ask)
 	}
 	x.host.Peers, x.host.Relays = x.sharer, x.sharer
 	r.mu.Lock()
@@ -183,7 +184,7 @@
 	return x
 }
 
-// settle starts three zones of n hosts and lets them come to rest.
+// settle starts three zones of n hosts and waits a minute, until nothing changes.
 func (r *region) settle(n int) {
 	for i := range 3 * n {
 		r.start(fmt.Sprintf("h%d", i), "1", fmt.Sprintf("z%d", i%3))
@@ -198,7 +199,7 @@
 	r.wait.Wait()
 }
 
-// remove takes a host out of what the others know.
+// remove removes a host, so that the others can't reach it and don't use it.
 func (r *region) remove(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -211,7 +212,7 @@
 	r.hosts[name].leaving = true
 }
 
-func (r *region) apply(t *testing.T, queue int, want applier.Outcome) (applier.Result, time.Duration) {
+func (r *region) applyQueueLength(t *testing.T, queue int, want applier.Outcome) (applier.Result, time.Duration) {
 	t.Helper()
 	s := time.Now()
 	o := &publisher.Operator{Platform: r.store, Name: "anna"}
@@ -233,13 +234,13 @@
 
 func hostQueueLength(x *regionHost) int { return queueLength(x.host) }
 
-// lastHost returns a host of a zone that isn't a relay.
+// lastHost returns the host of a zone that ranks last, which isn't a relay.
 func (r *region) lastHost(zone string) string {
 	l := arranger.Rank(zone, r.zone(zone))
 	return l[len(l)-1]
 }
 
-// firstRelay returns the firstRelay relay of a zone.
+// firstRelay returns the relay of a zone that ranks first.
 func (r *region) firstRelay(zone string) string {
 	return arranger.Rank(zone, r.zone(zone))[0]
 }
--- a/internal/config/sharer/relay.go
+++ b/internal/config/sharer/relay.go
@@ -11,7 +11,7 @@
 	"github.com/cuminwick/cuminwick/internal/config/summarizer"
 )
 
-// maximumBodyWait is how long a relay waits for a file that it doesn't hold yet.
+// maximumBodyWait bounds how long a relay waits for a file that it doesn't have yet.
 const maximumBodyWait = time.Second
 
 // Relays implements follower.Relays.
@@ -46,15 +46,14 @@
 	return follower.Delivery{}, errors.Annotatef(ErrNoPeer, "revision %d at relay %s", r, relay)
 }
 
-// advise answers a host that takes this one for its relay.
+// advise answers a host that uses this one as its relay.
 func (s *Sharer) advise(ctx context.Context, c follower.Consultation) Share {
 	a := s.Host.Advise(ctx, c)
 	r, _ := s.Host.Current()
 	return Share{InForce: declarer.Revision(r), Advice: &a}
 }
 
-// awaitFile waits until this host holds the file that is asked for, for as long as
-// the other one waits.
+// awaitFile waits until this host has the file that is asked for, for at most q.Wait.
 func (s *Sharer) awaitFile(ctx context.Context, q Question) {
 	if q.Revision == 0 || q.Wait <= 0 {
 		return
--- a/internal/config/sharer/relay_test.go
+++ b/internal/config/sharer/relay_test.go
@@ -15,6 +15,8 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
+// The platform calls of an apply and of a minute at rest are bounded, because only relays read from and
+// report to the platform.
 func TestRelaysSpareThePlatform(t *testing.T) {
 	for _, c := range []struct{ hosts, apply, rest int }{{1, 27, 60}, {3, 33, 60}, {9, 55, 120}} {
 		t.Run(fmt.Sprintf("hosts=%d", 3*c.hosts), func(t *testing.T) {
@@ -22,9 +24,9 @@
 				r := newRegion()
 				defer r.end()
 				r.settle(c.hosts)
-				r.apply(t, 1, applier.InForce)
+				r.applyQueueLength(t, 1, applier.InForce)
 				r.store.ResetCalls()
-				x, d := r.apply(t, 2, applier.InForce)
+				x, d := r.applyQueueLength(t, 2, applier.InForce)
 				a := r.store.Calls()
 				r.expect(t, 2, adopter.Confirmed)
 				if len(x.Zones) != 3 || x.Zones[0].InForce != c.hosts {
@@ -42,9 +44,9 @@
 	}
 }
 
-// A zone is at rest, and hosts report to their relay while it holds back the
-// questions of others. Such news must not make the relay's answer look as if it
-// didn't reach the platform: the hosts would all turn to the platform at once,
+// A zone is at rest, and hosts report to their relay while it holds back the questions of others. A
+// report must not make the sights in the relay's answers seem older. Otherwise the other hosts would
+// assume that the relay doesn't reach the platform: all would switch to the platform at once, with
 // several calls each, and back again.
 func TestReportsLeaveSightsAsTheyAre(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -69,14 +71,14 @@
 	})
 }
 
-// reportingMember is a host that reports to a relay again and again.
+// reportingMember is a host that reports to a relay repeatedly.
 type reportingMember struct {
 	relay     *follower.Host
 	registrar string
 	reports   uint64
 }
 
-// report tells the relay of a further revision.
+// report reports a further revision as ready.
 func (m *reportingMember) report(t *testing.T) {
 	m.reports++
 	r := &follower.MemberReport{
@@ -86,13 +88,13 @@
 	}
 	a := m.relay.Advise(t.Context(), follower.Consultation{Wait: time.Second, Host: "g", Incarnation: "1", Report: r})
 	if a.Held == nil {
-		t.Errorf("relay doesn't hold report %d", m.reports)
+		t.Errorf("relay doesn't confirm report %d", m.reports)
 		return
 	}
 	m.registrar = a.Held.Registrar
 }
 
-// reportAfter does so after d, and closes what it returns when the relay has answered.
+// reportAfter calls report after d and closes the returned channel when the relay has answered.
 func (m *reportingMember) reportAfter(t *testing.T, d time.Duration) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
@@ -103,35 +105,35 @@
 	return done
 }
 
-// A relay's process is killed. Its zone's hosts must turn to another one, and an
-// operator mustn't wait for it longer than for any dead host, nor twice.
-func TestRelayDies(t *testing.T) {
+// A relay's process is killed. The hosts of its zone must switch to another relay, and an operator
+// must not wait for it longer than for any failed host, nor twice.
+func TestRelayFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegion()
 		defer r.end()
 		r.store.SetHost(accessor.Host{Name: "h1", Kind: accessor.EntryHost, State: accessor.HostLive})
 		r.settle(5)
-		r.apply(t, 1, applier.InForce)
+		r.applyQueueLength(t, 1, applier.InForce)
 		n := r.firstRelay("z0")
 		x, _ := r.find(n)
 		x.platform.setCut(true)
 		x.stop()
 		r.remove(n)
-		if _, d := r.apply(t, 2, applier.InForce); d > 2*applier.DefaultAcknowledgementTimeout {
+		if _, d := r.applyQueueLength(t, 2, applier.InForce); d > 2*applier.DefaultAcknowledgementTimeout {
 			t.Errorf("in force after %s", d)
 		}
 		time.Sleep(20 * time.Second)
 		r.expect(t, 2, adopter.Confirmed)
-		if _, d := r.apply(t, 3, applier.InForce); d > time.Second {
-			t.Errorf("apply waited %s for a relay that was known dead", d)
+		if _, d := r.applyQueueLength(t, 3, applier.InForce); d > time.Second {
+			t.Errorf("apply waited %s for a relay that had been removed", d)
 		}
 		r.expect(t, 3, adopter.Confirmed)
 	})
 }
 
-// A relay is cut off from the platform, and can still be asked. Its hosts must
-// not go on with what it knew: they follow each change by another way, and only the
-// relay itself is missing.
+// A relay is cut off from the platform but still answers its hosts. They must not rely on its outdated
+// head: they follow each change through another relay or the platform, and only the relay itself is
+// missing.
 func TestRelayCutOffFromPlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegion()
@@ -140,11 +142,11 @@
 			r.store.SetHost(accessor.Host{Name: fmt.Sprintf("h%d", n), Kind: accessor.EntryHost, State: accessor.HostLive})
 		}
 		r.settle(5)
-		r.apply(t, 1, applier.InForce)
+		r.applyQueueLength(t, 1, applier.InForce)
 		n := r.firstRelay("z0")
 		x, _ := r.find(n)
 		x.platform.setCut(true)
-		a, _ := r.apply(t, 2, applier.Accepted)
+		a, _ := r.applyQueueLength(t, 2, applier.Accepted)
 		if len(a.Missing) != 1 || a.Missing[0].Host != n {
 			t.Errorf("missing %+v", a.Missing)
 		}
@@ -153,22 +155,21 @@
 		x.platform.setCut(false)
 		time.Sleep(30 * time.Second)
 		r.expect(t, 2, adopter.Confirmed)
-		r.apply(t, 3, applier.InForce)
+		r.applyQueueLength(t, 3, applier.InForce)
 	})
 }
 
-// No host of a zone gets through to a relay, while all reach the platform. Each
-// must follow it by itself, within its call budget, and go back to the relays when
-// they answer.
+// The hosts of a zone can't reach their relays, but all reach the platform. Each must follow the
+// platform itself, within its call budget, and return to the relays once they answer.
 func TestZoneWithoutRelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegion()
 		defer r.end()
 		r.settle(5)
-		r.apply(t, 1, applier.InForce)
+		r.applyQueueLength(t, 1, applier.InForce)
 		z := r.zone("z0")
 		for _, n := range z {
-			r.setSilent(n, true)
+			r.setUnreachable(n, true)
 		}
 		time.Sleep(30 * time.Second)
 		r.expect(t, 1, adopter.Confirmed)
@@ -178,30 +179,30 @@
 		if c := r.store.Calls(); c.Total() > 20*(len(z)+4) {
 			t.Errorf("%+v in a minute", c)
 		}
-		r.apply(t, 2, applier.InForce)
+		r.applyQueueLength(t, 2, applier.InForce)
 		r.expect(t, 2, adopter.Confirmed)
 		for _, n := range z {
-			r.setSilent(n, false)
+			r.setUnreachable(n, false)
 		}
 		time.Sleep(30 * time.Second)
 		r.expect(t, 2, adopter.Confirmed)
 		r.store.ResetCalls()
-		r.apply(t, 3, applier.InForce)
+		r.applyQueueLength(t, 3, applier.InForce)
 		if c := r.store.Calls(); c.Total() > 45 {
 			t.Errorf("%+v for an apply after the relays are back", c)
 		}
 	})
 }
 
-// Hosts that report through a relay, and a relay itself, are stopped as planned;
-// one host comes back under its name. No change may wait for those that left, nor
-// take the new one for ready because the old one was.
+// Hosts that report through a relay, and a relay itself, are stopped as planned; one host is started
+// again under the same name. No apply may wait for the hosts that left, or count the new incarnation
+// as ready because the old one was.
 func TestHostsBehindRelaysReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegion()
 		defer r.end()
 		r.settle(5)
-		r.apply(t, 1, applier.InForce)
+		r.applyQueueLength(t, 1, applier.InForce)
 		l := arranger.Rank("z0", r.zone("z0"))
 		for i, n := range []string{l[4], l[0], l[3]} {
 			x, _ := r.find(n)
@@ -211,25 +212,25 @@
 			x.stop()
 			r.remove(n)
 			time.Sleep(2 * time.Second)
-			if _, d := r.apply(t, 2+i, applier.InForce); d > time.Second {
+			if _, d := r.applyQueueLength(t, 2+i, applier.InForce); d > time.Second {
 				t.Errorf("apply waited %s for host %s that had left", d, n)
 			}
 		}
 		r.start(l[4], "2", "z0")
 		time.Sleep(30 * time.Second)
-		r.apply(t, 5, applier.InForce)
+		r.applyQueueLength(t, 5, applier.InForce)
 		r.expect(t, 5, adopter.Confirmed)
 	})
 }
 
-// The platform is down for ten minutes. No host may take that for a dead relay and
-// make more calls than before there were relays; afterwards all go back to them.
+// The platform is down for ten minutes. The hosts must not treat that as a failure of their relays and
+// make more calls than hosts without relays do. Afterwards all return to their relays.
 func TestOutageWithRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegion()
 		defer r.end()
 		r.settle(5)
-		r.apply(t, 1, applier.InForce)
+		r.applyQueueLength(t, 1, applier.InForce)
 		r.store.ResetCalls()
 		r.store.SetOutage(true)
 		time.Sleep(10 * time.Minute)
@@ -242,7 +243,7 @@
 		time.Sleep(time.Minute)
 		r.expect(t, 1, adopter.Confirmed)
 		r.store.ResetCalls()
-		r.apply(t, 2, applier.InForce)
+		r.applyQueueLength(t, 2, applier.InForce)
 		if c := r.store.Calls(); c.Total() > 45 {
 			t.Errorf("%+v for an apply after the outage", c)
 		}
--- a/internal/config/sharer/sharer.go
+++ b/internal/config/sharer/sharer.go
@@ -1,4 +1,5 @@
-// Package sharer passes configurations between entry hosts while the platform doesn't answer.
+// Package sharer exchanges configuration files and confirmations between entry hosts: with peers while
+// the platform doesn't answer, and with the relays of the host's zone.
 package sharer
 
 import (
@@ -19,74 +20,77 @@
 )
 
 const (
-	// DefaultInterval is how often a peer is asked while the platform fails.
+	// DefaultInterval is the time between two questions to peers while the platform fails.
 	DefaultInterval = 2 * time.Second
-	// maximumAttempts is how many peers are asked for one file.
+	// maximumAttempts is the maximum number of peers asked for one file.
 	maximumAttempts = 3
 	askTimeout      = 2 * time.Second
 )
 
-// ErrNoPeer says that no peer could answer.
+// ErrNoPeer is returned if none of the peers or relays asked has the answer.
 const ErrNoPeer = errors.ConstError("no peer has it")
 
 // Question asks a peer for its claim, and for a revision's file unless it is zero.
 type Question struct {
 	Revision declarer.Revision `cbor:"1,keyasint,omitempty"`
-	// Wait is how long the peer may wait for the file.
+	// Wait is how long the peer may wait until it has the file itself.
 	Wait time.Duration `cbor:"2,keyasint,omitempty"`
-	// Consultation is set where the peer is asked as a relay.
+	// Consultation is set if the peer is asked as a relay.
 	Consultation *follower.Consultation `cbor:"3,keyasint,omitempty"`
-	// Base is a revision whose file the asking host holds, zero if it wants the whole
-	// file. Hosts of versions that don't know it answer with the whole file.
+	// Base is a revision whose file the asking host has, zero if it needs the whole file. Hosts of
+	// versions without this field answer with the whole file.
 	Base declarer.Revision `cbor:"4,keyasint,omitempty"`
 }
 
 // Share answers a Question.
 type Share struct {
-	// InForce is the revision that the peer decides by.
+	// InForce is the revision in force on the peer.
 	InForce declarer.Revision `cbor:"1,keyasint"`
-	// Claim is set where the peer's own revision is confirmed.
+	// Claim is set if the peer's revision is confirmed.
 	Claim *adopter.Claim `cbor:"2,keyasint,omitempty"`
-	// Body is the file that was asked for, nil if the peer doesn't hold it.
+	// Body is the file that was asked for, nil if the peer doesn't have it.
 	Body *encoder.Body `cbor:"3,keyasint,omitempty"`
 	// Advice answers a Consultation.
 	Advice *follower.Advice `cbor:"4,keyasint,omitempty"`
-	// Change is set instead of Body where it makes the file out of Base's.
+	// Change is set instead of Body if the peer has the change from Base's file to the file.
 	Change *encoder.Change `cbor:"5,keyasint,omitempty"`
 }
 
-// Sharer asks peers on behalf of one host, and answers theirs.
+// Sharer sends questions to peers on behalf of one host and answers theirs.
 type Sharer struct {
 	Host *follower.Host
-	// Peers returns the names of peers that are believed to be live.
+	// Peers returns the names of the peers that are assumed to be live, as a slice that the caller
+	// may change.
 	Peers func() []string
-	// ZoneHosts returns the live hosts of this host's zone, itself included.
+	// ZoneHosts returns the live hosts of this host's zone, itself included. If it is nil, the host has
+	// no relays.
 	ZoneHosts func() []string
-	// Ask asks one peer; see Over.
+	// Ask sends a question to one peer; see AskThrough.
 	Ask func(ctx context.Context, host string, q Question) (Share, error)
 	// Random returns a number in [0, 1).
 	Random func() float64
-	// Interval is how often to ask while the platform fails, DefaultInterval if unset.
+	// Interval is the time between two questions while the platform fails, DefaultInterval if unset.
 	Interval time.Duration
-	// Clock tells when something is due, timers of its own if nil.
+	// Clock provides the timers; if it is nil, the runtime's own timers are used.
 	Clock *scheduler.Scheduler
 	Log   log.Interface
 }
 
-// AskThrough asks peers through a dialer.
+// AskThrough returns a function for Sharer.Ask that sends questions through d.
 func AskThrough(d *dialer.Dialer) func(context.Context, string, Question) (Share, error) {
 	return func(ctx context.Context, host string, q Question) (Share, error) {
 		return dialer.Call[Question, Share](ctx, d, host, peer.KindConfiguration, q)
 	}
 }
 
-// Route answers the questions of peers.
+// Route returns the route that answers questions of peers.
 func (s *Sharer) Route() listener.Route {
 	return listener.Handle(peer.KindConfiguration, s.answer)
 }
 
 func (s *Sharer) answer(ctx context.Context, p peer.Sender, q Question) (Share, error) {
-	// A host asks and reports for itself alone; its certificate says who it is.
+	// A host asks and reports only for itself, so the host name of its certificate overrides the one
+	// in the question.
 	if c := q.Consultation; c != nil {
 		c.Host = p.Host
 	}
@@ -96,7 +100,7 @@
 	return s.Answer(ctx, q), nil
 }
 
-// Answer returns what this host can tell a peer.
+// Answer returns this host's answer to a peer's question.
 func (s *Sharer) Answer(ctx context.Context, q Question) Share {
 	if q.Consultation != nil {
 		return s.advise(ctx, *q.Consultation)
@@ -113,12 +117,12 @@
 	return a
 }
 
-// Fetch implements follower.Fetcher: it asks a few peers in random order.
+// Fetch implements follower.Fetcher: it asks up to maximumAttempts peers in random order.
 func (s *Sharer) Fetch(ctx context.Context, r declarer.Revision) (encoder.Body, error) {
 	for _, p := range s.pickPeers(maximumAttempts) {
 		a, err := s.ask(ctx, p, Question{Revision: r})
 		if err != nil {
-			s.Log.WithError(err).WithField("peer", p).Warn("peer doesn't answer for a configuration")
+			s.Log.WithError(err).WithField("peer", p).Warn("peer did not answer a configuration question")
 			continue
 		}
 		if a.Body != nil && a.Body.Revision == r {
@@ -128,8 +132,9 @@
 	return encoder.Body{}, errors.Annotatef(ErrNoPeer, "revision %d", r)
 }
 
-// ask asks one peer. The peer's answer bears the very revision that this host
-// is trying to reach, so the host must not wait for it before it takes the answer.
+// ask sends a question to one peer. The answer carries the peer's revision, which may be the one that
+// this host is fetching, so the host must not wait until that revision is in force before it processes
+// the answer.
 func (s *Sharer) ask(ctx context.Context, p string, q Question) (Share, error) {
 	ctx, cancel := context.WithTimeout(follower.WithoutWaiting(ctx), askTimeout)
 	defer cancel()
@@ -146,7 +151,8 @@
 	return l[:min(n, len(l))]
 }
 
-// Run asks a peer now and then while the platform doesn't answer.
+// Run asks a peer for its claim once per interval while the platform doesn't answer. It returns when
+// ctx ends.
 func (s *Sharer) Run(ctx context.Context) error {
 	d := s.Interval
 	if d <= 0 {
@@ -164,8 +170,8 @@
 	}
 }
 
-// renew learns from a peer which revision is in force, and for how long that is
-// confirmed.
+// renew asks a peer which revision is in force and for how long that is confirmed, if the platform
+// fails.
 func (s *Sharer) renew(ctx context.Context) {
 	if s.Host.Status().FailingSince.IsZero() {
 		return
@@ -174,7 +180,7 @@
 		t := s.Host.Now()
 		a, err := s.ask(ctx, p, Question{})
 		if err != nil {
-			s.Log.WithError(err).WithField("peer", p).Warn("peer doesn't answer for a configuration")
+			s.Log.WithError(err).WithField("peer", p).Warn("peer did not answer a configuration question")
 			return
 		}
 		s.Host.Learn(a.InForce)
--- a/internal/config/sharer/sharer_test.go
+++ b/internal/config/sharer/sharer_test.go
@@ -23,7 +23,7 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// directPeers is hosts that ask each other directly.
+// directPeers connects the sharers of hosts by direct calls.
 type directPeers struct {
 	ctx     context.Context
 	mu      sync.Mutex
@@ -54,10 +54,10 @@
 		Ask: func(ctx context.Context, to string, q sharer.Question) (sharer.Share, error) {
 			o, ok := f.find(to)
 			if !ok {
-				return sharer.Share{}, errors.New("nobody there")
+				return sharer.Share{}, errors.New("no such host")
 			}
 			a := o.Answer(ctx, q)
-			// Each answer bears the peer's revision, as on the wire.
+			// Each answer carries the peer's revision, as on the wire.
 			return a, h.Observe(ctx, uint64(a.InForce))
 		},
 	}
@@ -78,10 +78,10 @@
 	return f.Limits.QueueLength
 }
 
-// A zone can't reach the platform but its peers. It follows each change through
-// them and its revision stays confirmed. Then the platform fails for all, and a
-// host that is replaced starts empty: it takes the configuration from a peer.
-func TestPeersStandInForPlatform(t *testing.T) {
+// A host can't reach the platform, but it can reach its peers. It follows each change through them, and
+// its revision stays confirmed. Then the platform fails for all hosts, and a replaced host starts
+// without a configuration: it gets the configuration from a peer.
+func TestPeersReplacePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		f := &directPeers{ctx: ctx, sharers: map[string]*sharer.Sharer{}}
@@ -100,14 +100,14 @@
 			}
 			time.Sleep(20 * time.Second)
 			if queueLength(a) != n || queueLength(b) != n {
-				t.Errorf("hosts decide by %d and %d, want %d", queueLength(a), queueLength(b), n)
+				t.Errorf("hosts have queue lengths %d and %d, want %d", queueLength(a), queueLength(b), n)
 			}
 		}
 		s.SetOutage(true)
 		c := f.add("c", down, "b")
 		time.Sleep(20 * time.Second)
 		if queueLength(c) != 2 {
-			t.Errorf("replaced host decides by %d", queueLength(c))
+			t.Errorf("replaced host has queue length %d", queueLength(c))
 		}
 		if g := c.Status().Standing; g != adopter.Unconfirmed {
 			t.Errorf("replaced host's revision is %s", g)
@@ -115,9 +115,9 @@
 	})
 }
 
-// A message of a peer that is ahead arrives at a host which can't get that
-// revision's file. It must be refused in time, not handled under the old one.
-func TestObserveGivesUpInTime(t *testing.T) {
+// A message of a peer with a later revision arrives at a host that can't get that revision's file. The
+// message must be refused in time, not handled under the earlier revision.
+func TestObserveEndsWithContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		f := &directPeers{ctx: ctx, sharers: map[string]*sharer.Sharer{}}
