--- a/internal/config/summarizer/relay.go
+++ b/internal/config/summarizer/relay.go
@@ -6,15 +6,15 @@
 	"github.com/cuminwick/cuminwick/internal/member/arranger"
 )
 
-// maximumSingleRelayHosts is the number of hosts up to which a zone has one relay. There the
-// others going to the platform themselves, while that relay doesn't answer, costs
-// no more than a second relay would cost all the time.
+// maximumSingleRelayHosts is the number of hosts up to which a zone has one relay. In such a zone the
+// other hosts' own calls to the platform, while the relay doesn't answer, cost no more than a second
+// relay would cost all the time.
 const maximumSingleRelayHosts = 3
 
-// Relays returns the relays that self asks, in order, out of the live hosts of its
-// zone; none if self is to be a relay, or is alone. Hosts differ for a while about
-// who is live, so two may both hold themselves to be the only relay; each
-// then writes its own object, and operators merge them.
+// Relays returns the relays that self asks, in order of preference, out of the live hosts of its zone.
+// It returns none if self is a relay itself, which includes a host that is alone. Hosts may
+// temporarily disagree about which hosts are live, so two may each consider themselves the only
+// relay; each then writes its own object, and operators merge the objects.
 func Relays(zone, self string, live []string) []string {
 	n := arranger.Relays
 	if len(live) <= maximumSingleRelayHosts {
@@ -27,7 +27,7 @@
 		return nil
 	}
 	if i%2 == 1 {
-		// Half of the hosts ask one relay first, half the other one.
+		// Half of the hosts prefer one relay, half the other one.
 		slices.Reverse(r)
 	}
 	return r
--- a/internal/config/summarizer/summarizer.go
+++ b/internal/config/summarizer/summarizer.go
@@ -1,5 +1,5 @@
-// Package summarizer decides what a relay writes for the hosts of its zone and what
-// it may tell them about it.
+// Package summarizer is the state machine by which a relay collects the reports of the hosts of its
+// zone, decides when to write them to its object, and which of them it may confirm to the hosts.
 package summarizer
 
 import (
@@ -11,45 +11,47 @@
 )
 
 const (
-	// MaximumGatherDelay is how long a change waits for those of other hosts, so that one
-	// write of the object holds them all.
+	// MaximumGatherDelay bounds how long a changed report waits for those of other hosts, so that one
+	// write of the object contains them all.
 	MaximumGatherDelay = 50 * time.Millisecond
-	// activeInterval is how long ago a host was heard of at most to be waited for. It is
-	// above the time between two questions of a host at rest.
+	// activeInterval is the maximum time since the last question of a host for which a write is
+	// delayed. It is longer than the time between two questions of a host at rest.
 	activeInterval = 5 * time.Second
 )
 
-// State is what a relay knows of the hosts that report through it. It reads no
-// clock. The relay's object is written by one put after the other.
+// State holds a relay's state of the hosts that report through it, its members. It reads no clock; the
+// caller passes times of one monotonic clock. The caller has at most one put of the relay's object
+// outstanding at a time.
 type State struct {
-	// Self is the relay's own host and incarnation, which is no member of its own.
+	// Self is the relay's own host and incarnation, which is never a member.
 	Self encoder.HostReport
 
 	members []member
-	// beganPuts and storedPuts number the last put that was begun, and the last one
-	// that the platform is known to have taken.
-	beganPuts, storedPuts uint64
-	dirty                 bool
-	dirtySince            time.Duration
+	// lastBegunPut and lastStoredPut are the numbers of the last put that was begun, and of the last
+	// one that the platform is known to have stored. Puts are numbered from 1.
+	lastBegunPut, lastStoredPut uint64
+	dirty                       bool
+	dirtySince                  time.Duration
 }
 
-// member is one start of a host.
+// member is one incarnation of a host that reports through the relay.
 type member struct {
-	// reported is what the host reported, putReport what the putReport under way holds, and storedReport
-	// what the object holds.
+	// reported is the report of the host, putReport the one in the last put that was begun, if inPut is
+	// set, and storedReport the one in the object, if isStored is set.
 	reported, putReport, storedReport encoder.HostReport
 	inPut, isStored                   bool
-	// registeringPut is the put that must have been stored before the host may be told
-	// that it is registered.
+	// registeringPut is the number of the put that must be stored before the relay may confirm the
+	// registration to the host.
 	registeringPut uint64
-	// sequence numbers the host's last question.
+	// sequence is the sequence number of the host's last report.
 	sequence uint64
+	// activeAt is when the host's last question arrived.
 	activeAt time.Duration
 }
 
-// AddReport takes in a host's report. A host that isn't registered here counts only
-// once the object was written after it asked: an operator may have taken it out
-// of the object meanwhile, which this relay learns by its next put.
+// AddReport records a host's report. A host that isn't registered here is confirmed only once the
+// object was written after its report: an operator may have removed the host from the object
+// meanwhile, which this relay detects only at its next put.
 func (s *State) AddReport(m encoder.HostReport, sequence uint64, registered bool, now time.Duration) {
 	i := s.find(m)
 	if i < 0 {
@@ -61,23 +63,23 @@
 	x.reported = x.reported.Merge(m)
 	x.sequence = max(x.sequence, sequence)
 	x.activeAt = now
-	if !registered && x.registeringPut <= s.beganPuts {
-		x.registeringPut = s.beganPuts + 1
+	if !registered && x.registeringPut <= s.lastBegunPut {
+		x.registeringPut = s.lastBegunPut + 1
 	}
-	if x.registeringPut > s.beganPuts || !x.isStored || !x.reported.Says(x.storedReport) {
+	if x.registeringPut > s.lastBegunPut || !x.isStored || !x.reported.Says(x.storedReport) {
 		s.markDirty(now)
 	}
 }
 
-// MarkActive takes in that a host was heard of, so that it is waited for.
+// MarkActive records that a member sent a question, so that writes wait for its report.
 func (s *State) MarkActive(m encoder.HostReport, now time.Duration) {
 	if i := s.find(m); i >= 0 {
 		s.members[i].activeAt = now
 	}
 }
 
-// RemoveMember takes out a host that has stopped or is registered elsewhere. One that has
-// asked again since, by sequence, stays: it counts on being in the object.
+// RemoveMember removes a host that has stopped or is registered elsewhere. A host with a report of the
+// same or a later sequence number stays, because it relies on being in the object.
 func (s *State) RemoveMember(m encoder.HostReport, sequence uint64, now time.Duration) {
 	i := s.find(m)
 	if i < 0 || sequence <= s.members[i].sequence {
@@ -87,9 +89,9 @@
 	s.markDirty(now)
 }
 
-// MemberRemoved reports whether the object as stored doesn't hold m any more.
+// MemberRemoved reports whether the stored object is known not to contain m.
 func (s *State) MemberRemoved(m encoder.HostReport) bool {
-	return s.find(m) < 0 && !s.dirty && s.storedPuts == s.beganPuts
+	return s.find(m) < 0 && !s.dirty && s.lastStoredPut == s.lastBegunPut
 }
 
 func (s *State) markDirty(now time.Duration) {
@@ -99,10 +101,9 @@
 	s.dirty = true
 }
 
-// Due reports whether the object should be written now for the hosts' sake, or
-// else how long to wait at most; zero if there is nothing to write. The relay
-// itself is ready for ready and decides by inForce; ownDue says that its own report
-// has changed.
+// Due reports whether the object should be written now. If not, it returns the maximum time to wait,
+// or zero if there is nothing to write. ready and inForce are the revisions that the relay itself is
+// ready for and has in force; ownDue says that its own report has changed.
 func (s *State) Due(ready, inForce declarer.Revision, ownDue bool, now time.Duration) (bool, time.Duration) {
 	if ownDue {
 		s.markDirty(now)
@@ -117,8 +118,8 @@
 	return false, w
 }
 
-// lagging reports whether a host that was heard of lately is expected to report
-// soon, because the relay itself is further.
+// lagging reports whether a recently active member is behind the relay itself, so that it is expected
+// to report soon.
 func (s *State) lagging(ready, inForce declarer.Revision, now time.Duration) bool {
 	return slices.ContainsFunc(s.members, func(x member) bool {
 		if now-x.activeAt >= activeInterval || x.reported.Refused == ready && ready != 0 {
@@ -128,9 +129,9 @@
 	})
 }
 
-// BeginPut starts a put and returns the members that it has to hold.
+// BeginPut begins a put of the object and returns the members' reports that it must contain.
 func (s *State) BeginPut() []encoder.HostReport {
-	s.beganPuts++
+	s.lastBegunPut++
 	s.dirty = false
 	var l []encoder.HostReport
 	for i := range s.members {
@@ -142,25 +143,25 @@
 	return l
 }
 
-// CompletePut takes in that the platform took the put that was begun last. It reports
-// whether that put registered a host.
+// CompletePut records that the platform stored the put that was begun last. It reports whether that put
+// registered a host.
 func (s *State) CompletePut() bool {
-	fresh := false
+	registered := false
 	for i := range s.members {
 		x := &s.members[i]
-		fresh = fresh || x.inPut && x.registeringPut > s.storedPuts && x.registeringPut <= s.beganPuts
+		registered = registered || x.inPut && x.registeringPut > s.lastStoredPut && x.registeringPut <= s.lastBegunPut
 		x.storedReport, x.isStored = x.putReport, x.inPut
 	}
-	s.storedPuts = s.beganPuts
-	return fresh
+	s.lastStoredPut = s.lastBegunPut
+	return registered
 }
 
-// ReadBack takes in which members the object holds, after a put that may have
-// failed or before the first one. Members that aren't in it any more were taken
-// out by an operator and know it; those that have asked since remain to be put.
+// ReadBack records the members that the object contains, after a put of unknown outcome or before the
+// first put. Members that the object lacks were removed by an operator and will register again, so
+// they are dropped, except those that have asked to be registered by a later put.
 func (s *State) ReadBack(l []encoder.HostReport, now time.Duration) {
 	s.members = slices.DeleteFunc(s.members, func(x member) bool {
-		return x.registeringPut <= s.storedPuts && !slices.ContainsFunc(l, x.reported.Is)
+		return x.registeringPut <= s.lastStoredPut && !slices.ContainsFunc(l, x.reported.Is)
 	})
 	for i := range s.members {
 		s.members[i].isStored, s.members[i].inPut = false, false
@@ -181,24 +182,24 @@
 	s.markDirty(now)
 }
 
-// Reset takes in that the object isn't this relay's any more. No host is
-// registered here until it asks again.
+// Reset records that the relay has lost its object. No host is registered here until it reports again.
 func (s *State) Reset() {
 	s.members = nil
 	s.dirty = false
 }
 
-// Held returns what the object is known to hold of m, false if that can't be said.
+// Held returns the report of m that the object is known to contain, false if m isn't known to be
+// registered here.
 func (s *State) Held(m encoder.HostReport) (encoder.HostReport, bool) {
 	i := s.find(m)
-	if i < 0 || !s.members[i].isStored || s.members[i].registeringPut > s.storedPuts {
+	if i < 0 || !s.members[i].isStored || s.members[i].registeringPut > s.lastStoredPut {
 		return encoder.HostReport{}, false
 	}
 	return s.members[i].storedReport, true
 }
 
-// CanAnswer reports whether m may be told: either its last report is held, or it
-// isn't to be expected any more.
+// CanAnswer reports whether the report m can be answered: the object contains it or a later one, or
+// the host isn't a member, so the object won't contain it.
 func (s *State) CanAnswer(m encoder.HostReport) bool {
 	h, ok := s.Held(m)
 	if !ok {
@@ -207,7 +208,7 @@
 	return h.Ready >= m.Ready && h.InForce >= m.InForce && h.Refused >= m.Refused
 }
 
-// Members returns how many hosts report through this relay.
+// Members returns the number of hosts that report through this relay.
 func (s *State) Members() int {
 	return len(s.members)
 }
--- a/internal/config/summarizer/summarizer_test.go
+++ b/internal/config/summarizer/summarizer_test.go
@@ -12,16 +12,16 @@
 	"github.com/cuminwick/cuminwick/internal/config/summarizer"
 )
 
-func report(host string, ready declarer.Revision) encoder.HostReport {
+func hostReport(host string, ready declarer.Revision) encoder.HostReport {
 	return encoder.HostReport{Host: host, Incarnation: "1", Ready: ready}
 }
 
-// An operator took a host out of the object, and the relay hasn't noticed. The host
-// asks again: were it told what the relay remembers, it would count on an object
-// that doesn't hold it, and the next revision would be accepted without it.
+// An operator removed a host from the object, and the relay hasn't detected it. The host asks to be
+// registered again. If the relay answered from its own state, the host would rely on an object that
+// doesn't contain it, and the next revision would be accepted without it.
 func TestRegistrationNeedsNewPut(t *testing.T) {
 	s := &summarizer.State{}
-	a := report("a", 1)
+	a := hostReport("a", 1)
 	s.AddReport(a, 1, false, 0)
 	s.BeginPut()
 	s.CompletePut()
@@ -32,59 +32,59 @@
 	s.AddReport(a, 2, false, 0)
 	s.CompletePut()
 	if _, ok := s.Held(a); ok {
-		t.Error("held by a put that was under way when the host asked")
+		t.Error("held by a put that began before the host asked")
 	}
 	s.BeginPut()
 	s.ReadBack(nil, 0)
 	s.BeginPut()
 	s.CompletePut()
 	if _, ok := s.Held(a); !ok {
-		t.Error("a host that asked was dropped with those taken out")
+		t.Error("a host that asked to be registered was dropped")
 	}
 	s.ReadBack(nil, 0)
 	if s.Members() != 0 {
-		t.Error("a host that was taken out is put back")
+		t.Error("a host that was removed is still a member")
 	}
 }
 
-// A host acknowledges while a put is under way that doesn't hold it yet. Told that
-// it was held, it would count on an acknowledgement that no operator sees.
+// A host acknowledges while a put without that acknowledgement is in progress. If the relay confirmed
+// it, the host would rely on an acknowledgement that no operator receives.
 func TestHoldsOnlyWhatWasStored(t *testing.T) {
 	s := &summarizer.State{}
-	s.AddReport(report("a", 1), 1, false, 0)
+	s.AddReport(hostReport("a", 1), 1, false, 0)
 	s.BeginPut()
-	s.AddReport(report("a", 2), 2, true, 0)
+	s.AddReport(hostReport("a", 2), 2, true, 0)
 	s.CompletePut()
-	if h, ok := s.Held(report("a", 2)); !ok || h.Ready != 1 || s.CanAnswer(report("a", 2)) {
+	if h, ok := s.Held(hostReport("a", 2)); !ok || h.Ready != 1 || s.CanAnswer(hostReport("a", 2)) {
 		t.Errorf("holds %+v, %t", h, ok)
 	}
 	s.Reset()
-	if _, ok := s.Held(report("a", 2)); ok {
-		t.Error("held by an object that is lost")
+	if _, ok := s.Held(hostReport("a", 2)); ok {
+		t.Error("held by an object that the relay has lost")
 	}
 }
 
-// A relay that wrote its object for each acknowledgement would make as many calls
-// as its hosts; one that waited for a silent host would hold up each change.
+// A relay that wrote its object for every acknowledgement would make as many calls as its hosts would.
+// A relay that waited for an inactive host would delay every change.
 func TestGathersAcknowledgements(t *testing.T) {
 	s := &summarizer.State{}
 	for _, h := range []string{"a", "b", "silent"} {
-		s.AddReport(report(h, 1), 1, true, 0)
+		s.AddReport(hostReport(h, 1), 1, true, 0)
 	}
 	s.BeginPut()
 	s.CompletePut()
 	const at = time.Minute
-	s.AddReport(report("a", 1), 2, true, at)
-	s.AddReport(report("b", 1), 2, true, at)
+	s.AddReport(hostReport("a", 1), 2, true, at)
+	s.AddReport(hostReport("b", 1), 2, true, at)
 	for _, c := range []struct {
-		name string
-		told encoder.HostReport
-		due  bool
+		name   string
+		report encoder.HostReport
+		due    bool
 	}{
-		{"first acknowledgement", report("a", 2), false},
-		{"last acknowledgement", report("b", 2), true},
+		{"first acknowledgement", hostReport("a", 2), false},
+		{"last acknowledgement", hostReport("b", 2), true},
 	} {
-		s.AddReport(c.told, 3, true, at)
+		s.AddReport(c.report, 3, true, at)
 		if due, wait := s.Due(2, 0, true, at); due != c.due || due == (wait > 0) {
 			t.Errorf("%s: due %t, else in %s", c.name, due, wait)
 		}
@@ -95,22 +95,22 @@
 		t.Errorf("due %t, else in %s", due, wait)
 	}
 	if due, _ := s.Due(3, 0, true, at+summarizer.MaximumGatherDelay); !due {
-		t.Error("waits for ever")
+		t.Error("not due after the maximum delay")
 	}
 }
 
-// A host's word that it left arrives after it has come back.
+// A host's message that it leaves arrives after the host has returned.
 func TestLateLeaveIsIgnored(t *testing.T) {
 	s := &summarizer.State{}
-	a := report("a", 1)
+	a := hostReport("a", 1)
 	s.AddReport(a, 3, true, 0)
 	s.RemoveMember(a, 2, 0)
 	if s.Members() != 1 {
-		t.Error("a late word took the host out")
+		t.Error("a late message removed the host")
 	}
 	s.RemoveMember(a, 4, 0)
 	if s.Members() != 0 {
-		t.Error("still there")
+		t.Error("the host wasn't removed")
 	}
 }
 
