--- a/internal/config/applier/relay_test.go
+++ b/internal/config/applier/relay_test.go
@@ -146,7 +146,7 @@
 // relayAnswer is a relay's answer to a relayQuestion.
 type relayAnswer struct {
 	sight     adopter.Sight
-	seen      bool
+	hasSight  bool
 	held      encoder.HostReport
 	isHeld    bool
 	registrar string
@@ -172,7 +172,7 @@
 		},
 		serve: func() {
 			t := b.clock.at(w.now)
-			y.sight, y.seen = b.state.Sight(q.known, t)
+			y.sight, y.hasSight = b.state.Sight(q.known, t)
 			y.held, y.isHeld = b.memberState.Held(q.member)
 			y.registrar = b.registrar()
 			y.confirmed = y.sight.Age <= t-b.storedAt
@@ -201,7 +201,7 @@
 	if id, _ := a.state.Registrar(); !y.isHeld && id == y.registrar {
 		a.state.MarkUnregistered()
 	}
-	if y.seen {
+	if y.hasSight {
 		if y.sight.Head != nil {
 			a.recordHead(*y.sight.Head)
 		}
--- a/internal/config/applier/step.go
+++ b/internal/config/applier/step.go
@@ -43,7 +43,7 @@
 }
 
 // abortBeforeStaging ends the run before anything was staged. If a put of unknown outcome could
-// still stage the revision, the head is written once more first: the late put then fails because
+// still stage the revision, the head is written again first: the late put then fails because
 // the version that it was based on has changed.
 func (o *Operator) abortBeforeStaging() Step {
 	if o.hasUncertainPut && o.uncertainPutBase == o.headVersion {
