--- a/internal/config/publisher/decided_test.go
+++ b/internal/config/publisher/decided_test.go
@@ -13,14 +13,14 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// taker takes up each revision some time after the follower has moved up to it.
-type taker struct {
-	host    *follower.Host
-	pause   time.Duration
-	decided atomic.Uint64
+// delayedActivator activates each revision some time after the follower has put it in force.
+type delayedActivator struct {
+	host      *follower.Host
+	pause     time.Duration
+	activated atomic.Uint64
 }
 
-func (k *taker) run(ctx context.Context) {
+func (k *delayedActivator) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -31,14 +31,14 @@
 		if scheduler.Pause(ctx, k.pause) != nil {
 			return
 		}
-		k.decided.Store(r)
+		k.activated.Store(r)
 		k.host.Decided(r)
 	}
 }
 
-// A file changes backend servers, and a busy entry host needs a while to make their
-// pools. Its operator is told that the file is in force everywhere, and callers there
-// are still served by the servers that the operator wants to take away.
+// A file changes backend servers, and a busy entry host needs some time to create their pools. If it
+// reported the file in force before that, the operator would remove the old servers while they still
+// serve requests.
 func TestInForceIsToldOnceDecidedBy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &storekeeper.Store{}
@@ -46,9 +46,9 @@
 		defer d.end()
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		var l []*taker
+		var l []*delayedActivator
 		for i, h := range d.hosts {
-			k := &taker{host: h, pause: time.Duration(i) * 700 * time.Millisecond}
+			k := &delayedActivator{host: h, pause: time.Duration(i) * 700 * time.Millisecond}
 			l = append(l, k)
 			go k.run(ctx)
 		}
@@ -56,8 +56,8 @@
 		for n := 1; n <= 5; n++ {
 			r := apply(t, s, n, applier.InForce)
 			for i, k := range l {
-				if g := k.decided.Load(); g < uint64(r.Entry.Revision) {
-					t.Errorf("revision %d was told to be in force; host %d decides by %d", r.Entry.Revision, i, g)
+				if g := k.activated.Load(); g < uint64(r.Entry.Revision) {
+					t.Errorf("revision %d was reported in force; host %d has activated %d", r.Entry.Revision, i, g)
 				}
 			}
 		}
--- a/internal/config/publisher/large_test.go
+++ b/internal/config/publisher/large_test.go
@@ -22,8 +22,8 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// grown makes a configuration of n groups, with a team for each.
-func grown(n int) declarer.File {
+// largeFile returns a configuration of n groups with a team each.
+func largeFile(n int) declarer.File {
 	r := rand.NewChaCha8([32]byte{1})
 	var f declarer.File
 	for i := range n {
@@ -45,14 +45,14 @@
 	return f
 }
 
-// counting adds up what relays answer, as coded for the wire.
-type counting struct {
-	zones
+// countingRelays adds up the encoded size of the relays' answers, in bytes.
+type countingRelays struct {
+	relayNetwork
 	bytes atomic.Int64
 }
 
-func (c *counting) join(h *follower.Host) {
-	c.zones.join(h)
+func (c *countingRelays) join(h *follower.Host) {
+	c.relayNetwork.join(h)
 	s := c.all[h.Name]
 	s.Ask = func(ctx context.Context, host string, q sharer.Question) (sharer.Share, error) {
 		a, err := c.ask(ctx, host, q)
@@ -68,9 +68,9 @@
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
 }
 
-// BenchmarkApplyOneOfManyGroups changes one of 2,800 groups and measures the time until
-// that is in force, what relays send for it, and the processor time of the whole
-// process: two sizes give what a host takes.
+// BenchmarkApplyOneOfManyGroups changes one of 2,800 groups and measures the time until the change is
+// in force, the bytes that relays send for it, and the processor time of the whole process. The
+// difference between two sizes gives the processor time of one host.
 func BenchmarkApplyOneOfManyGroups(b *testing.B) {
 	for _, n := range []int{9, 27, 81} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) { benchmarkLarge(b, n) })
@@ -88,12 +88,12 @@
 	go func() { _ = s.Run(ctx) }()
 	s.Store.SetLatency(2 * time.Millisecond)
 	c := &requester.Client{Address: a, HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2 * hosts}}}
-	z := &counting{}
+	z := &countingRelays{}
 	d := deployWith(c, hosts, z.join)
 	defer d.end()
 	o := &publisher.Operator{Platform: c, Name: "anna"}
 	d.settle()
-	f := grown(2800)
+	f := largeFile(2800)
 	if _, err := o.Apply(ctx, f, publisher.Options{}); err != nil {
 		b.Fatal(err)
 	}
@@ -101,7 +101,7 @@
 	calls, spent := 0, time.Duration(0)
 	z.bytes.Store(0)
 	for b.Loop() {
-		time.Sleep(betweenApplies)
+		time.Sleep(pauseBetweenApplies)
 		s.Store.ResetCalls()
 		f.DatabaseGroups[len(l)].Service += "-changed"
 		t, p := time.Now(), processorTime()
--- a/internal/config/publisher/run.go
+++ b/internal/config/publisher/run.go
@@ -14,41 +14,42 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// run is one command under way.
+// run is the execution of one command.
 type run struct {
-	operator *Operator
-	decision applier.Operator
-	packed   []byte
-	// file is what is applied, nil where the run goes on with another one's.
+	operator     *Operator
+	stateMachine applier.Operator
+	packed       []byte
+	// file is the file to apply, nil for Resume and Withdraw.
 	file *declarer.File
-	// change is what differs from its Base, made for one revision at a time.
-	change *encoder.Change
-	watch  scheduler.Stopwatch
-	pause  time.Duration
-	last   Progress
-	// tried says that a put of the head was sent.
-	tried bool
+	// change caches the change to the file for one pair of base and revision.
+	change       *encoder.Change
+	watch        scheduler.Stopwatch
+	pause        time.Duration
+	lastProgress Progress
+	// headPutSent says that at least one put of the head was sent.
+	headPutSent bool
 }
 
-// run takes one step after the other until the decision says that it is done.
+// run executes the steps of the state machine until it is done. Once ctx ends, the state machine is
+// aborted and gets cleanupTimeout to finish.
 func (r *run) run(ctx context.Context) (applier.Result, error) {
 	work := ctx
 	for {
-		if ctx.Err() != nil && !r.tried && r.decision.Revision() == 0 {
-			return r.untried(context.Cause(ctx))
+		if ctx.Err() != nil && !r.headPutSent && r.stateMachine.Revision() == 0 {
+			return r.endWithoutPut(context.Cause(ctx))
 		}
 		if ctx.Err() != nil && work == ctx {
-			r.decision.Abort("interrupted: " + context.Cause(ctx).Error())
+			r.stateMachine.Abort("interrupted: " + context.Cause(ctx).Error())
 			c, cancel := context.WithTimeout(context.WithoutCancel(ctx), cleanupTimeout)
 			defer cancel()
 			work = c
 		}
-		s := r.decision.Next(r.now())
+		s := r.stateMachine.Next(r.now())
 		if s.Action == applier.Done {
 			return s.Result, nil
 		}
-		err := r.take(work, s)
-		r.tell(err)
+		err := r.execute(work, s)
+		r.reportProgress(err)
 		if err != nil && work.Err() != nil && work != ctx {
 			return applier.Result{}, errors.Annotate(err, "outcome unknown, see status")
 		}
@@ -60,50 +61,51 @@
 	}
 }
 
-// untried ends a run that has sent no change. A file that was never staged is
-// surely not in force; of what another operator has staged nothing is known.
-func (r *run) untried(err error) (applier.Result, error) {
-	if r.decision.Mode != applier.Apply {
+// endWithoutPut ends a run that has sent no put of the head. A file that was never staged can't be in
+// force, but the state of a revision that another operator staged is unknown.
+func (r *run) endWithoutPut(err error) (applier.Result, error) {
+	if r.stateMachine.Mode != applier.Apply {
 		return applier.Result{}, errors.Annotate(err, "nothing was tried, see status")
 	}
 	return applier.Result{Outcome: applier.Withdrawn, Reason: "nothing was tried: " + err.Error()}, nil
 }
 
-// now returns the operator's clock. It is the monotonic one alone, so that a
-// jump of the wall clock can't shorten the wait for a lease.
+// now returns the time since the start of the run on the monotonic clock, so that a jump of the wall
+// clock can't shorten the wait for a lease.
 func (r *run) now() time.Duration {
 	return r.watch.Elapsed()
 }
 
-// wait pauses a little longer each time, and longer still while the platform fails.
+// wait pauses before the next step. The pause grows by half each time, up to maximumPause or, while
+// the platform fails, maximumFailurePause.
 func (r *run) wait(ctx context.Context, failed bool) {
 	m := maximumPause
 	if failed {
-		m = maximumTroublePause
+		m = maximumFailurePause
 	}
 	r.pause = min(max(r.pause*3/2, minimumPause), m)
 	_ = scheduler.Pause(ctx, r.pause)
-	r.decision.ObserveWait(r.now())
+	r.stateMachine.ObserveWait(r.now())
 }
 
-// tell reports progress where it has changed.
-func (r *run) tell(err error) {
+// reportProgress calls Progress if the progress has changed.
+func (r *run) reportProgress(err error) {
 	p := Progress{
-		Revision: r.decision.Revision(),
-		Accepted: r.decision.Accepted(),
-		Zones:    r.decision.Zones(),
+		Revision: r.stateMachine.Revision(),
+		Accepted: r.stateMachine.Accepted(),
+		Zones:    r.stateMachine.Zones(),
 	}
 	if err != nil {
 		p.PlatformError = err.Error()
 	}
-	if r.operator.Progress == nil || reflect.DeepEqual(p, r.last) {
+	if r.operator.Progress == nil || reflect.DeepEqual(p, r.lastProgress) {
 		return
 	}
-	r.last = p
+	r.lastProgress = p
 	r.operator.Progress(p)
 }
 
-func (r *run) take(ctx context.Context, s applier.Step) error {
+func (r *run) execute(ctx context.Context, s applier.Step) error {
 	switch s.Action {
 	case applier.ReadHead:
 		return r.readHead(ctx)
@@ -128,15 +130,15 @@
 	t := r.now()
 	h, v, err := r.operator.head(ctx)
 	if err != nil {
-		r.decision.InvalidateHead(false)
+		r.stateMachine.InvalidateHead(false)
 		return err
 	}
-	r.decision.ObserveHead(h, v, t, r.now())
+	r.stateMachine.ObserveHead(h, v, t, r.now())
 	return nil
 }
 
 func (r *run) putHead(ctx context.Context, s applier.Step) error {
-	if e := s.Head.Staged; e != nil && e.ID == r.decision.ID {
+	if e := s.Head.Staged; e != nil && e.ID == r.stateMachine.ID {
 		s.Head.Change = r.changeTo(ctx, *e)
 	}
 	t := r.now()
@@ -144,20 +146,20 @@
 	if err != nil {
 		return err
 	}
-	r.tried = true
+	r.headPutSent = true
 	o, err := r.operator.Platform.Put(ctx, accessor.Object{
-		Kind: encoder.HeadKind, Name: encoder.HeadName, Version: s.Version, Writer: r.decision.ID, Value: b,
+		Kind: encoder.HeadKind, Name: encoder.HeadName, Version: s.Version, Writer: r.stateMachine.ID, Value: b,
 	})
 	if errors.Is(err, accessor.ErrConflict) {
-		// Somebody else was first; the head is read again.
-		r.decision.InvalidateHead(false)
+		// Another operator wrote the head first, so it must be read again.
+		r.stateMachine.InvalidateHead(false)
 		return nil
 	}
 	if err != nil {
-		r.decision.InvalidateHead(true)
+		r.stateMachine.InvalidateHead(true)
 		return errors.Trace(err)
 	}
-	r.decision.ObserveHead(s.Head, o.Version, t, r.now())
+	r.stateMachine.ObserveHead(s.Head, o.Version, t, r.now())
 	return nil
 }
 
@@ -167,19 +169,19 @@
 		return errors.Trace(err)
 	}
 	b, err := encoder.Decode[encoder.Body](o)
-	r.decision.ObserveBody(err == nil && b.Revision == s.Revision, o.Version)
+	r.stateMachine.ObserveBody(err == nil && b.Revision == s.Revision, o.Version)
 	return nil
 }
 
 func (r *run) putBody(ctx context.Context, s applier.Step) error {
-	b, err := encoder.Encode(encoder.Body{Revision: s.Revision, Digest: r.decision.Entry.Digest, Packed: r.packed})
+	b, err := encoder.Encode(encoder.Body{Revision: s.Revision, Digest: r.stateMachine.Entry.Digest, Packed: r.packed})
 	if err != nil {
 		return err
 	}
 	_, err = r.operator.Platform.Put(ctx, accessor.Object{
-		Kind: encoder.BodyKind, Name: encoder.Slot(s.Revision), Version: s.Version, Writer: r.decision.ID, Value: b,
+		Kind: encoder.BodyKind, Name: encoder.Slot(s.Revision), Version: s.Version, Writer: r.stateMachine.ID, Value: b,
 	})
-	r.decision.ObserveBodyPut(err == nil)
+	r.stateMachine.ObserveBodyPut(err == nil)
 	if errors.Is(err, accessor.ErrConflict) {
 		return nil
 	}
@@ -190,7 +192,7 @@
 	t := r.now()
 	l, err := r.operator.Platform.List(ctx, encoder.HolderKind)
 	if err != nil {
-		r.decision.InvalidateHolders()
+		r.stateMachine.InvalidateHolders()
 		return errors.Trace(err)
 	}
 	var n []applier.HolderObject
@@ -201,17 +203,18 @@
 		}
 		n = append(n, applier.HolderObject{Name: o.Name, Version: o.Version, Holder: h})
 	}
-	names, err := r.hosts(ctx, s)
+	names, err := r.readHostList(ctx, s)
 	if err != nil {
-		r.decision.InvalidateHolders()
+		r.stateMachine.InvalidateHolders()
 		return err
 	}
-	r.decision.ObserveHolders(n, names, t)
+	r.stateMachine.ObserveHolders(n, names, t)
 	return nil
 }
 
-// hosts reads the host list where the step asks for it.
-func (r *run) hosts(ctx context.Context, s applier.Step) (map[string]bool, error) {
+// readHostList returns the names of the entry hosts in the host list if the step asks for them,
+// otherwise nil.
+func (r *run) readHostList(ctx context.Context, s applier.Step) (map[string]bool, error) {
 	if !s.Hosts {
 		return nil, nil
 	}
@@ -220,7 +223,7 @@
 		return nil, errors.Trace(err)
 	}
 	m := map[string]bool{}
-	for n := range listed(l) {
+	for n := range entryHostStates(l) {
 		m[n] = true
 	}
 	return m, nil
@@ -232,9 +235,9 @@
 		return err
 	}
 	_, err = r.operator.Platform.Put(ctx, accessor.Object{
-		Kind: encoder.HolderKind, Name: s.Holder.Name, Version: s.Holder.Version, Writer: r.decision.ID, Value: b,
+		Kind: encoder.HolderKind, Name: s.Holder.Name, Version: s.Holder.Version, Writer: r.stateMachine.ID, Value: b,
 	})
-	r.decision.InvalidateHolders()
+	r.stateMachine.InvalidateHolders()
 	if errors.Is(err, accessor.ErrConflict) {
 		return nil
 	}
--- a/internal/config/sharer/sharer_test.go
+++ b/internal/config/sharer/sharer_test.go
@@ -23,22 +23,22 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// fleet is hosts that ask each other directly.
-type fleet struct {
+// directPeers connects the sharers of hosts by direct calls.
+type directPeers struct {
 	ctx     context.Context
 	mu      sync.Mutex
 	sharers map[string]*sharer.Sharer
 	wait    sync.WaitGroup
 }
 
-func (f *fleet) find(name string) (*sharer.Sharer, bool) {
+func (f *directPeers) find(name string) (*sharer.Sharer, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s, ok := f.sharers[name]
 	return s, ok
 }
 
-func (f *fleet) add(name string, p accessor.Platform, peers ...string) *follower.Host {
+func (f *directPeers) add(name string, p accessor.Platform, peers ...string) *follower.Host {
 	l := &log.Logger{Handler: json.New(io.Discard)}
 	r := rand.New(rand.NewPCG(1, uint64(len(f.sharers))))
 	var mu sync.Mutex
@@ -54,10 +54,10 @@
 		Ask: func(ctx context.Context, to string, q sharer.Question) (sharer.Share, error) {
 			o, ok := f.find(to)
 			if !ok {
-				return sharer.Share{}, errors.New("nobody there")
+				return sharer.Share{}, errors.New("no such host")
 			}
 			a := o.Answer(ctx, q)
-			// Each answer bears the peer's revision, as on the wire.
+			// Each answer carries the peer's revision, as on the wire.
 			return a, h.Observe(ctx, uint64(a.InForce))
 		},
 	}
@@ -70,7 +70,7 @@
 	return h
 }
 
-func queue(h *follower.Host) int {
+func queueLength(h *follower.Host) int {
 	_, f := h.Current()
 	if f == nil {
 		return 0
@@ -78,13 +78,13 @@
 	return f.Limits.QueueLength
 }
 
-// A zone can't reach the platform but its peers. It follows each change through
-// them and its revision stays confirmed. Then the platform fails for all, and a
-// host that is replaced starts empty: it takes the configuration from a peer.
-func TestPeersStandInForPlatform(t *testing.T) {
+// A host can't reach the platform, but it can reach its peers. It follows each change through them, and
+// its revision stays confirmed. Then the platform fails for all hosts, and a replaced host starts
+// without a configuration: it gets the configuration from a peer.
+func TestPeersReplacePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		f := &fleet{ctx: ctx, sharers: map[string]*sharer.Sharer{}}
+		f := &directPeers{ctx: ctx, sharers: map[string]*sharer.Sharer{}}
 		defer f.wait.Wait()
 		defer cancel()
 		s, down := &storekeeper.Store{}, &storekeeper.Store{}
@@ -99,15 +99,15 @@
 				t.Fatalf("got %+v, error %v", r, err)
 			}
 			time.Sleep(20 * time.Second)
-			if queue(a) != n || queue(b) != n {
-				t.Errorf("hosts decide by %d and %d, want %d", queue(a), queue(b), n)
+			if queueLength(a) != n || queueLength(b) != n {
+				t.Errorf("hosts have queue lengths %d and %d, want %d", queueLength(a), queueLength(b), n)
 			}
 		}
 		s.SetOutage(true)
 		c := f.add("c", down, "b")
 		time.Sleep(20 * time.Second)
-		if queue(c) != 2 {
-			t.Errorf("replaced host decides by %d", queue(c))
+		if queueLength(c) != 2 {
+			t.Errorf("replaced host has queue length %d", queueLength(c))
 		}
 		if g := c.Status().Standing; g != adopter.Unconfirmed {
 			t.Errorf("replaced host's revision is %s", g)
@@ -115,12 +115,12 @@
 	})
 }
 
-// A message of a peer that is ahead arrives at a host which can't get that
-// revision's file. It must be refused in time, not handled under the old one.
-func TestObserveGivesUpInTime(t *testing.T) {
+// A message of a peer with a later revision arrives at a host that can't get that revision's file. The
+// message must be refused in time, not handled under the earlier revision.
+func TestObserveEndsWithContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		f := &fleet{ctx: ctx, sharers: map[string]*sharer.Sharer{}}
+		f := &directPeers{ctx: ctx, sharers: map[string]*sharer.Sharer{}}
 		defer f.wait.Wait()
 		defer cancel()
 		h := f.add("a", &storekeeper.Store{})
