--- a/internal/peer/dialer/attempt.go
+++ b/internal/peer/dialer/attempt.go
@@ -11,34 +11,37 @@
 	"github.com/cuminwick/cuminwick/internal/peer/linker"
 )
 
-// target is what is known about connecting to one host.
+// target holds the state of connecting to one host.
 type target struct {
-	// present is the attempt under way, nil if there is none.
-	present  *attempt
+	// current is the attempt in progress, nil if there is none.
+	current *attempt
+	// failures counts the failed attempts since the last successful one.
 	failures int
-	next     time.Time
+	// nextAttempt is the time before which no new attempt is made.
+	nextAttempt time.Time
 }
 
-// attempt connects to a host for all who wait for its link.
+// attempt connects to a host on behalf of all callers that wait for its link.
 //
-// It isn't bound to any of them. Were it given up with the caller that began it, just
-// as the handshake ends, the peer would have a whole connection whose other end is
-// gone: it would put its own requests on it for six seconds, until it counts as silent.
+// It continues when a caller gives up, including the one that started it. If it were cancelled
+// just as the handshake completes, the peer would have an established connection without another
+// end, and would send its own requests on it for the six seconds until the link counts as silent.
 type attempt struct {
 	dialer *Dialer
 	host   string
 	target *target
-	done   chan struct{}
-	link   *linker.Link
-	err    error
+	// done is closed when link and err are set.
+	done chan struct{}
+	link *linker.Link
+	err  error
 }
 
-// link returns the link to host, and has it dialed if there is none.
+// link returns the link to host, and dials the host if there is none.
 func (d *Dialer) link(ctx context.Context, host string) (*linker.Link, error) {
 	if l := d.Links.Find(host); l != nil {
 		return l, nil
 	}
-	a := d.join(host)
+	a := d.joinAttempt(host)
 	select {
 	case <-a.done:
 		return a.link, a.err
@@ -47,8 +50,8 @@
 	}
 }
 
-// join returns the attempt to connect to host, a new one if none is under way.
-func (d *Dialer) join(host string) *attempt {
+// joinAttempt returns the attempt to connect to host, and starts one if none is in progress.
+func (d *Dialer) joinAttempt(host string) *attempt {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.targets == nil {
@@ -59,50 +62,51 @@
 		t = &target{}
 		d.targets[host] = t
 	}
-	if t.present == nil {
-		t.present = &attempt{dialer: d, host: host, target: t, done: make(chan struct{})}
-		go t.present.run()
+	if t.current == nil {
+		t.current = &attempt{dialer: d, host: host, target: t, done: make(chan struct{})}
+		go t.current.run()
 	}
-	return t.present
+	return t.current
 }
 
 func (a *attempt) run() {
 	d := a.dialer
-	a.link, a.err = a.connect(d.lifetime())
+	a.link, a.err = a.connect(d.runContext())
 	d.mu.Lock()
-	a.target.present = nil
+	a.target.current = nil
 	d.mu.Unlock()
 	close(a.done)
 }
 
-// connect dials the host unless there is a link by now or its backoff runs.
+// connect dials the host, unless a link has been made meanwhile. It returns ErrBackoff before
+// nextAttempt.
 func (a *attempt) connect(ctx context.Context) (*linker.Link, error) {
 	d, t := a.dialer, a.target
 	if l := d.Links.Find(a.host); l != nil {
 		return l, nil
 	}
-	if w := time.Until(t.next); w > 0 {
+	if w := time.Until(t.nextAttempt); w > 0 {
 		return nil, wrapper.Wrap(errors.Annotatef(ErrBackoff, "next attempt in %s", w), "dial", a.host)
 	}
 	p, ok := d.Locate(a.host)
 	if !ok {
 		return nil, wrapper.Wrap(ErrUnknownHost, "dial", a.host)
 	}
-	l, err := d.dialAgain(ctx, a.host, p, t.failures)
+	l, err := d.dialHost(ctx, a.host, p, t.failures)
 	if err != nil {
-		t.fail(ctx)
+		t.recordFailure(ctx)
 		return nil, wrapper.Wrap(errors.Annotate(err, p), "dial", a.host)
 	}
 	t.failures = 0
 	return l, nil
 }
 
-// fail notes a failed attempt. One that ended since this host stops says nothing
-// about the other.
-func (t *target) fail(ctx context.Context) {
+// recordFailure counts a failed attempt and sets the time of the next one. An attempt that ended
+// because this host stops isn't counted, since it says nothing about the other host.
+func (t *target) recordFailure(ctx context.Context) {
 	if ctx.Err() != nil {
 		return
 	}
 	t.failures++
-	t.next = time.Now().Add(Backoff(t.failures, rand.Float64()))
+	t.nextAttempt = time.Now().Add(Backoff(t.failures, rand.Float64()))
 }
--- a/internal/peer/dialer/begin.go
+++ b/internal/peer/dialer/begin.go
@@ -11,20 +11,22 @@
 	"github.com/cuminwick/cuminwick/internal/peer/linker"
 )
 
-// Pending is a Forward whose answer hasn't come yet. More bytes may follow the
-// request on the stream; the host reads them once it has granted the request.
+// Pending is an encoder.Forward request whose answer hasn't been read. The caller may write more
+// bytes after the request; the host reads them once it has granted the request.
 type Pending struct {
+	// Stream is the stream of the request, on which nothing has been written.
 	Stream *linker.Stream
-	// Request is what the caller writes to Stream first. It isn't written here
-	// so that it can share a packet with what follows.
+	// Request is the encoded request. The caller writes it to Stream first, in one write with the
+	// bytes that follow, so that both can share a packet.
 	Request []byte
 
 	dialer *Dialer
 	host   string
 }
 
-// Begin opens a stream to ask host for a lease without waiting for the answer.
-// After an error nothing was sent.
+// Begin opens a stream to host and prepares a request for a lease, without waiting for the answer.
+// If it returns an error, nothing of the request was sent. It returns ErrStreamLimit if PeerStreams
+// streams to host are open.
 func (d *Dialer) Begin(ctx context.Context, host string, f encoder.Forward) (*Pending, error) {
 	b, err := encoder.Marshal(f)
 	if err != nil {
@@ -51,8 +53,8 @@
 	return p, nil
 }
 
-// Await reads the answer. A refusal is an error of type *encoder.Refusal; after
-// any other one it isn't known what the host did with what was written.
+// Await reads the answer. A refusal is returned as an error of type *encoder.Refusal. After any
+// other error it is unknown what the host did with the bytes that were written.
 func (p *Pending) Await(ctx context.Context) (encoder.Grant, error) {
 	var g encoder.Grant
 	var a encoder.Answer
@@ -62,7 +64,7 @@
 		err = errors.Annotate(ctx.Err(), "wait for answer")
 	}
 	if err == nil {
-		err = p.dialer.heard(a.Sender, p.Stream.Link)
+		err = p.dialer.checkSender(a.Sender, p.Stream.Link)
 	}
 	if err == nil && a.Refusal != nil {
 		err = a.Refusal
--- a/internal/peer/dialer/caller.go
+++ b/internal/peer/dialer/caller.go
@@ -13,9 +13,9 @@
 	"github.com/cuminwick/cuminwick/internal/peer/linker"
 )
 
-// Call sends q to host and returns its answer. A refusal by the host is an
-// error of type *encoder.Refusal. Messages are idempotent: one whose answer
-// was lost may be sent again.
+// Call sends q to host and returns its answer. A refusal by the host is returned as an error of
+// type *encoder.Refusal. A request whose answer was lost may be sent again, so messages have to be
+// idempotent.
 func Call[Q, A any](ctx context.Context, d *Dialer, host string, k encoder.Kind, q Q) (A, error) {
 	var a A
 	m, err := encoder.Marshal(q)
@@ -31,9 +31,9 @@
 	return a, wrapper.Wrap(err, string(k), host)
 }
 
-// Forward asks host for a lease on a backend server's connection. With the
-// grant the stream carries raw bytes both ways. After an error nothing of the
-// transaction has reached a backend server, as its bytes follow the grant.
+// Forward asks host for a lease on a backend server's connection and waits for the grant. After
+// that, the returned stream carries raw bytes in both directions. If Forward returns an error,
+// nothing of the transaction has reached a backend server, since its bytes follow the grant.
 func (d *Dialer) Forward(ctx context.Context, host string, f encoder.Forward) (*linker.Stream, encoder.Grant, error) {
 	var g encoder.Grant
 	if l := d.Links.Find(host); l != nil && l.Streams() >= d.PeerStreams {
@@ -54,7 +54,8 @@
 	return s, g, nil
 }
 
-// Send sends v in a datagram, which may be lost.
+// Send sends v to host in a datagram, which may be lost. It returns encoder.ErrTooLarge if the
+// message exceeds encoder.MaximumDatagramBytes.
 func (d *Dialer) Send(ctx context.Context, host string, k encoder.Kind, v any) error {
 	b, err := encoder.Marshal(v)
 	if err != nil {
@@ -75,9 +76,9 @@
 	return wrapper.Wrap(l.Conn.SendDatagram(m), string(k), host)
 }
 
-// ask sends r on a new stream and returns the stream with its first answer.
-// Where the connection ended because it was idle or silent, or the peer lost
-// its state in a restart, a new one is tried once.
+// ask sends r on a new stream and returns the stream and the answer. If the connection was closed
+// as idle or silent, or the peer lost its state in a restart, ask tries again once on a new
+// connection.
 func (d *Dialer) ask(ctx context.Context, host string, r encoder.Request) (*linker.Stream, encoder.Answer, error) {
 	s, a, err := d.askOnce(ctx, host, r)
 	if err != nil && ctx.Err() == nil && isStale(err) {
@@ -86,8 +87,8 @@
 	return s, a, err
 }
 
-// isStale reports whether err is the end of a connection that was open before
-// the request: a new connection may work.
+// isStale reports whether err is the end of a connection that may have been dead before the
+// request, so that a new connection may work.
 func isStale(err error) bool {
 	var x *quic.ApplicationError
 	if errors.As(err, &x) {
@@ -98,6 +99,7 @@
 	return errors.As(err, &y)
 }
 
+// askOnce is one attempt of ask.
 func (d *Dialer) askOnce(ctx context.Context, host string, r encoder.Request) (*linker.Stream, encoder.Answer, error) {
 	var a encoder.Answer
 	l, err := d.link(ctx, host)
@@ -114,7 +116,7 @@
 		s.Abort()
 		return nil, a, err
 	}
-	if err := d.heard(a.Sender, l); err != nil {
+	if err := d.checkSender(a.Sender, l); err != nil {
 		s.Abort()
 		return nil, a, err
 	}
@@ -125,22 +127,22 @@
 	return s, a, nil
 }
 
-// exchanged is the part of a stream that one request and its answer need.
-type exchanged interface {
+// requestStream is the part of linker.Stream that one request and its answer need.
+type requestStream interface {
 	io.ReadWriter
 	CloseWrite() error
 	SetDeadline(t time.Time) error
 }
 
-// exchange writes r and reads the answer, until ctx ends.
-func exchange(ctx context.Context, s exchanged, r encoder.Request, a *encoder.Answer) error {
+// exchange writes r to s and reads the answer into a. It is interrupted when ctx ends.
+func exchange(ctx context.Context, s requestStream, r encoder.Request, a *encoder.Answer) error {
 	stop := context.AfterFunc(ctx, interrupter{stream: s}.run)
 	err := encoder.Write(s, r)
 	if err == nil && r.Kind != encoder.KindForward {
-		// Nothing follows. The end goes in the request's packet; sent with the
-		// answer's acknowledgement it took packets of its own in both directions.
-		// A peer that answers before the end is written stops reading, which fails
-		// it. The answer is there all the same, so what the read says counts.
+		// Nothing follows the request. Closed now, the end of the stream is sent in the packet of
+		// the request; closed after the answer, it would need packets of its own in both
+		// directions. CloseWrite fails if the peer has already answered and stopped reading. The
+		// answer is valid nevertheless, so only the result of the read counts.
 		_ = s.CloseWrite()
 	}
 	if err == nil {
@@ -152,30 +154,30 @@
 	return err
 }
 
-// interrupter wakes reads and writes of a stream.
+// interrupter interrupts the reads and writes of a stream by a deadline in the past.
 type interrupter struct {
-	stream exchanged
+	stream requestStream
 }
 
 func (i interrupter) run() {
 	_ = i.stream.SetDeadline(time.Unix(1, 0))
 }
 
-// heard checks whom an answer is from and passes its sender on. It doesn't wait
-// for this host to move up: the answer is to a request that was decided by the
-// present revision, and dropping it would leave the outcome open.
-func (d *Dialer) heard(s encoder.Sender, l *linker.Link) error {
+// checkSender checks that an answer is from the host of l, and starts CatchUp if the sender is at a
+// higher revision. It doesn't wait for CatchUp: the request was made under this host's revision,
+// and if the answer were discarded, the outcome of the request would be unknown.
+func (d *Dialer) checkSender(s encoder.Sender, l *linker.Link) error {
 	if s.Host != l.Host {
 		return errors.Annotatef(encoder.ErrMalformed, "answer in the name of %q", s.Host)
 	}
 	if d.CatchUp != nil && s.Revision > d.Self().Revision {
-		go d.runHeard(d.lifetime(), s)
+		go d.runCatchUp(d.runContext(), s)
 	}
 	return nil
 }
 
-// runHeard passes a sender on, whose revision may take a while to reach.
-func (d *Dialer) runHeard(ctx context.Context, s encoder.Sender) {
-	// The next message of a higher revision tries again.
+// runCatchUp calls CatchUp, which may take a while.
+func (d *Dialer) runCatchUp(ctx context.Context, s encoder.Sender) {
+	// A failure is ignored, since the next message with a higher revision causes another attempt.
 	_ = d.CatchUp(ctx, s)
 }
--- a/internal/peer/dialer/caller_test.go
+++ b/internal/peer/dialer/caller_test.go
@@ -9,22 +9,23 @@
 	"github.com/cuminwick/cuminwick/internal/peer/encoder"
 )
 
-// hasty is a stream whose peer has answered, and reads no more, before the end of
-// the request is written.
-type hasty struct {
+// answeredStream is a stream whose peer has answered and stopped reading before the end of the
+// request is written.
+type answeredStream struct {
 	bytes.Buffer
 	answer bytes.Buffer
 }
 
-func (h *hasty) Read(p []byte) (int, error)  { return h.answer.Read(p) }
-func (h *hasty) CloseWrite() error           { return errors.New("close called for canceled stream") }
-func (h *hasty) SetDeadline(time.Time) error { return nil }
+func (h *answeredStream) Read(p []byte) (int, error)  { return h.answer.Read(p) }
+func (h *answeredStream) CloseWrite() error           { return errors.New("close called for canceled stream") }
+func (h *answeredStream) SetDeadline(time.Time) error { return nil }
 
-// A peer gets the whole request, answers and stops reading while the caller's host
-// is short of processor time. Its word on a primary or its status of a backend server
-// would be thrown away, and a primary be taken for silent that has just answered.
-func TestAnswerBeforeTheEndOfItsRequest(t *testing.T) {
-	h := &hasty{}
+// While the caller's host is short of processor time, the peer receives the whole request, answers
+// and stops reading, so that closing the write side fails. If that failed the call, a report on a
+// primary or the status of a backend server would be discarded, and a primary that has just
+// answered would count as silent.
+func TestAnswerBeforeEndOfRequest(t *testing.T) {
+	h := &answeredStream{}
 	if err := encoder.Write(&h.answer, encoder.Answer{Sender: encoder.Sender{Host: "b"}, Body: []byte{1}}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/peer/dialer/dialer.go
+++ b/internal/peer/dialer/dialer.go
@@ -1,4 +1,4 @@
-// Package dialer connects to other entry hosts, calls them and forwards transactions to them.
+// Package dialer connects to other entry hosts, and sends requests and forwards transactions to them.
 package dialer
 
 import (
@@ -17,68 +17,74 @@
 	"github.com/cuminwick/cuminwick/internal/peer/securer"
 )
 
-// Errors of the dialer. After each of them nothing of a request took effect.
+// Errors of the dialer. A request that fails with one of them has had no effect.
 const (
-	// ErrUnknownHost is returned for a host whose address isn't known.
+	// ErrUnknownHost is returned for a host whose address is unknown.
 	ErrUnknownHost = errors.ConstError("address of entry host unknown")
-	// ErrBackoff is returned while the next attempt to connect is still to come.
+	// ErrBackoff is returned between a failed attempt to connect and the next one.
 	ErrBackoff = errors.ConstError("entry host failed to answer a moment ago")
-	// ErrStreamLimit is returned when too many forwarded transactions are open.
+	// ErrStreamLimit is returned when Dialer.PeerStreams streams to the host are open.
 	ErrStreamLimit = errors.ConstError("too many streams to entry host")
 )
 
-// Dialer keeps one connection to each peer that this host talks to.
+// Dialer keeps one connection to each peer that this host communicates with. The exported fields
+// are set before Run.
 type Dialer struct {
+	// Transport is the shared UDP socket. Links are first dialed from it.
 	Transport *quic.Transport
-	// Listen opens further sockets, net.ListenUDP if nil.
+	// Listen opens additional sockets. If nil, net.ListenUDP is used.
 	Listen  func(a *net.UDPAddr) (net.PacketConn, error)
 	Securer *securer.Securer
-	Links   *linker.Table
-	// Self is put on each message.
+	// Links holds the links of this host, also those that the listener accepted.
+	Links *linker.Table
+	// Self returns the sender of each message: this host with its revision in force.
 	Self func() encoder.Sender
-	// Locate returns a host's peer address.
+	// Locate returns the address at which a host accepts peers.
 	Locate func(host string) (address string, ok bool)
-	// CatchUp is told of the sender of an answer that is at a higher revision
-	// than this host; it may be nil.
+	// CatchUp brings this host to the revision of the sender of an answer, and returns once the
+	// revision is in force. It is called for senders at a higher revision and may be nil.
 	CatchUp func(ctx context.Context, s encoder.Sender) error
-	// Serve serves the streams that a peer opens on a link that this host
-	// dialed, until the link ends.
+	// Serve serves the streams that the peer opens on a link that this host dialed, until the link
+	// ends.
 	Serve func(ctx context.Context, l *linker.Link)
-	// ConnectTimeout ends an attempt to connect.
+	// ConnectTimeout is the timeout of an attempt to connect.
 	ConnectTimeout time.Duration
-	// ProbeInterval is the time between looks for silent links, a second if zero.
+	// ProbeInterval is the time between two checks for silent links. If zero, it is a second.
 	ProbeInterval time.Duration
-	// Clock tells when something is due, timers of its own if nil.
+	// Clock provides the ticks of the checks. If nil, plain timers are used.
 	Clock *scheduler.Scheduler
-	// PeerStreams bounds the forwarded transactions open at one peer.
+	// PeerStreams is the number of streams, opened by either side, at which no further transaction
+	// is forwarded on a link. It is also how many forwarded transactions the peer may have open
+	// here.
 	PeerStreams int
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// targets holds the hosts that were dialed, by name.
 	targets map[string]*target
-	// context is Run's, it ends the links.
+	// context is the context of Run, nil before. Attempts and links end with it.
 	context context.Context
 }
 
-// Forget drops what is remembered of a host that has left for good.
+// Forget discards the backoff state of a host that has left permanently.
 func (d *Dialer) Forget(host string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.targets, host)
 }
 
-// dialAgain dials from the shared socket first, and after a failure from one
-// of its own: a firewall that lost track of the shared socket's flow to the
-// host drops a new connection from it as well.
-func (d *Dialer) dialAgain(ctx context.Context, host, address string, failures int) (*linker.Link, error) {
+// dialHost dials from the shared socket, or from a new one if the last attempt failed: a firewall
+// that lost the state of the flow from the shared socket to the host also drops new connections
+// from that socket.
+func (d *Dialer) dialHost(ctx context.Context, host, address string, failures int) (*linker.Link, error) {
 	if failures == 0 {
 		return d.dial(ctx, d.Transport, host, address)
 	}
-	return d.dialFresh(ctx, host, address)
+	return d.dialFromNewSocket(ctx, host, address)
 }
 
-// dialFresh dials from a socket made for the link alone.
-func (d *Dialer) dialFresh(ctx context.Context, host, address string) (*linker.Link, error) {
-	t, err := d.socket()
+// dialFromNewSocket dials from a socket that is opened for this link only and closed with it.
+func (d *Dialer) dialFromNewSocket(ctx context.Context, host, address string) (*linker.Link, error) {
+	t, err := d.openSocket()
 	if err != nil {
 		return nil, err
 	}
@@ -92,8 +98,8 @@
 	return l, nil
 }
 
-// socket opens a UDP socket on a port of its own.
-func (d *Dialer) socket() (*quic.Transport, error) {
+// openSocket opens a UDP socket on the shared socket's IP address and a free port.
+func (d *Dialer) openSocket() (*quic.Transport, error) {
 	var i net.IP
 	if a, ok := d.Transport.Conn.LocalAddr().(*net.UDPAddr); ok {
 		i = a.IP
@@ -112,7 +118,8 @@
 	return net.ListenUDP("udp", a)
 }
 
-// dial connects to host at address; an empty host takes whom it finds there.
+// dial connects to host at address. If host is empty, any entry host is accepted. The link is added
+// to Links and served.
 func (d *Dialer) dial(ctx context.Context, t *quic.Transport, host, address string) (*linker.Link, error) {
 	u, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -142,10 +149,11 @@
 // runLink serves a link until it ends.
 func (d *Dialer) runLink(l *linker.Link) {
 	defer d.Links.Remove(l)
-	d.Serve(d.lifetime(), l)
+	d.Serve(d.runContext(), l)
 }
 
-func (d *Dialer) lifetime() context.Context {
+// runContext returns the context of Run, or the background context before Run.
+func (d *Dialer) runContext() context.Context {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.context == nil {
@@ -154,7 +162,8 @@
 	return d.context
 }
 
-// DialSeed connects to whichever entry host listens at address and returns its name.
+// DialSeed connects to the entry host that listens at address, whichever it is, and returns its
+// name.
 func (d *Dialer) DialSeed(ctx context.Context, address string) (host string, err error) {
 	l, err := d.dial(ctx, d.Transport, "", address)
 	if err != nil {
@@ -163,14 +172,14 @@
 	return l.Host, nil
 }
 
-// Probe connects to host afresh, from a socket of its own, and closes the
-// connection. An error says that the host couldn't be reached by then.
+// Probe makes a new connection to host from a new socket and closes it. It returns an error if the
+// host couldn't be reached within ConnectTimeout.
 func (d *Dialer) Probe(ctx context.Context, host, address string) error {
 	u, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return wrapper.Wrap(err, "probe", host)
 	}
-	t, err := d.socket()
+	t, err := d.openSocket()
 	if err != nil {
 		return wrapper.Wrap(err, "probe", host)
 	}
--- a/internal/peer/dialer/prober.go
+++ b/internal/peer/dialer/prober.go
@@ -8,23 +8,23 @@
 	"github.com/cuminwick/cuminwick/internal/peer/linker"
 )
 
-// How links are looked after.
 const (
-	// probeInterval is the usual time between looks at busy links.
+	// probeInterval is the default time between two checks of the links.
 	probeInterval = time.Second
-	// silentLooks without a packet have the side that dialed move the link to
-	// another socket.
-	silentLooks = 3
-	// replaceLooks without a packet have either side try a new connection.
-	replaceLooks = 6
-	// idleAfter closes a link that carried no stream for so long.
+	// migrateAfterChecks is the number of consecutive silent checks after which the side that
+	// dialed migrates the link to another socket.
+	migrateAfterChecks = 3
+	// replaceAfterChecks is the number of consecutive silent checks after which, and after each
+	// multiple of which, either side tries a new connection.
+	replaceAfterChecks = 6
+	// idleAfter is how long a link without a stream or datagram is kept open.
 	idleAfter = time.Minute
 )
 
-// KindProbe is a datagram that asks for no more than its acknowledgement.
+// KindProbe is the kind of a datagram that only causes an acknowledgement.
 const KindProbe encoder.Kind = "probe"
 
-// Run looks after the links until ctx ends, and closes them then.
+// Run checks the links until ctx ends, and then closes them.
 func (d *Dialer) Run(ctx context.Context) error {
 	d.mu.Lock()
 	d.context = ctx
@@ -42,7 +42,7 @@
 	for {
 		select {
 		case now := <-t:
-			d.look(ctx, now)
+			d.checkLinks(ctx, now)
 		case <-ctx.Done():
 			return
 		}
@@ -56,24 +56,26 @@
 	return probeInterval
 }
 
-func (d *Dialer) look(ctx context.Context, now time.Time) {
+// checkLinks closes idle links, migrates or replaces silent ones, and probes busy links on which
+// nothing has been received since the last check.
+func (d *Dialer) checkLinks(ctx context.Context, now time.Time) {
 	for _, l := range d.Links.All() {
 		quiet, n := l.CheckTraffic()
 		switch {
 		case l.IdleSince(now.Add(-idleAfter)):
 			l.Close(linker.CodeIdle)
-		case n > 0 && n%replaceLooks == 0:
+		case n > 0 && n%replaceAfterChecks == 0:
 			go d.runReplace(ctx, l)
-		case n == silentLooks && l.Dialed:
-			go d.runMove(ctx, l)
+		case n == migrateAfterChecks && l.Dialed:
+			go d.runMigrate(ctx, l)
 		case quiet && l.Streams() > 0:
 			d.probe(l)
 		}
 	}
 }
 
-// probe makes the peer send at least an acknowledgement, if it gets it. A full
-// queue of datagrams would have it wait, but then packets are under way already.
+// probe sends a datagram that the peer acknowledges. It doesn't wait for runProbe, which blocks
+// while the queue of datagrams is full; packets are in flight anyway then.
 func (d *Dialer) probe(l *linker.Link) {
 	go d.runProbe(l)
 }
@@ -86,12 +88,11 @@
 	_ = l.Conn.SendDatagram(b)
 }
 
-// runMove carries a silent link over to a socket of its own, by QUIC's
-// connection migration. Where something between the hosts has lost track of
-// the old flow, the transactions on the link go on and their callers notice a
-// pause; otherwise they would wait and end with an unknown outcome.
-func (d *Dialer) runMove(ctx context.Context, l *linker.Link) {
-	t, err := d.socket()
+// runMigrate moves a silent link to a new socket by QUIC connection migration. If a device between
+// the hosts has lost the state of the old flow, the transactions on the link continue after a
+// pause; without migration they would hang and end with an unknown outcome.
+func (d *Dialer) runMigrate(ctx context.Context, l *linker.Link) {
+	t, err := d.openSocket()
 	if err != nil {
 		return
 	}
@@ -109,15 +110,15 @@
 	_ = p.Switch()
 }
 
-// runReplace tries a new connection beside a silent one that couldn't be
-// moved. Only a new connection that works proves that the old one is dead: if
-// that fails too, the host or the way to it is gone, and the old link may mend.
+// runReplace dials a new connection in addition to a silent link that couldn't be migrated, and
+// closes the silent link if that succeeds. Only a new connection that works proves that the link is
+// dead. If it fails too, the host or the path to it is down, and the link may recover.
 func (d *Dialer) runReplace(ctx context.Context, l *linker.Link) {
 	a, ok := d.Locate(l.Host)
 	if !ok {
 		return
 	}
-	if _, err := d.dialFresh(ctx, l.Host, a); err != nil {
+	if _, err := d.dialFromNewSocket(ctx, l.Host, a); err != nil {
 		return
 	}
 	d.Links.Unprefer(l)
