--- a/internal/peer/listener/bench_test.go
+++ b/internal/peer/listener/bench_test.go
@@ -10,7 +10,7 @@
 
 const messageBytes = 200
 
-// roundTrip measures a message of a small query there and back.
+// roundTrip measures the round trip of a message as long as a small query.
 func roundTrip(b *testing.B, c io.ReadWriter) {
 	m := make([]byte, messageBytes)
 	b.ReportAllocs()
@@ -24,8 +24,9 @@
 	}
 }
 
-func pair(b *testing.B) *host {
-	a, k := authority(b), &book{}
+// startPair starts host a and an echoing host b, and returns a.
+func startPair(b *testing.B) *host {
+	a, k := authority(b), &addressBook{}
 	x := start(b, a, k, "a", nil)
 	start(b, a, k, "b", echo{})
 	return x
@@ -52,7 +53,7 @@
 }
 
 func BenchmarkForwardRoundTrip(b *testing.B) {
-	s, _, err := pair(b).dialer.Forward(b.Context(), "b", encoder.Forward{})
+	s, _, err := startPair(b).dialer.Forward(b.Context(), "b", encoder.Forward{})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -60,9 +61,9 @@
 	roundTrip(b, s)
 }
 
-// A transaction of one statement: ask, grant, statement, answer, end.
+// Measures a transaction of one statement: request, grant, statement, answer, end.
 func BenchmarkForwardTransaction(b *testing.B) {
-	x := pair(b)
+	x := startPair(b)
 	m := make([]byte, messageBytes)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -81,7 +82,7 @@
 }
 
 func BenchmarkForwardTransactionParallel(b *testing.B) {
-	x := pair(b)
+	x := startPair(b)
 	b.ReportAllocs()
 	b.SetParallelism(1)
 	b.RunParallel(func(p *testing.PB) {
--- a/internal/peer/listener/exchange.go
+++ b/internal/peer/listener/exchange.go
@@ -11,14 +11,14 @@
 	"github.com/cuminwick/cuminwick/internal/peer/linker"
 )
 
-// exchange is one stream that a peer opened.
-type exchange struct {
+// incomingStream is a stream that a peer opened to send a request.
+type incomingStream struct {
 	listener *Listener
 	stream   *linker.Stream
 }
 
 // run reads the request and serves it.
-func (x *exchange) run(ctx context.Context) {
+func (x *incomingStream) run(ctx context.Context) {
 	c, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stop := context.AfterFunc(x.stream.Context(), cancel)
@@ -28,15 +28,15 @@
 	case err != nil:
 		x.refuse(err)
 	case r.Kind == encoder.KindForward:
-		x.forward(c, r)
+		x.serveForward(c, r)
 	default:
-		x.answer(c, r)
+		x.serveRoute(c, r)
 	}
 }
 
-// read takes the request within the handshake timeout: a peer that opens
-// streams and sends nothing must not hold them.
-func (x *exchange) read(ctx context.Context) (encoder.Request, error) {
+// read reads the request and checks its sender. It fails after the handshake timeout, so that a
+// peer that opens streams and sends nothing doesn't occupy them.
+func (x *incomingStream) read(ctx context.Context) (encoder.Request, error) {
 	var r encoder.Request
 	if err := x.stream.SetReadDeadline(time.Now().Add(x.listener.HandshakeTimeout)); err != nil {
 		return r, errors.Trace(err)
@@ -47,11 +47,12 @@
 	if err := x.stream.SetReadDeadline(time.Time{}); err != nil {
 		return r, errors.Trace(err)
 	}
-	return r, x.listener.heard(ctx, r, x.stream.Link)
+	return r, x.listener.checkSender(ctx, r, x.stream.Link)
 }
 
-func (x *exchange) answer(ctx context.Context, r encoder.Request) {
-	f, ok := x.listener.route(r.Kind)
+// serveRoute answers a request by the route for its kind.
+func (x *incomingStream) serveRoute(ctx context.Context, r encoder.Request) {
+	f, ok := x.listener.findRoute(r.Kind)
 	if !ok {
 		x.refuse(&encoder.Refusal{Reason: encoder.ReasonUnknownKind, Detail: string(r.Kind)})
 		return
@@ -68,10 +69,11 @@
 	_ = x.stream.Close()
 }
 
-// answerTimeout bounds the writing of an answer to a peer that doesn't read.
+// answerTimeout bounds the writing of an answer, since a peer may not read it.
 const answerTimeout = 10 * time.Second
 
-func (x *exchange) send(a encoder.Answer) error {
+// send writes the answer a with this host as its sender.
+func (x *incomingStream) send(a encoder.Answer) error {
 	a.Sender = x.listener.Self()
 	if err := x.stream.SetWriteDeadline(time.Now().Add(answerTimeout)); err != nil {
 		return errors.Trace(err)
@@ -82,7 +84,9 @@
 	return errors.Trace(x.stream.SetWriteDeadline(time.Time{}))
 }
 
-func (x *exchange) refuse(err error) {
+// refuse answers the request with the refusal for err. It logs refusals for encoder.ReasonFault and
+// encoder.ReasonMalformed, the ones that aren't expected in operation.
+func (x *incomingStream) refuse(err error) {
 	r := refusal(err)
 	if r.Reason == encoder.ReasonFault || r.Reason == encoder.ReasonMalformed {
 		f := log.Fields{"peer": x.stream.Link.Host, "step": "serve peer", "reason": r.Reason}
@@ -95,29 +99,32 @@
 	_ = x.stream.Close()
 }
 
-// ForwardRequest is a forwarded transaction that waits for its grant.
+// ForwardRequest is a request to forward a transaction, with the stream on which it arrived.
 type ForwardRequest struct {
 	encoder.Forward
+	// Sender is the forwarding host.
 	Sender encoder.Sender
 	// Stream carries raw bytes once Grant has returned.
 	Stream *linker.Stream
 
-	exchange *exchange
-	granted  bool
+	incoming *incomingStream
+	// granted reports whether Grant was called.
+	granted bool
 }
 
-// Grant tells the other host that it has the connection.
+// Grant grants the request and sends g to the forwarding host.
 func (f *ForwardRequest) Grant(g encoder.Grant) error {
 	b, err := encoder.Marshal(g)
 	if err != nil {
 		return err
 	}
 	f.granted = true
-	return f.exchange.send(encoder.Answer{Body: b})
+	return f.incoming.send(encoder.Answer{Body: b})
 }
 
-func (x *exchange) forward(ctx context.Context, r encoder.Request) {
-	f := &ForwardRequest{Sender: r.Sender, Stream: x.stream, exchange: x}
+// serveForward serves a request of the kind encoder.KindForward by the handler in Forwards.
+func (x *incomingStream) serveForward(ctx context.Context, r encoder.Request) {
+	f := &ForwardRequest{Sender: r.Sender, Stream: x.stream, incoming: x}
 	if err := encoder.Unmarshal(r.Body, &f.Forward); err != nil {
 		x.refuse(err)
 		return
--- a/internal/peer/listener/listener.go
+++ b/internal/peer/listener/listener.go
@@ -17,35 +17,39 @@
 
 // ForwardHandler serves forwarded transactions.
 type ForwardHandler interface {
-	// HandleForward queues for the connection that f asks for. It calls
-	// f.Grant and then serves the stream until the transaction has ended. An
-	// error before the grant refuses the request, one after it aborts the
-	// stream. The context ends when the other host gives up.
+	// HandleForward calls f.Grant and then serves f.Stream until the transaction has ended. An
+	// error before the grant refuses the request, and one after it aborts the stream. ctx ends when
+	// the forwarding host aborts the stream or the link ends.
 	HandleForward(ctx context.Context, f *ForwardRequest) error
 }
 
-// Listener serves the links of this host, whichever side dialed them.
+// Listener serves the links of this host, whichever side dialed them. The exported fields are set
+// before Run.
 type Listener struct {
+	// Transport is the UDP socket on which peers are accepted.
 	Transport *quic.Transport
 	Securer   *securer.Securer
-	Links     *linker.Table
-	// Self is put on each answer.
+	// Links holds the links of this host, also those that the dialer made.
+	Links *linker.Table
+	// Self returns the sender of each answer: this host with its revision in force.
 	Self func() encoder.Sender
-	// CatchUp is told of the sender of a request that is at a higher revision
-	// than this host, which has to move up; it may be nil.
+	// CatchUp brings this host to the revision of the sender of a message, and returns once the
+	// revision is in force. It is called for senders at a higher revision and may be nil.
 	CatchUp func(ctx context.Context, s encoder.Sender) error
-	// Forwards serves forwarded transactions.
+	// Forwards serves forwarded transactions. If nil, they are refused with
+	// encoder.ReasonNotOwner.
 	Forwards ForwardHandler
 	// Routes serve all other kinds of request.
 	Routes []Route
-	// HandshakeTimeout ends a connection or request that isn't complete by then.
+	// HandshakeTimeout bounds the QUIC handshake of a connection, and the wait for the complete
+	// request on a stream.
 	HandshakeTimeout time.Duration
 	// PeerStreams is how many forwarded transactions one peer may have open here.
 	PeerStreams int
 	Log         log.Interface
 }
 
-// Run accepts connections until ctx ends.
+// Run accepts connections until ctx ends, and then returns nil.
 func (l *Listener) Run(ctx context.Context) error {
 	q, err := l.Transport.Listen(l.Securer.Server(), linker.Configuration(l.HandshakeTimeout, l.PeerStreams))
 	if err != nil {
@@ -82,7 +86,7 @@
 	l.Serve(ctx, k)
 }
 
-// Serve serves the streams and datagrams that the peer sends on k, until k ends.
+// Serve serves the streams and datagrams that the peer sends on k, until k or ctx ends.
 func (l *Listener) Serve(ctx context.Context, k *linker.Link) {
 	c, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -90,17 +94,17 @@
 	for {
 		s, err := k.Conn.AcceptStream(ctx)
 		if err != nil {
-			l.ended(ctx, k)
+			l.handleLinkEnd(ctx, k)
 			return
 		}
-		x := exchange{listener: l, stream: linker.NewStream(s, k)}
+		x := incomingStream{listener: l, stream: linker.NewStream(s, k)}
 		go x.run(c)
 	}
 }
 
-// ended closes a link that this host stops serving, and tells why a link
-// ended that the peer didn't close in an orderly way.
-func (l *Listener) ended(ctx context.Context, k *linker.Link) {
+// handleLinkEnd closes a link that this host stops serving, and logs the cause if a link ended
+// without being closed by either side.
+func (l *Listener) handleLinkEnd(ctx context.Context, k *linker.Link) {
 	if ctx.Err() != nil {
 		k.Close(linker.CodeStopping)
 		return
@@ -121,35 +125,36 @@
 			return
 		}
 		k.Touch()
-		l.datagram(ctx, k, b)
+		l.handleDatagram(ctx, k, b)
 	}
 }
 
-// datagram handles one datagram; one that is malformed or refused is dropped,
-// as a lost one would be.
-func (l *Listener) datagram(ctx context.Context, k *linker.Link, b []byte) {
+// handleDatagram handles one datagram. A datagram that is malformed or would be refused is dropped,
+// which has the same effect as its loss on the network.
+func (l *Listener) handleDatagram(ctx context.Context, k *linker.Link, b []byte) {
 	var r encoder.Request
 	if err := encoder.Unmarshal(b, &r); err != nil || r.Kind.RequiresRevision() {
 		return
 	}
-	if err := l.heard(ctx, r, k); err != nil {
+	if err := l.checkSender(ctx, r, k); err != nil {
 		return
 	}
-	if x, ok := l.route(r.Kind); ok {
+	if x, ok := l.findRoute(r.Kind); ok {
 		_, _ = x.Serve(ctx, r.Sender, r.Body)
 	}
 }
 
-// runHeard passes a sender on, whose revision may take a while to reach.
-func (l *Listener) runHeard(ctx context.Context, s encoder.Sender) {
+// runCatchUp calls CatchUp, which may take a while, and logs its failure.
+func (l *Listener) runCatchUp(ctx context.Context, s encoder.Sender) {
 	if err := l.CatchUp(ctx, s); err != nil && ctx.Err() == nil {
 		l.Log.WithFields(log.Fields{"peer": s.Host, "step": "move up"}).WithError(err).Debug("not at the peer's revision")
 	}
 }
 
-// heard checks whom a message is from and passes its sender on. Requests that
-// the configuration decides wait until this host is at the sender's revision.
-func (l *Listener) heard(ctx context.Context, r encoder.Request, k *linker.Link) error {
+// checkSender checks that r is from the host of k, and calls CatchUp if the sender is at a higher
+// revision. A request that requires the sender's revision waits for CatchUp and is refused if that
+// fails.
+func (l *Listener) checkSender(ctx context.Context, r encoder.Request, k *linker.Link) error {
 	s := r.Sender
 	if s.Host != k.Host {
 		return &encoder.Refusal{Reason: encoder.ReasonMalformed, Detail: "message in another host's name"}
@@ -158,7 +163,7 @@
 		return nil
 	}
 	if !r.Kind.RequiresRevision() {
-		go l.runHeard(ctx, s)
+		go l.runCatchUp(ctx, s)
 		return nil
 	}
 	if err := l.CatchUp(ctx, s); err != nil {
--- a/internal/peer/listener/listener_test.go
+++ b/internal/peer/listener/listener_test.go
@@ -26,7 +26,7 @@
 	"github.com/cuminwick/cuminwick/internal/peer/securer"
 )
 
-// host is one end of the protocol on loopback.
+// host is an entry host on a loopback address.
 type host struct {
 	name     string
 	address  string
@@ -35,19 +35,19 @@
 	dialer   *dialer.Dialer
 	listener *listener.Listener
 	stop     context.CancelFunc
-	// speaks is the name in which the host speaks.
-	speaks atomic.Value
-	// revision is the one in force, which Heard moves up unless stuck.
-	revision atomic.Uint64
-	stuck    atomic.Bool
+	// senderName is the host name in the Sender of each message.
+	senderName atomic.Value
+	// revision is the revision in force. CatchUp raises it unless catchUpFails is set.
+	revision     atomic.Uint64
+	catchUpFails atomic.Bool
 }
 
-// book holds the addresses of all hosts of a test.
-type book struct {
+// addressBook holds the addresses of all hosts of a test by name.
+type addressBook struct {
 	sync.Map
 }
 
-func (b *book) locate(n string) (string, bool) {
+func (b *addressBook) locate(n string) (string, bool) {
 	a, ok := b.Load(n)
 	if !ok {
 		return "", false
@@ -64,14 +64,15 @@
 	return a
 }
 
-func start(t testing.TB, a *certifier.Authority, b *book, name string, f listener.ForwardHandler) *host {
+func start(t testing.TB, a *certifier.Authority, b *addressBook, name string, f listener.ForwardHandler) *host {
 	t.Helper()
 	return startProbing(t, a, b, name, f, 0)
 }
 
-// startProbing starts a host that looks for silent links at the given interval. With
-// a short one, a machine that is busy with other tests makes working links look silent.
-func startProbing(t testing.TB, a *certifier.Authority, b *book, name string, f listener.ForwardHandler, interval time.Duration) *host {
+// startProbing starts a host that checks for silent links at the given interval, or at the default
+// one if zero. With a short interval, working links may appear silent on a machine that is busy
+// with other tests.
+func startProbing(t testing.TB, a *certifier.Authority, b *addressBook, name string, f listener.ForwardHandler, interval time.Duration) *host {
 	t.Helper()
 	c, err := a.Issue(time.Now(), time.Hour, name)
 	if err != nil {
@@ -87,16 +88,16 @@
 		Authority:   func() *x509.CertPool { return a.Pool() },
 	}
 	h := &host{name: name, address: u.LocalAddr().String(), socket: u}
-	h.speaks.Store(name)
+	h.senderName.Store(name)
 	self := func() encoder.Sender {
-		return encoder.Sender{Host: h.speaks.Load().(string), Incarnation: 1, Revision: h.revision.Load()}
+		return encoder.Sender{Host: h.senderName.Load().(string), Incarnation: 1, Revision: h.revision.Load()}
 	}
 	h.links = &linker.Table{Self: name}
 	h.listener = &listener.Listener{
 		Transport: q, Securer: s, Links: h.links, Self: self, Forwards: f, PeerStreams: 16,
 		CatchUp: func(_ context.Context, x encoder.Sender) error {
-			if h.stuck.Load() {
-				return errors.New("revision not to be had")
+			if h.catchUpFails.Load() {
+				return errors.New("revision unavailable")
 			}
 			h.revision.Store(x.Revision)
 			return nil
@@ -131,8 +132,10 @@
 	return encoder.ObserveAnswer{Reachable: true}, nil
 }
 
-// echo grants and sends back what it gets.
+// echo is a ForwardHandler that grants a request and echoes the bytes that follow. It refuses
+// requests for the backend server "absent".
 type echo struct {
+	// ended, if set, receives the result of each echo.
 	ended chan error
 }
 
@@ -151,7 +154,7 @@
 }
 
 func TestOneConnectionCarriesCallsOfBothSides(t *testing.T) {
-	a, b := authority(t), &book{}
+	a, b := authority(t), &addressBook{}
 	x := start(t, a, b, "a", nil)
 	y := start(t, a, b, "b", nil)
 	for _, d := range []*host{x, y, x} {
@@ -162,37 +165,37 @@
 		}
 	}
 	if n, m := len(x.links.All()), len(y.links.All()); n != 1 || m != 1 {
-		t.Errorf("%d and %d connections for one pair", n, m)
+		t.Errorf("%d and %d connections between two hosts, want 1", n, m)
 	}
 }
 
-// A revision has come into force at one host and not yet at another. A request
-// that the first one forwards must be served under the new revision or refused
-// as not run; a heartbeat must not wait for that.
-func TestForwardMovesTheOwnerUp(t *testing.T) {
-	a, b := authority(t), &book{}
+// A revision is in force at one host and not yet at another. If the other host served a forwarded
+// request under the old revision, the request would be decided by an outdated configuration. It has
+// to catch up first or refuse the request. Other requests must not wait for that.
+func TestForwardMakesPoolOwnerCatchUp(t *testing.T) {
+	a, b := authority(t), &addressBook{}
 	x := start(t, a, b, "a", nil)
 	y := start(t, a, b, "b", echo{})
 	x.revision.Store(8)
 	s, _, err := x.dialer.Forward(t.Context(), "b", encoder.Forward{})
 	if err != nil || y.revision.Load() != 8 {
-		t.Fatalf("forwarded at revision %d, %v", y.revision.Load(), err)
+		t.Fatalf("pool owner at revision %d after the grant, want 8; error %v", y.revision.Load(), err)
 	}
 	s.Close()
 	x.revision.Store(9)
-	y.stuck.Store(true)
+	y.catchUpFails.Store(true)
 	var r *encoder.Refusal
 	if _, _, err := x.dialer.Forward(t.Context(), "b", encoder.Forward{}); !errors.As(err, &r) || r.Reason != encoder.ReasonRevision {
-		t.Errorf("forwarded to a host that is behind: %v", err)
+		t.Errorf("Forward to a host that fails to catch up: got %v, want a refusal for the revision", err)
 	}
 	_, err = dialer.Call[encoder.Observe, encoder.ObserveAnswer](t.Context(), x.dialer, "b", encoder.KindObserve, encoder.Observe{Name: "s"})
 	if err != nil {
-		t.Errorf("a question that no configuration decides was refused: %v", err)
+		t.Errorf("request that doesn't require the revision failed: %v", err)
 	}
 }
 
 func TestRefusalsAreTyped(t *testing.T) {
-	a, b := authority(t), &book{}
+	a, b := authority(t), &addressBook{}
 	x := start(t, a, b, "a", nil)
 	start(t, a, b, "b", echo{})
 	start(t, a, b, "c", nil)
@@ -201,7 +204,7 @@
 		call   func() error
 		reason encoder.Reason
 	}{
-		{name: "handler's own reason", reason: encoder.ReasonQueueFull, call: func() error {
+		{name: "reason of the handler", reason: encoder.ReasonQueueFull, call: func() error {
 			_, err := dialer.Call[encoder.Observe, encoder.ObserveAnswer](t.Context(), x.dialer, "b", encoder.KindObserve, encoder.Observe{})
 			return err
 		}},
@@ -233,7 +236,7 @@
 }
 
 func TestForwardCarriesBytes(t *testing.T) {
-	a, b := authority(t), &book{}
+	a, b := authority(t), &addressBook{}
 	x := start(t, a, b, "a", nil)
 	start(t, a, b, "b", echo{})
 	s, g, err := x.dialer.Forward(t.Context(), "b", encoder.Forward{BackendServer: "s"})
@@ -247,15 +250,14 @@
 	}()
 	got, err := io.ReadAll(s)
 	if err != nil || !bytes.Equal(got, w) {
-		t.Errorf("%d bytes came back of %d, %v", len(got), len(w), err)
+		t.Errorf("%d of %d bytes echoed, or bytes differ; error %v", len(got), len(w), err)
 	}
 }
 
-// The host that forwards dies in the middle of a transaction, or its caller
-// goes away. The owner of the connection must learn of it, and must not take
-// what it got for the whole transaction.
-func TestAbortReachesTheOwner(t *testing.T) {
-	a, b := authority(t), &book{}
+// The forwarding host fails in the middle of a transaction, or its caller disconnects. If the pool
+// owner saw an orderly end of the stream, it would treat an incomplete transaction as complete.
+func TestAbortReachesPoolOwner(t *testing.T) {
+	a, b := authority(t), &addressBook{}
 	x := start(t, a, b, "a", nil)
 	e := echo{ended: make(chan error, 1)}
 	start(t, a, b, "b", e)
@@ -266,14 +268,15 @@
 	s.Write([]byte("BEGIN"))
 	s.Abort()
 	if err := <-e.ended; err == nil {
-		t.Error("the owner saw an orderly end")
+		t.Error("the pool owner read an orderly end of an aborted stream")
 	}
 }
 
-// A stranger reaches the peer port, or a host of one name poses as another.
-// Neither may get a message in.
-func TestStrangersAreRejected(t *testing.T) {
-	a, b := authority(t), &book{}
+// A host with a certificate of another authority dials or is dialed, a host accepts connections at
+// the address of another one, or it sends messages in the name of another one. If any of these were
+// accepted, the host could act as a member of the deployment or as another host.
+func TestUnauthorizedPeersAreRejected(t *testing.T) {
+	a, b := authority(t), &addressBook{}
 	x := start(t, a, b, "a", nil)
 	y := start(t, a, b, "b", nil)
 	z := start(t, authority(t), b, "z", nil)
@@ -284,20 +287,21 @@
 	b.Store("posing", y.address)
 	for _, err := range []error{call(z, "a"), call(x, "z"), call(x, "posing")} {
 		if err == nil || !strings.Contains(err.Error(), "certificate") {
-			t.Errorf("let in, or another fault: %v", err)
+			t.Errorf("got %v, want a certificate error", err)
 		}
 	}
-	x.speaks.Store("c")
+	x.senderName.Store("c")
 	var r *encoder.Refusal
 	if err := call(x, "b"); !errors.As(err, &r) || r.Reason != encoder.ReasonMalformed {
-		t.Errorf("message in another's name: %v", err)
+		t.Errorf("message in the name of another host: got %v, want a refusal as malformed", err)
 	}
 }
 
-// A broken or hostile peer opens a stream and sends nothing, or announces a
-// huge message. The stream must end and cost no memory.
-func TestBadRequestsEnd(t *testing.T) {
-	a, b := authority(t), &book{}
+// A faulty or malicious peer opens a stream and sends an incomplete request, announces a huge
+// message, or sends one that can't be decoded. If these weren't refused, such streams would
+// accumulate and use memory.
+func TestMalformedRequestsAreRefused(t *testing.T) {
+	a, b := authority(t), &addressBook{}
 	x := start(t, a, b, "a", nil)
 	y := start(t, a, b, "b", nil)
 	if _, err := x.dialer.DialSeed(t.Context(), y.address); err != nil {
@@ -318,7 +322,7 @@
 }
 
 func TestBackoffAfterFailure(t *testing.T) {
-	a, b := authority(t), &book{}
+	a, b := authority(t), &addressBook{}
 	b.Store("gone", "127.0.0.1:9")
 	x := start(t, a, b, "a", nil)
 	x.dialer.ConnectTimeout = 20 * time.Millisecond
@@ -329,5 +333,5 @@
 			return
 		}
 	}
-	t.Errorf("no attempt was held back: %v", last)
+	t.Errorf("no attempt failed with ErrBackoff; last error %v", last)
 }
--- a/internal/peer/listener/route.go
+++ b/internal/peer/listener/route.go
@@ -15,18 +15,19 @@
 	Serve func(ctx context.Context, s encoder.Sender, body []byte) ([]byte, error)
 }
 
-// Handle makes a route of a typed function. An error of type *encoder.Refusal
-// reaches the other host as it is, any other one as a fault.
+// Handle returns a route that serves requests of kind k by f. If f returns an error of type
+// *encoder.Refusal, it is sent to the peer unchanged. Any other error is sent as
+// encoder.ReasonMalformed or encoder.ReasonFault.
 func Handle[Q, A any](k encoder.Kind, f func(ctx context.Context, s encoder.Sender, q Q) (A, error)) Route {
-	return Route{Kind: k, Serve: typed[Q, A]{f: f}.serve}
+	return Route{Kind: k, Serve: typedHandler[Q, A]{f: f}.serve}
 }
 
-// typed adapts a typed function.
-type typed[Q, A any] struct {
+// typedHandler adapts a function on decoded messages to Route.Serve.
+type typedHandler[Q, A any] struct {
 	f func(ctx context.Context, s encoder.Sender, q Q) (A, error)
 }
 
-func (t typed[Q, A]) serve(ctx context.Context, s encoder.Sender, body []byte) ([]byte, error) {
+func (t typedHandler[Q, A]) serve(ctx context.Context, s encoder.Sender, body []byte) ([]byte, error) {
 	var q Q
 	if err := encoder.Unmarshal(body, &q); err != nil {
 		return nil, err
@@ -38,7 +39,8 @@
 	return encoder.Marshal(a)
 }
 
-func (l *Listener) route(k encoder.Kind) (Route, bool) {
+// findRoute returns the route for requests of kind k, and whether there is one.
+func (l *Listener) findRoute(k encoder.Kind) (Route, bool) {
 	for _, r := range l.Routes {
 		if r.Kind == k {
 			return r, true
@@ -47,7 +49,7 @@
 	return Route{}, false
 }
 
-// refusal turns any error into what the other host is told.
+// refusal returns err as the refusal that is sent to the peer.
 func refusal(err error) *encoder.Refusal {
 	var r *encoder.Refusal
 	switch {
--- a/internal/peer/listener/silence_test.go
+++ b/internal/peer/listener/silence_test.go
@@ -13,23 +13,26 @@
 	"github.com/cuminwick/cuminwick/internal/peer/encoder"
 )
 
-// relay passes UDP packets on, with a flow for each source address. It stands
-// for a firewall that can lose track of flows.
+// relay forwards UDP packets, with a flow for each source address. It simulates a firewall that can
+// lose the state of its flows.
 type relay struct {
 	socket *net.UDPConn
 	target *net.UDPAddr
 	mu     sync.Mutex
 	flows  map[string]*flow
-	// asked, if set, gets a value when a packet comes, and held stops all packets.
-	asked chan struct{}
-	held  bool
+	// arrived, if set, receives a value when a packet from a source arrives.
+	arrived chan struct{}
+	// paused makes the relay drop all packets.
+	paused bool
 }
 
+// flow forwards the packets between one source address and the target.
 type flow struct {
 	relay  *relay
 	source *net.UDPAddr
 	out    *net.UDPConn
-	lost   bool
+	// lost makes the relay drop all packets of the flow.
+	lost bool
 }
 
 func newRelay(t *testing.T, target string) *relay {
@@ -56,13 +59,13 @@
 			return
 		}
 		f := r.flow(a)
-		if r.asked != nil {
+		if r.arrived != nil {
 			select {
-			case r.asked <- struct{}{}:
+			case r.arrived <- struct{}{}:
 			default:
 			}
 		}
-		if !f.isLost() {
+		if !f.isBlocked() {
 			f.out.Write(b[:n])
 		}
 	}
@@ -84,10 +87,10 @@
 	return f
 }
 
-func (f *flow) isLost() bool {
+func (f *flow) isBlocked() bool {
 	f.relay.mu.Lock()
 	defer f.relay.mu.Unlock()
-	return f.lost || f.relay.held
+	return f.lost || f.relay.paused
 }
 
 func (f *flow) loop() {
@@ -97,14 +100,14 @@
 		if err != nil {
 			return
 		}
-		if !f.isLost() {
+		if !f.isBlocked() {
 			f.relay.socket.WriteToUDP(b[:n], f.source)
 		}
 	}
 }
 
-// lose drops all packets of the flows so far, both ways and for good.
-func (r *relay) lose() {
+// dropFlows makes the relay drop all packets of the existing flows in both directions, permanently.
+func (r *relay) dropFlows() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, f := range r.flows {
@@ -112,14 +115,14 @@
 	}
 }
 
-// probeInterval has links that have gone silent noticed soon.
+// probeInterval is short, so that silent links are detected soon.
 const probeInterval = 20 * time.Millisecond
 
-// A firewall between two entry hosts loses track of their connection while a
-// forwarded transaction is in progress; new flows work. The caller may notice
-// a pause, but its transaction goes on, and later ones work too.
+// A firewall between two entry hosts loses the state of their flow while a forwarded transaction is
+// in progress; new flows work. Without migration of the link, the transaction would hang and end
+// with an unknown outcome, and later requests would fail.
 func TestForwardSurvivesLostFlow(t *testing.T) {
-	a, b := authority(t), &book{}
+	a, b := authority(t), &addressBook{}
 	x := startProbing(t, a, b, "a", nil, probeInterval)
 	y := startProbing(t, a, b, "b", echo{}, probeInterval)
 	r := newRelay(t, y.address)
@@ -134,18 +137,18 @@
 		if _, err := io.ReadFull(s, g); err != nil || string(g) != m {
 			t.Fatalf("echo %q, %v", g, err)
 		}
-		r.lose()
+		r.dropFlows()
 	}
 	_, err = dialer.Call[encoder.Observe, encoder.ObserveAnswer](t.Context(), x.dialer, "b", encoder.KindObserve, encoder.Observe{Name: "s"})
 	if err != nil {
-		t.Errorf("call after the flow was lost: %v", err)
+		t.Errorf("call after the loss of the flow failed: %v", err)
 	}
 }
 
-// An entry host is killed and another one takes its name and address. A peer
-// that still holds the old connection would wait for an answer for good.
+// An entry host is killed and replaced by another one with its name and address. A peer that still
+// uses the old connection would wait for an answer indefinitely.
 func TestCallReachesReplacedHost(t *testing.T) {
-	a, b := authority(t), &book{}
+	a, b := authority(t), &addressBook{}
 	x := startProbing(t, a, b, "a", nil, probeInterval)
 	y := startProbing(t, a, b, "b", nil, probeInterval)
 	r := newRelay(t, y.address)
@@ -157,41 +160,41 @@
 	if err := call(); err != nil {
 		t.Fatal(err)
 	}
-	r.lose()
+	r.dropFlows()
 	startProbing(t, a, b, "b", nil, probeInterval)
 	if err := call(); err != nil {
-		t.Errorf("call to the replaced host: %v", err)
+		t.Errorf("call to the replaced host failed: %v", err)
 	}
 }
 
-// A host asks another one for something that it needs within a moment, and gives up
-// while the connection for it is still being made. Was the attempt given up as well,
-// the peer could take it for whole, and requests of its own callers would go over a
-// connection without another end until that counts as silent.
+// A caller with a short timeout gives up while the connection for its request is still being made.
+// If the attempt to connect were cancelled as well, the peer could consider the connection
+// established, and would send its own requests on a connection without another end until the link
+// counts as silent.
 func TestConnectingOutlastsItsCaller(t *testing.T) {
-	a, b := authority(t), &book{}
+	a, b := authority(t), &addressBook{}
 	x := start(t, a, b, "a", nil)
 	y := start(t, a, b, "b", nil)
-	// However slow the machine is, the attempt doesn't end by itself.
+	// The attempt must not time out by itself, even on a slow machine.
 	x.dialer.ConnectTimeout = time.Minute
 	r := newRelay(t, y.address)
 	r.mu.Lock()
-	r.asked, r.held = make(chan struct{}, 1), true
+	r.arrived, r.paused = make(chan struct{}, 1), true
 	r.mu.Unlock()
 	b.Store("b", r.socket.LocalAddr().String())
 	c, cancel := context.WithCancel(t.Context())
-	told := make(chan error, 1)
+	result := make(chan error, 1)
 	go func() {
 		_, err := dialer.Call[encoder.Observe, encoder.ObserveAnswer](c, x.dialer, "b", encoder.KindObserve, encoder.Observe{Name: "s"})
-		told <- err
+		result <- err
 	}()
-	<-r.asked
+	<-r.arrived
 	cancel()
-	if err := <-told; !errors.Is(err, context.Canceled) {
-		t.Errorf("the caller that gave up was told %v", err)
+	if err := <-result; !errors.Is(err, context.Canceled) {
+		t.Errorf("the caller that gave up got %v, want its cancellation", err)
 	}
 	r.mu.Lock()
-	r.held = false
+	r.paused = false
 	r.mu.Unlock()
 	for x.links.Find("b") == nil || y.links.Find("a") == nil {
 		time.Sleep(time.Millisecond)
