--- a/internal/peer/encoder/encoder.go
+++ b/internal/peer/encoder/encoder.go
@@ -9,33 +9,37 @@
 	"github.com/juju/errors"
 )
 
-// Protocol is the name under which entry hosts agree on this encoding in the TLS handshake.
+// Protocol is the ALPN protocol name by which entry hosts agree on this encoding in the TLS
+// handshake.
 const Protocol = "cuminwick/1"
 
-// MaximumMessageBytes bounds one control message. The largest one carries an
-// applied file, which is one object of the platform.
+// MaximumMessageBytes is the maximum size of a message on a stream. The largest message carries an
+// applied configuration file, which is one object of the platform.
 const MaximumMessageBytes = 2 << 20
 
-// MaximumDatagramBytes bounds a message that goes in a datagram, so that it
-// fits into one packet of the smallest size that QUIC guarantees.
+// MaximumDatagramBytes is the maximum size of a message in a datagram. Such a message fits into one
+// packet of the minimum size that QUIC guarantees.
 const MaximumDatagramBytes = 1100
 
-// Errors of messages that can't be decoded.
+// Errors of messages.
 const (
-	// ErrTooLarge is returned for a message above its bound.
+	// ErrTooLarge is returned for a message larger than MaximumMessageBytes, or than
+	// MaximumDatagramBytes in a datagram.
 	ErrTooLarge = errors.ConstError("peer message too large")
-	// ErrMalformed is returned for a message that isn't one.
+	// ErrMalformed is returned for bytes that can't be decoded as the expected message.
 	ErrMalformed = errors.ConstError("peer message malformed")
 )
 
-// Bounds for the decoder: a few bytes of CBOR may ask for a large allocation.
+// Limits of the decoder, since a few bytes of CBOR may declare a large allocation.
 const (
 	maximumElements = 1 << 16
 	maximumNesting  = 16
 )
 
+// modes holds the CBOR modes of all messages.
 var modes = newModes()
 
+// codec holds an encoding and a decoding mode of CBOR.
 type codec struct {
 	encoder cbor.EncMode
 	decoder cbor.DecMode
@@ -58,14 +62,14 @@
 	return codec{encoder: e, decoder: d}
 }
 
-// Marshal encodes v.
+// Marshal encodes v as CBOR.
 func Marshal(v any) ([]byte, error) {
 	b, err := modes.encoder.Marshal(v)
 	return b, errors.Annotatef(err, "encode %T", v)
 }
 
-// Unmarshal decodes b into v. Unknown fields are skipped, so that hosts of the
-// next release can talk to this one.
+// Unmarshal decodes b into v. It returns ErrMalformed if that fails. Unknown fields are skipped, so
+// that a host of a newer release can send messages with additional fields.
 func Unmarshal(b []byte, v any) error {
 	if err := modes.decoder.Unmarshal(b, v); err != nil {
 		return errors.Annotatef(ErrMalformed, "decode %T: %v", v, err)
@@ -73,10 +77,11 @@
 	return nil
 }
 
-// lengthBytes is the size of the length before each message on a stream.
+// lengthBytes is the size of the length that precedes each message on a stream.
 const lengthBytes = 4
 
-// Write encodes v and writes it to w with its length before it, in one call.
+// Write encodes v and writes its length and the encoding to w in one call. It returns ErrTooLarge
+// if the encoding exceeds MaximumMessageBytes.
 func Write(w io.Writer, v any) error {
 	b, err := Marshal(v)
 	if err != nil {
@@ -92,8 +97,10 @@
 	return errors.Annotate(err, "write peer message")
 }
 
-// Read reads one message that Write wrote. It reads no byte beyond it, as raw
-// bytes may follow, and takes memory only as bytes arrive.
+// Read reads one message that Write wrote and decodes it into v. It reads no byte beyond the
+// message, since raw bytes may follow, and allocates memory only as bytes arrive, so that a large
+// declared length costs nothing. It returns ErrTooLarge if the declared length exceeds
+// MaximumMessageBytes.
 func Read(r io.Reader, v any) error {
 	var l [lengthBytes]byte
 	if _, err := io.ReadFull(r, l[:]); err != nil {
--- a/internal/peer/encoder/encoder_test.go
+++ b/internal/peer/encoder/encoder_test.go
@@ -9,7 +9,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestMessageLeavesRawBytes(t *testing.T) {
+// Raw bytes of a transaction may follow a message on its stream. If Read consumed any of them, the
+// transaction would lose them.
+func TestReadLeavesBytesAfterMessage(t *testing.T) {
 	want := Forward{BackendServer: "kalkul-1-a", Remaining: time.Second, Settings: []Setting{{Name: "timezone", Value: "'UTC'"}}}
 	var b bytes.Buffer
 	if err := Write(&b, want); err != nil {
@@ -24,12 +26,12 @@
 		t.Errorf("message differs (-want +got):\n%s", d)
 	}
 	if b.String() != "raw" {
-		t.Errorf("%q is left of the raw bytes", b.String())
+		t.Errorf("raw bytes after Read: %q, want all", b.String())
 	}
 }
 
-// A host of the next release sends a field that this one doesn't know, while
-// a rolling restart goes on. The message must still be understood.
+// During a rolling upgrade, a host of a newer release sends a message with a field that this
+// release doesn't define. If decoding failed, the hosts of both releases couldn't communicate.
 func TestUnknownFieldsAreSkipped(t *testing.T) {
 	type later struct {
 		Key   uint64 `cbor:"1,keyasint"`
@@ -60,10 +62,10 @@
 			return
 		}
 		if n := len(data) - b.Len(); n > lengthBytes+MaximumMessageBytes {
-			t.Errorf("a message of %d bytes was read", n)
+			t.Errorf("Read accepted a message of %d bytes", n)
 		}
 		if err := Write(io.Discard, r); err != nil {
-			t.Errorf("a message that was read can't be written: %v", err)
+			t.Errorf("Write of a message that was read failed: %v", err)
 		}
 	})
 }
--- a/internal/peer/encoder/message.go
+++ b/internal/peer/encoder/message.go
@@ -9,96 +9,98 @@
 	"github.com/cuminwick/cuminwick/internal/backend/controller"
 )
 
-// Kind names what a message asks for.
+// Kind identifies what a message requests.
 type Kind string
 
-// Kinds of message between entry hosts.
+// Kinds of messages between entry hosts. Other packages define more.
 const (
-	// KindForward asks for a lease on a backend server's connection.
+	// KindForward requests a lease on a backend server's connection.
 	KindForward Kind = "forward"
 	// KindCancel cancels a forwarded transaction's statement.
 	KindCancel Kind = "cancel"
-	// KindStatus asks for the statuses of backend servers.
+	// KindStatus requests the statuses of backend servers.
 	KindStatus Kind = "status"
-	// KindObserve asks for a second observer's word on a backend server or host.
+	// KindObserve requests a second observation of a backend server or an entry host.
 	KindObserve Kind = "observe"
-	// KindGossip carries heartbeats and summaries of members.
+	// KindGossip carries heartbeats and summaries of the members.
 	KindGossip Kind = "gossip"
 	// KindConfiguration carries revisions of the configuration.
 	KindConfiguration Kind = "configuration"
 )
 
-// RequiresRevision reports whether the configuration decides requests of this kind, so
-// that the host must be at the sender's revision before it handles them. Others
-// must not wait, least of all those by which a host gets the revision.
+// RequiresRevision reports whether requests of this kind depend on the configuration, so that a
+// host must be at the sender's revision before it handles them. Other requests must not wait for
+// the revision, in particular those by which a host obtains it.
 func (k Kind) RequiresRevision() bool {
 	return k == KindForward
 }
 
-// Sender is on every message, in requests and in answers.
+// Sender identifies the sender of a request or an answer.
 type Sender struct {
+	// Host is the host's name.
 	Host string `cbor:"1,keyasint"`
-	// Incarnation tells a replaced host from the one before it.
+	// Incarnation distinguishes a host from an earlier one of the same name.
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// Revision is the configuration in force at the sender.
+	// Revision is the configuration revision in force at the sender.
 	Revision uint64 `cbor:"3,keyasint"`
 }
 
-// Request opens a stream, or is a datagram.
+// Request is the first message on a stream, or a datagram.
 type Request struct {
-	Kind   Kind            `cbor:"1,keyasint"`
-	Sender Sender          `cbor:"2,keyasint"`
-	Body   cbor.RawMessage `cbor:"3,keyasint,omitempty"`
+	Kind   Kind   `cbor:"1,keyasint"`
+	Sender Sender `cbor:"2,keyasint"`
+	// Body is the encoded message of Kind.
+	Body cbor.RawMessage `cbor:"3,keyasint,omitempty"`
 }
 
-// Answer is the first message back on a stream.
+// Answer is the first message in the other direction of a stream.
 type Answer struct {
-	Sender Sender          `cbor:"1,keyasint"`
-	Body   cbor.RawMessage `cbor:"2,keyasint,omitempty"`
-	// Refusal is set instead of Body where the request was refused.
+	Sender Sender `cbor:"1,keyasint"`
+	// Body is the encoded answer to the request.
+	Body cbor.RawMessage `cbor:"2,keyasint,omitempty"`
+	// Refusal is set instead of Body if the request was refused.
 	Refusal *Refusal `cbor:"3,keyasint,omitempty"`
 }
 
-// Reason says why a request was refused.
+// Reason is the reason for which a request was refused.
 type Reason string
 
-// Reasons of refusals. After each of them nothing of the request took effect.
+// Reasons for refusals. A refused request has had no effect.
 const (
-	// ReasonNotOwner says that the host holds no pool for the backend server.
+	// ReasonNotOwner means that the host has no pool for the backend server.
 	ReasonNotOwner Reason = "not-owner"
-	// ReasonQueueFull says that too many requests wait already.
+	// ReasonQueueFull means that too many requests are queued.
 	ReasonQueueFull Reason = "queue-full"
-	// ReasonDeadline says that the expected wait exceeds the deadline.
+	// ReasonDeadline means that the expected wait exceeds the deadline.
 	ReasonDeadline Reason = "deadline"
-	// ReasonUnreachable says that the backend server can't be reached from there.
+	// ReasonUnreachable means that the host can't reach the backend server.
 	ReasonUnreachable Reason = "unreachable"
-	// ReasonNotRunning says that no server takes connections at the backend
-	// server's address.
+	// ReasonNotRunning means that no server accepts connections at the backend server's address.
 	ReasonNotRunning Reason = "not-running"
-	// ReasonConnectionLimit says that the backend server has no connection left.
+	// ReasonConnectionLimit means that the backend server accepts no more connections.
 	ReasonConnectionLimit Reason = "connection-limit"
-	// ReasonLeaving says that the host or the backend server is leaving.
+	// ReasonLeaving means that the host or the backend server is leaving.
 	ReasonLeaving Reason = "leaving"
-	// ReasonRevision says that the host can't move up to the sender's revision.
+	// ReasonRevision means that the host failed to catch up with the sender's revision.
 	ReasonRevision Reason = "revision"
-	// ReasonUnknownKind says that the host doesn't know this kind of message.
+	// ReasonUnknownKind means that the host doesn't support this kind of message.
 	ReasonUnknownKind Reason = "unknown-kind"
-	// ReasonMalformed says that the message couldn't be decoded.
+	// ReasonMalformed means that the message couldn't be decoded, or names another host as sender.
 	ReasonMalformed Reason = "malformed"
-	// ReasonFault says that something else went wrong at the host.
+	// ReasonFault means that the request failed at the host for another reason.
 	ReasonFault Reason = "fault"
 )
 
-// Refusal is the error that a peer answers with.
+// Refusal is the error by which a peer refuses a request.
 type Refusal struct {
 	Reason Reason `cbor:"1,keyasint"`
-	// Detail is for people.
+	// Detail is a text for logs and error messages.
 	Detail string `cbor:"2,keyasint,omitempty"`
-	// RetryAfter hints when to come back, zero if unknown.
+	// RetryAfter is the suggested wait before another attempt, zero if unknown.
 	RetryAfter time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
-// Error returns reason and detail.
+// Error returns the reason and the detail, if any.
 func (r *Refusal) Error() string {
 	if r.Detail == "" {
 		return fmt.Sprintf("refused: %s", r.Reason)
@@ -106,19 +108,20 @@
 	return fmt.Sprintf("refused: %s: %s", r.Reason, r.Detail)
 }
 
-// Setting is one session setting as the right side of a SET command.
+// Setting is a session setting.
 type Setting struct {
-	Name  string `cbor:"1,keyasint"`
+	Name string `cbor:"1,keyasint"`
+	// Value is the right side of a SET command.
 	Value string `cbor:"2,keyasint"`
 }
 
-// Forward asks the pool owner of a backend server for a lease on a connection.
-// Once it is granted the stream carries the transaction's raw bytes.
+// Forward requests a lease on a connection from the pool owner of a backend server. After the Grant
+// the stream carries the transaction's raw bytes.
 type Forward struct {
 	DatabaseGroup string `cbor:"1,keyasint"`
 	BackendServer string `cbor:"2,keyasint"`
-	// Remaining is the time until the caller gives up, zero if never. It is a
-	// span because the clocks of two hosts aren't compared.
+	// Remaining is the time until the caller's deadline, zero if there is none. It isn't a point in
+	// time because the clocks of two hosts may differ.
 	Remaining time.Duration `cbor:"3,keyasint,omitempty"`
 	// Priority orders the queue, lower first.
 	Priority int    `cbor:"4,keyasint,omitempty"`
@@ -126,42 +129,45 @@
 	// Session and Request identify the demand in the logs of both hosts.
 	Session string `cbor:"6,keyasint,omitempty"`
 	Request uint64 `cbor:"7,keyasint,omitempty"`
-	Write   bool   `cbor:"8,keyasint,omitempty"`
-	// CancelKey is what a later Cancel names this transaction by, unique at the sender.
-	CancelKey uint64    `cbor:"9,keyasint,omitempty"`
-	Settings  []Setting `cbor:"10,keyasint,omitempty"`
-	// AskParameters asks for the statuses that the backend server reported at
-	// connect; a host that has them already spares their bytes.
+	// Write distinguishes writes from reads.
+	Write bool `cbor:"8,keyasint,omitempty"`
+	// CancelKey identifies this transaction in a later Cancel. It is unique at the sender.
+	CancelKey uint64 `cbor:"9,keyasint,omitempty"`
+	// Settings are the settings of the caller's session.
+	Settings []Setting `cbor:"10,keyasint,omitempty"`
+	// AskParameters requests the parameter statuses that the backend server reported at connect. A
+	// sender that has them already leaves it unset, which saves their bytes.
 	AskParameters bool `cbor:"11,keyasint,omitempty"`
-	// BatchHeld asks for a word ahead of the connection, so that the first exchange,
-	// which the sender holds back, is there when the connection is.
+	// BatchHeld reports that the sender holds back the first batch. The pool owner then requests
+	// the batch shortly before the connection is expected to be available, so that both are there
+	// at the same time.
 	BatchHeld bool `cbor:"12,keyasint,omitempty"`
 }
 
-// Grant answers a Forward.
+// Grant is the answer to a Forward.
 type Grant struct {
 	// Generation numbers this use of the connection at the pool owner.
 	Generation uint64 `cbor:"1,keyasint"`
-	// Parameters are the statuses that the backend server reported at connect.
+	// Parameters are the parameter statuses that the backend server reported at connect.
 	Parameters []Setting `cbor:"2,keyasint,omitempty"`
 }
 
-// Cancel asks to cancel the statement that a forwarded transaction runs.
+// Cancel requests to cancel the running statement of a forwarded transaction.
 type Cancel struct {
 	// Key is the transaction's Forward.CancelKey.
 	Key uint64 `cbor:"1,keyasint"`
-	// Generation is the use of the connection that is meant. Another one is
-	// left alone: a late cancel must not hit the next caller.
+	// Generation is the Grant.Generation of the transaction. Other uses of the connection aren't
+	// cancelled, so that a late Cancel doesn't affect the next caller.
 	Generation uint64 `cbor:"2,keyasint"`
 }
 
-// CancelAnswer tells what a cancel met.
+// CancelAnswer is the answer to a Cancel.
 type CancelAnswer struct {
-	// Delivered says that the transaction was still there.
+	// Delivered reports whether the transaction was still in progress.
 	Delivered bool `cbor:"1,keyasint"`
 }
 
-// StatusRequest asks for what a host knows of a group's backend servers.
+// StatusRequest requests the last statuses of a group's backend servers.
 type StatusRequest struct {
 	DatabaseGroup string `cbor:"1,keyasint"`
 }
@@ -171,35 +177,34 @@
 	Statuses []AgedStatus `cbor:"1,keyasint"`
 }
 
-// AgedStatus is a backend server's status and how long ago it was taken.
+// AgedStatus is a backend server's status and the time since it was read.
 type AgedStatus struct {
 	Status controller.Status `cbor:"1,keyasint"`
 	Age    time.Duration     `cbor:"2,keyasint"`
 }
 
-// SubjectKind says what is observed.
+// SubjectKind is the kind of the subject of an observation.
 type SubjectKind string
 
-// Kinds of subject.
+// Kinds of subjects.
 const (
-	// SubjectBackendServer is a backend server.
 	SubjectBackendServer SubjectKind = "backend-server"
-	// SubjectEntryHost is an entry host.
-	SubjectEntryHost SubjectKind = "entry-host"
+	SubjectEntryHost     SubjectKind = "entry-host"
 )
 
-// Observe asks a second observer whether it hears a subject on a fresh connection.
+// Observe asks a second observer whether a subject answers on a new connection.
 type Observe struct {
 	Kind SubjectKind `cbor:"1,keyasint"`
 	Name string      `cbor:"2,keyasint"`
-	// Incarnation of an entry host that is meant.
+	// Incarnation is the incarnation of the subject, if it is an entry host.
 	Incarnation uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// ObserveAnswer is the second observer's word.
+// ObserveAnswer is the second observer's answer.
 type ObserveAnswer struct {
-	// Reachable says that a connection made after the request arrived was answered.
+	// Reachable reports whether the subject answered on a connection made after the request
+	// arrived.
 	Reachable bool `cbor:"1,keyasint"`
-	// Detail says what failed, for logs.
+	// Detail describes the failure, for logs.
 	Detail string `cbor:"2,keyasint,omitempty"`
 }
