--- a/internal/peer/dialer/prober.go
+++ b/internal/peer/dialer/prober.go
@@ -11,11 +11,11 @@
 const (
 	// probeInterval is the default time between two checks of the links.
 	probeInterval = time.Second
-	// migrateAfterChecks is the number of consecutive silent checks after which the side that
-	// dialed migrates the link to another socket.
+	// migrateAfterChecks is the number of silent checks, as counted by Link.CheckTraffic, after
+	// which the side that dialed migrates the link to another socket.
 	migrateAfterChecks = 3
-	// replaceAfterChecks is the number of consecutive silent checks after which, and after each
-	// multiple of which, either side tries a new connection.
+	// replaceAfterChecks is the number of silent checks after which either side tries a new
+	// connection. It tries again after each further replaceAfterChecks.
 	replaceAfterChecks = 6
 	// idleAfter is how long a link without a stream or datagram is kept open.
 	idleAfter = time.Minute
--- a/internal/peer/linker/linker.go
+++ b/internal/peer/linker/linker.go
@@ -9,90 +9,93 @@
 	"github.com/quic-go/quic-go"
 )
 
-// Code says why a connection or stream was closed.
+// Code is the QUIC application error code of a closed connection or an aborted stream.
 type Code uint64
 
 // Codes of closed connections and aborted streams.
 const (
-	// CodeDone closes without a reason for concern.
+	// CodeDone closes a connection or stream normally.
 	CodeDone Code = iota
-	// CodeIdle closes a connection that nobody used for a while.
+	// CodeIdle closes a connection that wasn't used for a while.
 	CodeIdle
-	// CodeSilent closes a connection on which nothing arrives while a new one works.
+	// CodeSilent closes a connection on which nothing arrives while a new connection works.
 	CodeSilent
 	// CodeStopping closes the connections of a host that stops.
 	CodeStopping
-	// CodeRejected closes a connection from a host that isn't let in.
+	// CodeRejected closes a connection to a host whose certificate isn't accepted.
 	CodeRejected
-	// CodeAborted ends a stream whose transaction was given up.
+	// CodeAborted ends a stream whose transaction was aborted.
 	CodeAborted
 )
 
-// Link is one connection to a peer. Both sides open streams on it.
+// Link is a QUIC connection to a peer. Both sides open streams on it.
 type Link struct {
 	// Host is the peer's name, from its certificate.
 	Host string
-	// Dialed says that this host dialed it.
+	// Dialed reports whether this host dialed the connection.
 	Dialed bool
 	Conn   *quic.Conn
 
+	// streams is the number of open streams.
 	streams atomic.Int64
-	// added is when the table took the link in.
-	added time.Time
-	// used is when a stream last began or ended, or a datagram came or went, in
-	// nanoseconds since 1970.
-	used atomic.Int64
-	// probe belongs to the loop that looks for silent links.
-	probe probe
+	// addedAt is when the link was added to the table.
+	addedAt time.Time
+	// lastUsed is when a stream was last opened or closed, or a datagram sent or received, in
+	// nanoseconds of Unix time.
+	lastUsed atomic.Int64
+	// lastCheck is the state of the last CheckTraffic. Only the loop that checks the links uses it.
+	lastCheck trafficCheck
 
 	mu sync.Mutex
-	// sockets are those made for this link alone.
-	sockets []*quic.Transport
+	// transports are the sockets that were opened for this link only.
+	transports []*quic.Transport
 }
 
-// OwnTransport has t, which was made for this link alone, closed when the link ends.
+// OwnTransport makes the link close t, which was opened for this link only, when the link ends.
 func (l *Link) OwnTransport(t *quic.Transport) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sockets = append(l.sockets, t)
+	l.transports = append(l.transports, t)
 }
 
-// release closes what the link owns.
-func (l *Link) release() {
+// closeTransports closes the transports that the link owns.
+func (l *Link) closeTransports() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, t := range l.sockets {
+	for _, t := range l.transports {
 		_ = t.Close()
 		_ = t.Conn.Close()
 	}
-	l.sockets = nil
+	l.transports = nil
 }
 
-// probe remembers what a link had received at the last look.
-type probe struct {
+// trafficCheck holds what a link had sent and received at the last CheckTraffic.
+type trafficCheck struct {
+	// sent and received count packets.
 	sent     uint64
 	received uint64
-	silent   int
+	// silent counts the silent checks since a packet was last received.
+	silent int
 }
 
-// Touch notes that the link is in use.
+// Touch records that the link is in use now.
 func (l *Link) Touch() {
-	l.used.Store(time.Now().UnixNano())
+	l.lastUsed.Store(time.Now().UnixNano())
 }
 
-// BeginStream counts a stream in.
+// BeginStream counts an opened stream.
 func (l *Link) BeginStream() {
 	l.streams.Add(1)
 	l.Touch()
 }
 
-// EndStream counts a stream out.
+// EndStream counts the end of a stream.
 func (l *Link) EndStream() {
 	l.Touch()
 	l.streams.Add(-1)
 }
 
-// Streams returns how many streams are open, from either side.
+// Streams returns the number of open streams, opened by either side.
 func (l *Link) Streams() int {
 	return int(l.streams.Load())
 }
@@ -102,22 +105,23 @@
 	return l.Conn.Context().Err() == nil
 }
 
-// Close closes the connection; streams on it fail.
+// Close closes the connection with the code c. Streams on it fail.
 func (l *Link) Close(c Code) {
 	_ = l.Conn.CloseWithError(quic.ApplicationErrorCode(c), "")
 }
 
-// IdleSince reports whether no stream is open and the link is unused since t.
+// IdleSince reports whether no stream is open and the link hasn't been used since t.
 func (l *Link) IdleSince(t time.Time) bool {
-	return l.Streams() == 0 && l.used.Load() < t.UnixNano()
+	return l.Streams() == 0 && l.lastUsed.Load() < t.UnixNano()
 }
 
-// CheckTraffic compares the connection with the last look. Quiet says that no packet
-// has come since, and silent for how many looks in a row packets were sent and
-// none came: even a peer that has nothing to say acknowledges them.
+// CheckTraffic compares the traffic of the connection with the last check. quiet reports whether no
+// packet has been received since then. silent is the number of silent checks since a packet was
+// last received: checks at which packets had been sent and none received. A live peer acknowledges
+// packets even if it has nothing to send.
 func (l *Link) CheckTraffic() (quiet bool, silent int) {
 	s := l.Conn.ConnectionStats()
-	p := &l.probe
+	p := &l.lastCheck
 	switch {
 	case s.PacketsReceived != p.received:
 		p.silent = 0
@@ -130,26 +134,27 @@
 	return quiet, p.silent
 }
 
-// Table holds the links of this host. Its zero value is ready once Self is set.
+// Table holds the links of this host. Its zero value is ready for use once Self is set.
 type Table struct {
 	// Self is this host's name.
 	Self string
 
 	mu sync.Mutex
-	// preferred is the link by which new streams to a host go.
+	// preferred holds the link for new streams to each host, by its name.
 	preferred map[string]*Link
 	all       map[*Link]struct{}
-	closed    Traffic
+	// closedTraffic is the traffic of the removed links.
+	closedTraffic Traffic
 }
 
-// Traffic counts bytes of QUIC packets, without UDP and IP headers.
+// Traffic holds the bytes of QUIC packets sent and received, without UDP and IP headers.
 type Traffic struct {
 	Sent, Received uint64
 }
 
-// Add takes a link in. Where two hosts dial each other at once, both prefer
-// the connection that the host of the lesser name dialed, and the other one
-// falls idle: one connection remains for each pair.
+// Add adds a link. If two hosts dial each other simultaneously, both prefer the connection dialed
+// by the host whose name sorts first. The other connection becomes idle and is closed, so that one
+// connection remains for each pair of hosts.
 func (t *Table) Add(l *Link) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -158,30 +163,30 @@
 		t.all = map[*Link]struct{}{}
 	}
 	t.all[l] = struct{}{}
-	l.added = time.Now()
-	l.used.Store(l.added.UnixNano())
+	l.addedAt = time.Now()
+	l.lastUsed.Store(l.addedAt.UnixNano())
 	if o := t.preferred[l.Host]; o == nil || !o.Alive() || t.prefers(l, o) {
 		t.preferred[l.Host] = l
 	}
 }
 
-// race is how long after one link another one can still come from both hosts
-// dialing each other at once.
-const race = 3 * time.Second
+// simultaneousDialWindow is the maximum time between two links that result from two hosts dialing
+// each other simultaneously.
+const simultaneousDialWindow = 3 * time.Second
 
-// prefers reports whether l goes before o, an older link to the same host. A
-// link that is dialed although there is one is dialed because the peer, or this
-// host, found the older one dead.
+// prefers reports whether l is preferred to o, an older link to the same host. A link that was
+// dialed later than simultaneousDialWindow after o, or by the same side, is preferred: it was
+// dialed because one side had found o to be dead.
 func (t *Table) prefers(l, o *Link) bool {
-	if l.Dialed == o.Dialed || l.added.Sub(o.added) > race {
+	if l.Dialed == o.Dialed || l.addedAt.Sub(o.addedAt) > simultaneousDialWindow {
 		return true
 	}
 	return l.Dialed == (t.Self < l.Host)
 }
 
-// Remove takes l out, once its connection has ended.
+// Remove removes l after its connection has ended, and closes its transports.
 func (t *Table) Remove(l *Link) {
-	defer l.release()
+	defer l.closeTransports()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if _, ok := t.all[l]; !ok {
@@ -189,12 +194,13 @@
 	}
 	delete(t.all, l)
 	s := l.Conn.ConnectionStats()
-	t.closed.Sent += s.BytesSent
-	t.closed.Received += s.BytesReceived
+	t.closedTraffic.Sent += s.BytesSent
+	t.closedTraffic.Received += s.BytesReceived
 	t.unprefer(l)
 }
 
-// Unprefer keeps new streams off l; open ones go on.
+// Unprefer excludes l from new streams, in favor of another live link to the host if there is one.
+// Open streams on l continue.
 func (t *Table) Unprefer(l *Link) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -213,7 +219,7 @@
 	}
 }
 
-// Find returns the link for new streams to host, nil if there is none.
+// Find returns the link for new streams to host, or nil if there is none that is alive.
 func (t *Table) Find(host string) *Link {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -235,11 +241,11 @@
 	return a
 }
 
-// Traffic returns what all links have sent and received so far.
+// Traffic returns the total traffic of all links, including those that were removed.
 func (t *Table) Traffic() Traffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	x := t.closed
+	x := t.closedTraffic
 	for l := range t.all {
 		s := l.Conn.ConnectionStats()
 		x.Sent += s.BytesSent
--- a/internal/peer/linker/stream.go
+++ b/internal/peer/linker/stream.go
@@ -7,28 +7,30 @@
 	"github.com/quic-go/quic-go"
 )
 
-// Stream carries a forwarded transaction's raw bytes. It is a net.Conn.
+// Stream is a QUIC stream on a link, as a net.Conn. It carries a request and its answer, and a
+// forwarded transaction's raw bytes.
 type Stream struct {
 	*quic.Stream
 	Link *Link
 
+	// once makes the link count the end of the stream only once.
 	once sync.Once
 }
 
 var _ net.Conn = (*Stream)(nil)
 
-// NewStream counts s in at l until it is closed.
+// NewStream returns s as a Stream, which l counts as open until Close or Abort.
 func NewStream(s *quic.Stream, l *Link) *Stream {
 	l.BeginStream()
 	return &Stream{Stream: s, Link: l}
 }
 
-// CloseWrite tells the other side that no more bytes come.
+// CloseWrite closes the write side. The peer reads an orderly end after the bytes written so far.
 func (s *Stream) CloseWrite() error {
 	return s.Stream.Close()
 }
 
-// Close ends both directions. What was written is still delivered.
+// Close closes both directions. The bytes written so far are still delivered.
 func (s *Stream) Close() error {
 	err := s.Stream.Close()
 	s.CancelRead(quic.StreamErrorCode(CodeDone))
@@ -36,8 +38,8 @@
 	return err
 }
 
-// Abort ends both directions at once; the other side's reads and writes fail,
-// so that it can't take a half-sent transaction for a whole one.
+// Abort resets both directions. The peer's reads and writes fail, so that it doesn't treat an
+// incomplete transaction as complete.
 func (s *Stream) Abort() {
 	s.CancelWrite(quic.StreamErrorCode(CodeAborted))
 	s.CancelRead(quic.StreamErrorCode(CodeAborted))
@@ -48,12 +50,12 @@
 	s.once.Do(s.Link.EndStream)
 }
 
-// LocalAddr returns this host's end of the connection.
+// LocalAddr returns this host's address of the connection.
 func (s *Stream) LocalAddr() net.Addr {
 	return s.Link.Conn.LocalAddr()
 }
 
-// RemoteAddr returns the peer's end of the connection.
+// RemoteAddr returns the peer's address of the connection.
 func (s *Stream) RemoteAddr() net.Addr {
 	return s.Link.Conn.RemoteAddr()
 }
