--- a/internal/peer/securer/securer.go
+++ b/internal/peer/securer/securer.go
@@ -13,11 +13,12 @@
 // ErrNoIdentity is returned for a certificate that names no host.
 const ErrNoIdentity = errors.ConstError("peer certificate names no host")
 
-// Securer makes the TLS configurations of one entry host. Both functions are
-// asked at each handshake, so that renewed files are taken up.
+// Securer makes the TLS configurations of one entry host. Both functions are called for each
+// connection, so that renewed files take effect.
 type Securer struct {
+	// Certificate returns this host's certificate.
 	Certificate func() *tls.Certificate
-	// Authority holds who may sign certificates of entry hosts.
+	// Authority returns the authorities that may sign certificates of entry hosts.
 	Authority func() *x509.CertPool
 }
 
@@ -26,11 +27,12 @@
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
 		NextProtos:         []string{encoder.Protocol},
-		GetConfigForClient: s.forClient,
+		GetConfigForClient: s.configForClient,
 	}
 }
 
-func (s *Securer) forClient(*tls.ClientHelloInfo) (*tls.Config, error) {
+// configForClient returns the configuration for the handshake with one client.
+func (s *Securer) configForClient(*tls.ClientHelloInfo) (*tls.Config, error) {
 	c := &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   []string{encoder.Protocol},
@@ -41,8 +43,8 @@
 	return c, nil
 }
 
-// Client returns the configuration for dialing host; its certificate must
-// bear that name.
+// Client returns the configuration for dialing host. The peer's certificate must be valid for that
+// name.
 func (s *Securer) Client(host string) *tls.Config {
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -53,19 +55,21 @@
 	}
 }
 
-// ClientForAnyHost returns the configuration for dialing an address whose host name
-// isn't known yet. The certificate must be the authority's all the same; the
-// caller learns the name from Identity.
+// ClientForAnyHost returns the configuration for dialing an address whose host name is unknown. The
+// peer's certificate must be signed by the authority nevertheless. Identity returns the host's name
+// after the handshake.
 func (s *Securer) ClientForAnyHost() *tls.Config {
 	c := s.Client("")
-	// The library's own check would ask for a name. Without VerifyConnection a
-	// stranger at the address could pass for an entry host; it checks the rest.
+	// The check of crypto/tls requires a name, so it is disabled. VerifyConnection checks the
+	// certificate without a name; otherwise any server at the address would be accepted as an entry
+	// host.
 	c.InsecureSkipVerify = true
-	c.VerifyConnection = s.verify
+	c.VerifyConnection = s.verifyAnyHost
 	return c
 }
 
-func (s *Securer) verify(t tls.ConnectionState) error {
+// verifyAnyHost verifies the peer's certificate chain for any host name.
+func (s *Securer) verifyAnyHost(t tls.ConnectionState) error {
 	if len(t.PeerCertificates) == 0 {
 		return errors.Trace(ErrNoIdentity)
 	}
@@ -81,7 +85,8 @@
 	return errors.Annotate(err, "verify peer certificate")
 }
 
-// Identity returns the host that the peer's verified certificate names.
+// Identity returns the name of the host in the peer's verified certificate, which is its first DNS
+// name. It returns ErrNoIdentity if there is none.
 func Identity(t tls.ConnectionState) (string, error) {
 	if len(t.PeerCertificates) == 0 || len(t.PeerCertificates[0].DNSNames) == 0 {
 		return "", errors.Trace(ErrNoIdentity)
