--- a/internal/peer/certifier/certifier.go
+++ b/internal/peer/certifier/certifier.go
@@ -1,4 +1,4 @@
-// Package certifier makes a certificate authority and certificates for the demo and for tests.
+// Package certifier issues certificates from its own authority, for the demo and for tests.
 package certifier
 
 import (
@@ -18,18 +18,19 @@
 	"github.com/juju/errors"
 )
 
-// Authority signs certificates. It is made anew for each demo; a deployment
-// brings its own.
+// Authority is a certificate authority. Each run of the demo makes a new one. Deployments use
+// certificates of their own authority instead.
 type Authority struct {
+	// Certificate is the authority's own certificate.
 	Certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 }
 
-// serialBits is the size of a random serial number.
+// serialBits is the size of a random serial number in bits.
 const serialBits = 120
 
-// New makes an authority whose certificates are valid from shortly before now
-// for the given time.
+// New makes an authority with a self-signed certificate, which is valid from an hour before now
+// until validity after now.
 func New(name string, now time.Time, validity time.Duration) (*Authority, error) {
 	t, err := template(name, now, validity)
 	if err != nil {
@@ -51,7 +52,7 @@
 	return a, nil
 }
 
-// template is a certificate without its purpose.
+// template returns a certificate with a serial number, name and validity, and without key usages.
 func template(name string, now time.Time, validity time.Duration) (*x509.Certificate, error) {
 	n, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
@@ -60,15 +61,16 @@
 	t := &x509.Certificate{
 		SerialNumber: n,
 		Subject:      pkix.Name{CommonName: name},
-		// A host whose clock is a little behind must accept it too.
+		// The certificate must also be valid on hosts whose clocks are slow.
 		NotBefore: now.Add(-time.Hour),
 		NotAfter:  now.Add(validity),
 	}
 	return t, nil
 }
 
-// Issue makes a certificate for both sides of a connection. Names are host
-// names or IP addresses; the first one is whom it identifies.
+// Issue makes a certificate for TLS clients and servers. The names are host names or IP addresses,
+// at least one; the first one is also the common name. The certificate is valid from an hour before
+// now until validity after now.
 func (a *Authority) Issue(now time.Time, validity time.Duration, names ...string) (tls.Certificate, error) {
 	if len(names) == 0 {
 		return tls.Certificate{}, errors.New("certificate without a name")
@@ -93,6 +95,7 @@
 	return a.sign(t, k)
 }
 
+// sign signs the template t for the key k.
 func (a *Authority) sign(t *x509.Certificate, k *ecdsa.PrivateKey) (tls.Certificate, error) {
 	d, err := x509.CreateCertificate(rand.Reader, t, a.Certificate, &k.PublicKey, a.key)
 	if err != nil {
@@ -105,7 +108,7 @@
 	return tls.Certificate{Certificate: [][]byte{d}, PrivateKey: k, Leaf: l}, nil
 }
 
-// Pool returns the authority as the only trusted one.
+// Pool returns a pool that contains only this authority.
 func (a *Authority) Pool() *x509.CertPool {
 	p := x509.NewCertPool()
 	p.AddCert(a.Certificate)
@@ -119,22 +122,23 @@
 	KeyFile         = "host.key"
 )
 
-// WriteFiles writes the authority's certificate and c, with its key, into dir.
+// WriteFiles writes the authority's certificate, c and the key of c as PEM files into dir.
 func (a *Authority) WriteFiles(dir string, c tls.Certificate) error {
 	k, err := x509.MarshalPKCS8PrivateKey(c.PrivateKey)
 	if err != nil {
 		return errors.Annotate(err, "encode key")
 	}
-	if err := write(dir, AuthorityFile, "CERTIFICATE", a.Certificate.Raw); err != nil {
+	if err := writePEM(dir, AuthorityFile, "CERTIFICATE", a.Certificate.Raw); err != nil {
 		return err
 	}
-	if err := write(dir, CertificateFile, "CERTIFICATE", c.Certificate[0]); err != nil {
+	if err := writePEM(dir, CertificateFile, "CERTIFICATE", c.Certificate[0]); err != nil {
 		return err
 	}
-	return write(dir, KeyFile, "PRIVATE KEY", k)
+	return writePEM(dir, KeyFile, "PRIVATE KEY", k)
 }
 
-func write(dir, name, kind string, data []byte) error {
+// writePEM writes data as a PEM block of the type kind into the file name in dir.
+func writePEM(dir, name, kind string, data []byte) error {
 	b := pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: data})
 	err := os.WriteFile(filepath.Join(dir, name), b, 0o600)
 	return errors.Annotatef(err, "write %s", name)
