--- a/internal/peer/listener/listener_test.go
+++ b/internal/peer/listener/listener_test.go
@@ -194,6 +194,8 @@
 	}
 }
 
+// A host refuses a request. If the refusal arrived without its type and reason, the caller couldn't
+// tell that the request had no effect.
 func TestRefusalsAreTyped(t *testing.T) {
 	a, b := authority(t), &addressBook{}
 	x := start(t, a, b, "a", nil)
@@ -321,6 +323,8 @@
 	}
 }
 
+// A host is unreachable. Without backoff, each request to it would dial the host again and wait for
+// the timeout.
 func TestBackoffAfterFailure(t *testing.T) {
 	a, b := authority(t), &addressBook{}
 	b.Store("gone", "127.0.0.1:9")
