--- a/internal/admin/authorizer/authorizer.go
+++ b/internal/admin/authorizer/authorizer.go
@@ -94,9 +94,9 @@
 	return t.Role == Administrator || t.Role == TeamOperator
 }
 
-// Forbidden returns what changes from a to b that t doesn't allow. What a team
+// ForbiddenChanges returns what changes from a to b that t doesn't allow. What a team
 // owns is read from a, so that no change can widen its own bounds.
-func (t Token) Forbidden(a, b declarer.File) []differ.Change {
+func (t Token) ForbiddenChanges(a, b declarer.File) []differ.Change {
 	switch t.Role {
 	case Administrator:
 		return nil
--- a/internal/admin/authorizer/authorizer_test.go
+++ b/internal/admin/authorizer/authorizer_test.go
@@ -60,14 +60,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := file()
 			c.change(&f)
-			l := authorizer.Token{Role: authorizer.TeamOperator, Team: "ta"}.Forbidden(file(), f)
+			l := authorizer.Token{Role: authorizer.TeamOperator, Team: "ta"}.ForbiddenChanges(file(), f)
 			if (len(l) == 0) != c.allowed {
 				t.Errorf("forbidden: %v", l)
 			}
-			if l := (authorizer.Token{Role: authorizer.Administrator}).Forbidden(file(), f); len(l) > 0 {
+			if l := (authorizer.Token{Role: authorizer.Administrator}).ForbiddenChanges(file(), f); len(l) > 0 {
 				t.Errorf("forbidden to an administrator: %v", l)
 			}
-			if l := (authorizer.Token{Role: authorizer.Reader}).Forbidden(file(), f); (len(l) == 0) != (c.name == "nothing") {
+			if l := (authorizer.Token{Role: authorizer.Reader}).ForbiddenChanges(file(), f); (len(l) == 0) != (c.name == "nothing") {
 				t.Errorf("forbidden to a reader: %v", l)
 			}
 		})
--- a/internal/admin/describer/describer.go
+++ b/internal/admin/describer/describer.go
@@ -43,7 +43,7 @@
 type Operation struct {
 	Summary     string              `json:"summary"`
 	Parameters  []Parameter         `json:"parameters,omitempty"`
-	RequestBody *Body               `json:"requestBody,omitempty"`
+	RequestBody *RequestBody        `json:"requestBody,omitempty"`
 	Responses   map[string]Response `json:"responses"`
 }
 
@@ -63,20 +63,20 @@
 	Items *Schema `json:"items,omitempty"`
 }
 
-// Body is a request's body.
-type Body struct {
-	Required bool               `json:"required"`
-	Content  map[string]Content `json:"content"`
+// RequestBody is a request's body.
+type RequestBody struct {
+	Required bool                 `json:"required"`
+	Content  map[string]MediaType `json:"content"`
 }
 
 // Response is one kind of answer.
 type Response struct {
-	Description string             `json:"description"`
-	Content     map[string]Content `json:"content"`
+	Description string               `json:"description"`
+	Content     map[string]MediaType `json:"content"`
 }
 
-// Content is a body in one media type.
-type Content struct {
+// MediaType is a body in one media type.
+type MediaType struct {
 	Schema Schema `json:"schema"`
 }
 
@@ -120,17 +120,17 @@
 	o := Operation{
 		Summary: r.Summary,
 		Responses: map[string]Response{
-			"200":     {Description: "done", Content: d.content(r.Answer)},
+			"200":     {Description: "done", Content: d.content(r.Response)},
 			"default": {Description: "refused, or the platform doesn't answer", Content: d.content(handler.Failure{})},
 		},
 	}
-	if r.Changes {
+	if r.Mutates {
 		for s, t := range map[int]string{
 			202: "accepted, but hosts that are cut off don't decide by it yet",
 			404: "nothing is staged, or the revision isn't kept",
 			409: "another change came first, or it was withdrawn; nothing changed",
 		} {
-			o.Responses[strconv.Itoa(s)] = Response{Description: t, Content: d.content(r.Answer)}
+			o.Responses[strconv.Itoa(s)] = Response{Description: t, Content: d.content(r.Response)}
 		}
 	}
 	for _, p := range r.Parameters {
@@ -139,7 +139,7 @@
 		})
 	}
 	if r.Body != "" {
-		o.RequestBody = &Body{Required: true, Content: map[string]Content{r.Body: {Schema: Schema{Type: "string"}}}}
+		o.RequestBody = &RequestBody{Required: true, Content: map[string]MediaType{r.Body: {Schema: Schema{Type: "string"}}}}
 	}
 	if d.Paths[r.Path] == nil {
 		d.Paths[r.Path] = PathItem{}
@@ -148,8 +148,8 @@
 }
 
 // content describes a value's type and keeps the types that it is made of.
-func (d *Document) content(v any) map[string]Content {
-	return map[string]Content{"application/json": {Schema: d.schema(reflect.TypeOf(v))}}
+func (d *Document) content(v any) map[string]MediaType {
+	return map[string]MediaType{"application/json": {Schema: d.schema(reflect.TypeOf(v))}}
 }
 
 func (d *Document) schema(t reflect.Type) Schema {
--- a/internal/admin/handler/handler.go
+++ b/internal/admin/handler/handler.go
@@ -73,7 +73,7 @@
 // ServeHTTP checks the token, calls the route and logs who did what.
 func (e *endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	t, err := e.handler.authenticate(r, time.Now())
-	if err == nil && e.route.Changes && !t.MayChange() {
+	if err == nil && e.route.Mutates && !t.MayChange() {
 		err = errors.Annotatef(errForbidden, "token %s may only read", t.Name)
 	}
 	r.Body = http.MaxBytesReader(w, r.Body, maximumBodyBytes)
--- a/internal/admin/handler/host.go
+++ b/internal/admin/handler/host.go
@@ -60,23 +60,23 @@
 func hostRoutes() []Route {
 	return []Route{
 		{
-			Method: http.MethodPost, Path: "/v1/drain", Changes: true,
-			Summary: "Stop the answering host without cutting off a request.",
-			Answer:  Draining{}, serve: request.drain,
+			Method: http.MethodPost, Path: "/v1/drain", Mutates: true,
+			Summary:  "Stop the answering host without cutting off a request.",
+			Response: Draining{}, serve: request.drain,
 		}, {
-			Method: http.MethodPost, Path: "/v1/hand-over/{group}/{server}", Changes: true,
+			Method: http.MethodPost, Path: "/v1/hand-over/{group}/{server}", Mutates: true,
 			Summary:    "Move a database group's primary off a backend server.",
 			Parameters: []Parameter{groupParameter, serverParameter},
-			Answer:     HandedOver{}, serve: request.handOver,
+			Response:   HandedOver{}, serve: request.handOver,
 		}, {
 			Method: http.MethodGet, Path: "/v1/members",
-			Summary: "Read what the answering host knows of all entry hosts and zones.",
-			Answer:  declarer.View{}, serve: request.members,
+			Summary:  "Read what the answering host knows of all entry hosts and zones.",
+			Response: declarer.View{}, serve: request.members,
 		}, {
 			Method: http.MethodGet, Path: "/v1/outcomes/{group}/{key}",
 			Summary:    "Tell whether the request with an idempotency key ran.",
 			Parameters: []Parameter{groupParameter, keyParameter, settleParameter},
-			Answer:     Outcome{}, serve: request.outcome,
+			Response:   Outcome{}, serve: request.outcome,
 		},
 	}
 }
--- a/internal/admin/handler/request.go
+++ b/internal/admin/handler/request.go
@@ -134,7 +134,7 @@
 		return answer{}, err
 	}
 	f = defaulter.Fill(f)
-	if l := q.token.Forbidden(base, f); len(l) > 0 {
+	if l := q.token.ForbiddenChanges(base, f); len(l) > 0 {
 		return answer{}, &forbiddenError{changes: l}
 	}
 	a.Changes = differ.Diff(base, f)
--- a/internal/admin/handler/routes.go
+++ b/internal/admin/handler/routes.go
@@ -28,13 +28,13 @@
 	Method  string
 	Path    string
 	Summary string
-	// Changes says that the route needs a token that may change things.
-	Changes    bool
+	// Mutates says that the route needs a token that may change things.
+	Mutates    bool
 	Parameters []Parameter
 	// Body is the media type of the request's body, empty if it has none.
 	Body string
-	// Answer is a value of the type that the route answers with.
-	Answer any
+	// Response is a value of the type that the route answers with.
+	Response any
 
 	serve func(request) (answer, error)
 }
@@ -79,43 +79,43 @@
 	l := []Route{
 		{
 			Method: http.MethodGet, Path: "/v1/configuration",
-			Summary: "Read the configuration in force.",
-			Answer:  Configuration{}, serve: request.readConfiguration,
+			Summary:  "Read the configuration in force.",
+			Response: Configuration{}, serve: request.readConfiguration,
 		}, {
-			Method: http.MethodPut, Path: "/v1/configuration", Changes: true,
+			Method: http.MethodPut, Path: "/v1/configuration", Mutates: true,
 			Summary:    "Bring a configuration into force, or leave everything as it is and say why.",
 			Parameters: []Parameter{fromParameter, dryRunParameter, noteParameter},
-			Body:       MediaYAML, Answer: Applied{}, serve: request.applyFile,
+			Body:       MediaYAML, Response: Applied{}, serve: request.applyFile,
 		}, {
 			Method: http.MethodPost, Path: "/v1/configuration/validate",
 			Summary: "Check a configuration without applying it.",
-			Body:    MediaYAML, Answer: Findings{}, serve: request.validate,
+			Body:    MediaYAML, Response: Findings{}, serve: request.validate,
 		}, {
-			Method: http.MethodPost, Path: "/v1/configuration/resume", Changes: true,
-			Summary: "Go on with what another operator has staged.",
-			Answer:  Applied{}, serve: request.resume,
+			Method: http.MethodPost, Path: "/v1/configuration/resume", Mutates: true,
+			Summary:  "Go on with what another operator has staged.",
+			Response: Applied{}, serve: request.resume,
 		}, {
-			Method: http.MethodPost, Path: "/v1/configuration/withdraw", Changes: true,
-			Summary: "Take back what is staged.",
-			Answer:  Applied{}, serve: request.withdraw,
+			Method: http.MethodPost, Path: "/v1/configuration/withdraw", Mutates: true,
+			Summary:  "Take back what is staged.",
+			Response: Applied{}, serve: request.withdraw,
 		}, {
 			Method: http.MethodGet, Path: "/v1/revisions",
-			Summary: "List the accepted revisions that are kept, the latest first.",
-			Answer:  []encoder.Entry{}, serve: request.history,
+			Summary:  "List the accepted revisions that are kept, the latest first.",
+			Response: []encoder.Entry{}, serve: request.history,
 		}, {
 			Method: http.MethodGet, Path: "/v1/revisions/{revision}",
 			Summary:    "Read an earlier configuration.",
 			Parameters: []Parameter{revisionParameter},
-			Answer:     Configuration{}, serve: request.readRevision,
+			Response:   Configuration{}, serve: request.readRevision,
 		}, {
-			Method: http.MethodPost, Path: "/v1/revisions/{revision}/apply", Changes: true,
+			Method: http.MethodPost, Path: "/v1/revisions/{revision}/apply", Mutates: true,
 			Summary:    "Apply an earlier configuration again, as a new revision.",
 			Parameters: []Parameter{revisionParameter, fromParameter, dryRunParameter, noteParameter},
-			Answer:     Applied{}, serve: request.applyRevision,
+			Response:   Applied{}, serve: request.applyRevision,
 		}, {
 			Method: http.MethodGet, Path: "/v1/status",
-			Summary: "Read which host decides by which revision.",
-			Answer:  State{}, serve: request.status,
+			Summary:  "Read which host decides by which revision.",
+			Response: State{}, serve: request.status,
 		},
 	}
 	return append(l, hostRoutes()...)
