--- a/internal/caller/server/attempt.go
+++ b/internal/caller/server/attempt.go
@@ -156,7 +156,7 @@
 	s := a.session
 	b := &a.plan.batch
 	if s.deferredBegin != nil && a.fresh {
-		b = b.Begun(s.deferredBegin.sql)
+		b = b.WithBegin(s.deferredBegin.sql)
 	}
 	return lessor.Exchange{
 		Batch:         b,
--- a/internal/caller/server/begun_test.go
+++ b/internal/caller/server/begun_test.go
@@ -33,7 +33,7 @@
 func (f *failOnce) Release(lessor.Return) {}
 
 func (f *failOnce) Exchange(_ context.Context, x lessor.Exchange) (exchanger.Result, error) {
-	f.sent = append(f.sent, x.Batch.Append(nil))
+	f.sent = append(f.sent, x.Batch.AppendTo(nil))
 	if len(f.sent) == 1 {
 		return f.result, f.err
 	}
--- a/internal/caller/server/fuzz_test.go
+++ b/internal/caller/server/fuzz_test.go
@@ -98,7 +98,7 @@
 		}
 		var answers []int
 		for i, m := range p.batch.Items {
-			if m.Answer != batcher.Swallow {
+			if m.Answer != batcher.Discard {
 				answers = append(answers, i)
 			}
 		}
--- a/internal/caller/server/inbound.go
+++ b/internal/caller/server/inbound.go
@@ -68,11 +68,11 @@
 		}
 		b.Add(f.Type, batcher.Pass, f.Raw)
 		i.reader.Shrink(idleBufferBytes)
-		if endsBatch(f.Type) || f.Type == batcher.CopyData && b.Bytes() > copyBatchBytes {
+		if endsBatch(f.Type) || f.Type == batcher.CopyData && b.Size() > copyBatchBytes {
 			return nil
 		}
-		if b.Bytes() > i.maximumBytes {
-			return errors.Annotatef(ErrBatchTooLarge, "%d bytes, limit %d", b.Bytes(), i.maximumBytes)
+		if b.Size() > i.maximumBytes {
+			return errors.Annotatef(ErrBatchTooLarge, "%d bytes, limit %d", b.Size(), i.maximumBytes)
 		}
 	}
 }
--- a/internal/caller/server/keyed.go
+++ b/internal/caller/server/keyed.go
@@ -195,7 +195,7 @@
 	}
 	s.notice("the request with this idempotency key has run before, it wasn't run again")
 	for i := range a.plan.batch.Items {
-		if a.plan.batch.Items[i].Answer == batcher.Swallow {
+		if a.plan.batch.Items[i].Answer == batcher.Discard {
 			continue
 		}
 		if f := s.answerItem(&a.plan.batch, i, localAnswer{tag: tag}); f != nil {
@@ -339,7 +339,7 @@
 // sent as one query, so that after an error or a cancel none of the remaining texts run.
 func (s *Session) execute(x context.Context, inTransaction bool, texts ...string) (exchanger.Result, error) {
 	var b batcher.Batch
-	b.AddQuery(batcher.Swallow, strings.Join(texts, "; "))
+	b.AddQuery(batcher.Discard, strings.Join(texts, "; "))
 	return s.lease.Exchange(x, lessor.Exchange{
 		Batch:         &b,
 		Output:        discardOutput{},
--- a/internal/caller/server/local.go
+++ b/internal/caller/server/local.go
@@ -229,7 +229,7 @@
 // answerLocally answers each message of a plan with a.
 func (s *Session) answerLocally(p *plan, a localAnswer, t byte) error {
 	for i := range p.batch.Items {
-		if p.batch.Items[i].Answer == batcher.Swallow {
+		if p.batch.Items[i].Answer == batcher.Discard {
 			continue
 		}
 		if f := s.answerItem(&p.batch, i, a); f != nil {
--- a/internal/caller/server/prepared.go
+++ b/internal/caller/server/prepared.go
@@ -68,7 +68,7 @@
 // newPlan returns an empty plan with room for the messages of b.
 func newPlan(b *batcher.Batch) *plan {
 	p := &plan{}
-	p.batch.Grow(len(b.Items)+1, b.Bytes()+sharedNameBytes)
+	p.batch.Grow(len(b.Items)+1, b.Size()+sharedNameBytes)
 	return p
 }
 
@@ -214,12 +214,12 @@
 		return nil, "", err
 	}
 	if name != "" {
-		p.ensure(d, batcher.Swallow)
+		p.ensure(d, batcher.Discard)
 		return d, string(d.ID), nil
 	}
 	if !p.unnamedParsed {
 		p.unnamedParsed = true
-		p.plan.batch.AddParse(batcher.Swallow, "", d.tail())
+		p.plan.batch.AddParse(batcher.Discard, "", d.tail())
 	}
 	return d, "", nil
 }
--- a/internal/caller/server/session.go
+++ b/internal/caller/server/session.go
@@ -248,7 +248,7 @@
 
 // drainable returns the drain channel if the session may end now, else nil.
 func (s *Session) drainable() <-chan struct{} {
-	if s.status != exchanger.Idle || s.flushed || s.pending.Bytes() > 0 || s.pinned {
+	if s.status != exchanger.Idle || s.flushed || s.pending.Size() > 0 || s.pinned {
 		return nil
 	}
 	return s.drain
@@ -325,7 +325,7 @@
 }
 
 func (s *Session) collect(t byte, i int) error {
-	if s.pending.Bytes()+len(s.current.Raw(i)) > s.MaximumMessageBytes {
+	if s.pending.Size()+len(s.current.Raw(i)) > s.MaximumMessageBytes {
 		s.fatal(&failure{severity: severityFatal, code: codeProgramLimit, message: ErrBatchTooLarge.Error(), outcome: recorder.NotRun})
 		return ErrBatchTooLarge
 	}
--- a/internal/clock/watchdog/watchdog.go
+++ b/internal/clock/watchdog/watchdog.go
@@ -25,20 +25,20 @@
 	progress func()
 }
 
-// With returns a context that ends after first, or stall after the last progress if that is
+// WithStallTimeout returns a context that ends after first, or stall after the last progress if that is
 // later. The function ends it at once and must be called.
-func With(ctx context.Context, first, stall time.Duration) (context.Context, context.CancelFunc) {
+func WithStallTimeout(ctx context.Context, first, stall time.Duration) (context.Context, context.CancelFunc) {
 	c, cancel := context.WithCancelCause(ctx)
 	w := &watch{stall: stall, end: time.Now().Add(first)}
 	w.timer = time.AfterFunc(first, func() { cancel(ErrStalled) })
-	return Observe(c, w.extend), func() {
+	return WithObserver(c, w.extend), func() {
 		w.timer.Stop()
 		cancel(context.Canceled)
 	}
 }
 
-// Observe returns a context that tells f of each progress.
-func Observe(ctx context.Context, f func()) context.Context {
+// WithObserver returns a context that tells f of each progress.
+func WithObserver(ctx context.Context, f func()) context.Context {
 	parent, _ := ctx.Value(key{}).(*link)
 	return context.WithValue(ctx, key{}, &link{parent: parent, progress: f})
 }
--- a/internal/clock/watchdog/watchdog_test.go
+++ b/internal/clock/watchdog/watchdog_test.go
@@ -23,9 +23,9 @@
 func TestCallThatMakesProgressGoesOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		outer, stop := With(t.Context(), time.Second, time.Second)
+		outer, stop := WithStallTimeout(t.Context(), time.Second, time.Second)
 		defer stop()
-		inner, stopInner := With(outer, 300*time.Millisecond, 300*time.Millisecond)
+		inner, stopInner := WithStallTimeout(outer, 300*time.Millisecond, 300*time.Millisecond)
 		defer stopInner()
 		for range 20 {
 			time.Sleep(250 * time.Millisecond)
@@ -48,7 +48,7 @@
 func TestProgressDoesNotShortenTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		c, stop := With(t.Context(), 3*time.Second, 100*time.Millisecond)
+		c, stop := WithStallTimeout(t.Context(), 3*time.Second, 100*time.Millisecond)
 		defer stop()
 		Progress(c)
 		if d := ended(c, began); d != 3*time.Second {
@@ -59,7 +59,7 @@
 
 func TestReaderNotesEachPiece(t *testing.T) {
 	n := 0
-	c := Observe(t.Context(), func() { n++ })
+	c := WithObserver(t.Context(), func() { n++ })
 	b, err := io.ReadAll(Reader{Context: c, Source: iotest.OneByteReader(strings.NewReader("abc"))})
 	if string(b) != "abc" || err != nil || n != 3 {
 		t.Errorf("read %q %v with %d pieces", b, err, n)
--- a/internal/host/assembler/assembler.go
+++ b/internal/host/assembler/assembler.go
@@ -204,7 +204,7 @@
 	}).Info("entry host started")
 	err := a.Host.Run(ctx, drain)
 	if err != nil {
-		encoder.Failed(a.log, err, "entry host failed")
+		encoder.LogError(a.log, err, "entry host failed")
 	}
 	stop()
 	if e := <-w.ended; err == nil {
--- a/internal/host/runner/expirer.go
+++ b/internal/host/runner/expirer.go
@@ -41,7 +41,7 @@
 	c, cancel := context.WithTimeout(ctx, expireTimeout)
 	defer cancel()
 	if err := h.director.Expire(c, n, time.Now(), h.retention()); err != nil {
-		encoder.Failed(h.Log, err, "old idempotency keys kept")
+		encoder.LogError(h.Log, err, "old idempotency keys kept")
 	}
 }
 
--- a/internal/log/encoder/decision.go
+++ b/internal/log/encoder/decision.go
@@ -16,21 +16,21 @@
 	Rule string
 	// Chosen is the backend server or host, empty if the request was refused.
 	Chosen string
-	// Why is the reason for the choice or the refusal.
-	Why string
+	// Reason is the reason for the choice or the refusal.
+	Reason string
 	// PassedOver lists the others and why each wasn't chosen.
 	PassedOver []PassedOver
 }
 
 // PassedOver is a backend server or host that wasn't chosen.
 type PassedOver struct {
-	Name string
-	Why  string
+	Name   string
+	Reason string
 }
 
-// Decide writes one line for d, unless sampling leaves it out. Refusals are
+// LogDecision writes one line for d, unless sampling leaves it out. Refusals are
 // always written. It keeps no reference to d.
-func (e *Encoder) Decide(d *Decision) {
+func (e *Encoder) LogDecision(d *Decision) {
 	if d.Chosen != "" && !e.decisions.hit(e.SampleDecisions) {
 		return
 	}
@@ -49,7 +49,7 @@
 	b = b.string("team", d.Team)
 	b = b.string("rule", d.Rule)
 	b = b.string("chosen", d.Chosen)
-	b = b.string("why", d.Why)
+	b = b.string("why", d.Reason)
 	b = passed(b, d.PassedOver)
 	return b.end()
 }
@@ -64,7 +64,7 @@
 			b = append(b, ',')
 		}
 		b = append(b, `{"name":`...).text(p.Name)
-		b = b.string("why", p.Why)
+		b = b.string("why", p.Reason)
 		b = append(b, '}')
 	}
 	return append(b, ']')
--- a/internal/log/encoder/encoder.go
+++ b/internal/log/encoder/encoder.go
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// Failed logs err at error level with the step and the peer it carries.
-func Failed(l log.Interface, err error, message string) {
+// LogError logs err at error level with the step and the peer it carries.
+func LogError(l log.Interface, err error, message string) {
 	f := log.Fields{"error": err.Error()}
 	if w, ok := wrapper.Find(err); ok {
 		f["step"] = w.Step
--- a/internal/log/encoder/encoder_test.go
+++ b/internal/log/encoder/encoder_test.go
@@ -23,8 +23,8 @@
 func sample() *Decision {
 	return &Decision{
 		Kind: "route", Request: 7, Session: 3, DatabaseGroup: "kalkul-1", Team: "costing",
-		Rule: "past-submissions", Chosen: "kalkul-1-b", Why: "fresh enough, shortest wait",
-		PassedOver: []PassedOver{{Name: "kalkul-1-a", Why: "queue of 12"}, {Name: "kalkul-1-c", Why: "silent"}},
+		Rule: "past-submissions", Chosen: "kalkul-1-b", Reason: "fresh enough, shortest wait",
+		PassedOver: []PassedOver{{Name: "kalkul-1-a", Reason: "queue of 12"}, {Name: "kalkul-1-c", Reason: "silent"}},
 	}
 }
 
@@ -47,10 +47,10 @@
 func TestLines(t *testing.T) {
 	got := run(t, &Encoder{QueueBytes: 1 << 16}, func(l *log.Logger) {
 		e := wrapper.Wrap(errors.New("refused"), "dial", "kalkul-1-a")
-		Failed(l, errors.Annotate(e, "serve request"), "request failed")
+		LogError(l, errors.Annotate(e, "serve request"), "request failed")
 		l.WithFields(log.Fields{"wait": 3 * time.Millisecond, "count": 4, "open": true, "list": []int{1}}).Warn("quoted \"text\"\nšč")
-		l.Handler.(*Encoder).Decide(sample())
-		l.Handler.(*Encoder).Decide(&Decision{Kind: "route", Request: 8, Why: "queue full"})
+		l.Handler.(*Encoder).LogDecision(sample())
+		l.Handler.(*Encoder).LogDecision(&Decision{Kind: "route", Request: 8, Reason: "queue full"})
 	})
 	for _, l := range bytes.Split(bytes.TrimSpace([]byte(got)), []byte("\n")) {
 		if !json.Valid(l) {
@@ -73,8 +73,8 @@
 	got := run(t, &Encoder{QueueBytes: 1 << 16, SampleDebug: 10, SampleDecisions: 5}, func(l *log.Logger) {
 		for range 20 {
 			l.Debug("detail")
-			l.Handler.(*Encoder).Decide(sample())
-			l.Handler.(*Encoder).Decide(&Decision{Kind: "route", Why: "queue full"})
+			l.Handler.(*Encoder).LogDecision(sample())
+			l.Handler.(*Encoder).LogDecision(&Decision{Kind: "route", Reason: "queue full"})
 		}
 	})
 	if n := bytes.Count([]byte(got), []byte("\n")); n != 2+4+20 {
@@ -90,10 +90,10 @@
 		e := &Encoder{Writer: w, QueueBytes: 1 << 10}
 		c, stop := context.WithCancel(t.Context())
 		go e.Run(c)
-		e.Decide(sample())
+		e.LogDecision(sample())
 		synctest.Wait()
 		for range 100 {
-			e.Decide(sample())
+			e.LogDecision(sample())
 		}
 		if e.Dropped() == 0 {
 			t.Error("nothing was dropped by a stuck output")
@@ -117,7 +117,7 @@
 	b.ReportAllocs()
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
-			e.Decide(d)
+			e.LogDecision(d)
 		}
 	})
 	b.ReportMetric(float64(e.Dropped())/float64(b.N), "dropped/op")
@@ -129,6 +129,6 @@
 	d := sample()
 	b.ReportAllocs()
 	for b.Loop() {
-		e.Decide(d)
+		e.LogDecision(d)
 	}
 }
--- a/internal/log/encoder/statement.go
+++ b/internal/log/encoder/statement.go
@@ -20,18 +20,18 @@
 	// its part in the group.
 	Server string
 	Role   string
-	// Why is the reason for the choice, or what stood in the way.
-	Why string
-	// Need is the position that the server had to have, empty for none.
-	Need     string
-	Attempts int
+	// Reason is the reason for the choice, or what stood in the way.
+	Reason string
+	// RequiredPosition is the position that the server had to have, empty for none.
+	RequiredPosition string
+	Attempts         int
 	// Configuration is the version that the statement was routed by.
 	Configuration uint64
-	Waited, Took  time.Duration
+	Wait, Elapsed time.Duration
 }
 
-// Statement writes one line for s. It keeps no reference to s.
-func (e *Encoder) Statement(s *Statement) {
+// LogStatement writes one line for s. It keeps no reference to s.
+func (e *Encoder) LogStatement(s *Statement) {
 	p := e.scratch()
 	*p = statement((*p)[:0], e.now(), s)
 	e.append(*p)
@@ -48,12 +48,12 @@
 	b = b.string("code", s.Code)
 	b = b.string("server", s.Server)
 	b = b.string("role", s.Role)
-	b = b.string("why", s.Why)
-	b = b.string("need", s.Need)
+	b = b.string("why", s.Reason)
+	b = b.string("need", s.RequiredPosition)
 	b = b.uint("attempts", uint64(s.Attempts))
 	b = b.uint("configuration", s.Configuration)
-	b = b.duration("waited", s.Waited)
-	b = b.duration("took", s.Took)
+	b = b.duration("waited", s.Wait)
+	b = b.duration("took", s.Elapsed)
 	return b.end()
 }
 
--- a/internal/metric/collector/collector.go
+++ b/internal/metric/collector/collector.go
@@ -18,7 +18,7 @@
 	Logins            *prometheus.CounterVec
 	Requests          *prometheus.CounterVec
 	Reads             *prometheus.CounterVec
-	Routings          *prometheus.CounterVec
+	RoutingDecisions  *prometheus.CounterVec
 	Retries           *prometheus.CounterVec
 	Cancels           *prometheus.CounterVec
 	RequestSeconds    prometheus.Histogram
@@ -60,7 +60,7 @@
 	c.Logins = c.counters("logins_total", "Logins of callers, by result: accepted, refused or limited.", "result")
 	c.Requests = c.counters("requests_total", "Requests of callers, by outcome: ran, not-run or unknown.", "outcome")
 	c.Reads = c.counters("reads_total", "Reads, by the role of the backend server that served them.", "role")
-	c.Routings = c.counters("routing_decisions_total", "Routing decisions, by reason.", "why")
+	c.RoutingDecisions = c.counters("routing_decisions_total", "Routing decisions, by reason.", "why")
 	c.Retries = c.counters("retries_total", "Further attempts of requests, by result: allowed or denied by the retry budget.", "result")
 	c.Cancels = c.counters("cancels_total", "Cancelled requests, by stage: running, or finished where the caller had no request in progress.", "stage")
 	c.RequestSeconds = c.histogram("request_seconds", "Time from a request's arrival to the end of its answer.")
--- a/internal/platform/requester/requester.go
+++ b/internal/platform/requester/requester.go
@@ -158,7 +158,7 @@
 
 // bound returns the context of a call whose answer the service may delay by wait.
 func (c *Client) bound(ctx context.Context, wait time.Duration) (context.Context, context.CancelFunc) {
-	return watchdog.With(ctx, wait+c.timeout(), c.timeout())
+	return watchdog.WithStallTimeout(ctx, wait+c.timeout(), c.timeout())
 }
 
 // encodeBody returns the JSON of v, an empty body if v is nil.
--- a/internal/pool/delegator/starting.go
+++ b/internal/pool/delegator/starting.go
@@ -35,7 +35,7 @@
 	if s.lease != nil {
 		return s.lease.Exchange(ctx, x)
 	}
-	if x.Batch.Bytes() > forwarder.MaximumQueuedBytes {
+	if x.Batch.Size() > forwarder.MaximumQueuedBytes {
 		return s.exchangeQueued(ctx, x)
 	}
 	r, err := s.exchangePipelined(ctx, x)
--- a/internal/pool/exchanger/adapter.go
+++ b/internal/pool/exchanger/adapter.go
@@ -16,7 +16,7 @@
 		return
 	}
 	b := &batcher.Batch{}
-	b.Grow(len(x.Batch.Items), x.Batch.Bytes())
+	b.Grow(len(x.Batch.Items), x.Batch.Size())
 	for i, t := range x.Batch.Items {
 		switch {
 		case t.Type == batcher.Parse && t.Name != "" && t.Answer != batcher.Inject:
@@ -48,7 +48,7 @@
 	t := x.Batch.Items[i]
 	p := x.Conn.Replay.PlanStatement(t.Name, replayer.Prepared{ID: replayer.StatementID(t.Name)})
 	if p.Close != "" {
-		b.AddBody(batcher.Close, batcher.Swallow, []byte{'S'}, []byte(p.Close), []byte{0})
+		b.AddBody(batcher.Close, batcher.Discard, []byte{'S'}, []byte(p.Close), []byte{0})
 	}
 	if !p.Parse {
 		b.Add(t.Type, answerToKnownParse(t.Answer), x.Batch.Raw(i))
@@ -64,17 +64,17 @@
 	if a == batcher.Pass {
 		return batcher.Inject
 	}
-	return batcher.Drop
+	return batcher.Omit
 }
 
 // encode returns the bytes to send: the batch, preceded by a position query if AskBefore is set and
 // followed by one if AskPosition is set.
 func (x *Exchange) encode() []byte {
-	p := make([]byte, 0, x.Batch.Bytes()+2*len(positionQuery))
+	p := make([]byte, 0, x.Batch.Size()+2*len(positionQuery))
 	if x.AskBefore {
 		p = append(p, positionQuery...)
 	}
-	p = x.Batch.Append(p)
+	p = x.Batch.AppendTo(p)
 	if x.AskPosition {
 		x.Conn.Replay.SimpleQuerySent()
 		p = append(p, positionQuery...)
--- a/internal/pool/exchanger/cancelling.go
+++ b/internal/pool/exchanger/cancelling.go
@@ -92,7 +92,7 @@
 	defer c.SetDeadline(time.Time{})
 	var b batcher.Batch
 	b.AddBody(batcher.Sync, batcher.Pass)
-	if _, err := c.Write(b.Append(nil)); err != nil {
+	if _, err := c.Write(b.AppendTo(nil)); err != nil {
 		return errors.Trace(err)
 	}
 	return awaitReady(c)
--- a/internal/pool/exchanger/copier.go
+++ b/internal/pool/exchanger/copier.go
@@ -51,7 +51,7 @@
 	if x.Batch.Items[len(x.Batch.Items)-1].Type == batcher.Sync {
 		b.AddBody(batcher.Sync, batcher.Pass)
 	}
-	if _, err := x.Conn.Write(b.Append(nil)); err != nil {
+	if _, err := x.Conn.Write(b.AppendTo(nil)); err != nil {
 		return x.lost(err)
 	}
 	return nil
--- a/internal/pool/exchanger/exchanger.go
+++ b/internal/pool/exchanger/exchanger.go
@@ -206,7 +206,7 @@
 // deliverInjected sends the caller the answers that are due to messages which weren't sent.
 func (x *Exchange) deliverInjected() {
 	for {
-		t, ok := x.follower.Injected()
+		t, ok := x.follower.NextInjected()
 		if !ok {
 			return
 		}
@@ -267,7 +267,7 @@
 // forgetSkippedParses removes from Conn.Replay the statements of the failed message and of those up
 // to the Sync, which the server skips.
 func (x *Exchange) forgetSkippedParses() {
-	for _, i := range x.follower.Rest() {
+	for _, i := range x.follower.Unanswered() {
 		if i.Type == batcher.Sync {
 			return
 		}
--- a/internal/pool/forwarder/lease.go
+++ b/internal/pool/forwarder/lease.go
@@ -142,7 +142,7 @@
 	case e.broken:
 		return exchanger.Result{}, e.lost(errors.New("stream closed"))
 	}
-	if e.queued && e.pending == nil && x.Batch.Bytes() > MaximumQueuedBytes {
+	if e.queued && e.pending == nil && x.Batch.Size() > MaximumQueuedBytes {
 		if err := e.awaitLease(ctx); err != nil {
 			e.broken = true
 			return exchanger.Result{}, notSentIfUnavailable(err)
--- a/internal/pool/granter/service.go
+++ b/internal/pool/granter/service.go
@@ -266,8 +266,8 @@
 		b.Items[len(b.Items)-1].Name = i.Name
 		b.Items[len(b.Items)-1].Begins = i.Begins
 	}
-	if b.Bytes() > messenger.MaximumBytes {
-		return errors.Annotatef(messenger.ErrTooLarge, "batch of %d bytes", b.Bytes())
+	if b.Size() > messenger.MaximumBytes {
+		return errors.Annotatef(messenger.ErrTooLarge, "batch of %d bytes", b.Size())
 	}
 	return nil
 }
--- a/internal/pool/lender/lender.go
+++ b/internal/pool/lender/lender.go
@@ -305,7 +305,7 @@
 
 func (e *lease) execute(ctx context.Context, sql string) error {
 	var b batcher.Batch
-	b.AddQuery(batcher.Swallow, sql)
+	b.AddQuery(batcher.Discard, sql)
 	x := exchanger.Exchange{Conn: e.conn, Canceller: e.lender.Canceller, Batch: &b, Output: discardOutput{}, Prober: e.lender.Prober}
 	r, err := x.Run(ctx)
 	e.lender.handleSilence(e.conn, err)
--- a/internal/proxy/cachesyncer/cachesyncer.go
+++ b/internal/proxy/cachesyncer/cachesyncer.go
@@ -95,7 +95,7 @@
 
 // List reads all objects from the store.
 func (m *Mirror) List(ctx context.Context) (Page, error) {
-	p, err := m.Store.List(watchdog.Observe(ctx, m.recordProgress))
+	p, err := m.Store.List(watchdog.WithObserver(ctx, m.recordProgress))
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.receivingSince = 0
@@ -135,7 +135,7 @@
 	if err := scheduler.Pause(ctx, pause); err != nil {
 		return Page{}, err
 	}
-	p, err := m.Store.Watch(watchdog.Observe(ctx, m.recordProgress), after, wait-pause)
+	p, err := m.Store.Watch(watchdog.WithObserver(ctx, m.recordProgress), after, wait-pause)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.receivingSince = 0
--- a/internal/proxy/cachesyncer/selector.go
+++ b/internal/proxy/cachesyncer/selector.go
@@ -115,7 +115,7 @@
 
 // listRemote returns the list of another host.
 func (s *Selector) listRemote(ctx context.Context, h declarer.Host) (Page, error) {
-	c, cancel := watchdog.With(ctx, remoteConnectTimeout, remoteSlack)
+	c, cancel := watchdog.WithStallTimeout(ctx, remoteConnectTimeout, remoteSlack)
 	defer cancel()
 	p, err := s.Remote.List(c, h, s.Kind)
 	if err == nil && p.Revision < s.newestRevision {
@@ -126,7 +126,7 @@
 
 // watchRemote waits for changes at another host.
 func (s *Selector) watchRemote(ctx context.Context, h declarer.Host, after uint64, wait time.Duration) (Page, error) {
-	c, cancel := watchdog.With(ctx, wait+remoteSlack, remoteSlack)
+	c, cancel := watchdog.WithStallTimeout(ctx, wait+remoteSlack, remoteSlack)
 	defer cancel()
 	return s.Remote.Watch(c, h, s.Kind, after, wait)
 }
@@ -134,7 +134,7 @@
 // checkRemote returns the changes that another host has, without waiting for more: the attempt
 // with the previous host has already taken time.
 func (s *Selector) checkRemote(ctx context.Context, h declarer.Host, after uint64) (Page, error) {
-	c, cancel := watchdog.With(ctx, remoteConnectTimeout, remoteSlack)
+	c, cancel := watchdog.WithStallTimeout(ctx, remoteConnectTimeout, remoteSlack)
 	defer cancel()
 	return s.Remote.Watch(c, h, s.Kind, after, 0)
 }
--- a/internal/proxy/reporter/reporter.go
+++ b/internal/proxy/reporter/reporter.go
@@ -71,16 +71,16 @@
 		Code:          k.code,
 		Server:        r.Server,
 		Role:          role(r),
-		Why:           r.Reason,
+		Reason:        r.Reason,
 		Attempts:      r.Attempts,
 		Configuration: r.Version,
-		Waited:        r.Wait,
-		Took:          r.Elapsed,
+		Wait:          r.Wait,
+		Elapsed:       r.Elapsed,
 	}
 	if !r.RequiredPosition.IsZero() {
-		l.Need = r.RequiredPosition.String()
+		l.RequiredPosition = r.RequiredPosition.String()
 	}
-	o.Lines.Statement(&l)
+	o.Lines.LogStatement(&l)
 }
 
 // sampled decides by the request id, so that all lines of a request are logged or none.
--- a/internal/proxy/runner/follower.go
+++ b/internal/proxy/runner/follower.go
@@ -110,7 +110,7 @@
 }
 
 func (f *follower[T]) list(ctx context.Context) (uint64, error) {
-	c, cancel := watchdog.With(ctx, listTimeout, stallTimeout)
+	c, cancel := watchdog.WithStallTimeout(ctx, listTimeout, stallTimeout)
 	defer cancel()
 	l, revision, err := f.source.List(c)
 	if err != nil {
@@ -125,7 +125,7 @@
 
 func (f *follower[T]) watch(ctx context.Context, revision uint64) (uint64, error) {
 	wait := f.wait()
-	c, cancel := watchdog.With(ctx, wait+watchSlack, stallTimeout)
+	c, cancel := watchdog.WithStallTimeout(ctx, wait+watchSlack, stallTimeout)
 	defer cancel()
 	l, next, err := f.source.Watch(c, revision, wait)
 	if err != nil {
--- a/internal/route/director/decisions.go
+++ b/internal/route/director/decisions.go
@@ -9,8 +9,8 @@
 
 // DecisionLog logs routing decisions.
 type DecisionLog interface {
-	// Decide logs one decision as one line. It keeps no reference to d.
-	Decide(d *encoder.Decision)
+	// LogDecision logs one decision as one line. It keeps no reference to d.
+	LogDecision(d *encoder.Decision)
 }
 
 // decisionLine is a decision with space for the servers that were passed over.
@@ -35,7 +35,7 @@
 		DatabaseGroup: s.query.Group,
 		Team:          s.team,
 		Chosen:        chosen,
-		Why:           why.String(),
+		Reason:        why.String(),
 	}
 	if s.rule != nil {
 		p.Rule = s.rule.Name
@@ -43,10 +43,10 @@
 	if x != nil {
 		n := x.PassedOverCount
 		for i, o := range x.PassedOver[:n] {
-			p.passed[i] = encoder.PassedOver{Name: l[o.Index].Name, Why: o.Reason.String()}
+			p.passed[i] = encoder.PassedOver{Name: l[o.Index].Name, Reason: o.Reason.String()}
 		}
 		p.PassedOver = p.passed[:n]
 	}
-	s.director.Decisions.Decide(&p.Decision)
+	s.director.Decisions.LogDecision(&p.Decision)
 	linePool.Put(p)
 }
--- a/internal/route/director/director_test.go
+++ b/internal/route/director/director_test.go
@@ -34,7 +34,7 @@
 // decisions keeps the last logged decision.
 type decisions struct{ last encoder.Decision }
 
-func (d *decisions) Decide(x *encoder.Decision) { d.last = *x }
+func (d *decisions) LogDecision(x *encoder.Decision) { d.last = *x }
 
 type noLessor struct{ lessor.Lessor }
 
@@ -136,27 +136,27 @@
 		{
 			name: "write",
 			q:    server.Query{Role: "officer", Write: true},
-			want: encoder.Decision{Team: "costing", Chosen: "a", Why: "write", PassedOver: []encoder.PassedOver{{Name: "b", Why: "not-primary"}, {Name: "c", Why: "not-primary"}}},
+			want: encoder.Decision{Team: "costing", Chosen: "a", Reason: "write", PassedOver: []encoder.PassedOver{{Name: "b", Reason: "not-primary"}, {Name: "c", Reason: "not-primary"}}},
 		},
 		{
 			name: "read without a rule",
 			q:    server.Query{Role: "officer", ReplicaSafe: true, Mark: own, HasMark: true},
-			want: encoder.Decision{Team: "costing", Chosen: "b", Why: "read-index", PassedOver: []encoder.PassedOver{{Name: "a", Why: "later"}, {Name: "c", Why: "later"}}},
+			want: encoder.Decision{Team: "costing", Chosen: "b", Reason: "read-index", PassedOver: []encoder.PassedOver{{Name: "a", Reason: "later"}, {Name: "c", Reason: "later"}}},
 		},
 		{
 			name: "read of a rule's age",
 			q:    server.Query{Role: "reviewer", ReplicaSafe: true, Mark: own, HasMark: true},
-			want: encoder.Decision{Team: "costing", Rule: "reviewer", Chosen: "b", Why: "within-age", PassedOver: []encoder.PassedOver{{Name: "a", Why: "later"}, {Name: "c", Why: "later"}}},
+			want: encoder.Decision{Team: "costing", Rule: "reviewer", Chosen: "b", Reason: "within-age", PassedOver: []encoder.PassedOver{{Name: "a", Reason: "later"}, {Name: "c", Reason: "later"}}},
 		},
 		{
 			name: "one replica refused before, the other one does not catch up",
 			q:    server.Query{Role: "officer", ReplicaSafe: true, Avoid: "b", Attempt: 1},
-			want: encoder.Decision{Team: "costing", Chosen: "a", Why: "only-primary", PassedOver: []encoder.PassedOver{{Name: "b", Why: "excluded"}, {Name: "c", Why: "excluded"}}},
+			want: encoder.Decision{Team: "costing", Chosen: "a", Reason: "only-primary", PassedOver: []encoder.PassedOver{{Name: "b", Reason: "excluded"}, {Name: "c", Reason: "excluded"}}},
 		},
 		{
 			name: "function that may write",
 			q:    server.Query{Role: "officer"},
-			want: encoder.Decision{Team: "costing", Chosen: "a", Why: "write", PassedOver: []encoder.PassedOver{{Name: "b", Why: "not-primary"}, {Name: "c", Why: "not-primary"}}},
+			want: encoder.Decision{Team: "costing", Chosen: "a", Reason: "write", PassedOver: []encoder.PassedOver{{Name: "b", Reason: "not-primary"}, {Name: "c", Reason: "not-primary"}}},
 		},
 	}
 	for _, tt := range tests {
--- a/internal/route/director/metrics.go
+++ b/internal/route/director/metrics.go
@@ -29,7 +29,7 @@
 		denied:       c.Retries.WithLabelValues("denied"),
 	}
 	for i := range m.decisions {
-		m.decisions[i] = c.Routings.WithLabelValues(chooser.Reason(i).String())
+		m.decisions[i] = c.RoutingDecisions.WithLabelValues(chooser.Reason(i).String())
 	}
 	return m
 }
--- a/internal/wire/batcher/batcher.go
+++ b/internal/wire/batcher/batcher.go
@@ -29,12 +29,12 @@
 const (
 	// Pass hands the answer to the caller.
 	Pass Answer = iota
-	// Swallow drops the answer, since the caller didn't send the message.
-	Swallow
+	// Discard drops the answer, since the caller didn't send the message.
+	Discard
 	// Inject makes up the answer, since the message isn't sent.
 	Inject
-	// Drop neither sends the message nor answers it.
-	Drop
+	// Omit neither sends the message nor answers it.
+	Omit
 )
 
 // Item is one message of a batch.
@@ -73,8 +73,8 @@
 	b.raw = slices.Grow(b.raw, bytes)
 }
 
-// Bytes returns the size of all messages.
-func (b *Batch) Bytes() int {
+// Size returns the size of all messages.
+func (b *Batch) Size() int {
 	return len(b.raw)
 }
 
@@ -110,7 +110,7 @@
 // EncodeQuery returns the message of a simple query.
 func EncodeQuery(sql string) []byte {
 	var b Batch
-	b.AddQuery(Swallow, sql)
+	b.AddQuery(Discard, sql)
 	return b.raw
 }
 
@@ -124,19 +124,19 @@
 	return b.Raw(i)[framer.HeaderBytes:]
 }
 
-// Append appends to p the messages that are sent.
-func (b *Batch) Append(p []byte) []byte {
+// AppendTo appends to p the messages that are sent.
+func (b *Batch) AppendTo(p []byte) []byte {
 	for i := range b.Items {
-		if a := b.Items[i].Answer; a == Pass || a == Swallow {
+		if a := b.Items[i].Answer; a == Pass || a == Discard {
 			p = append(p, b.Raw(i)...)
 		}
 	}
 	return p
 }
 
-// Ends reports whether the batch ends the request, so that the backend server
+// EndsRequest reports whether the batch ends the request, so that the backend server
 // answers it with ReadyForQuery.
-func (b *Batch) Ends() bool {
+func (b *Batch) EndsRequest() bool {
 	if len(b.Items) == 0 {
 		return false
 	}
@@ -144,21 +144,21 @@
 	return t == Sync || t == Query
 }
 
-// Begun returns a batch that runs sql, a BEGIN, before the items of b.
+// WithBegin returns a batch that runs sql, a BEGIN, before the items of b.
 //
 // BEGIN stands in the same text, or before the same Sync, as what follows it:
 // were it a request of its own and cancelled, the rest would run outside a
 // transaction, and a ROLLBACK could not undo it.
-func (b *Batch) Begun(sql string) *Batch {
+func (b *Batch) WithBegin(sql string) *Batch {
 	n := &Batch{}
 	if b.Items[0].Type == Query {
 		n.AddBody(Query, Pass, []byte(sql), []byte("; "), b.Body(0))
 		n.Items[0].Begins = true
 		return n
 	}
-	n.AddBody(Parse, Swallow, []byte{0}, []byte(sql), []byte{0, 0, 0})
-	n.AddBody(Bind, Swallow, make([]byte, 2+2+2+2))
-	n.AddBody(Execute, Swallow, make([]byte, 1+4))
+	n.AddBody(Parse, Discard, []byte{0}, []byte(sql), []byte{0, 0, 0})
+	n.AddBody(Bind, Discard, make([]byte, 2+2+2+2))
+	n.AddBody(Execute, Discard, make([]byte, 1+4))
 	for i, t := range b.Items {
 		n.Add(t.Type, t.Answer, b.Raw(i))
 		n.Items[len(n.Items)-1].Name = t.Name
--- a/internal/wire/follower/follower.go
+++ b/internal/wire/follower/follower.go
@@ -13,12 +13,12 @@
 	ParameterDescription byte = 't'
 	DataRow              byte = 'D'
 	CommandComplete      byte = 'C'
-	EmptyQuery           byte = 'I'
+	EmptyQueryResponse   byte = 'I'
 	PortalSuspended      byte = 's'
 	ErrorResponse        byte = 'E'
 	NoticeResponse       byte = 'N'
 	ParameterStatus      byte = 'S'
-	Notification         byte = 'A'
+	NotificationResponse byte = 'A'
 	ReadyForQuery        byte = 'Z'
 	CopyInResponse       byte = 'G'
 	CopyOutResponse      byte = 'H'
@@ -43,15 +43,15 @@
 	begun bool
 }
 
-// Injected returns the type of the made-up answer that is due now, if any.
-func (f *Follower) Injected() (byte, bool) {
+// NextInjected returns the type of the made-up answer that is due now, if any.
+func (f *Follower) NextInjected() (byte, bool) {
 	for f.next < len(f.Batch.Items) {
 		i := f.Batch.Items[f.next]
 		if i.Answer == batcher.Inject {
 			f.next++
 			return injected(i.Type), true
 		}
-		if i.Answer != batcher.Drop && i.Type != batcher.Flush {
+		if i.Answer != batcher.Omit && i.Type != batcher.Flush {
 			return 0, false
 		}
 		f.next++
@@ -103,7 +103,7 @@
 // ofRequest reports whether a message type answers an item, unlike those that
 // a backend server may send at any time.
 func ofRequest(t byte) bool {
-	return t != NoticeResponse && t != ParameterStatus && t != Notification
+	return t != NoticeResponse && t != ParameterStatus && t != NotificationResponse
 }
 
 func ends(item, t byte) bool {
@@ -117,7 +117,7 @@
 	case batcher.Describe:
 		return t == RowDescription || t == NoData
 	case batcher.Execute:
-		return t == CommandComplete || t == EmptyQuery || t == PortalSuspended
+		return t == CommandComplete || t == EmptyQueryResponse || t == PortalSuspended
 	default:
 		return t == ReadyForQuery
 	}
@@ -130,7 +130,7 @@
 	return CloseComplete
 }
 
-// Rest returns the items that aren't answered yet.
-func (f *Follower) Rest() []batcher.Item {
+// Unanswered returns the items that aren't answered yet.
+func (f *Follower) Unanswered() []batcher.Item {
 	return f.Batch.Items[min(f.next, len(f.Batch.Items)):]
 }
