--- a/internal/host/runner/ascender.go
+++ b/internal/host/runner/ascender.go
@@ -11,27 +11,29 @@
 	"github.com/cuminwick/cuminwick/internal/state/blackboard"
 )
 
-// RevisionObserver is a Source that can be told that a peer is at a revision.
+// RevisionObserver is a Source that accepts revisions found in messages of peers.
 type RevisionObserver interface {
-	// Observe returns once the source is at revision r or a later one.
+	// Observe returns once the source has reached revision r or a later one. An error means that
+	// ctx ended or the source stopped before.
 	Observe(ctx context.Context, r uint64) error
 }
 
-// ascender moves this host up to the revision of a message before the message
-// is handled. Otherwise one request could be decided by two configurations.
-type ascender struct {
+// revisionWaiter waits until this host has applied the revision of a message before the message
+// is handled. Otherwise one request could be processed under two configurations.
+type revisionWaiter struct {
 	host     *Host
 	observer RevisionObserver
 }
 
-// ascendTimeout bounds the wait, after which the message is refused.
-const ascendTimeout = 3 * time.Second
+// revisionTimeout bounds the wait for a revision, after which the message is refused.
+const revisionTimeout = 3 * time.Second
 
-func (a *ascender) heard(ctx context.Context, s encoder.Sender) error {
-	if a.isAt(s.Revision) {
+// awaitRevision returns once the revision of the sender is in force at this host.
+func (a *revisionWaiter) awaitRevision(ctx context.Context, s encoder.Sender) error {
+	if a.inForce(s.Revision) {
 		return nil
 	}
-	c, cancel := context.WithTimeout(ctx, ascendTimeout)
+	c, cancel := context.WithTimeout(ctx, revisionTimeout)
 	defer cancel()
 	if err := a.observer.Observe(c, s.Revision); err != nil {
 		return err
@@ -39,7 +41,7 @@
 	x := &blackboard.Subscriber[State]{Version: configurationVersion}
 	a.host.board.Subscribe(x)
 	defer a.host.board.Unsubscribe(x)
-	for !a.isAt(s.Revision) {
+	for !a.inForce(s.Revision) {
 		select {
 		case <-x.C:
 		case <-c.Done():
@@ -49,7 +51,8 @@
 	return nil
 }
 
-func (a *ascender) isAt(r uint64) bool {
+// inForce reports whether revision r or a later one is in force, always true for zero.
+func (a *revisionWaiter) inForce(r uint64) bool {
 	if r == 0 {
 		return true
 	}
@@ -57,7 +60,7 @@
 	return x != nil && x.Revision >= r
 }
 
-// PeerDialer returns what calls other entry hosts, nil for a host alone.
+// PeerDialer returns the dialer for other entry hosts, nil for a host without peers.
 func (h *Host) PeerDialer() *dialer.Dialer {
 	if h.peers == nil {
 		return nil
--- a/internal/host/runner/ascender_test.go
+++ b/internal/host/runner/ascender_test.go
@@ -12,14 +12,15 @@
 	"github.com/cuminwick/cuminwick/internal/route/director"
 )
 
-// observed stands for a source that is at each revision at once.
-type observed struct{}
+// immediateObserver is a RevisionObserver that reaches each revision immediately.
+type immediateObserver struct{}
 
-func (observed) Observe(context.Context, uint64) error { return nil }
+func (immediateObserver) Observe(context.Context, uint64) error { return nil }
 
-// A message of a host that is at a later revision must wait until this host
-// decides by that revision, and only so long: the caller of the request waits too.
-// Where the revision never comes, the message is refused in bounded time.
+// Guards against handling a message under an older revision than that of its sender, so that one
+// request is processed under two configurations. A message must wait until the revision is in force
+// at this host, but no longer, since the caller of the request waits too. If the revision never
+// comes into force, the message must be refused in bounded time.
 func TestMessageWaitsForItsRevision(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -29,7 +30,7 @@
 	}{
 		{name: "in force already", revision: 1},
 		{name: "on its way", revision: 2, want: time.Second},
-		{name: "never comes", revision: 3, want: ascendTimeout, err: context.DeadlineExceeded},
+		{name: "never comes", revision: 3, want: revisionTimeout, err: context.DeadlineExceeded},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -38,13 +39,13 @@
 				defer stop()
 				h := new(Host)
 				go h.board.Run(c)
-				h.update(c, configured{runtime: &director.Runtime{Revision: 1}}.write)
+				h.update(c, configurationWrite{runtime: &director.Runtime{Revision: 1}}.write)
 				b := time.Now()
 				time.AfterFunc(time.Second, func() {
-					h.update(c, configured{runtime: &director.Runtime{Revision: 2}}.write)
+					h.update(c, configurationWrite{runtime: &director.Runtime{Revision: 2}}.write)
 				})
-				a := &ascender{host: h, observer: observed{}}
-				err := a.heard(c, encoder.Sender{Host: "a", Revision: tt.revision})
+				a := &revisionWaiter{host: h, observer: immediateObserver{}}
+				err := a.awaitRevision(c, encoder.Sender{Host: "a", Revision: tt.revision})
 				if d := time.Since(b); d != tt.want || !errors.Is(err, tt.err) {
 					t.Errorf("after %v: %v, want after %v: %v", d, err, tt.want, tt.err)
 				}
--- a/internal/host/runner/companion.go
+++ b/internal/host/runner/companion.go
@@ -6,37 +6,41 @@
 	"github.com/juju/errors"
 )
 
-// companion is what runs beside the host's other parts.
-type companion struct {
-	ctx  context.Context
-	step func(ctx context.Context) error
+// task is one of the functions that run concurrently while the host runs.
+type task struct {
+	ctx      context.Context
+	function func(ctx context.Context) error
 }
 
-// run drops the error of a step that ended because it was told to.
-func (c companion) run() error {
-	err := c.step(c.ctx)
+// run calls the function and ignores its error if ctx has ended.
+func (c task) run() error {
+	err := c.function(c.ctx)
 	if c.ctx.Err() != nil {
 		return nil
 	}
 	return err
 }
 
-// Leaver is a Source that has to be told, while peers can be reached, that the
-// host has no caller any more.
+// Leaver is a Source that must be notified of the end of a drain.
 type Leaver interface {
+	// Depart deregisters the host from the source. It is called when the host has no callers left,
+	// while its peers can still be reached.
 	Depart(ctx context.Context)
 }
 
-// drainer ends a host as planned.
+// drainer shuts a host down gracefully.
 type drainer struct {
-	host  *Host
-	ctx   context.Context
-	stop  context.CancelFunc
+	host *Host
+	ctx  context.Context
+	// stop ends all tasks of the host.
+	stop context.CancelFunc
+	// drain starts the drain when it is closed, as Host.drain does.
 	drain <-chan struct{}
 }
 
-// run waits for the word to stop and lets what is in progress finish. Its error
-// counts although it is what ends the other parts.
+// run waits until a drain is requested and then until the work in progress has finished or the
+// drain timeout has passed, and stops all other tasks. It returns an error if callers were cut off.
+// Host.Run returns that error, since the tasks that were stopped return nil.
 func (d *drainer) run() error {
 	h := d.host
 	select {
--- a/internal/host/runner/control.go
+++ b/internal/host/runner/control.go
@@ -9,7 +9,8 @@
 	"github.com/cuminwick/cuminwick/internal/outcome/recorder"
 )
 
-// StartDrain begins to stop the host, as the first signal does.
+// StartDrain starts a graceful shutdown of the host, as the first termination signal to the process
+// does. Further calls have no effect.
 func (h *Host) StartDrain() {
 	h.drainOnce.Do(h.closeDrain)
 }
@@ -18,15 +19,16 @@
 	close(h.drain)
 }
 
-// DrainTimeout is the declared time within which a drain ends.
+// DrainTimeout returns the configured maximum duration of a drain.
 func (h *Host) DrainTimeout() time.Duration {
 	return h.Settings.Limits.DrainTimeout
 }
 
-// handOverTimeout bounds a planned hand-over.
+// handOverTimeout bounds a planned change of the primary.
 const handOverTimeout = 30 * time.Second
 
-// HandOver moves a group's primary off the named backend server.
+// HandOver moves a group's primary off the named backend server. It returns a NotFound error for an
+// unknown group.
 func (h *Host) HandOver(ctx context.Context, group, backendServer string) error {
 	r := h.director.Runtime()
 	if r == nil || r.Groups[group] == nil {
@@ -37,12 +39,12 @@
 	return r.Groups[group].Driver.HandOver(c, backendServer)
 }
 
-// outcomeTimeout bounds a question for an outcome.
+// outcomeTimeout bounds the look-up of an outcome.
 const outcomeTimeout = 10 * time.Second
 
-// Outcome tells what became of the request with an idempotency key. Where no
-// attempt has run so far one may still be under way, so that is Unknown, unless
-// settle keeps the attempt from ever running.
+// Outcome returns the outcome of the request with an idempotency key. If no attempt has run yet,
+// one may still be in progress, so the outcome is Unknown, unless settle is set, which prevents the
+// attempt from ever running.
 func (h *Host) Outcome(ctx context.Context, group, key string, settle bool) (recorder.Outcome, error) {
 	c, cancel := context.WithTimeout(ctx, outcomeTimeout)
 	defer cancel()
--- a/internal/host/runner/expirer.go
+++ b/internal/host/runner/expirer.go
@@ -9,15 +9,14 @@
 )
 
 const (
-	// expireInterval is the time between two looks for old keys.
+	// expireInterval is the time between two deletions of old keys.
 	expireInterval = 10 * time.Minute
-	// expireTimeout bounds one look.
+	// expireTimeout bounds one deletion.
 	expireTimeout = time.Minute
 )
 
-// loopExpire forgets old idempotency keys of the group, at the one host that
-// owns the primary's pool.
-func (p *part) loopExpire(ctx context.Context) {
+// loopExpire periodically deletes old idempotency keys of the group until ctx ends.
+func (p *groupRunner) loopExpire(ctx context.Context) {
 	defer p.reconciler.wait.Done()
 	t, x := p.reconciler.host.Clock.Ticks(expireInterval)
 	defer x.Cancel()
@@ -31,7 +30,9 @@
 	}
 }
 
-func (p *part) expire(ctx context.Context) {
+// expire deletes old idempotency keys if this host owns the primary's pool, so that only one host
+// does so.
+func (p *groupRunner) expire(ctx context.Context) {
 	h := p.reconciler.host
 	n := p.group.group.Declared.Name
 	v := p.group.group.Driver.View()
@@ -45,7 +46,7 @@
 	}
 }
 
-// retention returns how long keys are kept.
+// retention returns how long idempotency keys are kept.
 func (h *Host) retention() time.Duration {
 	if d := h.limits().OutcomeRetention; d > 0 {
 		return d
--- a/internal/host/runner/fixed.go
+++ b/internal/host/runner/fixed.go
@@ -6,13 +6,13 @@
 	file "github.com/cuminwick/cuminwick/internal/config/declarer"
 )
 
-// FixedSource is a Source whose configuration doesn't change.
+// FixedSource is a Source whose configuration never changes.
 type FixedSource struct {
 	Revision uint64
 	File     *file.File
 }
 
-// Run implements Source.
+// Run implements Source. It returns when ctx ends.
 func (f FixedSource) Run(ctx context.Context) error {
 	<-ctx.Done()
 	return ctx.Err()
--- a/internal/host/runner/membership.go
+++ b/internal/host/runner/membership.go
@@ -12,8 +12,8 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// newKeeper makes what finds the other entry hosts by heartbeats. It answers
-// from now on; address is where this host listens for peers.
+// newKeeper creates the keeper, which discovers the other entry hosts by heartbeats. The keeper is
+// prepared to answer requests before it runs; address is where this host listens for peers.
 func (h *Host) newKeeper(address string) *keeper.Keeper {
 	if a := h.Settings.Peers.AdvertisedAddress; a != "" && a != h.Settings.Peers.Address {
 		address = a
@@ -24,7 +24,7 @@
 			AvailabilityZone: h.Settings.AvailabilityZone,
 			Region:           h.Settings.Region,
 			Address:          address,
-			Incarnation:      incarnation(h.Settings.Incarnation, time.Now()),
+			Incarnation:      initialIncarnation(h.Settings.Incarnation, time.Now()),
 		},
 		Seeds:  h.Settings.Peers.Seeds,
 		Random: rand.Float64,
@@ -32,23 +32,25 @@
 		Log:    h.Log,
 	}
 	if h.Platform != nil {
-		k.Hosts = h.hosts
+		k.Hosts = h.platformHosts
 	}
-	k.Publish = h.sighting
+	k.Publish = h.signalMembers
 	k.Prepare()
 	return k
 }
 
-// incarnation returns what is set, or the time of the start. Where a clock was
-// set back meanwhile, the host learns of its last incarnation and goes above it.
-func incarnation(set uint64, now time.Time) uint64 {
+// initialIncarnation returns the configured incarnation, or the present time in milliseconds if set
+// is zero. If the clock was set back since the previous start, peers report the previous
+// incarnation, and the keeper raises its own above that.
+func initialIncarnation(set uint64, now time.Time) uint64 {
 	if set > 0 {
 		return set
 	}
 	return uint64(now.UnixMilli())
 }
 
-func (h *Host) hosts(ctx context.Context) ([]accessor.Host, error) {
+// platformHosts returns the host list of the platform and counts the call.
+func (h *Host) platformHosts(ctx context.Context) ([]accessor.Host, error) {
 	l, err := h.Platform.Hosts(ctx)
 	if err == nil {
 		h.collector.PlatformCalls.WithLabelValues("hosts", "done").Inc()
@@ -58,8 +60,8 @@
 	return l, err
 }
 
-// incarnation returns the number that goes on each message: the one from the
-// settings unless the host had to contradict a wrong word about it.
+// incarnation returns the incarnation that is put on each message: the initial one, unless the
+// keeper raised it to refute a wrong report about this host.
 func (p *peers) incarnation() uint64 {
 	if p.keeper == nil {
 		return p.host.Settings.Incarnation
@@ -67,43 +69,42 @@
 	return p.keeper.Incarnation()
 }
 
-// MemberView returns what this host knows of all entry hosts, empty where the
-// members are told.
+// MemberView returns this host's view of all entry hosts. It is empty if Members was set.
 func (h *Host) MemberView() declarer.View {
 	return h.board.Read().Members.Value
 }
 
-// sighting wakes loopSight. The keeper holds its lock and can't wait for the
-// board; a wake that is pending already covers this view.
-func (h *Host) sighting(declarer.View) {
+// signalMembers wakes loopMembers. It is called while the keeper holds its lock, so it must not
+// wait for the board. A wake-up that is already pending covers this view too.
+func (h *Host) signalMembers(declarer.View) {
 	select {
-	case h.sighted <- struct{}{}:
+	case h.membersSignal <- struct{}{}:
 	default:
 	}
 }
 
-// loopSight brings the keeper's views to the board.
-func (p *peers) loopSight(ctx context.Context) error {
+// loopMembers writes the keeper's views to the board.
+func (p *peers) loopMembers(ctx context.Context) error {
 	for {
 		select {
-		case <-p.host.sighted:
-			p.host.update(ctx, sighted{view: p.keeper.View()}.write)
+		case <-p.host.membersSignal:
+			p.host.update(ctx, membersWrite{view: p.keeper.View()}.write)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// gaugeInterval is the time between updates of the metrics of members and peers.
-const gaugeInterval = time.Second
+// peerMetricsInterval is the time between updates of the metrics of members and peers.
+const peerMetricsInterval = time.Second
 
-// loopGauge keeps the metrics of members and peers.
-func (p *peers) loopGauge(ctx context.Context) error {
-	t, x := p.host.Clock.Ticks(gaugeInterval)
+// loopMetrics updates the metrics of members and peers.
+func (p *peers) loopMetrics(ctx context.Context) error {
+	t, x := p.host.Clock.Ticks(peerMetricsInterval)
 	defer x.Cancel()
 	var last linker.Traffic
 	for {
-		last = p.gauge(last)
+		last = p.updateMetrics(last)
 		select {
 		case <-t:
 		case <-ctx.Done():
@@ -112,8 +113,8 @@
 	}
 }
 
-// gaugeParts counts the groups by this host's part in them.
-func (p *peers) gaugeParts() {
+// countGroups updates the metric of the number of groups by this host's part in them.
+func (p *peers) countGroups() {
 	n := map[switcher.Part]int{switcher.PartServing: 0, switcher.PartStandingIn: 0, switcher.PartFollowing: 0, switcher.PartIdle: 0}
 	if r := p.host.director.Runtime(); r != nil {
 		for _, g := range r.Groups {
@@ -127,8 +128,9 @@
 	}
 }
 
-// gauge updates the metrics and returns the traffic so far.
-func (p *peers) gauge(last linker.Traffic) linker.Traffic {
+// updateMetrics updates the metrics and returns the total traffic; last is the total of the
+// previous update.
+func (p *peers) updateMetrics(last linker.Traffic) linker.Traffic {
 	c := p.host.collector
 	t := p.links.Traffic()
 	c.PeerBytes.WithLabelValues("sent").Add(float64(t.Sent - last.Sent))
@@ -137,7 +139,7 @@
 	for _, m := range p.host.MemberView().Members {
 		n[m.State]++
 	}
-	p.gaugeParts()
+	p.countGroups()
 	for s, x := range n {
 		c.Members.WithLabelValues(declarer.State(s).String()).Set(float64(x))
 	}
--- a/internal/host/runner/meter.go
+++ b/internal/host/runner/meter.go
@@ -14,10 +14,10 @@
 	"github.com/cuminwick/cuminwick/internal/outcome/recorder"
 )
 
-// meterInterval is the time between two readings of what isn't counted as it happens.
+// meterInterval is the time between updates of metrics that are read from elsewhere.
 const meterInterval = time.Second
 
-// Results of logins, and stages of cancels, as labels.
+// Label values: results of logins, and whether a cancelled request was still running.
 const (
 	loginAccepted  = "accepted"
 	loginRefused   = "refused"
@@ -26,7 +26,7 @@
 	cancelFinished = "finished"
 )
 
-// meter counts what callers do, and implements server.Counters.
+// meter updates the metrics of callers and implements server.Counters.
 type meter struct {
 	host     *Host
 	ran      prometheus.Counter
@@ -34,7 +34,8 @@
 	unknown  prometheus.Counter
 	running  prometheus.Counter
 	finished prometheus.Counter
-	dropped  uint64
+	// dropped is the number of dropped log lines that the metric includes.
+	dropped uint64
 }
 
 func newMeter(h *Host) *meter {
@@ -83,12 +84,12 @@
 	m.host.collector.Logins.WithLabelValues(r).Inc()
 }
 
-// loop reads now and then what others count.
+// loop updates the metrics of values that other components count, until ctx ends.
 func (m *meter) loop(ctx context.Context) error {
 	t, x := m.host.Clock.Ticks(meterInterval)
 	defer x.Cancel()
 	for {
-		m.read()
+		m.update()
 		select {
 		case <-t:
 		case <-ctx.Done():
@@ -97,7 +98,7 @@
 	}
 }
 
-func (m *meter) read() {
+func (m *meter) update() {
 	m.host.collector.CallerConnections.Set(float64(m.host.listener.Count()))
 	if m.host.LogEncoder == nil {
 		return
@@ -107,28 +108,29 @@
 	m.dropped = n
 }
 
-// gap measures how long one group took no writes, as this host saw it: from the
-// primary's last answer before to the look at which the group takes writes again.
-// A change of primary may be over between two looks, so it is told by the term.
-type gap struct {
+// writeGap measures how long one group accepted no writes, as observed by this host: from the last
+// poll that the previous primary answered to the update at which a primary is confirmed again. A
+// change of the primary may take less than the time between two updates, so it is also detected by
+// the term.
+type writeGap struct {
 	collector *collector.Collector
-	// term is that of the primary when the group last took writes, zero before.
+	// term is the term of the last confirmed primary, zero before the first one.
 	term marker.Term
-	// answered is when the primary was asked for its last answer then.
-	answered time.Duration
-	// open says that the group has been seen without a confirmed primary since.
+	// answeredAt is when the last poll that this primary answered began.
+	answeredAt time.Duration
+	// open reports that the group has had no confirmed primary since then.
 	open bool
 }
 
-// step takes in what the driver sees.
-func (g *gap) step(v *observer.View) {
+// update processes the present view of the group.
+func (g *writeGap) update(v *observer.View) {
 	if !v.Confirmed {
 		g.open = g.term != 0
 		return
 	}
 	if g.open || g.term != 0 && v.Term != g.term {
-		g.collector.WriteGapSeconds.Observe((v.At - g.answered).Seconds())
+		g.collector.WriteGapSeconds.Observe((v.At - g.answeredAt).Seconds())
 	}
 	p, _ := v.Server(v.Primary)
-	g.term, g.answered, g.open = v.Term, p.PolledAt, false
+	g.term, g.answeredAt, g.open = v.Term, p.PolledAt, false
 }
--- a/internal/host/runner/peers.go
+++ b/internal/host/runner/peers.go
@@ -28,17 +28,18 @@
 	"github.com/cuminwick/cuminwick/internal/pool/ranker"
 )
 
-// maximumPeerConnect bounds an attempt to connect to a peer, as a request may
-// wait for it and another host can take its place.
-const maximumPeerConnect = 500 * time.Millisecond
+// maximumPeerConnectTimeout bounds an attempt to connect to a peer, because a request may wait for
+// it and can be sent to another host instead.
+const maximumPeerConnectTimeout = 500 * time.Millisecond
 
-// Hosts that didn't take a request on are avoided for this long.
+// How long a host that didn't accept a request is avoided, first and at most.
 const (
 	firstAvoidance   = time.Second
 	maximumAvoidance = 16 * time.Second
 )
 
-// peers is this host's part in sharing pools with other entry hosts.
+// peers holds the components by which this host communicates with other entry hosts and shares
+// pools with them.
 type peers struct {
 	host      *Host
 	transport *quic.Transport
@@ -53,13 +54,13 @@
 	witness   *witness.Witness
 	pools     pools
 	control   *relayer.Dialer
-	// live are the live entry hosts by name.
+	// live holds the live entry hosts by name, nil before the first update.
 	live atomic.Pointer[map[string]assigner.Host]
-	// keeper finds the other entry hosts, nil if the members are told.
+	// keeper discovers the other entry hosts. It is nil if Host.Members was set.
 	keeper *keeper.Keeper
 }
 
-// listenPeers opens the address for peers.
+// listenPeers opens the socket for peers and creates the components that use it.
 func (h *Host) listenPeers() error {
 	s, err := h.securer()
 	if err != nil {
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// listenPacket opens a UDP socket.
+// listenPacket opens a UDP socket by ListenPacket if it is set.
 func (h *Host) listenPacket(a *net.UDPAddr) (net.PacketConn, error) {
 	if h.ListenPacket != nil {
 		return h.ListenPacket(a)
@@ -90,7 +91,7 @@
 	return net.ListenUDP("udp", a)
 }
 
-// securer returns what was set, or reads the files that the settings name.
+// securer returns Securer, or one that uses the certificate files in the settings.
 func (h *Host) securer() (*securer.Securer, error) {
 	if h.Securer != nil {
 		return h.Securer, nil
@@ -103,7 +104,7 @@
 	return &securer.Securer{Certificate: r.Certificate, Authority: r.Authority}, nil
 }
 
-// PeerAddress returns the address that other entry hosts dial, empty without peers.
+// PeerAddress returns the local address at which this host listens for peers, empty without peers.
 func (h *Host) PeerAddress() string {
 	if h.peers == nil {
 		return ""
@@ -111,6 +112,7 @@
 	return h.peers.transport.Conn.LocalAddr().String()
 }
 
+// assemble creates the components and connects them.
 func (p *peers) assemble(s *securer.Securer) {
 	h := p.host
 	p.links = &linker.Table{Self: h.Settings.HostName}
@@ -124,7 +126,7 @@
 		Links:          p.links,
 		Self:           p.self,
 		Locate:         h.Members.Locate,
-		ConnectTimeout: max(min(h.Settings.Limits.ConnectTimeout, maximumPeerConnect), h.MinimumPeerTimeout),
+		ConnectTimeout: max(min(h.Settings.Limits.ConnectTimeout, maximumPeerConnectTimeout), h.MinimumPeerTimeout),
 		PeerStreams:    h.Settings.Limits.PeerStreams,
 	}
 	p.avoider.FirstPause, p.avoider.MaximumPause = firstAvoidance, maximumAvoidance
@@ -150,14 +152,14 @@
 		Log:              h.Log,
 	}
 	p.listener.Routes = append(p.listener.Routes, h.Routes...)
-	n := &informer.Informer{FindDriver: h.driverOf, Clock: h.Clock}
+	n := &informer.Informer{FindDriver: h.findDriver, Clock: h.Clock}
 	p.listener.Routes = append(p.listener.Routes, n.Routes()...)
 	p.assembleWitness()
 	p.dialer.Serve = p.listener.Serve
 	if o, ok := h.Source.(RevisionObserver); ok {
-		a := &ascender{host: h, observer: o}
-		p.dialer.Heard = a.heard
-		p.listener.Heard = a.heard
+		a := &revisionWaiter{host: h, observer: o}
+		p.dialer.Heard = a.awaitRevision
+		p.listener.Heard = a.awaitRevision
 	}
 	if p.keeper != nil {
 		p.keeper.Dialer = p.dialer
@@ -165,6 +167,7 @@
 	}
 }
 
+// self returns the sender information that is put on each message.
 func (p *peers) self() encoder.Sender {
 	s := encoder.Sender{Host: p.host.Settings.HostName, Incarnation: p.incarnation()}
 	if r := p.host.runtime(); r != nil {
@@ -180,11 +183,11 @@
 	g.Go(func() error { return p.dialer.Run(x) })
 	g.Go(func() error { return p.ranker.Run(x) })
 	g.Go(func() error { return p.witness.Run(x) })
-	g.Go(func() error { return p.loopYield(x) })
-	g.Go(func() error { return p.loopGauge(x) })
+	g.Go(func() error { return p.loopShrink(x) })
+	g.Go(func() error { return p.loopMetrics(x) })
 	if p.keeper != nil {
 		g.Go(func() error { return p.keeper.Run(x) })
-		g.Go(func() error { return p.loopSight(x) })
+		g.Go(func() error { return p.loopMembers(x) })
 	}
 	err := g.Wait()
 	_ = p.transport.Close()
@@ -192,7 +195,9 @@
 	return err
 }
 
-// membersChanged ends what waits for hosts that are gone.
+// membersChanged stores the live hosts and has all groups check again whether this host serves
+// them. For hosts that aren't live it aborts leases, whose callers would otherwise wait for them,
+// and removes recorded failures.
 func (p *peers) membersChanged(live []assigner.Host) {
 	l := make(map[string]bool, len(live))
 	m := make(map[string]assigner.Host, len(live))
@@ -210,27 +215,27 @@
 	}
 }
 
-// yieldInterval is the time between two looks for connections to give up.
-const yieldInterval = 100 * time.Millisecond
+// shrinkInterval is the time between two calls of pools.shrink.
+const shrinkInterval = 100 * time.Millisecond
 
-// loopYield closes, little by little, the idle connections of pools that this
-// host doesn't own any more. Closing them at once would have their successors
-// connect at once.
-func (p *peers) loopYield(ctx context.Context) error {
-	t, x := p.host.Clock.Ticks(yieldInterval)
+// loopShrink gradually closes the idle connections of pools that this host doesn't own. Closing all
+// of them together would make the new owners open all their connections together.
+func (p *peers) loopShrink(ctx context.Context) error {
+	t, x := p.host.Clock.Ticks(shrinkInterval)
 	defer x.Cancel()
 	for {
 		select {
 		case now := <-t:
-			p.pools.yield(ctx, now)
+			p.pools.shrink(ctx, now)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// leave hands over what this host owns. It comes before the wait for this
-// host's own callers, so that the next owners have their connections by then.
+// leave refuses new leases and announces that this host is leaving, so that its pools get new
+// owners. It is called before the wait for this host's own callers, so that the new owners have
+// opened their connections by the end of that wait.
 func (p *peers) leave() {
 	p.granter.Leave()
 	if p.keeper != nil {
@@ -238,8 +243,8 @@
 	}
 }
 
-// drain waits until other hosts have given back what they borrowed, or ctx
-// ends; it returns how many haven't.
+// drain waits until other hosts have returned all leased connections or ctx ends, and then
+// announces that this host is stopping. It returns the number of leases that are still open.
 func (p *peers) drain(ctx context.Context) int {
 	if p.keeper != nil {
 		defer p.keeper.Depart(ctx)
@@ -256,10 +261,10 @@
 	return 0
 }
 
-// drainInterval is the time between two looks for borrowed connections.
+// drainInterval is the time between two checks for open leases.
 const drainInterval = 10 * time.Millisecond
 
-// PeerTraffic returns what this host has sent to others and received from them.
+// PeerTraffic returns the traffic between this host and its peers so far.
 func (h *Host) PeerTraffic() linker.Traffic {
 	if h.peers == nil {
 		return linker.Traffic{}
@@ -267,8 +272,8 @@
 	return h.peers.links.Traffic()
 }
 
-// ClosePeerSocket closes the socket for peers without a word, as the death of the
-// process does; Run must be ended afterwards.
+// ClosePeerSocket closes the socket for peers without notifying them, as a crash of the process
+// does. The context of Run must be cancelled afterwards.
 func (h *Host) ClosePeerSocket() {
 	if h.peers != nil {
 		_ = h.peers.transport.Conn.Close()
--- a/internal/host/runner/polls.go
+++ b/internal/host/runner/polls.go
@@ -8,17 +8,18 @@
 	"github.com/cuminwick/cuminwick/internal/metric/collector"
 )
 
-// polls takes a group's counts of status polls and of questions to serving hosts
-// over into the metrics.
-type polls struct {
+// pollMetrics adds a group's counts of status polls and of questions to serving hosts to the
+// metrics.
+type pollMetrics struct {
 	switcher      *switcher.Switcher
 	counters      [pacer.CauseCount]prometheus.Counter
 	asked, failed prometheus.Counter
-	last          switcher.Counts
+	// last holds the counts that the metrics include.
+	last switcher.Counts
 }
 
-func newPolls(s *switcher.Switcher, c *collector.Collector) *polls {
-	p := &polls{switcher: s}
+func newPollMetrics(s *switcher.Switcher, c *collector.Collector) *pollMetrics {
+	p := &pollMetrics{switcher: s}
 	for i := range p.counters {
 		p.counters[i] = c.StatusPolls.WithLabelValues(pacer.Cause(i).String())
 	}
@@ -27,7 +28,7 @@
 	return p
 }
 
-func (p *polls) step() {
+func (p *pollMetrics) update() {
 	n := p.switcher.Counts()
 	for i := range p.counters {
 		p.counters[i].Add(float64(n.Polls[i] - p.last.Polls[i]))
--- a/internal/host/runner/reconciler.go
+++ b/internal/host/runner/reconciler.go
@@ -21,34 +21,39 @@
 	"github.com/cuminwick/cuminwick/internal/route/director"
 )
 
-// reconciler keeps what serves the database groups in step with the
-// configuration in force.
+// reconciler starts and stops the serving of database groups as the configuration in force
+// requires.
 type reconciler struct {
 	host   *Host
 	dialer *dialer.Dialer
 
-	groups map[string]*running
-	wait   sync.WaitGroup
+	// groups holds the served groups by name.
+	groups map[string]*servedGroup
+	// wait counts the goroutines of all groups.
+	wait sync.WaitGroup
 }
 
-// running is one database group that is being served.
-type running struct {
+// servedGroup holds what serves one database group. It is replaced when the declaration of the
+// group changes.
+type servedGroup struct {
 	group *director.Group
 	// switcher is the group's Driver.
 	switcher *switcher.Switcher
-	lenders  []*lender.Lender
-	// direct lend the connections of a host that reaches no pool owner.
-	direct []*lender.Lender
-	shares []share
-	stop   context.CancelFunc
+	// lenders lend the connections of this host's own pools, one lender for each backend server.
+	lenders []*lender.Lender
+	// directLenders lend the connections that are used while no pool owner can be reached.
+	directLenders []*lender.Lender
+	registrations []poolRegistration
+	// stop ends the goroutines of the group.
+	stop context.CancelFunc
 }
 
-// Run follows the configuration until ctx ends.
+// Run applies each new configuration until ctx ends, and then stops all groups.
 func (r *reconciler) Run(ctx context.Context) error {
-	r.groups = make(map[string]*running)
+	r.groups = make(map[string]*servedGroup)
 	defer r.close()
 	for {
-		r.step(ctx)
+		r.reconcile(ctx)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -57,8 +62,8 @@
 	}
 }
 
-// step makes the newest configuration the one in force here.
-func (r *reconciler) step(ctx context.Context) {
+// reconcile puts the newest configuration in force at this host.
+func (r *reconciler) reconcile(ctx context.Context) {
 	n, f := r.host.Source.Current()
 	if f == nil {
 		return
@@ -68,64 +73,65 @@
 		return
 	}
 	t := &director.Runtime{Revision: n, File: f, Groups: make(map[string]*director.Group)}
-	keep := make(map[string]*running)
+	served := make(map[string]*servedGroup)
 	for _, g := range f.DatabaseGroups {
-		keep[g.Name] = r.ensure(ctx, g)
-		r.limit(keep[g.Name], f)
-		t.Groups[g.Name] = keep[g.Name].group
+		served[g.Name] = r.ensure(ctx, g)
+		r.applyLimits(served[g.Name], f)
+		t.Groups[g.Name] = served[g.Name].group
 		t.Names = append(t.Names, g.Name)
 	}
 	t.Compile(c)
-	r.host.update(ctx, configured{runtime: t}.write)
+	r.host.update(ctx, configurationWrite{runtime: t}.write)
 	if r.host.peers != nil {
-		// Hosts may have come or gone between the start of a group and now.
+		// The set of live hosts may have changed since the groups were started.
 		r.host.peers.reconsider()
 	}
 	if d, ok := r.host.Source.(RevisionTracker); ok {
 		d.Decided(n)
 	}
 	r.host.collector.Revision.Set(float64(n))
-	r.retire(keep)
+	r.retire(served)
 	r.host.Log.WithField("revision", n).WithField("database-groups", len(f.DatabaseGroups)).Info("configuration in force")
 }
 
-// ensure returns the running group for g, a new one where its servers changed.
-func (r *reconciler) ensure(ctx context.Context, g file.DatabaseGroup) *running {
+// ensure returns the present servedGroup for g, or starts a new one if there is none with the same
+// declaration.
+func (r *reconciler) ensure(ctx context.Context, g file.DatabaseGroup) *servedGroup {
 	if o := r.groups[g.Name]; o != nil && reflect.DeepEqual(o.group.Declared, g) {
 		return o
 	}
 	x, stop := context.WithCancel(ctx)
-	n := &running{stop: stop, group: &director.Group{Declared: g, Lessors: make(map[string]lessor.Lessor)}}
+	n := &servedGroup{stop: stop, group: &director.Group{Declared: g, Lessors: make(map[string]lessor.Lessor)}}
 	c := make(map[string]controller.Control)
 	for _, b := range g.BackendServers {
 		c[b.Name] = r.host.Control(g.Name, b)
-		n.group.Lessors[b.Name] = r.lessor(n, g.Name, b)
+		n.group.Lessors[b.Name] = r.newLessor(n, g.Name, b)
 	}
-	n.switcher = r.switcher(g, c)
+	n.switcher = r.newSwitcher(g, c)
 	n.group.Driver = n.switcher
 	r.wait.Add(1)
 	n.group.Prepare()
-	p := &part{reconciler: r, group: n}
+	p := &groupRunner{reconciler: r, group: n}
 	r.wait.Add(2)
-	go p.loopWatch(x)
+	go p.loopMonitor(x)
 	go p.loopExpire(x)
 	go p.run(x)
 	return n
 }
 
-// lessor makes what lends connections to a backend server.
-func (r *reconciler) lessor(n *running, group string, b file.BackendServer) lessor.Lessor {
+// newLessor creates the lessor of connections to a backend server.
+func (r *reconciler) newLessor(n *servedGroup, group string, b file.BackendServer) lessor.Lessor {
 	k := &keeper.Keeper{Server: b, Database: group, Opener: r.dialer, Clock: r.host.Clock, Log: r.host.Log}
-	l := &lender.Lender{Keeper: k, Gate: r.gate(b), Canceller: r.dialer, Prober: r.prober(group, b), SlotWaitSeconds: r.host.collector.QueueSeconds}
+	l := &lender.Lender{Keeper: k, Gate: r.newGate(b), Canceller: r.dialer, Prober: r.newProber(group, b), SlotWaitSeconds: r.host.collector.QueueSeconds}
 	n.lenders = append(n.lenders, l)
-	return r.share(n, group, b, l)
+	return r.newSharedLessor(n, group, b, l)
 }
 
-func (r *reconciler) gate(b file.BackendServer) *gate.Gate {
+func (r *reconciler) newGate(b file.BackendServer) *gate.Gate {
 	return &gate.Gate{BackendServer: b.Name, Queue: admitter.Queue{Slots: max(1, b.Slots)}, Clock: r.host.Clock}
 }
 
-func (r *reconciler) prober(group string, b file.BackendServer) *prober.Prober {
+func (r *reconciler) newProber(group string, b file.BackendServer) *prober.Prober {
 	return &prober.Prober{
 		Address:         b.Address,
 		User:            r.dialer.User,
@@ -137,11 +143,11 @@
 	}
 }
 
-// probeTimeout bounds one question about a connection gone silent.
+// probeTimeout bounds one probe of a connection that stopped responding.
 const probeTimeout = time.Second
 
-// limit puts the queues' limits of f in force.
-func (r *reconciler) limit(g *running, f *file.File) {
+// applyLimits sets the queue length and the limits of the teams of f at all gates of g.
+func (r *reconciler) applyLimits(g *servedGroup, f *file.File) {
 	n := f.Limits.QueueLength
 	if n == 0 {
 		n = r.host.Settings.Limits.QueueLength
@@ -150,7 +156,7 @@
 	for _, m := range f.Teams {
 		t[m.Name] = admitter.TeamLimit{Share: m.Share, Requests: m.RequestLimit}
 	}
-	for _, l := range slices.Concat(g.lenders, g.direct) {
+	for _, l := range slices.Concat(g.lenders, g.directLenders) {
 		l.Gate.Adjust(func(q *admitter.Queue) {
 			q.Length = n
 			q.Teams = t
@@ -158,37 +164,38 @@
 	}
 }
 
-// part looks after one group.
-type part struct {
+// groupRunner runs the loops of one group.
+type groupRunner struct {
 	reconciler *reconciler
-	group      *running
+	group      *servedGroup
 }
 
-func (p *part) run(ctx context.Context) {
+// run runs the group's switcher until ctx ends.
+func (p *groupRunner) run(ctx context.Context) {
 	defer p.reconciler.wait.Done()
 	if err := p.group.switcher.Run(ctx); err != nil && ctx.Err() == nil {
-		p.reconciler.host.Log.WithError(err).WithField("step", "drive group").WithField("peer", p.group.group.Declared.Name).Error("database group not driven")
+		p.reconciler.host.Log.WithError(err).WithField("step", "drive group").WithField("peer", p.group.group.Declared.Name).Error("switcher of database group failed")
 	}
 }
 
-// retire stops groups that aren't configured. Requests that still run
-// keep their connections, which close when they come back.
-func (r *reconciler) retire(keep map[string]*running) {
+// retire stops all groups but the given ones, which become the served ones. Requests that still run
+// keep their connections, which are closed when they are released.
+func (r *reconciler) retire(served map[string]*servedGroup) {
 	for n, g := range r.groups {
-		if keep[n] != g {
+		if served[n] != g {
 			g.close()
 		}
 	}
-	r.groups = keep
+	r.groups = served
 }
 
-func (g *running) close() {
+func (g *servedGroup) close() {
 	g.stop()
-	for _, l := range slices.Concat(g.lenders, g.direct) {
+	for _, l := range slices.Concat(g.lenders, g.directLenders) {
 		l.Keeper.Close()
 	}
-	for i := range g.shares {
-		g.shares[i].close()
+	for i := range g.registrations {
+		g.registrations[i].release()
 	}
 }
 
--- a/internal/host/runner/roster.go
+++ b/internal/host/runner/roster.go
@@ -7,24 +7,29 @@
 	"github.com/cuminwick/cuminwick/internal/pool/ranker"
 )
 
-// Members tells which entry hosts are live and where.
+// Members provides the live entry hosts and their addresses.
 type Members interface {
 	ranker.Members
-	// Locate returns the address on which a host listens for peers.
+	// Locate returns the address at which a host listens for peers; ok is false for an unknown
+	// host.
 	Locate(host string) (address string, ok bool)
 }
 
-// Roster is Members as told by its user. Its zero value has no member.
+// Roster implements Members with a list that its user maintains, in place of heartbeats. Its zero
+// value has no members. All methods may be called from any goroutine.
 type Roster struct {
-	mu        sync.Mutex
-	hosts     []assigner.Host
+	mu sync.Mutex
+	// hosts is replaced rather than modified, since Live returns it.
+	hosts []assigner.Host
+	// addresses holds the peer addresses by host name.
 	addresses map[string]string
-	changed   chan struct{}
+	// changed is closed at the next change, nil if nobody has asked for it.
+	changed chan struct{}
 }
 
 var _ Members = (*Roster)(nil)
 
-// Set adds a host, or changes what is known of it.
+// Set adds a host or replaces its properties and address.
 func (r *Roster) Set(h assigner.Host, address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -50,7 +55,7 @@
 	r.notify()
 }
 
-// RemoveAt takes a host out, unless it has come back under another address.
+// RemoveAt removes a host, unless it has since been set with another address.
 func (r *Roster) RemoveAt(name, address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,7 +92,7 @@
 	return a, ok
 }
 
-// drop makes a new list without the host; the old one may be in use.
+// drop replaces the list by a copy without the host, since Live may have returned the old list.
 func (r *Roster) drop(name string) {
 	var l []assigner.Host
 	for _, h := range r.hosts {
@@ -98,6 +103,7 @@
 	r.hosts = l
 }
 
+// notify closes the channel that Changed returned.
 func (r *Roster) notify() {
 	if r.changed != nil {
 		close(r.changed)
--- a/internal/host/runner/runner.go
+++ b/internal/host/runner/runner.go
@@ -36,75 +36,81 @@
 	"github.com/cuminwick/cuminwick/internal/statement/classifier"
 )
 
-// ErrNotReady is what the readiness check answers before there is a configuration.
+// ErrNotReady is returned by the readiness check before the first configuration is in force.
 const ErrNotReady = errors.ConstError("no configuration in force")
 
-// RevisionTracker is a Source that is told which revision this host decides by already.
+// RevisionTracker is a Source that is notified when this host has put a revision in force.
 type RevisionTracker interface {
-	// Decided takes in that requests are decided by revision r from now on.
+	// Decided is called when all new requests are processed under revision r.
 	Decided(r uint64)
 }
 
-// Source tells which configuration is in force.
+// Source provides the configuration that is to be in force.
 type Source interface {
-	// Run follows the configuration until ctx ends.
+	// Run keeps the configuration up to date until ctx ends.
 	Run(ctx context.Context) error
-	// Current returns the revision in force and its file, nil before the first.
+	// Current returns the present revision and its file, nil before the first one.
 	Current() (uint64, *file.File)
 	// Changed returns a channel that receives after each change.
 	Changed() <-chan struct{}
 }
 
-// Component is something that runs beside the host.
+// Component is a part of the process that runs as long as the host does.
 type Component interface {
+	// Run runs until ctx ends. An error before that stops the host.
 	Run(ctx context.Context) error
 }
 
-// Host is one entry host. The exported fields are set before Run.
+// Host is one entry host. The exported fields are set before Listen, which is called before Run.
 type Host struct {
 	Settings declarer.Settings
+	// Platform, if set, is used by the drivers of groups and, with Gossip, as a source of hosts to
+	// contact.
 	Platform accessor.Platform
 	Source   Source
-	// Control makes the control side of a backend server.
+	// Control creates the client for control calls to a backend server of a group.
 	Control func(group string, b file.BackendServer) controller.Control
-	// Dial opens TCP connections to backend servers, nil for the plain dialer.
+	// Dial opens TCP connections to backend servers. If it is nil, a net.Dialer is used.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// PrimaryReads sends all reads to the primary, as a baseline to measure against.
+	// PrimaryReads sends all reads to the primary, as a baseline for measurements.
 	PrimaryReads bool
-	// ListenPacket opens UDP sockets for peers, net.ListenUDP if nil.
+	// ListenPacket opens UDP sockets for peers. If it is nil, net.ListenUDP is used.
 	ListenPacket func(a *net.UDPAddr) (net.PacketConn, error)
-	Marks        server.Marks
-	LogEncoder   *encoder.Encoder
-	// DriverSettings holds the intervals and thresholds of failover, driver.Defaults if zero.
+	// Marks signs and verifies the marks of sessions.
+	Marks server.Marks
+	// LogEncoder, if set, receives routing decisions. Its dropped lines are counted.
+	LogEncoder *encoder.Encoder
+	// DriverSettings holds the intervals and thresholds of failover. If it is zero, driver.Defaults
+	// is used.
 	DriverSettings driver.Settings
-	// MinimumPeerTimeout is the least time that another entry host is given to be
-	// connected to and to take a request on, a second at most if zero.
+	// MinimumPeerTimeout is a lower bound of the timeouts for connecting to another entry host and
+	// for its accepting a request. If it is zero, these timeouts are at most a second.
 	MinimumPeerTimeout time.Duration
-	// Clock is the timer service of all parts; Listen makes one if it is nil.
-	// The host runs it.
+	// Clock is the timer service of all components. Listen creates one if it is nil. Run runs it.
 	Clock *scheduler.Scheduler
 	Log   log.Interface
-	// Members tells which other entry hosts there are. Without it they are
-	// found by heartbeats if Gossip is set, and else the host is alone.
+	// Members provides the other entry hosts. If it is nil, they are discovered by heartbeats if
+	// Gossip is set, else the host has no peers.
 	Members Members
 	Gossip  bool
-	// Securer secures the connections between entry hosts, nil to read the
-	// files that the settings name.
+	// Securer secures the connections between entry hosts. If it is nil, the certificate files in
+	// the settings are used.
 	Securer *securer.Securer
 
-	// Routes serve further kinds of request of other entry hosts.
+	// Routes serve additional kinds of request of other entry hosts.
 	Routes []peerlistener.Route
-	// Components run beside the host, once it listens and until it stops.
+	// Components are run by Run, until the host stops.
 	Components []Component
-	// Authenticator proves who callers are; without it all are trusted.
+	// Authenticator authenticates callers. If it is nil, all callers are trusted.
 	Authenticator listener.Authenticator
-	// CallerTLS offers TLS to callers, if it is set.
+	// CallerTLS returns the TLS configuration for callers. If it is nil, TLS isn't offered.
 	CallerTLS func() *tls.Config
-	// Administration answers on the administration address beside metrics and
-	// health checks, over AdministrationTLS if that is set.
+	// Administration serves the administration address in addition to metrics and health checks,
+	// over TLS if AdministrationTLS is set.
 	Administration    http.Handler
 	AdministrationTLS *tls.Config
 
+	// peers is nil for a host without peers.
 	peers *peers
 
 	director   *director.Director
@@ -113,18 +119,21 @@
 	meter      *meter
 	listener   *listener.Listener
 	reconciler *reconciler
-	admin      net.Listener
-	sessions   atomic.Uint64
-	// board holds what the host's controllers share.
+	// admin listens for administration.
+	admin net.Listener
+	// sessions is the id of the last session.
+	sessions atomic.Uint64
+	// board holds the state that the host's controllers share.
 	board blackboard.Board[State]
-	// sighted wakes what brings a new view of the members to the board.
-	sighted chan struct{}
+	// membersSignal wakes the loop that writes a new view of the members to the board.
+	membersSignal chan struct{}
 	// drain is closed by StartDrain.
 	drain     chan struct{}
 	drainOnce sync.Once
 }
 
-// Listen opens the host's addresses; afterwards Address tells the actual ones.
+// Listen opens the host's listeners and creates its components. Afterwards Address,
+// AdministrationAddress and PeerAddress return the actual addresses.
 func (h *Host) Listen() error {
 	n, err := net.Listen("tcp", h.Settings.Callers.Address)
 	if err != nil {
@@ -146,25 +155,26 @@
 		return err
 	}
 	h.listener.Canceller = h.peers.cancels
-	h.Control = sharedControl{peers: h.peers, local: h.Control}.make
+	h.Control = controlFactory{peers: h.peers, local: h.Control}.create
 	return nil
 }
 
-// Address returns the address that callers connect to.
+// Address returns the address at which the host listens for callers.
 func (h *Host) Address() string {
 	return h.listener.Network.Addr().String()
 }
 
-// AdministrationAddress returns the address of metrics and health checks.
+// AdministrationAddress returns the address of administration, metrics and health checks.
 func (h *Host) AdministrationAddress() string {
 	return h.admin.Addr().String()
 }
 
-// Director returns the host's director, for tests and the demo.
+// Director returns the host's director. It is used by tests and the demo.
 func (h *Host) Director() *director.Director {
 	return h.director
 }
 
+// assemble creates the components that don't depend on peers; n listens for callers.
 func (h *Host) assemble(n net.Listener) {
 	if h.DriverSettings == (driver.Settings{}) {
 		h.DriverSettings = driver.Defaults()
@@ -173,7 +183,7 @@
 		h.Clock = new(scheduler.Scheduler)
 	}
 	h.drain = make(chan struct{})
-	h.sighted = make(chan struct{}, 1)
+	h.membersSignal = make(chan struct{}, 1)
 	h.classifier = new(classifier.Classifier)
 	h.collector = collector.New()
 	h.meter = newMeter(h)
@@ -188,7 +198,7 @@
 	if h.LogEncoder != nil {
 		h.director.Decisions = h.LogEncoder
 	}
-	h.reconciler = &reconciler{host: h, dialer: h.dialer()}
+	h.reconciler = &reconciler{host: h, dialer: h.newDialer()}
 	h.listener = &listener.Listener{
 		Network:            n,
 		Sessions:           h,
@@ -202,7 +212,8 @@
 	}
 }
 
-func (h *Host) dialer() *dialer.Dialer {
+// newDialer creates the dialer for connections to backend servers.
+func (h *Host) newDialer() *dialer.Dialer {
 	return &dialer.Dialer{
 		User:            h.Settings.Backend.User,
 		Password:        h.Settings.Backend.Password,
@@ -212,8 +223,9 @@
 	}
 }
 
-// Run serves until ctx ends or, once drain is closed, until no request is in
-// progress. It returns how many callers were cut off by an error.
+// Run serves until ctx ends or, after drain is closed or StartDrain is called, until no request is
+// in progress. If the drain timeout passes before, it returns an error with the number of callers
+// that were cut off.
 func (h *Host) Run(ctx context.Context, drain <-chan struct{}) error {
 	x, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -226,26 +238,28 @@
 		Ready:          h.ready,
 		Administration: h.Administration,
 	}
-	g.Go(companion{ctx: y, step: h.Clock.Run}.run)
-	g.Go(companion{ctx: y, step: h.board.Run}.run)
-	g.Go(companion{ctx: y, step: s.Run}.run)
-	g.Go(companion{ctx: y, step: h.Source.Run}.run)
-	g.Go(companion{ctx: y, step: h.reconciler.Run}.run)
-	g.Go(companion{ctx: y, step: h.listener.Run}.run)
-	g.Go(companion{ctx: y, step: h.meter.loop}.run)
+	g.Go(task{ctx: y, function: h.Clock.Run}.run)
+	g.Go(task{ctx: y, function: h.board.Run}.run)
+	g.Go(task{ctx: y, function: s.Run}.run)
+	g.Go(task{ctx: y, function: h.Source.Run}.run)
+	g.Go(task{ctx: y, function: h.reconciler.Run}.run)
+	g.Go(task{ctx: y, function: h.listener.Run}.run)
+	g.Go(task{ctx: y, function: h.meter.loop}.run)
 	if h.peers != nil {
-		g.Go(companion{ctx: y, step: h.peers.run}.run)
+		g.Go(task{ctx: y, function: h.peers.run}.run)
 	}
 	for _, p := range h.Components {
-		g.Go(companion{ctx: y, step: p.Run}.run)
+		g.Go(task{ctx: y, function: p.Run}.run)
 	}
 	w := &drainer{host: h, ctx: y, stop: cancel, drain: drain}
 	g.Go(w.run)
 	return g.Wait()
 }
 
+// alive is the liveness check, which succeeds whenever the process responds.
 func alive() error { return nil }
 
+// ready is the readiness check. It returns server.ErrStopping or ErrNotReady.
 func (h *Host) ready() error {
 	s := h.board.Read()
 	if s.Draining.Value {
@@ -257,7 +271,7 @@
 	return nil
 }
 
-// Session implements listener.Sessions.
+// Session implements listener.Sessions. The database defaults to the user, as in PostgreSQL.
 func (h *Host) Session(g greeter.Greeting, k greeter.CancelKey) (*server.Session, error) {
 	d := g.Parameters["database"]
 	if d == "" {
@@ -285,7 +299,7 @@
 	}, nil
 }
 
-// limits returns the limits in force, with this host's settings as defaults.
+// limits returns the limits of the configuration in force, with defaults for unset timeouts.
 func (h *Host) limits() file.Limits {
 	var l file.Limits
 	if r := h.runtime(); r != nil {
@@ -295,13 +309,14 @@
 		l.RequestTimeout = h.Settings.Limits.RequestTimeout
 	}
 	if l.IdleInTransactionTimeout == 0 {
-		l.IdleInTransactionTimeout = defaultIdleInTransaction
+		l.IdleInTransactionTimeout = defaultIdleInTransactionTimeout
 	}
 	return l
 }
 
-// defaultIdleInTransaction is how long a caller may sit idle in a transaction.
-const defaultIdleInTransaction = time.Minute
+// defaultIdleInTransactionTimeout is how long a caller may be idle in a transaction if the
+// configuration sets no limit.
+const defaultIdleInTransactionTimeout = time.Minute
 
 // serverParameters are reported to callers at the start of a session.
 var serverParameters = map[string]string{
--- a/internal/host/runner/serving.go
+++ b/internal/host/runner/serving.go
@@ -19,12 +19,12 @@
 	"github.com/cuminwick/cuminwick/internal/pool/assigner"
 )
 
-// switcher makes what looks after a group, with the control sides of its servers.
-func (r *reconciler) switcher(g file.DatabaseGroup, c map[string]controller.Control) *switcher.Switcher {
-	n := &node{host: r.host, group: g, controls: c, peers: r.driverPeers()}
+// newSwitcher creates the switcher of a group; c holds the control clients by backend server.
+func (r *reconciler) newSwitcher(g file.DatabaseGroup, c map[string]controller.Control) *switcher.Switcher {
+	n := &groupCallbacks{host: r.host, group: g, controls: c, peers: r.driverPeers()}
 	s := &switcher.Switcher{
-		NewDriver:   n.driver,
-		NewFollower: n.follower,
+		NewDriver:   n.newDriver,
+		NewFollower: n.newFollower,
 		Appointed:   n.appointed,
 		Settings:    r.host.DriverSettings,
 		Clock:       r.host.Clock,
@@ -35,8 +35,8 @@
 	return s
 }
 
-// node is this host's place in one database group.
-type node struct {
+// groupCallbacks holds the functions that the switcher of one database group calls.
+type groupCallbacks struct {
 	host     *Host
 	group    file.DatabaseGroup
 	controls map[string]controller.Control
@@ -44,7 +44,7 @@
 	switcher *switcher.Switcher
 }
 
-func (n *node) driver(w *scheduler.Stopwatch) *driver.Driver {
+func (n *groupCallbacks) newDriver(w *scheduler.Stopwatch) *driver.Driver {
 	return &driver.Driver{
 		Group:     n.group,
 		Host:      n.host.Settings.HostName,
@@ -58,11 +58,11 @@
 	}
 }
 
-func (n *node) follower(w *scheduler.Stopwatch) *follower.Follower {
+func (n *groupCallbacks) newFollower(w *scheduler.Stopwatch) *follower.Follower {
 	p := n.host.peers
 	return &follower.Follower{
 		Group:      n.group,
-		Hosts:      n.turns,
+		Hosts:      n.servingHostsByDistance,
 		Ask:        p.askServing,
 		HandOverAt: p.askHandOver,
 		Settings:   n.host.DriverSettings,
@@ -72,28 +72,28 @@
 	}
 }
 
-// appointed reports whether this host serves the group. One that knows of nobody
-// does, and one that is leaving goes on with what it does: its callers would
-// otherwise have to wait for the change as well.
-func (n *node) appointed() bool {
+// appointed reports whether this host is to serve the group. It is if no serving host is known. A
+// host that is leaving keeps its part, since its callers would otherwise have to wait for the
+// switch.
+func (n *groupCallbacks) appointed() bool {
 	p := n.host.peers
 	if p == nil {
 		return true
 	}
 	self := n.host.Settings.HostName
-	if p.leaving(self) {
+	if p.isLeaving(self) {
 		return n.switcher.Driver() != nil
 	}
-	l := p.serving(n.group)
+	l := p.servingHostsOf(n.group)
 	return len(l) == 0 || slices.Contains(l, self)
 }
 
-// turns returns the serving hosts in the order in which this host turns to them.
-func (n *node) turns() []string {
+// servingHostsByDistance returns the serving hosts in the order in which this host contacts them.
+func (n *groupCallbacks) servingHostsByDistance() []string {
 	p := n.host.peers
-	m := p.places()
+	m := p.liveHosts()
 	var l []appointer.Location
-	for _, h := range p.serving(n.group) {
+	for _, h := range p.servingHostsOf(n.group) {
 		o := m[h]
 		l = append(l, appointer.Location{Name: h, AvailabilityZone: o.AvailabilityZone, Region: o.Region})
 	}
@@ -101,46 +101,46 @@
 	return appointer.OrderByDistance(appointer.Location{Name: s.HostName, AvailabilityZone: s.AvailabilityZone, Region: s.Region}, l)
 }
 
-// places returns the live entry hosts by name.
-func (p *peers) places() map[string]assigner.Host {
+// liveHosts returns the live entry hosts by name. The result must not be changed.
+func (p *peers) liveHosts() map[string]assigner.Host {
 	if m := p.live.Load(); m != nil {
 		return *m
 	}
 	return nil
 }
 
-func (p *peers) leaving(host string) bool {
-	return p.places()[host].Leaving
+func (p *peers) isLeaving(host string) bool {
+	return p.liveHosts()[host].Leaving
 }
 
-// serving returns the serving hosts of a group.
-func (p *peers) serving(g file.DatabaseGroup) []string {
-	m := p.places()
+// servingHostsOf returns the serving hosts of a declared group.
+func (p *peers) servingHostsOf(g file.DatabaseGroup) []string {
+	m := p.liveHosts()
 	z := make(map[string]string, len(m))
 	for n, h := range m {
 		z[n] = h.AvailabilityZone
 	}
-	return appointer.ServingHosts(p.ranker, z, g, p.host.servingHosts())
+	return appointer.ServingHosts(p.ranker, z, g, p.host.servingHostsPerServer())
 }
 
-// servingHosts returns how many hosts serve for each backend server.
-func (h *Host) servingHosts() int {
+// servingHostsPerServer returns the number of serving hosts for each backend server.
+func (h *Host) servingHostsPerServer() int {
 	if n := h.Settings.Peers.ServingHosts; n > 0 {
 		return n
 	}
 	return appointer.DefaultHostsPerServer
 }
 
-// servingHosts returns the serving hosts of the named group.
+// servingHosts returns the serving hosts of the named group, none for an unknown group.
 func (p *peers) servingHosts(group string) []string {
 	r := p.host.director.Runtime()
 	if r == nil || r.Groups[group] == nil {
 		return nil
 	}
-	return p.serving(r.Groups[group].Declared)
+	return p.servingHostsOf(r.Groups[group].Declared)
 }
 
-// reconsider has all groups look whether this host still serves them.
+// reconsider has all groups check again whether this host is to serve them.
 func (p *peers) reconsider() {
 	r := p.host.director.Runtime()
 	if r == nil {
@@ -157,15 +157,18 @@
 	return dialer.Call[informer.Question, informer.Answer](ctx, p.dialer, host, informer.KindQuestion, q)
 }
 
-// Bounds of a hand-over's wait for a serving host that failed to answer a moment ago.
+// How a hand-over retries while the dialer backs off from the serving host.
 const (
-	// handOverWait is longer than most backoffs after one lost connection.
-	handOverWait  = 3 * time.Second
+	// handOverWait is how long retries are started. It is longer than most backoffs after one lost
+	// connection.
+	handOverWait = 3 * time.Second
+	// handOverRetry is the pause before a retry.
 	handOverRetry = 100 * time.Millisecond
 )
 
-// askHandOver waits out the backoff of a connection that was lost a moment ago:
-// nothing was sent yet, and an operator's command would fail though the host is well.
+// askHandOver requests a hand-over at a serving host. While the dialer backs off after a lost
+// connection, it retries: nothing was sent yet, and the operator's command would otherwise fail
+// although the host may be healthy again.
 func (p *peers) askHandOver(ctx context.Context, host string, q informer.HandOver) (informer.HandedOver, error) {
 	end := time.Now().Add(handOverWait)
 	for {
@@ -183,9 +186,9 @@
 	return dialer.Call[informer.HandOver, informer.HandedOver](ctx, p.dialer, host, informer.KindHandOver, q)
 }
 
-// driverOf returns the driver that this host runs for a group and the digest of the
-// group's servers.
-func (h *Host) driverOf(group string) (*driver.Driver, uint64) {
+// findDriver returns the driver that this host runs for a group, nil if it runs none, and the
+// digest of the group's servers.
+func (h *Host) findDriver(group string) (*driver.Driver, uint64) {
 	r := h.director.Runtime()
 	if r == nil || r.Groups[group] == nil {
 		return nil, 0
@@ -198,7 +201,7 @@
 	return s.Driver(), informer.DigestServers(g.Declared)
 }
 
-// Part returns what this host does for a group.
+// Part returns the part of this host in a group, empty for an unknown group.
 func (h *Host) Part(group string) switcher.Part {
 	if r := h.director.Runtime(); r != nil && r.Groups[group] != nil {
 		if s, ok := r.Groups[group].Driver.(*switcher.Switcher); ok {
--- a/internal/host/runner/sharing.go
+++ b/internal/host/runner/sharing.go
@@ -16,42 +16,44 @@
 )
 
 const (
-	// directConnections are those that a host opens to a backend server whose
-	// owners it can't reach. They come out of the reserved ones.
+	// directConnections is the number of connections that a host opens to a backend server while it
+	// can't reach the owners of the server's pool. They are taken from the reserved connections.
 	directConnections = 1
-	// yieldShare is the divisor of the idle connections closed at each look,
-	// so that a pool is empty after about a second.
-	yieldShare = 5
-	// controlIdle is how long an unused control connection stays open.
-	controlIdle = 2 * time.Second
+	// shrinkDivisor is the part of the open connections that are closed at each shrinkInterval if
+	// they are idle: one in shrinkDivisor, and one more. A pool is empty after about a second.
+	shrinkDivisor = 5
+	// controlIdleTimeout is how long an unused control connection is kept open.
+	controlIdleTimeout = 2 * time.Second
 )
 
-// poolName names the pool of a backend server.
+// poolName identifies the pool of a backend server.
 type poolName struct {
 	group  string
 	server string
 }
 
-// sharing is a backend server's pool as this host shares it.
-type sharing struct {
+// sharedPool holds what this host uses to share a backend server's pool with other hosts.
+type sharedPool struct {
 	delegator *delegator.Delegator
-	keepers   []*keeper.Keeper
-	relayer   *relayer.Relayer
+	// keepers hold this host's own connections for requests, pooled and direct ones.
+	keepers []*keeper.Keeper
+	// relayer makes control calls.
+	relayer *relayer.Relayer
 }
 
-// pools holds the pools of all backend servers by name.
+// pools holds the shared pools of all backend servers by name.
 type pools struct {
 	mu  sync.Mutex
-	all map[poolName]*sharing
+	all map[poolName]*sharedPool
 }
 
-// ensure returns the sharing of a pool, a new one at first.
-func (p *pools) ensure(n poolName) *sharing {
+// ensure returns the sharedPool with the given name, creating it if needed. The caller holds mu.
+func (p *pools) ensure(n poolName) *sharedPool {
 	if p.all == nil {
-		p.all = make(map[poolName]*sharing)
+		p.all = make(map[poolName]*sharedPool)
 	}
 	if p.all[n] == nil {
-		p.all[n] = &sharing{}
+		p.all[n] = &sharedPool{}
 	}
 	return p.all[n]
 }
@@ -67,6 +69,7 @@
 	return s.delegator.Pool
 }
 
+// relayer returns the relayer of a backend server, nil if there is none.
 func (p *pools) relayer(group, server string) *relayer.Relayer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,48 +80,50 @@
 	return s.relayer
 }
 
-// yield closes connections that this host has no more use for.
-func (p *pools) yield(ctx context.Context, now time.Time) {
+// shrink closes control connections that are unused for controlIdleTimeout, and some idle
+// connections of each pool that this host doesn't own.
+func (p *pools) shrink(ctx context.Context, now time.Time) {
 	p.mu.Lock()
-	var l []sharing
+	var l []sharedPool
 	for _, s := range p.all {
 		l = append(l, *s)
 	}
 	p.mu.Unlock()
 	for i := range l {
-		l[i].yield(ctx, now)
+		l[i].shrink(ctx, now)
 	}
 }
 
-func (s *sharing) yield(ctx context.Context, now time.Time) {
+// shrink is pools.shrink for one pool.
+func (s *sharedPool) shrink(ctx context.Context, now time.Time) {
 	if s.relayer != nil {
-		s.relayer.CloseIdle(ctx, now.Add(-controlIdle))
+		s.relayer.CloseIdle(ctx, now.Add(-controlIdleTimeout))
 	}
 	if s.delegator == nil || s.delegator.Owns() {
 		return
 	}
 	for _, k := range s.keepers {
-		k.Shrink(1 + k.OpenConnections()/yieldShare)
+		k.Shrink(1 + k.OpenConnections()/shrinkDivisor)
 	}
 }
 
-// assigned returns what the order of owners depends on.
-func assigned(group string, b file.BackendServer) assigner.Server {
+// assignerServer returns the properties of b that determine the owners of its pool.
+func assignerServer(group string, b file.BackendServer) assigner.Server {
 	return assigner.Server{DatabaseGroup: group, Name: b.Name, AvailabilityZone: b.AvailabilityZone, Region: b.Region}
 }
 
-// share has the connections of b lent by the entry host that owns its pool;
-// pool lends this host's own ones.
-func (r *reconciler) share(n *running, group string, b file.BackendServer, pool *lender.Lender) lessor.Lessor {
+// newSharedLessor returns a lessor that leases connections to b from the entry host that owns its
+// pool, or pool itself if this host has no peers; pool lends this host's own connections.
+func (r *reconciler) newSharedLessor(n *servedGroup, group string, b file.BackendServer, pool *lender.Lender) lessor.Lessor {
 	p := r.host.peers
 	if p == nil {
 		return pool
 	}
-	d := r.direct(group, b)
-	n.direct = append(n.direct, d)
+	d := r.newDirectLender(group, b)
+	n.directLenders = append(n.directLenders, d)
 	l := &delegator.Delegator{
 		Self:   r.host.Settings.HostName,
-		Server: assigned(group, b),
+		Server: assignerServer(group, b),
 		Owners: p.ranker,
 		Peers:  p.forwarder,
 		Pool:   pool,
@@ -128,45 +133,47 @@
 	defer p.pools.mu.Unlock()
 	s := p.pools.ensure(poolName{group: group, server: b.Name})
 	s.delegator, s.keepers = l, []*keeper.Keeper{pool.Keeper, d.Keeper}
-	n.shares = append(n.shares, share{pools: &p.pools, name: poolName{group: group, server: b.Name}, sharing: *s})
+	n.registrations = append(n.registrations, poolRegistration{pools: &p.pools, name: poolName{group: group, server: b.Name}, pool: *s})
 	return l
 }
 
-// share is what one run of a database group shares of a backend server.
-type share struct {
-	pools   *pools
-	name    poolName
-	sharing sharing
+// poolRegistration records that a servedGroup has entered a sharedPool into pools.
+type poolRegistration struct {
+	pools *pools
+	name  poolName
+	// pool is a copy of the entry.
+	pool sharedPool
 }
 
-// close ends the sharing unless a later run of the group has taken it over.
-// Groups come and go with the configuration; what they leave behind would add up.
-func (s *share) close() {
+// release removes the pool from pools, unless a later servedGroup of the same database group has
+// replaced it, and closes the idle control connection. Otherwise the pools of removed groups would
+// accumulate, as groups are added and removed with each configuration.
+func (s *poolRegistration) release() {
 	s.pools.mu.Lock()
-	if o := s.pools.all[s.name]; o != nil && o.delegator == s.sharing.delegator {
+	if o := s.pools.all[s.name]; o != nil && o.delegator == s.pool.delegator {
 		delete(s.pools.all, s.name)
 	}
 	s.pools.mu.Unlock()
-	if r := s.sharing.relayer; r != nil {
-		x, stop := context.WithTimeout(context.Background(), controlIdle)
+	if r := s.pool.relayer; r != nil {
+		x, stop := context.WithTimeout(context.Background(), controlIdleTimeout)
 		defer stop()
 		r.CloseIdle(x, time.Now())
 	}
 }
 
-// direct makes what lends connections while no owner of b's pool is reached.
-func (r *reconciler) direct(group string, b file.BackendServer) *lender.Lender {
+// newDirectLender creates the lender that is used while no owner of b's pool can be reached.
+func (r *reconciler) newDirectLender(group string, b file.BackendServer) *lender.Lender {
 	b.Connections, b.Slots = directConnections, directConnections
 	k := &keeper.Keeper{Server: b, Database: group, Opener: r.dialer, Clock: r.host.Clock, Log: r.host.Log}
-	return &lender.Lender{Keeper: k, Gate: r.gate(b), Canceller: r.dialer, Prober: r.prober(group, b)}
+	return &lender.Lender{Keeper: k, Gate: r.newGate(b), Canceller: r.dialer, Prober: r.newProber(group, b)}
 }
 
-// controlOf makes the control side of a backend server, through the entry host
-// that owns its pool.
-func (p *peers) controlOf(group string, b file.BackendServer, local controller.Control) controller.Control {
+// newRelayer creates the control client of a backend server that makes its calls through the entry
+// host that owns the server's pool; local makes the calls of this host itself.
+func (p *peers) newRelayer(group string, b file.BackendServer, local controller.Control) controller.Control {
 	r := &relayer.Relayer{
 		Self:    p.host.Settings.HostName,
-		Server:  assigned(group, b),
+		Server:  assignerServer(group, b),
 		Owners:  p.ranker,
 		Peers:   p.control,
 		Avoided: p.avoider.Avoided,
@@ -178,30 +185,30 @@
 	return r
 }
 
-// sharedControl wraps Control, so that groups get the shared control side.
-type sharedControl struct {
+// controlFactory wraps Host.Control, so that control calls are made through the owner of the pool.
+type controlFactory struct {
 	peers *peers
 	local func(group string, b file.BackendServer) controller.Control
 }
 
-func (s sharedControl) make(group string, b file.BackendServer) controller.Control {
-	return s.peers.controlOf(group, b, s.local(group, b))
+func (s controlFactory) create(group string, b file.BackendServer) controller.Control {
+	return s.peers.newRelayer(group, b, s.local(group, b))
 }
 
-// PoolOwner returns the entry host that lends the connections of a backend
-// server as this host sees it, empty if it serves the server alone.
+// PoolOwner returns the entry host that owns the pool of a backend server according to this host,
+// empty if this host has no peers or the pool is unknown.
 func (h *Host) PoolOwner(group, server string) string {
-	s, ok := h.sharing(group, server)
+	s, ok := h.findPool(group, server)
 	if !ok {
 		return ""
 	}
 	return s.delegator.Owner()
 }
 
-// PoolConnections returns how many connections for requests this host holds
-// open to a backend server.
+// PoolConnections returns the number of open connections for requests from this host to a backend
+// server, zero if this host has no peers or the pool is unknown.
 func (h *Host) PoolConnections(group, server string) int {
-	s, ok := h.sharing(group, server)
+	s, ok := h.findPool(group, server)
 	if !ok {
 		return 0
 	}
@@ -212,17 +219,18 @@
 	return n
 }
 
-// sharing returns a copy: the configuration may replace its parts at any time.
-func (h *Host) sharing(group, server string) (sharing, bool) {
+// findPool returns a copy of a sharedPool, since its fields may be replaced with a new
+// configuration, and false if there is none.
+func (h *Host) findPool(group, server string) (sharedPool, bool) {
 	if h.peers == nil {
-		return sharing{}, false
+		return sharedPool{}, false
 	}
 	p := &h.peers.pools
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.all[poolName{group: group, server: server}]
 	if s == nil || s.delegator == nil {
-		return sharing{}, false
+		return sharedPool{}, false
 	}
 	return *s, true
 }
--- a/internal/host/runner/watch.go
+++ b/internal/host/runner/watch.go
@@ -16,61 +16,68 @@
 )
 
 const (
-	// watchInterval is the time between two looks at a group's view.
-	watchInterval = 50 * time.Millisecond
-	// idleInterval is the same while this host only would follow the group.
-	idleInterval = time.Second
-	// silentFailures is how many status calls in a row fail before those who
-	// wait for a connection are told.
-	silentFailures = 2
+	// monitorInterval is the time between two updates from a group's view.
+	monitorInterval = 50 * time.Millisecond
+	// idleMonitorInterval is the same while this host has no requests for the group and doesn't
+	// serve it.
+	idleMonitorInterval = time.Second
+	// unreachableFailures is the number of failed status calls in a row after which requests that
+	// wait for a connection fail.
+	unreachableFailures = 2
 )
 
-// loopWatch takes what the driver sees over to the director and the pools.
-func (p *part) loopWatch(ctx context.Context) {
+// loopMonitor passes the driver's view on to the director, the pools and the metrics until ctx
+// ends.
+func (p *groupRunner) loopMonitor(ctx context.Context) {
 	defer p.reconciler.wait.Done()
-	w := make([]watch, len(p.group.lenders))
+	w := make([]serverMonitor, len(p.group.lenders))
 	for i, l := range p.group.lenders {
 		w[i].lender = l
-		w[i].resolve(p.reconciler.host.collector)
+		w[i].resolveMetrics(p.reconciler.host.collector)
 	}
-	n := newPolls(p.group.switcher, p.reconciler.host.collector)
-	g := &gap{collector: p.reconciler.host.collector}
+	n := newPollMetrics(p.group.switcher, p.reconciler.host.collector)
+	g := &writeGap{collector: p.reconciler.host.collector}
 	for {
-		n.step()
+		n.update()
 		p.group.group.Sample()
 		v := p.group.group.Driver.View()
-		g.step(v)
+		g.update(v)
 		for i := range w {
-			w[i].step(v)
+			w[i].update(v)
 		}
-		if !p.reconciler.host.Clock.Sleep(ctx, p.watchPause()) {
+		if !p.reconciler.host.Clock.Sleep(ctx, p.monitorPause()) {
 			return
 		}
 	}
 }
 
-// watchPause returns the time until the next look. A host has most groups without
-// any request for them, so looking at all that often would be its main work.
-func (p *part) watchPause() time.Duration {
+// monitorPause returns the time until the next update. A host has no requests for most groups, so
+// frequent updates for all groups would cause most of its load.
+func (p *groupRunner) monitorPause() time.Duration {
 	if p.group.switcher.Part() == switcher.PartIdle {
-		return idleInterval
+		return idleMonitorInterval
 	}
-	return watchInterval
+	return monitorInterval
 }
 
-// watch keeps the pool of one backend server in step with the server's state.
-type watch struct {
+// serverMonitor adjusts the pool of one backend server to the server's state and updates its
+// metrics.
+type serverMonitor struct {
 	lender *lender.Lender
 
+	// slots and closedReason are the values that the gate's queue has.
 	slots        int
-	closed       admitter.Reason
+	closedReason admitter.Reason
+	// leaving is the state in the last view, and leavingSince the time of the view in which it was
+	// first set.
 	leaving      bool
 	leavingSince time.Duration
 
 	queued, idle, working, opening, lag prometheus.Gauge
 }
 
-func (w *watch) resolve(c *collector.Collector) {
+// resolveMetrics looks up the metrics of the server.
+func (w *serverMonitor) resolveMetrics(c *collector.Collector) {
 	n := w.lender.Keeper.Server.Name
 	w.queued = c.QueuedRequests.WithLabelValues(n)
 	w.idle = c.PoolConnections.WithLabelValues(n, "idle")
@@ -79,22 +86,23 @@
 	w.lag = c.ReplicaLagRecords.WithLabelValues(n)
 }
 
-func (w *watch) step(v *observer.View) {
+// update processes the present view of the group.
+func (w *serverMonitor) update(v *observer.View) {
 	s, _ := v.Server(w.lender.Keeper.Server.Name)
-	w.leave(&s, v)
-	if !s.Fresh && s.Failures >= silentFailures {
+	w.closeIfLeaving(&s, v)
+	if !s.Fresh && s.Failures >= unreachableFailures {
 		w.lender.Keeper.Interrupt(lessor.ErrUnreachable)
 	}
-	w.resize(s.RoundTrip)
-	w.measure(&s, v)
+	w.adjustSlots(s.RoundTrip)
+	w.updateMetrics(&s, v)
 }
 
-// resize adds slots for the requests that are on the way to the server or back.
-// Without them the server's own slots idle for a round trip after each request,
-// which is a fifth of the time with 1 ms to a server that takes 4 ms.
-func (w *watch) resize(roundTrip time.Duration) {
+// adjustSlots adds slots for the requests that are in transit to the server or back. Without them
+// each of the server's own slots would be idle for a round trip after each request, which is a
+// fifth of the time with a round trip of 1 ms to a server that takes 4 ms for a request.
+func (w *serverMonitor) adjustSlots(roundTrip time.Duration) {
 	n := w.lender.Keeper.Server.Slots
-	n += onTheWay(n, roundTrip, w.lender.Gate.Load().ServiceTime)
+	n += slotsInTransit(n, roundTrip, w.lender.Gate.Load().ServiceTime)
 	if n == w.slots {
 		return
 	}
@@ -102,11 +110,12 @@
 	w.lender.Gate.Adjust(func(q *admitter.Queue) { q.Slots = n })
 }
 
-// onTheWay returns how many requests may be on the way beside those in slots; held
-// is the time for which a request holds a slot, both ways included.
-func onTheWay(slots int, roundTrip, held time.Duration) int {
-	const minimumShare = 8
-	if roundTrip*minimumShare < held {
+// slotsInTransit returns the number of slots to add for requests that are in transit, at most
+// slots; held is the time for which a request holds a slot, including the round trip. The result is
+// zero if the round trip is less than an eighth of held.
+func slotsInTransit(slots int, roundTrip, held time.Duration) int {
+	const minimumShareDivisor = 8
+	if roundTrip*minimumShareDivisor < held {
 		return 0
 	}
 	worked := max(held-roundTrip, 1)
@@ -114,9 +123,9 @@
 	return int(min(n, time.Duration(slots)))
 }
 
-// leave closes the queue of a leaving server, that of a primary only after the
-// time for the change to another one.
-func (w *watch) leave(s *observer.Server, v *observer.View) {
+// closeIfLeaving closes the queue of a leaving server. The queue of a primary is closed only after
+// chooser.DefaultLeavingGrace, which is the time for a change of the primary.
+func (w *serverMonitor) closeIfLeaving(s *observer.Server, v *observer.View) {
 	if s.Status.Leaving && !w.leaving {
 		w.leavingSince = v.At
 	}
@@ -125,14 +134,16 @@
 	if w.leaving && (s.Name != v.Primary || v.At-w.leavingSince >= chooser.DefaultLeavingGrace) {
 		r = admitter.ReasonLeaving
 	}
-	if r == w.closed {
+	if r == w.closedReason {
 		return
 	}
-	w.closed = r
+	w.closedReason = r
 	w.lender.Gate.Adjust(func(q *admitter.Queue) { q.Closed = r })
 }
 
-func (w *watch) measure(s *observer.Server, v *observer.View) {
+// updateMetrics updates the metrics. The replica lag is updated only if the logs of the primary and
+// the server end in the same term and the server's position isn't the higher one.
+func (w *serverMonitor) updateMetrics(s *observer.Server, v *observer.View) {
 	w.queued.Set(float64(w.lender.Gate.Load().Waiting))
 	c := w.lender.Keeper.Count()
 	w.idle.Set(float64(c.Idle))
--- a/internal/host/runner/watch_test.go
+++ b/internal/host/runner/watch_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestOnTheWay(t *testing.T) {
+func TestSlotsInTransit(t *testing.T) {
 	const ms = time.Millisecond
 	tests := []struct {
 		name            string
@@ -21,8 +21,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := onTheWay(tt.slots, tt.roundTrip, tt.held); got != tt.want {
-				t.Errorf("%d requests on the way, want %d", got, tt.want)
+			if got := slotsInTransit(tt.slots, tt.roundTrip, tt.held); got != tt.want {
+				t.Errorf("%d slots for requests in transit, want %d", got, tt.want)
 			}
 		})
 	}
--- a/internal/host/runner/witness.go
+++ b/internal/host/runner/witness.go
@@ -9,24 +9,26 @@
 	"github.com/cuminwick/cuminwick/internal/peer/witness"
 )
 
-// assembleWitness lets groups hear other hosts' word before they promote.
+// assembleWitness creates the witness, which requests the reports of other hosts on a primary
+// before a group promotes another server.
 func (p *peers) assembleWitness() {
 	p.witness = &witness.Witness{
 		Self:         p.host.Settings.HostName,
 		ServingHosts: p.servingHosts,
-		Groups:       p.host.reconciler.witnessed,
-		Ask:          p.askWord,
+		Groups:       p.host.reconciler.drivenGroups,
+		Ask:          p.askReport,
 		Clock:        p.host.Clock,
 	}
 	p.listener.Routes = append(p.listener.Routes, p.witness.Route())
 }
 
-func (p *peers) askWord(ctx context.Context, host string, q witness.Question) (witness.Answer, error) {
+// askReport requests a host's report on a primary.
+func (p *peers) askReport(ctx context.Context, host string, q witness.Question) (witness.Answer, error) {
 	return dialer.Call[witness.Question, witness.Answer](ctx, p.dialer, host, witness.Kind, q)
 }
 
-// witnessed returns the groups that this host runs a driver for, by name.
-func (r *reconciler) witnessed() map[string]witness.Group {
+// drivenGroups returns the groups for which this host runs a driver, by name.
+func (r *reconciler) drivenGroups() map[string]witness.Group {
 	l := make(map[string]witness.Group)
 	if t := r.host.director.Runtime(); t != nil {
 		for n, g := range t.Groups {
@@ -38,7 +40,8 @@
 	return l
 }
 
-// driverPeers returns who else has a word on a primary, nil for a host alone.
+// driverPeers returns the source of reports of other hosts on a primary, nil for a host without
+// peers.
 func (r *reconciler) driverPeers() driver.Peers {
 	if r.host.peers == nil {
 		return nil
