--- a/internal/host/assembler/assembler.go
+++ b/internal/host/assembler/assembler.go
@@ -33,17 +33,19 @@
 	"github.com/cuminwick/cuminwick/internal/settings/declarer"
 )
 
-// Assembler holds what an entry host is built from.
+// Assembler builds and runs an entry host. Settings and LogOutput are set before Assemble, which is
+// called before Run.
 type Assembler struct {
 	Settings declarer.Settings
-	// LogOutput gets the log lines.
+	// LogOutput receives the log lines.
 	LogOutput io.Writer
 
-	// Host is filled in by Assemble.
+	// Host is the entry host. Assemble sets it.
 	Host *runner.Host
-	// Follower keeps the host at the configuration in force.
+	// Follower provides the configuration in force to the host. Assemble sets it.
 	Follower *follower.Host
-	// LogEncoder writes the log lines; it must run beside the host and outlast it.
+	// LogEncoder writes the log lines. Assemble sets it. Run runs it until after the host has
+	// ended.
 	LogEncoder *encoder.Encoder
 
 	log      log.Interface
@@ -53,28 +55,28 @@
 	sharer   *sharer.Sharer
 }
 
-// Assemble builds the host and opens its addresses.
+// Assemble builds the host and opens its listeners.
 func (a *Assembler) Assemble() error {
-	a.LogEncoder = lines(a.Settings.Log, a.LogOutput)
+	a.LogEncoder = newLogEncoder(a.Settings.Log, a.LogOutput)
 	l, err := log.ParseLevel(string(a.Settings.Log.Level))
 	if err != nil {
 		return errors.Annotate(err, "set log level")
 	}
 	a.log = &log.Logger{Handler: a.LogEncoder, Level: l}
-	m, err := marks(a.Settings)
+	m, err := newSigner(a.Settings)
 	if err != nil {
 		return err
 	}
-	if err := a.usePlatform(); err != nil {
+	if err := a.createPlatformClient(); err != nil {
 		return err
 	}
 	a.clock = new(scheduler.Scheduler)
-	a.follow()
+	a.createFollower()
 	a.Host = &runner.Host{
 		Settings:   a.Settings,
 		Platform:   a.platform,
 		Source:     a.Follower,
-		Control:    a.control,
+		Control:    a.newControl,
 		Marks:      m,
 		LogEncoder: a.LogEncoder,
 		Clock:      a.clock,
@@ -83,7 +85,7 @@
 		Routes:     []listener.Route{a.sharer.Route()},
 		Components: []runner.Component{a.watcher, a.sharer},
 	}
-	if err := a.secure(); err != nil {
+	if err := a.setUpAuthentication(); err != nil {
 		return err
 	}
 	if err := a.Host.Listen(); err != nil {
@@ -93,7 +95,7 @@
 	return nil
 }
 
-func lines(s declarer.Log, w io.Writer) *encoder.Encoder {
+func newLogEncoder(s declarer.Log, w io.Writer) *encoder.Encoder {
 	return &encoder.Encoder{
 		Writer:          w,
 		QueueBytes:      s.QueueBytes,
@@ -102,9 +104,9 @@
 	}
 }
 
-// marks makes what signs session marks. A key's id on the wire is a hash of
-// its name; two names of one hash can't be told apart and are refused.
-func marks(s declarer.Settings) (*signer.Signer, error) {
+// newSigner creates the signer of session marks. The id of a key on the wire is a hash of its name,
+// so two keys whose names have the same hash can't be distinguished. They are an error.
+func newSigner(s declarer.Settings) (*signer.Signer, error) {
 	m := &signer.Signer{Deployment: s.DeploymentID}
 	for _, k := range s.MarkKeys {
 		i := uint32(xxhash.Sum64String(k.ID) & math.MaxUint32)
@@ -118,7 +120,8 @@
 	return m, nil
 }
 
-func (a *Assembler) usePlatform() error {
+// createPlatformClient creates the platform client and reads its token.
+func (a *Assembler) createPlatformClient() error {
 	p := a.Settings.Platform
 	a.platform = &requester.Client{Address: p.Address, Timeout: p.Timeout}
 	if p.TokenFile == "" {
@@ -132,11 +135,11 @@
 	return nil
 }
 
-// follow sets up how the host gets the configuration: from the platform by one
-// shared watch, or from peers.
-func (a *Assembler) follow() {
+// createFollower creates the components that get the configuration from the platform, by one shared
+// watch, or from peers.
+func (a *Assembler) createFollower() {
 	a.watcher = &watcher.Watcher{Platform: a.platform, Random: mathrand.Float64, Clock: a.clock, Log: a.log}
-	a.sharer = &sharer.Sharer{Peers: a.peers, Zone: a.zone, Random: mathrand.Float64, Clock: a.clock, Log: a.log}
+	a.sharer = &sharer.Sharer{Peers: a.livePeers, Zone: a.reachableZoneHosts, Random: mathrand.Float64, Clock: a.clock, Log: a.log}
 	a.Follower = &follower.Host{
 		Deferred:         true,
 		Name:             a.Settings.HostName,
@@ -153,8 +156,8 @@
 	a.sharer.Host = a.Follower
 }
 
-// control makes the control side of a backend server.
-func (a *Assembler) control(group string, b file.BackendServer) controller.Control {
+// newControl creates the client for control calls to a backend server.
+func (a *Assembler) newControl(group string, b file.BackendServer) controller.Control {
 	return &commander.Client{
 		Name:     b.Name,
 		Address:  b.Address,
@@ -164,19 +167,19 @@
 	}
 }
 
-// secretBytes is the size of the secret by which logins of unknown roles look
-// like others.
+// secretBytes is the size of the secret from which verifiers for unknown roles are derived, so that
+// callers can't distinguish logins of unknown roles from others.
 const secretBytes = 32
 
-// secure sets up who may come in.
-func (a *Assembler) secure() error {
+// setUpAuthentication sets up the authentication of callers, operators and peers.
+func (a *Assembler) setUpAuthentication() error {
 	k := make([]byte, secretBytes)
 	if _, err := rand.Read(k); err != nil {
 		return errors.Annotate(err, "make secret")
 	}
 	f := &authenticator.Failures{PerMinute: a.Settings.Limits.FailedLogins}
-	a.Host.Authenticator = &gatekeeper{
-		source:        a.Follower,
+	a.Host.Authenticator = &callerAuthenticator{
+		follower:      a.Follower,
 		authenticator: authenticator.Authenticator{Failures: f, Secret: k},
 	}
 	a.Host.Administration = &handler.Handler{
@@ -187,14 +190,14 @@
 		Failures:   &authenticator.Failures{PerMinute: a.Settings.Limits.FailedLogins},
 		Log:        a.log,
 	}
-	return a.secureListeners()
+	return a.loadCertificates()
 }
 
-// Run runs the host until ctx ends or, after drain is closed, until nothing is
-// in progress.
+// Run runs the host until ctx ends or, after drain is closed, until no request is in progress. It
+// returns the error of the host, or that of the log output if the host has none.
 func (a *Assembler) Run(ctx context.Context, drain <-chan struct{}) error {
 	x, stop := context.WithCancel(context.WithoutCancel(ctx))
-	w := &writer{lines: a.LogEncoder, ended: make(chan error, 1)}
+	w := &logWriter{lines: a.LogEncoder, ended: make(chan error, 1)}
 	go w.run(x)
 	a.log.WithFields(log.Fields{
 		"host":           a.Settings.HostName,
@@ -213,15 +216,15 @@
 	return err
 }
 
-// writer writes the log lines until the host has ended.
-type writer struct {
+// logWriter runs the log encoder and sends its error to ended.
+type logWriter struct {
 	lines *encoder.Encoder
 	ended chan error
 }
 
-func (w *writer) run(ctx context.Context) {
+func (w *logWriter) run(ctx context.Context) {
 	w.ended <- w.lines.Run(ctx)
 }
 
-// reloadInterval is the time between looks at certificate files.
+// reloadInterval is the time between two reads of the certificate files.
 const reloadInterval = 30 * time.Second
--- a/internal/host/assembler/certificates.go
+++ b/internal/host/assembler/certificates.go
@@ -11,9 +11,10 @@
 	"github.com/cuminwick/cuminwick/internal/peer/securer"
 )
 
-// secureListeners loads the certificates for callers, operators and peers.
-func (a *Assembler) secureListeners() error {
-	c := &certificates{clock: a.clock, log: a.log}
+// loadCertificates loads the certificates for the listeners for callers, operators and peers and
+// adds their reloader to the host.
+func (a *Assembler) loadCertificates() error {
+	c := &certificateReloader{clock: a.clock, log: a.log}
 	s := a.Settings
 	if s.Callers.CertificateFile != "" {
 		t, err := c.add(&reloader.Reloader{CertificateFile: s.Callers.CertificateFile, KeyFile: s.Callers.KeyFile})
@@ -42,15 +43,16 @@
 	return nil
 }
 
-// certificates reads certificate files again from time to time, so that they
-// can be renewed without dropping callers.
-type certificates struct {
+// certificateReloader periodically reads the certificate files again, so that certificates can be
+// renewed without disconnecting callers.
+type certificateReloader struct {
 	clock     *scheduler.Scheduler
 	log       log.Interface
 	reloaders []*reloader.Reloader
 }
 
-func (c *certificates) add(r *reloader.Reloader) (*tls.Config, error) {
+// add loads the files of r and adds r to the ones that are reloaded.
+func (c *certificateReloader) add(r *reloader.Reloader) (*tls.Config, error) {
 	if err := r.Load(); err != nil {
 		return nil, err
 	}
@@ -58,8 +60,8 @@
 	return r.Config(), nil
 }
 
-// Run implements the host's Part.
-func (c *certificates) Run(ctx context.Context) error {
+// Run implements runner.Component.
+func (c *certificateReloader) Run(ctx context.Context) error {
 	t, x := c.clock.Ticks(reloadInterval)
 	defer x.Cancel()
 	for {
@@ -72,7 +74,7 @@
 	}
 }
 
-func (c *certificates) reload() {
+func (c *certificateReloader) reload() {
 	for _, r := range c.reloaders {
 		if err := r.Load(); err != nil {
 			c.log.WithField("step", "reload certificate").WithField("peer", r.CertificateFile).WithError(err).Warn("certificate not renewed")
--- a/internal/host/assembler/gatekeeper.go
+++ b/internal/host/assembler/gatekeeper.go
@@ -13,15 +13,16 @@
 	"github.com/cuminwick/cuminwick/internal/member/declarer"
 )
 
-// gatekeeper lets callers in by the roles of the configuration in force.
-type gatekeeper struct {
-	source        *follower.Host
+// callerAuthenticator authenticates callers by the roles of the configuration in force.
+type callerAuthenticator struct {
+	follower      *follower.Host
 	authenticator authenticator.Authenticator
 }
 
-// Authenticate implements the caller listener's Authenticator.
-func (g *gatekeeper) Authenticate(_ context.Context, n net.Conn, parameters map[string]string) error {
-	_, f := g.source.Current()
+// Authenticate implements the caller listener's Authenticator. It returns an error that wraps
+// runner.ErrNotReady before the first configuration is in force.
+func (g *callerAuthenticator) Authenticate(_ context.Context, n net.Conn, parameters map[string]string) error {
+	_, f := g.follower.Current()
 	if f == nil {
 		return errors.Annotate(runner.ErrNotReady, "authenticate caller")
 	}
@@ -29,8 +30,8 @@
 	return err
 }
 
-// peers returns the live peers, those of the same availability zone first.
-func (a *Assembler) peers() []string {
+// livePeers returns the peers that aren't dead, those of the same availability zone first.
+func (a *Assembler) livePeers() []string {
 	var near, far []string
 	for _, m := range a.Host.MemberView().Members {
 		switch {
--- a/internal/host/assembler/partition_test.go
+++ b/internal/host/assembler/partition_test.go
@@ -15,8 +15,8 @@
 	"github.com/rs/zerolog"
 )
 
-// through puts a fault-injecting proxy between host i and the platform.
-func (s *site) through(t *testing.T, i int) *toxiproxy.Proxy {
+// proxyPlatform restarts host i with a fault-injecting proxy between it and the platform.
+func (s *site) proxyPlatform(t *testing.T, i int) *toxiproxy.Proxy {
 	t.Helper()
 	v := toxiproxy.NewServer(toxiproxy.NewMetricsContainer(prometheus.NewRegistry()), zerolog.Nop())
 	p := toxiproxy.NewProxy(v, "platform", "127.0.0.1:0", s.platform)
@@ -33,11 +33,11 @@
 	s.hosts[i].command.Process.Signal(syscall.SIGTERM)
 	<-s.hosts[i].ended
 	s.start(t, i)
-	s.await(t)
+	s.awaitReady(t)
 	return p
 }
 
-// revision returns the revision that host i says it decides by.
+// revision returns the revision in force at host i according to its metrics.
 func (s *site) revision(t *testing.T, i int) string {
 	t.Helper()
 	r, err := http.Get("http://" + s.admin[i] + "/metrics")
@@ -57,29 +57,29 @@
 	return ""
 }
 
-// The connections between one host and the platform go silent while they stay
-// open. A change that is applied now must reach the host through its peers, the
-// operator is told that the host can't report, and everything mends itself.
+// Guards against a host that misses changes because its connections to the platform transfer no
+// data while they stay open. A change must reach the host through its peers, the apply command must
+// report that the host can't be confirmed, and all must work again after the fault ends.
 func TestProcessesPlatformSilentForOneHost(t *testing.T) {
 	s := startSite(t)
-	p := s.through(t, 0)
-	if c, o := s.apply(t, s.variant(t, 7)); c != 0 {
+	p := s.proxyPlatform(t, 0)
+	if c, o := s.apply(t, s.writeVariant(t, 7)); c != 0 {
 		t.Fatalf("exit code %d, %s", c, o)
 	}
 	x := `{"name": "silent", "type": "timeout", "stream": "downstream", "attributes": {"timeout": 0}}`
 	if _, err := p.Toxics.AddToxicJson(strings.NewReader(x)); err != nil {
 		t.Fatal(err)
 	}
-	c, o := s.apply(t, s.variant(t, 8))
+	c, o := s.apply(t, s.writeVariant(t, 8))
 	if c == 0 || !strings.Contains(o, "zone-0/entry-0") {
 		t.Errorf("exit code %d, %s", c, o)
 	}
-	until(t, "the host to hear of it from a peer", func() bool { return s.revision(t, 0) == "3" })
+	waitUntil(t, "the host to receive the change from a peer", func() bool { return s.revision(t, 0) == "3" })
 	if err := p.Toxics.RemoveToxic(t.Context(), "silent"); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "all hosts to agree", func() bool { return s.agreed(t) })
-	if c, o := s.apply(t, s.variant(t, 9)); c != 0 {
-		t.Errorf("apply afterwards: exit code %d, %s", c, o)
+	waitUntil(t, "the accepted revision to be in force at all hosts", func() bool { return s.allInForce(t) })
+	if c, o := s.apply(t, s.writeVariant(t, 9)); c != 0 {
+		t.Errorf("apply after the fault: exit code %d, %s", c, o)
 	}
 }
--- a/internal/host/assembler/process_test.go
+++ b/internal/host/assembler/process_test.go
@@ -25,13 +25,13 @@
 )
 
 const (
-	password = "correct horse"
-	token    = "a long and random token"
-	zones    = 3
+	password  = "correct horse"
+	token     = "a long and random token"
+	zoneCount = 3
 )
 
-// binary is the program under test, built once.
-var binary = sync.OnceValues(func() (string, error) {
+// buildBinary builds the program under test once and returns its path.
+var buildBinary = sync.OnceValues(func() (string, error) {
 	d, err := os.MkdirTemp("", "cuminwick")
 	if err != nil {
 		return "", err
@@ -44,16 +44,18 @@
 	return p, nil
 })
 
-// process is a running cuminwick.
+// process is a started cuminwick process.
 type process struct {
 	command *exec.Cmd
 	output  bytes.Buffer
-	ended   chan struct{}
+	// ended is closed when the process has ended.
+	ended chan struct{}
 }
 
+// launch starts a process, which is killed at the end of the test.
 func launch(t *testing.T, args ...string) *process {
 	t.Helper()
-	b, err := binary()
+	b, err := buildBinary()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,25 +80,25 @@
 	return p
 }
 
-// Ports below those that systems give to outgoing connections, which could
-// otherwise take one between its choice and its use.
+// The range of ports for listeners. It is below the ephemeral ports, one of which could be assigned
+// to an outgoing connection after freeAddress returned it.
 const (
 	firstPort = 20000
 	lastPort  = 32000
 )
 
-// ports counts the ports that were handed out, from a random start.
-var ports = firstPort + rand.IntN(lastPort-firstPort)
+// lastUsedPort is the last port that freeAddress tried. It starts at random.
+var lastUsedPort = firstPort + rand.IntN(lastPort-firstPort)
 
-// free returns an address that nothing listens on, neither by TCP nor by UDP.
-func free(t *testing.T) string {
+// freeAddress returns an address at which nothing listens, neither by TCP nor by UDP.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	for range lastPort - firstPort {
-		ports++
-		if ports >= lastPort {
-			ports = firstPort
+		lastUsedPort++
+		if lastUsedPort >= lastPort {
+			lastUsedPort = firstPort
 		}
-		a := fmt.Sprintf("127.0.0.1:%d", ports)
+		a := fmt.Sprintf("127.0.0.1:%d", lastUsedPort)
 		if isFree(a) {
 			return a
 		}
@@ -119,25 +121,26 @@
 	return true
 }
 
-// hang is when a wait counts as one that never ends; the processes are then
-// stopped, which a timeout of the whole test would leave running.
-const hang = time.Minute
+// waitTimeout is how long waitUntil waits. It is less than the timeout of the whole test, which
+// would leave the processes running.
+const waitTimeout = time.Minute
 
-// until waits for a condition.
-func until(t *testing.T, what string, holds func() bool) {
+// waitUntil waits until holds returns true, or fails the test after waitTimeout.
+func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	c, stop := context.WithTimeout(t.Context(), hang)
+	c, stop := context.WithTimeout(t.Context(), waitTimeout)
 	defer stop()
 	for !holds() {
 		select {
 		case <-c.Done():
-			t.Fatalf("waited for %s", what)
+			t.Fatalf("waited too long for %s", what)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-func answers(url string) bool {
+// respondsOK reports whether a GET request of url returns status 200.
+func respondsOK(url string) bool {
 	r, err := http.Get(url)
 	if err != nil {
 		return false
@@ -146,7 +149,7 @@
 	return r.StatusCode == http.StatusOK
 }
 
-// verifier makes what PostgreSQL would store for the password.
+// verifier returns the SCRAM verifier that PostgreSQL would store for the password.
 func verifier(t *testing.T) string {
 	t.Helper()
 	c, err := scram.SHA256.NewClient("", password, "")
@@ -161,18 +164,21 @@
 	return fmt.Sprintf("SCRAM-SHA-256$%d:%s$%s:%s", s.Iters, e([]byte(s.Salt)), e(s.StoredKey), e(s.ServerKey))
 }
 
-// site is a platform, a database group and an entry host a zone, each a process.
+// site is a deployment of a platform, a database group, and one entry host for each zone. Each
+// platform, backend server and entry host is a process.
 type site struct {
 	dir, platform string
 	platformStub  *process
-	hosts         [zones]*process
-	callers       [zones]string
-	admin         [zones]string
-	peers         [zones]string
-	// together puts all entry hosts into the first zone.
-	together bool
+	hosts         [zoneCount]*process
+	// callers, admin and peers are the addresses of the hosts.
+	callers [zoneCount]string
+	admin   [zoneCount]string
+	peers   [zoneCount]string
+	// singleZone places all entry hosts in the first zone.
+	singleZone bool
 }
 
+// startSite starts a site with one entry host in each zone.
 func startSite(t *testing.T) *site {
 	t.Helper()
 	return startSiteIn(t, false)
@@ -180,30 +186,31 @@
 
 func startSiteIn(t *testing.T, together bool) *site {
 	t.Helper()
-	s := &site{together: together, dir: t.TempDir(), platform: free(t)}
+	s := &site{singleZone: together, dir: t.TempDir(), platform: freeAddress(t)}
 	s.platformStub = launch(t, "stand-in", "platform", "--address", s.platform)
-	until(t, "platform", func() bool { return answers("http://" + s.platform + "/hosts") })
-	s.configure(t, s.backends(t))
-	for i := range zones {
-		s.callers[i], s.admin[i], s.peers[i] = free(t), free(t), free(t)
+	waitUntil(t, "platform", func() bool { return respondsOK("http://" + s.platform + "/hosts") })
+	s.applyFirst(t, s.startBackends(t))
+	for i := range zoneCount {
+		s.callers[i], s.admin[i], s.peers[i] = freeAddress(t), freeAddress(t), freeAddress(t)
 	}
 	a, err := certifier.New("authority", time.Now(), time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range zones {
-		s.settle(t, a, i)
+	for i := range zoneCount {
+		s.writeSettings(t, a, i)
 		s.start(t, i)
 	}
-	s.await(t)
+	s.awaitReady(t)
 	return s
 }
 
-func (s *site) backends(t *testing.T) []string {
+// startBackends starts one backend server for each zone and returns their addresses.
+func (s *site) startBackends(t *testing.T) []string {
 	t.Helper()
 	var l []string
-	for i := range zones {
-		a := free(t)
+	for i := range zoneCount {
+		a := freeAddress(t)
 		g := []string{"stand-in", "backend", "--name", fmt.Sprintf("db-%d", i), "--address", a, "--connect-time", "1ms"}
 		if i == 0 {
 			g = append(g, "--primary")
@@ -211,7 +218,7 @@
 			g = append(g, "--follow", "db-0="+l[0])
 		}
 		launch(t, g...)
-		until(t, "backend server", func() bool {
+		waitUntil(t, "backend server", func() bool {
 			c, err := net.Dial("tcp", a)
 			if err == nil {
 				c.Close()
@@ -230,8 +237,8 @@
 	}
 }
 
-// configure stages the first configuration, which no host is there to see.
-func (s *site) configure(t *testing.T, backends []string) {
+// applyFirst applies the first configuration, before any host is started.
+func (s *site) applyFirst(t *testing.T, backends []string) {
 	t.Helper()
 	f := "database-groups:\n  - name: db\n    service: notes\n    backend-servers:\n"
 	for i, a := range backends {
@@ -246,7 +253,8 @@
 	}
 }
 
-func (s *site) settle(t *testing.T, a *certifier.Authority, i int) {
+// writeSettings writes the settings, keys and certificates of host i.
+func (s *site) writeSettings(t *testing.T, a *certifier.Authority, i int) {
 	t.Helper()
 	n := fmt.Sprintf("entry-%d", i)
 	c, err := a.Issue(time.Now(), time.Hour, n)
@@ -264,7 +272,7 @@
 	s.write(t, n+"/backend.password", "unused")
 	s.write(t, n+"/tokens.yaml", fmt.Sprintf("tokens:\n  - {name: root, role: administrator, sha256: %x}\n", sha256.Sum256([]byte(token))))
 	z := i
-	if s.together {
+	if s.singleZone {
 		z = 0
 	}
 	s.write(t, n+"/settings.yaml", fmt.Sprintf(`
@@ -284,7 +292,7 @@
 backend: {user: cuminwick, password-file: backend.password}
 mark-keys: [{id: first, file: mark.key}]
 limits: {drain-timeout: 20s}
-`, n, z, s.callers[i], s.peers[i], s.peers[(i+1)%zones], s.admin[i], s.platform))
+`, n, z, s.callers[i], s.peers[i], s.peers[(i+1)%zoneCount], s.admin[i], s.platform))
 }
 
 func (s *site) start(t *testing.T, i int) {
@@ -292,11 +300,11 @@
 	s.hosts[i] = launch(t, "serve", "--settings", filepath.Join(s.dir, fmt.Sprintf("entry-%d", i), "settings.yaml"))
 }
 
-// await returns when all hosts are ready.
-func (s *site) await(t *testing.T) {
+// awaitReady waits until all hosts are ready.
+func (s *site) awaitReady(t *testing.T) {
 	t.Helper()
-	for i := range zones {
-		until(t, "entry host", func() bool { return answers("http://" + s.admin[i] + "/readyz") })
+	for i := range zoneCount {
+		waitUntil(t, "entry host", func() bool { return respondsOK("http://" + s.admin[i] + "/readyz") })
 	}
 }
 
@@ -305,8 +313,8 @@
 	return pgx.Connect(t.Context(), fmt.Sprintf("postgres://adviser:%s@%s/db?sslmode=disable", secret, s.callers[i]))
 }
 
-// caller returns a connection that is closed with the test.
-func (s *site) caller(t *testing.T, i int) *pgx.Conn {
+// connectCaller connects to host i. The connection is closed at the end of the test.
+func (s *site) connectCaller(t *testing.T, i int) *pgx.Conn {
 	t.Helper()
 	c, err := s.connect(t, i, "correct%20horse")
 	if err != nil {
@@ -316,24 +324,25 @@
 	return c
 }
 
-func run(t *testing.T, c *pgx.Conn, sql string, args ...any) {
+func execute(t *testing.T, c *pgx.Conn, sql string, args ...any) {
 	t.Helper()
 	if _, err := c.Exec(t.Context(), sql, args...); err != nil {
 		t.Fatalf("%s: %v", sql, err)
 	}
 }
 
-// An operator stops an entry host while a caller is inside a transaction, and
-// then starts it again while the platform is down. The transaction must go
-// through, other callers must notice nothing, the process must end with exit
-// code 0, and the new one must serve from what its peers know.
+// Guards against a drain that aborts a transaction, and against a host that can't start while the
+// platform is down. A host is stopped while a caller has a transaction open, and is started again
+// without the platform. The transaction must commit, other callers must not be affected, the
+// process must end with exit code 0, and the new process must serve with the configuration from its
+// peers.
 func TestProcessesServeAndDrain(t *testing.T) {
 	s := startSite(t)
 	if _, err := s.connect(t, 0, "wrong"); err == nil {
-		t.Error("a wrong password was let in")
+		t.Error("a wrong password was accepted")
 	}
-	a, b := s.caller(t, 0), s.caller(t, 1)
-	run(t, a, "CREATE TABLE notes (id bigint PRIMARY KEY)")
+	a, b := s.connectCaller(t, 0), s.connectCaller(t, 1)
+	execute(t, a, "CREATE TABLE notes (id bigint PRIMARY KEY)")
 	x, err := a.Begin(t.Context())
 	if err != nil {
 		t.Fatal(err)
@@ -342,10 +351,10 @@
 		t.Fatal(err)
 	}
 	s.hosts[0].command.Process.Signal(syscall.SIGTERM)
-	until(t, "readiness to end", func() bool { return !answers("http://" + s.admin[0] + "/readyz") })
-	run(t, b, "INSERT INTO notes (id) VALUES (2)")
+	waitUntil(t, "readiness to end", func() bool { return !respondsOK("http://" + s.admin[0] + "/readyz") })
+	execute(t, b, "INSERT INTO notes (id) VALUES (2)")
 	if err := x.Commit(t.Context()); err != nil {
-		t.Errorf("the drain cut off a transaction: %v", err)
+		t.Errorf("the drain aborted a transaction: %v", err)
 	}
 	<-s.hosts[0].ended
 	if c := s.hosts[0].command.ProcessState.ExitCode(); c != 0 {
@@ -354,15 +363,15 @@
 	s.platformStub.command.Process.Kill()
 	<-s.platformStub.ended
 	s.start(t, 0)
-	s.await(t)
+	s.awaitReady(t)
 	var n int
-	if err := s.caller(t, 0).QueryRow(t.Context(), "SELECT count(*) FROM notes").Scan(&n); err != nil || n != 2 {
-		t.Errorf("%d rows at the new host, %v; want 2", n, err)
+	if err := s.connectCaller(t, 0).QueryRow(t.Context(), "SELECT count(*) FROM notes").Scan(&n); err != nil || n != 2 {
+		t.Errorf("%d rows at the restarted host, %v; want 2", n, err)
 	}
 }
 
-// command runs a subcommand against an entry host and returns what it printed.
-func (s *site) command(t *testing.T, i int, name string, args ...string) (code int, output string) {
+// runAtHost runs a subcommand against host i and returns its exit code and output.
+func (s *site) runAtHost(t *testing.T, i int, name string, args ...string) (code int, output string) {
 	t.Helper()
 	s.write(t, "token", token+"\n")
 	g := append([]string{name, "--administration", "http://" + s.admin[i], "--token-file", filepath.Join(s.dir, "token")}, args...)
@@ -371,13 +380,13 @@
 	return p.command.ProcessState.ExitCode(), p.output.String()
 }
 
-// An operator drains a host from the command line, and asks for the outcome of
-// a booking whose caller isn't sure about it.
+// An operator drains a host from the command line, and queries the outcome of a request whose
+// caller did not receive it.
 func TestOperatorsCommands(t *testing.T) {
 	s := startSite(t)
-	c := s.caller(t, 1)
-	run(t, c, "CREATE TABLE bookings (id bigint PRIMARY KEY)")
-	run(t, c, "/* key=booking-1 */ INSERT INTO bookings (id) VALUES (1)")
+	c := s.connectCaller(t, 1)
+	execute(t, c, "CREATE TABLE bookings (id bigint PRIMARY KEY)")
+	execute(t, c, "/* key=booking-1 */ INSERT INTO bookings (id) VALUES (1)")
 	for _, x := range []struct {
 		name   string
 		args   []string
@@ -387,11 +396,11 @@
 		{name: "may be under way", args: []string{"db", "booking-2"}, output: "unknown"},
 		{name: "settled", args: []string{"db", "booking-2", "--settle"}, output: "not-run"},
 	} {
-		if k, o := s.command(t, 0, "outcome", x.args...); k != 0 || !strings.Contains(o, " "+x.output) {
+		if k, o := s.runAtHost(t, 0, "outcome", x.args...); k != 0 || !strings.Contains(o, " "+x.output) {
 			t.Errorf("%s: exit code %d, %s", x.name, k, o)
 		}
 	}
-	if k, o := s.command(t, 0, "drain"); k != 0 {
+	if k, o := s.runAtHost(t, 0, "drain"); k != 0 {
 		t.Errorf("drain: exit code %d, %s", k, o)
 	}
 	<-s.hosts[0].ended
--- a/internal/host/assembler/relay_test.go
+++ b/internal/host/assembler/relay_test.go
@@ -11,10 +11,10 @@
 	"github.com/cuminwick/cuminwick/internal/config/publisher"
 )
 
-// status returns what an operator is told of each host.
+// status returns the state of each host as the status command prints it.
 func (s *site) status(t *testing.T) []encoder.Holder {
 	t.Helper()
-	_, b := s.operate(t, "status", "--platform", "http://"+s.platform, "--format", "json")
+	_, b := s.runToEnd(t, "status", "--platform", "http://"+s.platform, "--format", "json")
 	var x publisher.Status
 	if err := json.Unmarshal([]byte(b), &x); err != nil {
 		t.Fatalf("%v: %s", err, b)
@@ -22,17 +22,17 @@
 	return x.Hosts
 }
 
-// relay waits until all other hosts report through one, and returns which it is.
-func (s *site) relay(t *testing.T) int {
+// awaitRelay waits until all other hosts report through one host, and returns its number.
+func (s *site) awaitRelay(t *testing.T) int {
 	t.Helper()
 	at := -1
-	until(t, "hosts to report through a relay", func() bool {
+	waitUntil(t, "hosts to report through a relay", func() bool {
 		through := map[string]int{}
 		for _, h := range s.status(t) {
 			through[h.Relay]++
 		}
-		for i := range zones {
-			if through[fmt.Sprintf("entry-%d", i)] == zones-1 {
+		for i := range zoneCount {
+			if through[fmt.Sprintf("entry-%d", i)] == zoneCount-1 {
 				at = i
 			}
 		}
@@ -41,14 +41,15 @@
 	return at
 }
 
-// Two of a zone's three hosts report through the third one. That one is paused
-// while a change is applied, and is unaware of it; later it is killed and started
-// again. The others must get each change without it, the operator is told
-// that it is missing, and the change after its return must be in force everywhere.
+// Guards against changes that don't reach the hosts of a zone because their relay has failed. Two
+// of three hosts of a zone report through the third one, which is paused while a change is applied,
+// and later killed and restarted. The other hosts must receive each change without it, the apply
+// command must report it as missing, and a change after its restart must come into force at all
+// hosts.
 func TestProcessesRelayPausedAndKilled(t *testing.T) {
 	s := startSiteIn(t, true)
-	r := s.relay(t)
-	if c, o := s.apply(t, s.variant(t, 7)); c != 0 || !s.agreed(t) {
+	r := s.awaitRelay(t)
+	if c, o := s.apply(t, s.writeVariant(t, 7)); c != 0 || !s.allInForce(t) {
 		t.Errorf("apply through the relay: exit code %d, %s", c, o)
 	}
 	p := s.hosts[r].command.Process
@@ -56,26 +57,26 @@
 		t.Fatal(err)
 	}
 	name := fmt.Sprintf("entry-%d", r)
-	if c, o := s.apply(t, s.variant(t, 8)); c == 0 || !strings.Contains(o, "zone-0/"+name) {
+	if c, o := s.apply(t, s.writeVariant(t, 8)); c == 0 || !strings.Contains(o, "zone-0/"+name) {
 		t.Errorf("apply while the relay is paused: exit code %d, %s", c, o)
 	}
 	accepted := s.head(t).Accepted
 	for _, h := range s.status(t) {
 		if h.Host != name && h.InForce != accepted {
-			t.Errorf("host %s decides by %d, %d is accepted", h.Host, h.InForce, accepted)
+			t.Errorf("host %s: revision %d is in force, want the accepted revision %d", h.Host, h.InForce, accepted)
 		}
 	}
 	if err := p.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the paused relay to move up", func() bool { return s.agreed(t) })
-	r = s.relay(t)
+	waitUntil(t, "the new revision to be in force at the paused relay", func() bool { return s.allInForce(t) })
+	r = s.awaitRelay(t)
 	s.hosts[r].command.Process.Kill()
 	<-s.hosts[r].ended
 	s.start(t, r)
-	s.await(t)
-	if c, o := s.apply(t, s.variant(t, 9)); c != 0 {
+	s.awaitReady(t)
+	if c, o := s.apply(t, s.writeVariant(t, 9)); c != 0 {
 		t.Errorf("apply after the relay's restart: exit code %d, %s", c, o)
 	}
-	until(t, "all hosts to agree", func() bool { return s.agreed(t) })
+	waitUntil(t, "the accepted revision to be in force at all hosts", func() bool { return s.allInForce(t) })
 }
