--- a/internal/host/assembler/assembler.go
+++ b/internal/host/assembler/assembler.go
@@ -179,7 +179,7 @@
 	}
 	f := &authenticator.Failures{PerMinute: a.Settings.Limits.FailedLogins}
 	a.Host.Authenticator = &callerAuthenticator{
-		follower:      a.Follower,
+		configuration: a.Follower,
 		authenticator: authenticator.Authenticator{Failures: f, Secret: k},
 	}
 	a.Host.Administration = &handler.Handler{
--- a/internal/host/assembler/gatekeeper.go
+++ b/internal/host/assembler/gatekeeper.go
@@ -15,14 +15,14 @@
 
 // callerAuthenticator authenticates callers by the roles of the configuration in force.
 type callerAuthenticator struct {
-	follower      *follower.Host
+	configuration *follower.Host
 	authenticator authenticator.Authenticator
 }
 
 // Authenticate implements the caller listener's Authenticator. It returns an error that wraps
 // runner.ErrNotReady before the first configuration is in force.
 func (g *callerAuthenticator) Authenticate(_ context.Context, n net.Conn, parameters map[string]string) error {
-	_, f := g.follower.Current()
+	_, f := g.configuration.Current()
 	if f == nil {
 		return errors.Annotate(runner.ErrNotReady, "authenticate caller")
 	}
--- a/internal/host/runner/reconciler.go
+++ b/internal/host/runner/reconciler.go
@@ -195,7 +195,7 @@
 		l.Keeper.Close()
 	}
 	for i := range g.registrations {
-		g.registrations[i].release()
+		g.registrations[i].close()
 	}
 }
 
--- a/internal/host/runner/runner.go
+++ b/internal/host/runner/runner.go
@@ -155,7 +155,7 @@
 		return err
 	}
 	h.listener.Canceller = h.peers.cancels
-	h.Control = controlFactory{peers: h.peers, local: h.Control}.create
+	h.Control = controlFactory{peers: h.peers, local: h.Control}.make
 	return nil
 }
 
--- a/internal/host/runner/sharing.go
+++ b/internal/host/runner/sharing.go
@@ -133,7 +133,7 @@
 	defer p.pools.mu.Unlock()
 	s := p.pools.ensure(poolName{group: group, server: b.Name})
 	s.delegator, s.keepers = l, []*keeper.Keeper{pool.Keeper, d.Keeper}
-	n.registrations = append(n.registrations, poolRegistration{pools: &p.pools, name: poolName{group: group, server: b.Name}, pool: *s})
+	n.registrations = append(n.registrations, poolRegistration{pools: &p.pools, name: poolName{group: group, server: b.Name}, entry: *s})
 	return l
 }
 
@@ -141,20 +141,20 @@
 type poolRegistration struct {
 	pools *pools
 	name  poolName
-	// pool is a copy of the entry.
-	pool sharedPool
+	// entry is a copy of the entry in pools.
+	entry sharedPool
 }
 
-// release removes the pool from pools, unless a later servedGroup of the same database group has
+// close removes the pool from pools, unless a later servedGroup of the same database group has
 // replaced it, and closes the idle control connection. Otherwise the pools of removed groups would
 // accumulate, as groups are added and removed with each configuration.
-func (s *poolRegistration) release() {
+func (s *poolRegistration) close() {
 	s.pools.mu.Lock()
-	if o := s.pools.all[s.name]; o != nil && o.delegator == s.pool.delegator {
+	if o := s.pools.all[s.name]; o != nil && o.delegator == s.entry.delegator {
 		delete(s.pools.all, s.name)
 	}
 	s.pools.mu.Unlock()
-	if r := s.pool.relayer; r != nil {
+	if r := s.entry.relayer; r != nil {
 		x, stop := context.WithTimeout(context.Background(), controlIdleTimeout)
 		defer stop()
 		r.CloseIdle(x, time.Now())
@@ -191,7 +191,7 @@
 	local func(group string, b file.BackendServer) controller.Control
 }
 
-func (s controlFactory) create(group string, b file.BackendServer) controller.Control {
+func (s controlFactory) make(group string, b file.BackendServer) controller.Control {
 	return s.peers.newRelayer(group, b, s.local(group, b))
 }
 
