--- a/internal/backend/commander/ask.go
+++ b/internal/backend/commander/ask.go
@@ -10,49 +10,50 @@
 	"github.com/cuminwick/cuminwick/internal/backend/controller"
 )
 
-// ask runs the status call.
+// queryStatus queries the status, at most twice.
 //
-// A kept connection may have been dropped by a restart without our noticing;
-// then the first use fails, and the status is asked once more over a new one.
-// The server may also have forgotten the unnamed statement, which its refusal
-// tells; then the call is sent whole. Commands aren't repeated like this, since
-// the first may have taken effect: their caller decides by the status.
-func (c *Client) ask(ctx context.Context) (controller.Status, error) {
-	kept := c.connection != nil
-	short := c.columns != nil
-	s, err := c.askOnce(ctx)
+// A restart of the server may have closed the kept connection unnoticed. The first use then fails,
+// and the query is repeated over a new connection. The server may also have lost the unnamed
+// prepared statement, in which case it returns an error and the statement is prepared again.
+// Commands aren't repeated like this, because the first one may have taken effect: their caller
+// decides by the status.
+func (c *Client) queryStatus(ctx context.Context) (controller.Status, error) {
+	reused := c.connection != nil
+	prepared := c.columns != nil
+	s, err := c.queryStatusOnce(ctx)
 	if err == nil || ctx.Err() != nil || pgconn.Timeout(err) {
-		// The connection's deadline may pass a moment before that of ctx.
+		// The connection's deadline may expire slightly before that of ctx.
 		return s, err
 	}
-	var refused *pgconn.PgError
-	if errors.As(err, &refused) && !short || !kept {
+	var serverError *pgconn.PgError
+	if errors.As(err, &serverError) && !prepared || !reused {
 		return s, err
 	}
-	return c.askOnce(ctx)
+	return c.queryStatusOnce(ctx)
 }
 
-// askOnce sends the call whole where the connection hasn't asked it before, and
-// else only has the server run it again. Most of a whole call and its answer are
-// the statement's text and the names of the columns, which stay the same.
-func (c *Client) askOnce(ctx context.Context) (controller.Status, error) {
+// queryStatusOnce executes the unnamed prepared statement if it is statusQuery, and otherwise
+// prepares it first. The statement's text and the column names never change and make up most of the
+// bytes of an unprepared query and its result.
+func (c *Client) queryStatusOnce(ctx context.Context) (controller.Status, error) {
 	if err := c.connect(ctx); err != nil {
 		return controller.Status{}, err
 	}
 	if c.columns == nil {
-		return c.askWhole(ctx)
+		return c.queryUnprepared(ctx)
 	}
-	r := c.askAgain(ctx)
+	r := c.queryPrepared(ctx)
 	if r.Err != nil {
 		c.columns = nil
-		return controller.Status{}, c.failed(r.Err, statusCall)
+		return controller.Status{}, c.callError(r.Err, statusQuery)
 	}
-	return c.read(r)
+	return c.readStatus(r)
 }
 
-// askAgain bounds the call by a deadline of the connection: a watch of ctx, which
-// has no other end, would be set up and taken down with each poll.
-func (c *Client) askAgain(ctx context.Context) *pgconn.Result {
+// queryPrepared executes the unnamed prepared statement. The timeout is set as the connection's
+// deadline, because watching ctx, which is cancelled by nothing else, would cost a set-up and
+// tear-down per poll.
+func (c *Client) queryPrepared(ctx context.Context) *pgconn.Result {
 	t, _ := ctx.Deadline()
 	n := c.connection.Conn()
 	if err := n.SetDeadline(t); err != nil {
@@ -63,29 +64,30 @@
 	return c.connection.ExecStatement(context.Background(), d, nil, nil, nil).Read()
 }
 
-// askWhole leaves the call behind as the connection's unnamed statement.
-func (c *Client) askWhole(ctx context.Context) (controller.Status, error) {
-	r := c.connection.ExecParams(ctx, statusCall, nil, nil, nil, nil).Read()
+// queryUnprepared queries the status and leaves statusQuery as the unnamed prepared statement of
+// the connection.
+func (c *Client) queryUnprepared(ctx context.Context) (controller.Status, error) {
+	r := c.connection.ExecParams(ctx, statusQuery, nil, nil, nil, nil).Read()
 	if r.Err != nil {
-		return controller.Status{}, c.failed(r.Err, statusCall)
+		return controller.Status{}, c.callError(r.Err, statusQuery)
 	}
 	c.columns = r.FieldDescriptions
-	s, err := c.read(r)
+	s, err := c.readStatus(r)
 	if err == nil {
-		c.endLost(ctx)
+		c.terminateLost(ctx)
 	}
 	return s, err
 }
 
-// call runs one command over the kept connection, which it opens where there is
-// none. It takes the place of the unnamed statement. Over a new connection the status
-// is asked first, since a command to a stranger can't be taken back.
-func (c *Client) call(ctx context.Context, sql string, args []string) (controller.Status, error) {
+// runCommand runs one command over the kept connection, and opens one if there is none. The command
+// replaces the unnamed prepared statement. On a new connection the status is queried first, because
+// a command that reached the wrong server can't be undone.
+func (c *Client) runCommand(ctx context.Context, sql string, args []string) (controller.Status, error) {
 	if err := c.connect(ctx); err != nil {
 		return controller.Status{}, err
 	}
 	if !c.verified {
-		if s, err := c.askWhole(ctx); err != nil {
+		if s, err := c.queryUnprepared(ctx); err != nil {
 			return s, err
 		}
 	}
@@ -96,13 +98,13 @@
 	c.columns = nil
 	r := c.connection.ExecParams(ctx, sql, v, nil, nil, nil).Read()
 	if r.Err != nil {
-		return controller.Status{}, c.failed(r.Err, sql)
+		return controller.Status{}, c.callError(r.Err, sql)
 	}
-	return c.read(r)
+	return c.readStatus(r)
 }
 
-// failed drops the connection if need be and says which call failed.
-func (c *Client) failed(err error, sql string) error {
+// callError drops the connection if it is broken and adds the failed call to err.
+func (c *Client) callError(err error, sql string) error {
 	c.dropBroken(err)
 	return errors.Annotatef(err, "call backend server %s: %s", c.Name, sql)
 }
--- a/internal/backend/commander/commander.go
+++ b/internal/backend/commander/commander.go
@@ -17,95 +17,97 @@
 	"github.com/cuminwick/cuminwick/internal/group/marker"
 )
 
-// ApplicationName marks the reserved connection; its statements never wait for a slot.
+// ApplicationName is the application_name of the reserved connection. Its statements never wait for
+// a slot.
 const ApplicationName = "cuminwick-control"
 
-const statusCall = "SELECT * FROM cuminwick_status()"
+const statusQuery = "SELECT * FROM cuminwick_status()"
 
-// defaultTimeout bounds a command whose caller set no sooner end.
+// defaultTimeout bounds a command whose caller set no earlier deadline.
 const defaultTimeout = 2 * time.Second
 
-// defaultPollTimeout bounds a poll, also one that no caller waits for any more.
-// A kept connection that has gone silent is dropped after it. If that took longer,
-// polls would fail in a row without a fresh connection having been tried, and a
-// healthy primary would count as lost.
+// defaultPollTimeout bounds a poll, also one whose callers have all given up. A kept connection
+// that doesn't respond within this time is dropped. With a longer timeout, polls would fail
+// repeatedly before a new connection is tried, and a healthy primary would be considered lost.
 const defaultPollTimeout = 150 * time.Millisecond
 
 // connectTimeout bounds an attempt to connect for a poll.
 const connectTimeout = time.Second
 
-// Client calls one backend server. It implements controller.Control and is used by many goroutines.
+// Client calls the control functions of one backend server. It implements controller.Control and
+// may be used by many goroutines. The exported fields are set before use.
 type Client struct {
-	// Name is the backend server's name, for errors.
+	// Name is the backend server's name. The server must report the same name.
 	Name string
-	// Address is its host and port.
+	// Address is the server's host:port.
 	Address string
-	// User and Password are those of the control role.
+	// User and Password are the credentials of the control role.
 	User, Password string
-	// Database is named at the connection's start, the user's name if empty.
+	// Database is the database to connect to, the one named like User if empty.
 	Database string
-	// Timeout bounds one call; if zero, 150 ms for a status and 2 s for a command.
+	// Timeout bounds each call. Zero means 150 ms for a status and 2 s for a command.
 	Timeout time.Duration
 	// Dial opens connections, plain TCP if nil.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	// turn is held by the one call that uses the connection.
-	turn       chan struct{}
+	// semaphore has capacity 1. The call that uses the connection holds its element.
+	semaphore  chan struct{}
 	once       sync.Once
 	connection *pgconn.PgConn
-	// prepared is what connections are opened with, nil until the first one.
-	prepared *pgconn.Config
-	// columns are those of the status row, nil until connection has asked for it once.
+	// cachedConfig is the result of config, nil before its first call.
+	cachedConfig *pgconn.Config
+	// columns describes the status row. It is nil unless statusQuery is the unnamed prepared
+	// statement of connection.
 	columns []pgconn.FieldDescription
-	// identifier is the system identifier that the server told first, zero until then.
+	// identifier is the system identifier that the server reported first, zero before that.
 	identifier uint64
-	// verified says that connection has shown that it leads to the right server.
+	// verified reports whether verify has succeeded on connection.
 	verified bool
-	// lost is the process id of a connection that stopped answering, zero if none.
-	lost uint32
+	// lostProcessID is the process ID of the session on a connection that stopped responding, zero
+	// if there is none.
+	lostProcessID uint32
 
 	mutex sync.Mutex
-	// next is the poll that callers from now on wait for; it hasn't started yet.
+	// next is the poll that new callers join, nil if there is none. It hasn't started yet.
 	next *poll
-	// polling says that loopPoll runs; wanted wakes it.
+	// polling reports whether pollLoop is running. A send on wake starts its next poll.
 	polling bool
-	wanted  chan struct{}
+	wake    chan struct{}
 }
 
 var _ controller.Control = (*Client)(nil)
 
-// poll is one status call whose result its waiters share.
+// poll is one status call whose result is shared by all callers that joined it.
 type poll struct {
 	done   chan struct{}
 	status controller.Status
 	err    error
 }
 
-func (c *Client) setUp() {
-	c.once.Do(c.prepare)
+func (c *Client) initialize() {
+	c.once.Do(c.makeChannels)
 }
 
-func (c *Client) prepare() {
-	c.turn = make(chan struct{}, 1)
-	c.wanted = make(chan struct{}, 1)
+func (c *Client) makeChannels() {
+	c.semaphore = make(chan struct{}, 1)
+	c.wake = make(chan struct{}, 1)
 }
 
-// Status asks the server for its present state.
+// Status returns the server's current state.
 //
-// Callers that wait at the same time share a poll that starts after all of
-// their calls: one that was already under way could report a position from
-// before a caller's own write.
+// Concurrent callers share a poll that starts after all of their calls. A poll that is already
+// running could report a position from before a caller's own write.
 //
-// A caller that finds the connection free polls by itself. Handing the call over
-// to loopPoll and the answer back would cost two more wake-ups, which is a sixth of
-// the time of a poll on a near server.
+// If the connection is idle, the poll runs in the caller's goroutine. Passing the call to pollLoop
+// and the result back would take two more goroutine wake-ups, a sixth of the duration of a poll of
+// a nearby server.
 func (c *Client) Status(ctx context.Context) (controller.Status, error) {
-	c.setUp()
-	if c.claim(ctx) {
+	c.initialize()
+	if c.tryAcquireForPoll(ctx) {
 		defer c.release()
 		return c.poll()
 	}
-	p := c.join()
+	p := c.joinPoll()
 	select {
 	case <-p.done:
 		return p.status, p.err
@@ -114,16 +116,17 @@
 	}
 }
 
-// claimSlack is how much sooner than a poll its caller's time may end.
-const claimSlack = 10 * time.Millisecond
+// deadlineSlack is how much a caller's remaining time may fall short of the poll timeout in
+// tryAcquireForPoll.
+const deadlineSlack = 10 * time.Millisecond
 
-// claim takes the connection for a poll in the caller's goroutine. It does so only
-// where nobody waits for a poll, as that one counts for the caller too, and where
-// the poll ends by the caller's deadline: else a caller whose time is over, as
-// that of another entry host's question, would wait for the poll's end.
-func (c *Client) claim(ctx context.Context) bool {
+// tryAcquireForPoll acquires the connection for a poll in the caller's goroutine. It returns false
+// if the connection is closed or in use, if a poll is pending, because the caller joins that one,
+// and if the poll could run past the caller's deadline: a caller with little time left, such as a
+// request from another entry host, would wait for the end of the poll.
+func (c *Client) tryAcquireForPoll(ctx context.Context) bool {
 	t, ok := ctx.Deadline()
-	if !ok || time.Until(t) < c.timeout(defaultPollTimeout)-claimSlack || !c.free() {
+	if !ok || time.Until(t) < c.timeout(defaultPollTimeout)-deadlineSlack || !c.tryAcquire() {
 		return false
 	}
 	if c.connection == nil || c.connection.IsClosed() {
@@ -133,23 +136,23 @@
 	return true
 }
 
-// free takes the turn if nobody has it or waits for it.
-func (c *Client) free() bool {
+// tryAcquire acquires the connection unless it is in use or a poll is pending.
+func (c *Client) tryAcquire() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.next != nil {
 		return false
 	}
 	select {
-	case c.turn <- struct{}{}:
+	case c.semaphore <- struct{}{}:
 		return true
 	default:
 		return false
 	}
 }
 
-// join returns the poll that hasn't started, and sees to it that there is one.
-func (c *Client) join() *poll {
+// joinPoll returns the pending poll. If there is none, it creates one and has pollLoop run it.
+func (c *Client) joinPoll() *poll {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.next != nil {
@@ -157,60 +160,61 @@
 	}
 	c.next = &poll{done: make(chan struct{})}
 	if c.polling {
-		c.wanted <- struct{}{}
+		c.wake <- struct{}{}
 		return c.next
 	}
 	c.polling = true
-	go c.loopPoll()
+	go c.pollLoop()
 	return c.next
 }
 
-// pollRest is how long loopPoll waits for the next poll. It is longer than the
-// time between two polls of a group at rest.
-const pollRest = time.Second
+// pollIdleTimeout is how long pollLoop waits for the next poll before it ends. It is longer than
+// the interval between two polls of an idle group.
+const pollIdleTimeout = time.Second
 
-// loopPoll runs polls until none is wanted any more. With a goroutine for each
-// poll a third of a poll's processor time was spent on growing its stack.
-func (c *Client) loopPoll() {
-	t := time.NewTimer(pollRest)
+// pollLoop runs polls until none is requested for pollIdleTimeout. With one goroutine per poll,
+// growing its stack took a third of the processor time of a poll.
+func (c *Client) pollLoop() {
+	t := time.NewTimer(pollIdleTimeout)
 	defer t.Stop()
 	for {
 		c.runPoll()
-		t.Reset(pollRest)
+		t.Reset(pollIdleTimeout)
 		select {
-		case <-c.wanted:
+		case <-c.wake:
 		case <-t.C:
-			if c.stopPolling() {
+			if c.tryStopPolling() {
 				return
 			}
 		}
 	}
 }
 
-// stopPolling reports whether loopPoll may end. Where a poll was joined at the
-// last moment it goes on, as that poll's waiters would wait for good.
-func (c *Client) stopPolling() bool {
+// tryStopPolling reports whether pollLoop may end. If a poll has been created in the meantime,
+// pollLoop must continue, because the callers of that poll would wait forever.
+func (c *Client) tryStopPolling() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.next != nil {
-		<-c.wanted
+		<-c.wake
 		return false
 	}
 	c.polling = false
 	return true
 }
 
-// runPoll waits for the connection, closes the poll to new waiters and runs it.
+// runPoll waits for the connection, takes the pending poll, so that no further callers join it, and
+// runs it.
 func (c *Client) runPoll() {
-	c.turn <- struct{}{}
+	c.semaphore <- struct{}{}
 	defer c.release()
-	p := c.take()
+	p := c.takeNext()
 	p.status, p.err = c.poll()
 	close(p.done)
 }
 
-// take returns the next poll, which nobody can join from now on.
-func (c *Client) take() *poll {
+// takeNext returns the pending poll and resets next, so that new callers start another one.
+func (c *Client) takeNext() *poll {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	p := c.next
@@ -218,20 +222,20 @@
 	return p
 }
 
-// poll connects if need be and asks. Connecting has a time of its own: on a
-// slow way, or on a busy host, a login takes longer than a poll may, and if each
-// poll began it anew the server would never be reached.
+// poll connects if necessary and queries the status. Connecting has a timeout of its own: over a
+// slow network or on a busy host, a login takes longer than the timeout of a poll, and if each poll
+// restarted the login, the server would never be reached.
 func (c *Client) poll() (controller.Status, error) {
-	if err := c.reach(); err != nil {
+	if err := c.connectForPoll(); err != nil {
 		return controller.Status{}, err
 	}
 	ctx, stop := context.WithTimeout(context.Background(), c.timeout(defaultPollTimeout))
 	defer stop()
-	return c.ask(ctx)
+	return c.queryStatus(ctx)
 }
 
-// reach connects for a poll unless there is a connection.
-func (c *Client) reach() error {
+// connectForPoll opens a connection unless there is one.
+func (c *Client) connectForPoll() error {
 	if c.connection != nil && !c.connection.IsClosed() {
 		return nil
 	}
@@ -241,61 +245,61 @@
 }
 
 func (c *Client) release() {
-	<-c.turn
+	<-c.semaphore
 }
 
-func (c *Client) timeout(otherwise time.Duration) time.Duration {
+func (c *Client) timeout(fallback time.Duration) time.Duration {
 	if c.Timeout > 0 {
 		return c.Timeout
 	}
-	return otherwise
+	return fallback
 }
 
-// RaiseTerm makes the server refuse writes and replication under lower terms.
+// RaiseTerm makes the server refuse writes and replication under terms lower than t.
 func (c *Client) RaiseTerm(ctx context.Context, t marker.Term) (controller.Status, error) {
-	return c.command(ctx, "SELECT * FROM cuminwick_raise_term("+term(t)+")")
+	return c.command(ctx, "SELECT * FROM cuminwick_raise_term("+formatTerm(t)+")")
 }
 
-// Promote makes the server primary under its accepted term t.
+// Promote makes the server the primary of t, its accepted term.
 func (c *Client) Promote(ctx context.Context, t marker.Term) (controller.Status, error) {
-	return c.command(ctx, "SELECT * FROM cuminwick_promote("+term(t)+")")
+	return c.command(ctx, "SELECT * FROM cuminwick_promote("+formatTerm(t)+")")
 }
 
-// Follow makes the server a replica, under term t, of the server so named.
+// Follow makes the server a replica of the named server under term t.
 func (c *Client) Follow(ctx context.Context, t marker.Term, backendServer, address string) (controller.Status, error) {
-	return c.command(ctx, "SELECT * FROM cuminwick_follow("+term(t)+", $1, $2)", backendServer, address)
+	return c.command(ctx, "SELECT * FROM cuminwick_follow("+formatTerm(t)+", $1, $2)", backendServer, address)
 }
 
-func term(t marker.Term) string {
+func formatTerm(t marker.Term) string {
 	return strconv.FormatUint(uint64(t), 10)
 }
 
-// command runs one call that changes the server, in turn with the others.
+// command waits for the connection and makes one call that changes the server.
 func (c *Client) command(ctx context.Context, sql string, args ...string) (controller.Status, error) {
-	c.setUp()
+	c.initialize()
 	ctx, stop := context.WithTimeout(ctx, c.timeout(defaultTimeout))
 	defer stop()
 	select {
-	case c.turn <- struct{}{}:
+	case c.semaphore <- struct{}{}:
 		defer c.release()
 	case <-ctx.Done():
 		return controller.Status{}, errors.Annotatef(ctx.Err(), "wait to command backend server %s", c.Name)
 	}
-	return c.call(ctx, sql, args)
+	return c.runCommand(ctx, sql, args)
 }
 
-// dropBroken forgets the connection unless the server itself answered with an error.
+// dropBroken closes the connection unless err is an error response of the server.
 func (c *Client) dropBroken(err error) {
 	var p *pgconn.PgError
 	if errors.As(err, &p) && !c.connection.IsClosed() {
 		return
 	}
 	if pgconn.Timeout(err) {
-		c.lost = c.connection.PID()
+		c.lostProcessID = c.connection.PID()
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
-	// The connection is useless already, so a failing close changes nothing.
+	// The error is ignored because the connection is broken already.
 	_ = c.connection.Close(ctx)
 	c.connection = nil
 	c.columns = nil
@@ -311,7 +315,7 @@
 	}
 	n, err := pgconn.ConnectConfig(ctx, f)
 	if err != nil {
-		return errors.Annotatef(judge(err), "dial backend server %s at %s", c.Name, c.Address)
+		return errors.Annotatef(classifyDialError(err), "dial backend server %s at %s", c.Name, c.Address)
 	}
 	c.connection = n
 	c.columns = nil
@@ -319,9 +323,9 @@
 	return nil
 }
 
-// judge marks the failure of an attempt to connect that a server's machine
-// answered in place of the server.
-func judge(err error) error {
+// classifyDialError adds controller.ErrRefused to an error that shows that the server's machine
+// responded but the server didn't.
+func classifyDialError(err error) error {
 	refused := errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 	if refused || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return errors.WithType(err, controller.ErrRefused)
@@ -329,28 +333,26 @@
 	return err
 }
 
-// endLost has the server end the session of a connection that stopped
-// answering: the server may not have noticed and counts it for good, until
-// there is no connection left for control. It is called only where the connection
-// leads to that very server: at another one the process id is that of somebody else's
-// session. The call takes the place of the unnamed statement.
-func (c *Client) endLost(ctx context.Context) {
-	if c.lost == 0 {
+// terminateLost ends the server's session of a connection that stopped responding. The server may
+// not have noticed the loss and would count the session forever, until no connection is left for
+// control. It is called only after verify has succeeded, because at another server the process ID
+// belongs to an unrelated session. The query replaces the unnamed prepared statement.
+func (c *Client) terminateLost(ctx context.Context) {
+	if c.lostProcessID == 0 {
 		return
 	}
 	c.columns = nil
-	q := "SELECT pg_terminate_backend(" + strconv.FormatUint(uint64(c.lost), 10) + ")"
+	q := "SELECT pg_terminate_backend(" + strconv.FormatUint(uint64(c.lostProcessID), 10) + ")"
 	if _, err := c.connection.Exec(ctx, q).ReadAll(); err == nil {
-		c.lost = 0
+		c.lostProcessID = 0
 	}
 }
 
-// config returns what a connection is opened with. It is worked out once: that
-// reads the environment and files, and when a server ends, each entry host tries
-// to connect again and again.
+// config returns the connection settings. They are computed once, because pgconn.ParseConfig reads
+// the environment and files, and every entry host reconnects repeatedly when a server ends.
 func (c *Client) config() (*pgconn.Config, error) {
-	if c.prepared != nil {
-		return c.prepared, nil
+	if c.cachedConfig != nil {
+		return c.cachedConfig, nil
 	}
 	h, p, err := net.SplitHostPort(c.Address)
 	if err != nil {
@@ -371,15 +373,15 @@
 	if c.Dial != nil {
 		f.DialFunc = c.Dial
 	}
-	c.prepared = f
+	c.cachedConfig = f
 	return f, nil
 }
 
-// Close gives up the connection.
+// Close closes the connection. The next call opens a new one.
 func (c *Client) Close(ctx context.Context) error {
-	c.setUp()
+	c.initialize()
 	select {
-	case c.turn <- struct{}{}:
+	case c.semaphore <- struct{}{}:
 		defer c.release()
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/backend/commander/commander_bench_test.go
+++ b/internal/backend/commander/commander_bench_test.go
@@ -11,26 +11,26 @@
 	"github.com/cuminwick/cuminwick/internal/standin/responder"
 )
 
-// counted counts the bytes that a connection carries.
-type counted struct {
+// countingConn counts the bytes that a connection carries.
+type countingConn struct {
 	net.Conn
 	sent, received *atomic.Int64
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.sent.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.received.Add(int64(n))
 	return n, err
 }
 
-// BenchmarkPoll asks a stand-in for its status over a kept connection, and
-// reports the bytes of a call and of its answer.
+// BenchmarkPoll queries the status of a stand-in server over a kept connection and reports the
+// bytes sent and received per call.
 func BenchmarkPoll(b *testing.B) {
 	ctx, stop := context.WithCancel(context.Background())
 	s := &responder.Server{Name: "db-1", Address: "127.0.0.1:0"}
@@ -47,7 +47,7 @@
 	c := &commander.Client{Name: s.Name, Address: s.Addr(), User: "control"}
 	c.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		n, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		return counted{Conn: n, sent: &sent, received: &received}, err
+		return countingConn{Conn: n, sent: &sent, received: &received}, err
 	}
 	defer func() { _ = c.Close(context.Background()) }()
 	if _, err := c.Status(ctx); err != nil {
--- a/internal/backend/commander/commander_test.go
+++ b/internal/backend/commander/commander_test.go
@@ -14,14 +14,15 @@
 	"github.com/cuminwick/cuminwick/internal/group/marker"
 )
 
-// server answers status calls one by one, as the test says.
+// server answers status queries one at a time, as directed by the test.
 type server struct {
-	// asked gets each call, answers the position to answer with; zero drops the connection.
-	asked   chan string
+	// queries receives each query. answers gets the position to report for it; zero closes the
+	// connection.
+	queries chan string
 	answers chan int
-	// started counts connections, without those that only carry a cancel,
-	// which the driver opens by itself.
-	started atomic.Int64
+	// connections counts the connections, without those that the driver opens by itself to send a
+	// cancel request.
+	connections atomic.Int64
 }
 
 func (s *server) dial(context.Context, string, string) (net.Conn, error) {
@@ -37,14 +38,14 @@
 	if _, ok := m.(*pgproto3.StartupMessage); err != nil || !ok {
 		return
 	}
-	s.started.Add(1)
+	s.connections.Add(1)
 	b.Send(&pgproto3.AuthenticationOk{})
 	b.Send(&pgproto3.BackendKeyData{ProcessID: 1, SecretKey: []byte{0, 0, 0, 1}})
 	b.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
 	if b.Flush() != nil {
 		return
 	}
-	e := &exchange{backend: b}
+	e := &session{backend: b}
 	for {
 		m, err := b.Receive()
 		if err != nil {
@@ -56,7 +57,7 @@
 		case *pgproto3.Describe:
 			e.described = true
 		case *pgproto3.Bind:
-			s.asked <- e.query
+			s.queries <- e.query
 		case *pgproto3.Sync:
 			n := <-s.answers
 			if n == 0 {
@@ -69,20 +70,21 @@
 	}
 }
 
-// forget as an answer stands for a server that has lost its unnamed statement.
-const forget = -1
+// forgetStatement is the answer of a server that has lost its unnamed prepared statement.
+const forgetStatement = -1
 
-// exchange is what a connection was asked since its last answer, and its unnamed statement.
-type exchange struct {
+// session is the state of one connection: its unnamed prepared statement and the messages received
+// since the last answer.
+type session struct {
 	backend           *pgproto3.Backend
 	query             string
 	parsed, described bool
 }
 
-// answer sends what belongs to the messages that were got, as PostgreSQL does.
-func (e *exchange) answer(position int) error {
+// answer sends the messages with which PostgreSQL answers those received.
+func (e *session) answer(position int) error {
 	b := e.backend
-	if position == forget {
+	if position == forgetStatement {
 		e.query = ""
 		b.Send(&pgproto3.ErrorResponse{Severity: "ERROR", Code: "26000", Message: "unnamed prepared statement does not exist"})
 		b.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
@@ -113,8 +115,8 @@
 	return b.Flush()
 }
 
-func start(t *testing.T) (*Client, *server) {
-	s := &server{asked: make(chan string), answers: make(chan int)}
+func newClient(t *testing.T) (*Client, *server) {
+	s := &server{queries: make(chan string), answers: make(chan int)}
 	c := &Client{Name: "db-1", Address: "127.0.0.1:1", User: "control", Timeout: time.Minute, Dial: s.dial}
 	t.Cleanup(func() { c.Close(context.Background()) })
 	return c, s
@@ -125,7 +127,7 @@
 	err    error
 }
 
-func status(c *Client) <-chan result {
+func statusAsync(c *Client) <-chan result {
 	r := make(chan result, 1)
 	go func() {
 		s, err := c.Status(context.Background())
@@ -134,14 +136,14 @@
 	return r
 }
 
-// Many requests ask for the status at once. Those that come while a poll is
-// under way must not get its answer: it may be older than a write of theirs,
-// and a read would go to a replica that lacks it.
-func TestStatusStartsAfterItsCall(t *testing.T) {
-	c, s := start(t)
-	first := status(c)
-	<-s.asked
-	second, third := status(c), status(c)
+// Many requests query the status concurrently. One that arrives while a poll is running must not
+// share its result, which may be older than a write of the request: a read would be sent to a
+// replica that lacks the write.
+func TestStatusPollStartsAfterCall(t *testing.T) {
+	c, s := newClient(t)
+	first := statusAsync(c)
+	<-s.queries
+	second, third := statusAsync(c), statusAsync(c)
 	for joined := false; !joined; {
 		c.mutex.Lock()
 		joined = c.next != nil
@@ -153,7 +155,7 @@
 		t.Errorf("first: %+v", r)
 	}
 	go func() {
-		for range s.asked {
+		for range s.queries {
 			s.answers <- 2
 		}
 	}()
@@ -162,13 +164,13 @@
 			t.Errorf("later: %+v", r)
 		}
 	}
-	close(s.asked)
+	close(s.queries)
 }
 
 func TestStatusRow(t *testing.T) {
-	c, s := start(t)
-	r := status(c)
-	if q := <-s.asked; q != statusCall {
+	c, s := newClient(t)
+	r := statusAsync(c)
+	if q := <-s.queries; q != statusQuery {
 		t.Error(q)
 	}
 	s.answers <- 9
@@ -181,15 +183,15 @@
 	}
 }
 
-// A control connection has asked for the status before, and the server has lost
-// the statement since, for instance because something between them took
-// the connection over. It is asked whole again, and nobody notices.
-func TestForgottenStatement(t *testing.T) {
-	c, s := start(t)
-	for _, answers := range [][]int{{1}, {2}, {forget, 3}, {4}} {
-		r := status(c)
+// The server has lost the unnamed prepared statement of a control connection, for instance because
+// a connection pooler between them switched sessions. The client must prepare the statement again
+// on the same connection instead of returning an error.
+func TestLostStatement(t *testing.T) {
+	c, s := newClient(t)
+	for _, answers := range [][]int{{1}, {2}, {forgetStatement, 3}, {4}} {
+		r := statusAsync(c)
 		for _, n := range answers {
-			<-s.asked
+			<-s.queries
 			s.answers <- n
 		}
 		want := marker.Position(answers[len(answers)-1])
@@ -197,24 +199,24 @@
 			t.Errorf("%+v, want position %d", g, want)
 		}
 	}
-	if n := s.started.Load(); n != 1 {
+	if n := s.connections.Load(); n != 1 {
 		t.Errorf("%d connections", n)
 	}
 }
 
-// The server restarts, and the kept connection is gone without a word. A status
-// must not fail for it; a command must not be sent twice, since the first one
-// may have taken effect.
+// The server restarts and the kept connection is lost without an error until its next use. A status
+// must not fail because of that. A command must not be sent twice, because the first one may have
+// taken effect.
 func TestLostConnection(t *testing.T) {
-	c, s := start(t)
-	r := status(c)
-	<-s.asked
+	c, s := newClient(t)
+	r := statusAsync(c)
+	<-s.queries
 	s.answers <- 1
 	<-r
-	r = status(c)
-	<-s.asked
+	r = statusAsync(c)
+	<-s.queries
 	s.answers <- 0
-	<-s.asked
+	<-s.queries
 	s.answers <- 2
 	if g := <-r; g.err != nil || g.status.Last.Position != 2 {
 		t.Errorf("%+v", g)
@@ -224,12 +226,12 @@
 		_, err := c.RaiseTerm(context.Background(), 4)
 		done <- err
 	}()
-	<-s.asked
+	<-s.queries
 	s.answers <- 0
 	if err := <-done; err == nil {
 		t.Error("a lost command succeeded")
 	}
-	if n := s.started.Load(); n != 2 {
+	if n := s.connections.Load(); n != 2 {
 		t.Errorf("%d connections", n)
 	}
 }
--- a/internal/backend/commander/login_test.go
+++ b/internal/backend/commander/login_test.go
@@ -9,9 +9,9 @@
 	"github.com/cuminwick/cuminwick/internal/standin/responder"
 )
 
-// Logins take longer than a poll may, as on a slow way or a busy host. If each
-// poll began the login anew, the entry host would never reach the server and
-// refuse its callers although the server works.
+// Logins take longer than the timeout of a poll, as over a slow network or on a busy host. If each
+// poll restarted the login, the entry host would never reach the server and would refuse its
+// callers although the server works.
 func TestSlowLogin(t *testing.T) {
 	s := &responder.Server{Name: "db-a", Address: "127.0.0.1:0", ConnectTime: 300 * time.Millisecond, Primary: true}
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/backend/commander/place_test.go
+++ b/internal/backend/commander/place_test.go
@@ -9,19 +9,19 @@
 	"github.com/cuminwick/cuminwick/internal/group/marker"
 )
 
-// An entry host polls a server in the goroutine that asks. Another request asks while
-// such a poll is under way, and later the server goes silent during one. Did the other
-// request get the answer to the first poll, a read could miss a write that came before
-// it; did the poll not end by itself, a lost primary would be noticed late.
+// A poll runs in its caller's goroutine while another request queries the status. If that request
+// shared the first poll, a read could miss an earlier write. Later the server stops responding
+// during such a poll. If the poll didn't time out by itself, the loss of a primary would be
+// detected late.
 func TestPollInCallersGoroutine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &server{asked: make(chan string, 8), answers: make(chan int, 4)}
+		s := &server{queries: make(chan string, 8), answers: make(chan int, 4)}
 		c := &Client{Name: "db-1", Address: "127.0.0.1:1", User: "control", Dial: s.dial}
 		s.answers <- 1
 		if _, err := c.Status(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(2 * pollRest)
+		time.Sleep(2 * pollIdleTimeout)
 		ask := func() <-chan result {
 			r := make(chan result, 1)
 			go func() {
@@ -35,7 +35,7 @@
 		}
 		first := ask()
 		if c.polling {
-			t.Error("poll handed over although the connection was free")
+			t.Error("poll ran in another goroutine although the connection was idle")
 		}
 		second := ask()
 		s.answers <- 2
@@ -45,11 +45,11 @@
 				t.Errorf("request %d: %+v", i, g)
 			}
 		}
-		time.Sleep(2 * pollRest)
+		time.Sleep(2 * pollIdleTimeout)
 		before := time.Now()
 		if r := <-ask(); r.err == nil || time.Since(before) != defaultPollTimeout || c.connection != nil {
-			t.Errorf("silent server: %+v after %v", r, time.Since(before))
+			t.Errorf("unresponsive server: %+v after %v", r, time.Since(before))
 		}
-		s.answers <- 0 // ends the server's side
+		s.answers <- 0 // ends server.serve
 	})
 }
--- a/internal/backend/commander/read.go
+++ b/internal/backend/commander/read.go
@@ -18,16 +18,16 @@
 	err    error
 }
 
-// read turns a status row of the server that is meant into a Status.
-func (c *Client) read(r *pgconn.Result) (controller.Status, error) {
-	p, err := c.parse(r)
+// readStatus parses a status row and verifies that it comes from the configured server.
+func (c *Client) readStatus(r *pgconn.Result) (controller.Status, error) {
+	p, err := c.parseStatus(r)
 	if err != nil {
 		return controller.Status{}, err
 	}
 	return p, c.verify(p)
 }
 
-func (c *Client) parse(r *pgconn.Result) (controller.Status, error) {
+func (c *Client) parseStatus(r *pgconn.Result) (controller.Status, error) {
 	if len(r.Rows) != 1 {
 		return controller.Status{}, errors.Errorf("status of backend server %s has %d rows", c.Name, len(r.Rows))
 	}
@@ -54,8 +54,8 @@
 	return s, errors.Annotatef(w.err, "read status of backend server %s", c.Name)
 }
 
-// find returns the value of a column; ok is false if there is no such column.
-// There are few columns, and a table of them would be made for each poll.
+// find returns the value of a column; ok is false if there is no such column. It searches linearly
+// because there are few columns and a map would be allocated for each poll.
 func (w *row) find(name string) (v []byte, ok bool) {
 	for i := range w.fields {
 		if w.fields[i].Name == name {
@@ -73,7 +73,7 @@
 	return string(v)
 }
 
-// optional reads a column that a server need not have.
+// optional returns the number in a column that servers may omit, zero if it is missing.
 func (w *row) optional(name string) uint64 {
 	if _, ok := w.find(name); !ok {
 		return 0
--- a/internal/backend/commander/refused_test.go
+++ b/internal/backend/commander/refused_test.go
@@ -14,22 +14,22 @@
 	"github.com/cuminwick/cuminwick/internal/backend/controller"
 )
 
-// A server has ended, or its machine is cut off or stands still, or it is merely
-// full. Only the first is told by its machine, and writes wait for less time then.
-// If one of the others were taken for it, a server that is merely slow would be
-// replaced, and its callers' transactions would be rolled back.
+// The server process has ended, or its machine is unreachable or paused, or the server has reached
+// its connection limit. Only in the first case does the machine refuse connections, and writes are
+// then held for a shorter time. If another case were mistaken for it, a slow but healthy server
+// would be replaced and its callers' transactions rolled back.
 func TestRefusedConnection(t *testing.T) {
 	tests := []struct {
 		name string
 		dial func(ctx context.Context, network, address string) (net.Conn, error)
 		want bool
 	}{
-		{name: "nothing listens", dial: failing(syscall.ECONNREFUSED), want: true},
-		{name: "reset", dial: failing(syscall.ECONNRESET), want: true},
-		{name: "closed before the login", dial: answering(nil), want: true},
-		{name: "no way there", dial: failing(syscall.EHOSTUNREACH)},
-		{name: "silent", dial: silent},
-		{name: "full", dial: answering(&pgproto3.ErrorResponse{Severity: "FATAL", Code: "53300"})},
+		{name: "nothing listens", dial: dialFailing(syscall.ECONNREFUSED), want: true},
+		{name: "reset", dial: dialFailing(syscall.ECONNRESET), want: true},
+		{name: "closed before the login", dial: dialAnswering(nil), want: true},
+		{name: "no route to host", dial: dialFailing(syscall.EHOSTUNREACH)},
+		{name: "silent", dial: dialSilent},
+		{name: "full", dial: dialAnswering(&pgproto3.ErrorResponse{Severity: "FATAL", Code: "53300"})},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -44,29 +44,29 @@
 	}
 }
 
-func failing(e syscall.Errno) func(context.Context, string, string) (net.Conn, error) {
+func dialFailing(e syscall.Errno) func(context.Context, string, string) (net.Conn, error) {
 	return func(context.Context, string, string) (net.Conn, error) {
 		return nil, &net.OpError{Op: "dial", Err: e}
 	}
 }
 
-func silent(context.Context, string, string) (net.Conn, error) {
+func dialSilent(context.Context, string, string) (net.Conn, error) {
 	a, b := net.Pipe()
 	go io.Copy(io.Discard, b)
 	return a, nil
 }
 
-// answering accepts connections, answers the startup message with m if there is
-// one, and closes.
-func answering(m pgproto3.BackendMessage) func(context.Context, string, string) (net.Conn, error) {
+// dialAnswering returns a dial function whose connections answer the startup message with m, if it
+// is set, and close.
+func dialAnswering(m pgproto3.BackendMessage) func(context.Context, string, string) (net.Conn, error) {
 	return func(context.Context, string, string) (net.Conn, error) {
 		a, b := net.Pipe()
-		go greet(b, m)
+		go answerStartup(b, m)
 		return a, nil
 	}
 }
 
-func greet(c net.Conn, m pgproto3.BackendMessage) {
+func answerStartup(c net.Conn, m pgproto3.BackendMessage) {
 	defer c.Close()
 	b := pgproto3.NewBackend(c, c)
 	if _, err := b.ReceiveStartupMessage(); err != nil || m == nil {
--- a/internal/backend/commander/verify.go
+++ b/internal/backend/commander/verify.go
@@ -6,14 +6,14 @@
 	"github.com/cuminwick/cuminwick/internal/backend/controller"
 )
 
-// verify tells whether the configured server has answered, by its name and by the
-// system identifier, which all servers of a group share and those of others don't. The
-// connection to another one is given up.
+// verify checks that the status comes from the configured server. It compares the name and the
+// system identifier, which all servers of a group share and which differs between groups. If they
+// differ, it closes the connection and returns controller.ErrWrongServer.
 //
-// Addresses are given out again: after a server has ended, another group's may listen
-// at its address, where polls go on. Names such as db-1 occur in many groups, so the
-// identifier that the server told first counts too, unless it told none (zero). A
-// server that was set up anew with other data needs a restart of the entry host.
+// Addresses are reused: after a server has ended, a server of another group may listen at its
+// address, which is still polled. Names such as db-1 occur in many groups, so the identifier that
+// the server reported first must match too, unless it reported none (zero). After a server has been
+// set up again with other data, the entry host must be restarted.
 func (c *Client) verify(p controller.Status) error {
 	if p.BackendServer == c.Name && (c.identifier == 0 || p.SystemIdentifier == c.identifier) {
 		c.identifier = p.SystemIdentifier
