--- a/internal/backend/commander/commander_test.go
+++ b/internal/backend/commander/commander_test.go
@@ -184,8 +184,8 @@
 }
 
 // The server has lost the unnamed prepared statement of a control connection, for instance because
-// a connection pooler between them switched sessions. The client must prepare the statement again
-// on the same connection instead of returning an error.
+// a proxy in between took the connection over. The client must prepare the statement again on the
+// same connection instead of returning an error.
 func TestLostStatement(t *testing.T) {
 	c, s := newClient(t)
 	for _, answers := range [][]int{{1}, {2}, {forgetStatement, 3}, {4}} {
--- a/internal/backend/dialer/cancel_test.go
+++ b/internal/backend/dialer/cancel_test.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// The server's machine takes a cancel and nobody sees the server act on it. If this
-// were told like a cancel that was never sent, the connection would go to the next
-// caller, whose request the cancel may still hit.
+// A cancel request is sent and the server doesn't confirm that it has processed it. If the error
+// were the same as for a request that was never sent, the connection would be lent to the next
+// caller, whose request the cancel could still abort.
 func TestCancelOutOfSight(t *testing.T) {
 	refused := errors.New("refused")
 	tests := []struct {
-		name   string
-		serve  func(c net.Conn)
-		err    error
-		unseen bool
+		name        string
+		serve       func(c net.Conn)
+		err         error
+		unconfirmed bool
 	}{
 		{name: "never sent", err: refused},
-		{name: "server closes after it acted", serve: func(c net.Conn) { read(c); c.Close() }},
-		{name: "nothing comes back", serve: read, unseen: true},
-		{name: "only part was taken", serve: func(c net.Conn) { c.Read(make([]byte, 4)); c.Close() }, unseen: true},
+		{name: "server closes the connection after processing", serve: func(c net.Conn) { readCancelRequest(c); c.Close() }},
+		{name: "server never closes the connection", serve: readCancelRequest, unconfirmed: true},
+		{name: "server closes the connection after part of the request", serve: func(c net.Conn) { c.Read(make([]byte, 4)); c.Close() }, unconfirmed: true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -37,15 +37,15 @@
 					return near, nil
 				}}
 				err := d.Cancel(t.Context(), "10.0.0.1:5432", 1, 2)
-				if errors.Is(err, ErrCancelUnconfirmed) != tt.unseen || (err == nil) != (tt.err == nil && !tt.unseen) {
-					t.Errorf("got %v, want unseen %t", err, tt.unseen)
+				if errors.Is(err, ErrCancelUnconfirmed) != tt.unconfirmed || (err == nil) != (tt.err == nil && !tt.unconfirmed) {
+					t.Errorf("got %v, want unconfirmed %t", err, tt.unconfirmed)
 				}
 			})
 		})
 	}
 }
 
-// read takes a whole cancel request.
-func read(c net.Conn) {
+// readCancelRequest reads a whole cancel request.
+func readCancelRequest(c net.Conn) {
 	c.Read(make([]byte, cancelRequestBytes))
 }
--- a/internal/backend/dialer/dialer.go
+++ b/internal/backend/dialer/dialer.go
@@ -17,51 +17,53 @@
 )
 
 const (
-	// readBufferBytes is read ahead from a backend server.
+	// readBufferBytes is the size of the read buffer of a connection.
 	readBufferBytes = 64 << 10
-	// cancelRequestCode is the protocol's code of a CancelRequest.
+	// cancelRequestCode identifies a CancelRequest in PostgreSQL's protocol.
 	cancelRequestCode = 80877102
-	// cancelRequestBytes is the length of a CancelRequest with a 4-byte secret.
+	// cancelRequestBytes is the length of a CancelRequest with a 4-byte secret key.
 	cancelRequestBytes = 16
 )
 
-// ErrCancelUnconfirmed says that a cancel request was sent and that the server wasn't seen to have
-// acted on it, so that it may take effect at any later time.
+// ErrCancelUnconfirmed is returned when a cancel request may have been sent but the server didn't
+// confirm that it has processed it, so that it may take effect at any later time.
 const ErrCancelUnconfirmed = errors.ConstError("cancel may still arrive")
 
-// Dialer opens connections under the role that cuminwick uses at backend servers.
+// Dialer opens connections as the role that cuminwick uses at backend servers. The fields are set
+// before use.
 type Dialer struct {
 	User     string
 	Password string
-	// ApplicationName is shown in the backend server's list of connections.
+	// ApplicationName is the application_name of the connections, which the backend server shows in
+	// pg_stat_activity.
 	ApplicationName string
-	// Timeout bounds one attempt, cancel requests included.
+	// Timeout bounds one attempt to connect or to send a cancel request.
 	Timeout time.Duration
-	// Dial opens the TCP connection; nil stands for net.Dialer.
+	// Dial opens TCP connections, net.Dialer if nil.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Conn is one connection to a backend server, ready for queries.
+// Conn is a connection to a backend server that is ready for queries.
 type Conn struct {
 	net.Conn
-	// Reader cuts the server's messages.
+	// Reader splits what the server sends into messages.
 	Reader framer.Reader
 	// Address is the server's host:port.
 	Address string
-	// ProcessID and SecretKey are what a cancel request needs.
+	// ProcessID and SecretKey identify the connection in a cancel request.
 	ProcessID uint32
 	SecretKey uint32
-	// Parameters are the parameter statuses that the server reported.
+	// Parameters are the run-time parameters that the server reported in ParameterStatus messages.
 	Parameters map[string]string
-	// ReadTimeout is how long Read waits for a byte before it asks Silence whether
-	// to go on waiting; it is used only while Silence is set.
+	// ReadTimeout is how long Read waits for a byte before it calls OnReadTimeout. If that returns
+	// an error, Read returns it, and otherwise waits again. ReadTimeout is ignored while
+	// OnReadTimeout is nil.
 	ReadTimeout   time.Duration
 	OnReadTimeout func() error
 }
 
-// Read reads from the server. A connection that something in between has lost
-// track of brings neither bytes nor an error, for good; without the question
-// its reader would wait as long.
+// Read reads from the server. A connection whose state was lost by a device on the path yields
+// neither bytes nor an error, and without OnReadTimeout its reader would wait forever.
 func (c *Conn) Read(b []byte) (int, error) {
 	if c.OnReadTimeout == nil {
 		return c.Conn.Read(b)
@@ -83,7 +85,7 @@
 	return errors.As(err, &n) && n.Timeout()
 }
 
-// Open connects to the database at address.
+// Open connects to the database at address, which is host:port.
 func (d *Dialer) Open(ctx context.Context, address, database string) (*Conn, error) {
 	c, err := d.config(address, database)
 	if err != nil {
@@ -99,7 +101,7 @@
 	if err != nil {
 		return nil, errors.Annotatef(err, "take over connection to backend server %s", address)
 	}
-	n, err := h.Conn.(*login).release()
+	n, err := h.Conn.(*loginConn).release()
 	if err != nil {
 		_ = h.Conn.Close()
 		return nil, errors.Annotatef(err, "take over connection to backend server %s", address)
@@ -107,12 +109,13 @@
 	return d.wrap(h, n, address), nil
 }
 
-// Cancel asks the server to cancel what the connection with these keys runs.
+// Cancel asks the server to cancel what the connection with this process ID and secret key is
+// running.
 //
-// It returns once the server has closed the cancel connection, which it does
-// after it has signalled the connection's process; an effect that is seen
-// later than that and a following round trip can't belong to this request. ErrCancelUnconfirmed
-// says that it didn't come to that after the request was sent.
+// It returns after the server has closed the connection of the cancel request, which it does after
+// it has signalled the process. Once a subsequent round trip on the cancelled connection is
+// complete, the request has no further effect. ErrCancelUnconfirmed is returned if sending failed
+// or the server didn't close the connection; other errors mean that nothing was sent.
 func (d *Dialer) Cancel(ctx context.Context, address string, processID, secretKey uint32) error {
 	x, cancel := context.WithTimeout(ctx, d.Timeout)
 	defer cancel()
@@ -153,7 +156,7 @@
 	c.Fallbacks = nil
 	c.ConnectTimeout = d.Timeout
 	c.RuntimeParams = map[string]string{"application_name": d.ApplicationName}
-	c.DialFunc = loginDial(d.dial())
+	c.DialFunc = wrapDial(d.dial())
 	return c, nil
 }
 
@@ -176,7 +179,8 @@
 	return c
 }
 
-// secretKey reads the 4-byte key of protocol 3.0.
+// secretKey decodes the 4-byte secret key of protocol version 3.0. It returns zero for a shorter
+// one.
 func secretKey(b []byte) uint32 {
 	if len(b) < 4 {
 		return 0
--- a/internal/backend/dialer/login.go
+++ b/internal/backend/dialer/login.go
@@ -9,92 +9,92 @@
 	"github.com/juju/errors"
 )
 
-// ErrStrayRead says that the login's library still read from a connection when it
-// handed it over, and that this took bytes which were meant for others.
+// ErrStrayRead is returned when a read of pgconn that was pending after the login consumed bytes
+// meant for the connection's next user.
 const ErrStrayRead = errors.ConstError("login took bytes of the connection's next user")
 
-// login is a connection as the library that logs in sees it.
+// loginConn is the connection that pgconn uses for the login.
 //
-// The library reads in the background while a write of its own takes long, as it
-// does on a busy machine, and such a read may still wait when the connection is
-// handed over. It would take the first bytes of the next answer, so that the
-// connection looks silent, or, as only one goroutine at a time may look at a
-// socket, hold up whoever looks whether the connection is still open. So release
-// ends that read first.
-type login struct {
+// pgconn reads in the background while one of its writes takes long, as happens on a busy machine,
+// and such a read may still be pending when the connection is taken over. It would consume the
+// first bytes of the next answer, so that the connection appears unresponsive, or delay a check
+// whether the connection is still open, because only one goroutine at a time can read from a socket.
+// So release ends that read first.
+type loginConn struct {
 	net.Conn
 
-	mu       sync.Mutex
-	readers  int
-	stray    int
-	released bool
-	// quiet is closed when released and no reader is left.
-	quiet chan struct{}
+	mu           sync.Mutex
+	pendingReads int
+	strayBytes   int
+	released     bool
+	// readsEnded is closed when released is set and no read is pending.
+	readsEnded chan struct{}
 }
 
-// loginDial makes dial return connections that can be taken back from the library.
-func loginDial(dial func(ctx context.Context, network, address string) (net.Conn, error)) func(ctx context.Context, network, address string) (net.Conn, error) {
+// wrapDial returns a dial function whose connections are of type loginConn.
+func wrapDial(dial func(ctx context.Context, network, address string) (net.Conn, error)) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return &login{Conn: c, quiet: make(chan struct{})}, nil
+		return &loginConn{Conn: c, readsEnded: make(chan struct{})}, nil
 	}
 }
 
-// Read reads for the library.
-func (l *login) Read(b []byte) (int, error) {
-	if !l.enter() {
+// Read reads for pgconn. It returns net.ErrClosed after release.
+func (l *loginConn) Read(b []byte) (int, error) {
+	if !l.beginRead() {
 		return 0, net.ErrClosed
 	}
 	n, err := l.Conn.Read(b)
-	l.leave(n)
+	l.endRead(n)
 	return n, err
 }
 
-func (l *login) enter() bool {
+func (l *loginConn) beginRead() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.released {
 		return false
 	}
-	l.readers++
+	l.pendingReads++
 	return true
 }
 
-func (l *login) leave(n int) {
+func (l *loginConn) endRead(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.readers--
+	l.pendingReads--
 	if !l.released {
 		return
 	}
-	l.stray += n
-	if l.readers == 0 {
-		close(l.quiet)
+	l.strayBytes += n
+	if l.pendingReads == 0 {
+		close(l.readsEnded)
 	}
 }
 
-// release takes the connection from the library, which reads nothing more of it.
-func (l *login) release() (net.Conn, error) {
-	if l.close() {
-		// A time that has passed ends the reads that wait.
+// release returns the underlying connection, from which pgconn reads nothing further. It returns
+// ErrStrayRead if a pending read consumed bytes.
+func (l *loginConn) release() (net.Conn, error) {
+	if l.stopReads() {
+		// A deadline in the past ends the pending reads.
 		if err := l.SetReadDeadline(time.Now().Add(-time.Second)); err != nil {
 			return nil, errors.Annotate(err, "end reads of the login")
 		}
-		<-l.quiet
+		<-l.readsEnded
 	}
-	if l.stray > 0 {
-		return nil, errors.Annotatef(ErrStrayRead, "%d bytes", l.stray)
+	if l.strayBytes > 0 {
+		return nil, errors.Annotatef(ErrStrayRead, "%d bytes", l.strayBytes)
 	}
 	return l.Conn, errors.Trace(l.SetReadDeadline(time.Time{}))
 }
 
-// close lets no further read begin and reports whether there are any to wait for.
-func (l *login) close() bool {
+// stopReads prevents further reads and reports whether any are pending.
+func (l *loginConn) stopReads() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.released = true
-	return l.readers > 0
+	return l.pendingReads > 0
 }
--- a/internal/backend/dialer/login_test.go
+++ b/internal/backend/dialer/login_test.go
@@ -10,14 +10,14 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// slow is a connection on which the first write takes long, as on a machine that
-// is short of processors.
-type slow struct {
+// slowWriter is a connection whose first write takes long, as on a machine that is short of
+// processors.
+type slowWriter struct {
 	net.Conn
 	written bool
 }
 
-func (s *slow) Write(b []byte) (int, error) {
+func (s *slowWriter) Write(b []byte) (int, error) {
 	if !s.written {
 		s.written = true
 		time.Sleep(100 * time.Millisecond)
@@ -25,17 +25,17 @@
 	return s.Conn.Write(b)
 }
 
-// A machine is so busy that the login's first write takes longer than 15 ms, and
-// the library begins to read in the background. That read went on after the login
-// and took the beginning of the first answer: the request waited until the
-// connection was taken for silent, and others hung behind a look at the socket.
+// On a busy machine the first write of the login takes longer than 15 ms, and pgconn starts to read
+// in the background. If that read outlived the login, it would consume the start of the first
+// answer: the request would wait until the connection counts as unresponsive, and other requests
+// would be blocked by the check whether the socket is open.
 func TestLoginLeavesNoReadBehind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := net.Pipe()
 		done := make(chan struct{})
-		go serve(t, b, done)
+		go serveLogin(t, b, done)
 		d := &Dialer{User: "u", Timeout: time.Minute, Dial: func(context.Context, string, string) (net.Conn, error) {
-			return &slow{Conn: a}, nil
+			return &slowWriter{Conn: a}, nil
 		}}
 		c, err := d.Open(t.Context(), "127.0.0.1:1", "db")
 		if err != nil {
@@ -52,8 +52,8 @@
 	})
 }
 
-// serve answers a login, and sends a notice once done is closed.
-func serve(t *testing.T, c net.Conn, done chan struct{}) {
+// serveLogin answers a login and sends a notice once done is closed.
+func serveLogin(t *testing.T, c net.Conn, done chan struct{}) {
 	b := pgproto3.NewBackend(c, c)
 	if _, err := b.ReceiveStartupMessage(); err != nil {
 		t.Error(err)
