--- a/internal/backend/relayer/relayer.go
+++ b/internal/backend/relayer/relayer.go
@@ -1,4 +1,4 @@
-// Package relayer makes the control calls of a backend server through the entry host that owns its pool.
+// Package relayer forwards control calls for a backend server to the entry host that owns its pool.
 package relayer
 
 import (
@@ -17,56 +17,58 @@
 )
 
 const (
-	// opinions is how many entry hosts are asked before a call goes direct: the
-	// owner and its successor.
-	opinions = 2
+	// maximumHosts is how many entry hosts are asked before a call is made directly: the pool owner
+	// and its successor.
+	maximumHosts = 2
 	// defaultTimeout bounds a call whose context has no deadline.
 	defaultTimeout = time.Second
-	// A host that left a call without an answer is passed over for this long.
-	// It may merely be busy, and there are few connections for direct calls, so
-	// it is asked again soon.
+	// firstPause and maximumPause bound how long a host that didn't respond is skipped. They are
+	// short because the host may merely be busy, and there are few connections for direct calls.
 	firstPause   = 100 * time.Millisecond
 	maximumPause = time.Second
 )
 
-// Owners tells who owns the pool of a backend server now.
+// Owners determines the current owners of pools.
 type Owners interface {
+	// Owners returns the owner of the pool of s and its successors, n hosts at most.
 	Owners(s assigner.Server, n int) assigner.Owners
 }
 
-// Peers makes a call at another entry host.
+// Peers calls other entry hosts.
 type Peers interface {
+	// Control makes the call at host. An error is ErrNotSent if the call was certainly not sent.
 	Control(ctx context.Context, host string, q Request) (controller.Status, error)
-	// EnsureConnection reports whether there is a connection to host. If there is none it
-	// sees to one without waiting.
+	// EnsureConnection reports whether there is a connection to host. If there is none, it starts
+	// to open one and returns without waiting.
 	EnsureConnection(host string) bool
 }
 
-// Relayer implements controller.Control for one backend server, so that only
-// its owner and successor hold a reserved connection to it. The exported fields
-// are set before use.
+// Relayer implements controller.Control for one backend server. Because it forwards calls, usually
+// only the pool owner and its successor hold a reserved connection to the server. The exported
+// fields are set before use.
 type Relayer struct {
 	// Self is this entry host's name.
 	Self   string
 	Server assigner.Server
 	Owners Owners
 	Peers  Peers
-	// Avoided, if set, reports whether a host failed to answer a moment ago.
+	// Avoided, if set, reports whether host recently failed to respond.
 	Avoided func(host string, now time.Time) bool
 	// Local calls the server over a connection of this host.
 	Local controller.Control
 
 	once sync.Once
-	// silent holds the hosts that left a call without an answer.
-	silent avoider.Avoider
-	// used is when Local last was, in nanoseconds since 1970.
-	used atomic.Int64
+	// unresponsive holds the hosts that didn't respond to a call.
+	unresponsive avoider.Avoider
+	// lastUse is the time of the last use of Local in nanoseconds since 1970, zero if there was
+	// none since CloseIdle closed the connection.
+	lastUse atomic.Int64
 }
 
 var _ controller.Control = (*Relayer)(nil)
 
-// Status implements controller.Control. The poll that answers it starts at the
-// owner after the request has arrived there.
+// Status implements controller.Control. The poll starts after the request has arrived at the pool
+// owner.
 func (r *Relayer) Status(ctx context.Context) (controller.Status, error) {
 	return r.call(ctx, Request{Call: CallStatus})
 }
@@ -86,51 +88,50 @@
 	return r.call(ctx, Request{Call: CallFollow, Term: t, Primary: backendServer, PrimaryAddress: address})
 }
 
-// call asks the owner and then its successor. An owner that can't be reached
-// says nothing about the backend server, so the call goes direct then; where an
-// owner that was reached couldn't reach the server, its error counts.
+// call asks the pool owner and then its successor. If neither can be reached, which says nothing
+// about the backend server, the call is made directly. If a host was reached but couldn't reach the
+// server, its error is returned.
 //
-// A host that takes up all the time without an answer is avoided by the next
-// calls. Each call leaves one host its full time: with a share of it, a server
-// that is merely busy would look lost.
+// A host that doesn't respond in time is skipped by the next calls. Each call gives a host the full
+// remaining time, because with a share of it a server that is merely busy would be considered lost.
 func (r *Relayer) call(ctx context.Context, q Request) (controller.Status, error) {
-	r.once.Do(r.prepare)
+	r.once.Do(r.setPauses)
 	q.DatabaseGroup, q.BackendServer = r.Server.DatabaseGroup, r.Server.Name
-	x, cancel := bounded(ctx)
+	x, cancel := withDefaultDeadline(ctx)
 	defer cancel()
 	total := remaining(x)
-	o := r.Owners.Owners(r.Server, opinions)
-	var opinion error
+	o := r.Owners.Owners(r.Server, maximumHosts)
+	var serverError error
 	for _, h := range o.Hosts[:o.Count] {
-		if opinion != nil && remaining(x) < total/2 {
+		if serverError != nil && remaining(x) < total/2 {
 			break
 		}
-		if r.avoided(h) {
+		if r.isAvoided(h) {
 			continue
 		}
-		s, err := r.ask(x, h, q)
+		s, err := r.callHost(x, h, q)
 		if err == nil {
 			return s, nil
 		}
-		if reached(h == r.Self, err) {
-			opinion = err
+		if isServerError(h == r.Self, err) {
+			serverError = err
 		}
-		if x.Err() != nil || q.Call != CallStatus && !unheard(err) {
+		if x.Err() != nil || q.Call != CallStatus && !notExecuted(err) {
 			return s, err
 		}
 	}
-	if opinion != nil {
-		return controller.Status{}, opinion
+	if serverError != nil {
+		return controller.Status{}, serverError
 	}
 	return r.CallDirectly(x, q)
 }
 
-func (r *Relayer) prepare() {
-	r.silent.FirstPause, r.silent.MaximumPause = firstPause, maximumPause
+func (r *Relayer) setPauses() {
+	r.unresponsive.FirstPause, r.unresponsive.MaximumPause = firstPause, maximumPause
 }
 
-// bounded returns ctx with a deadline.
-func bounded(ctx context.Context) (context.Context, context.CancelFunc) {
+// withDefaultDeadline returns ctx, bounded by defaultTimeout if it has no deadline.
+func withDefaultDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	if _, ok := ctx.Deadline(); ok {
 		return ctx, func() {}
 	}
@@ -142,22 +143,22 @@
 	return time.Until(t)
 }
 
-// avoided reports whether host is passed over. Of the calls after a pause one
-// tries the host again, once there is a connection to it: calls that waited for
-// one would keep a host that is cut off from its own way to the server.
-func (r *Relayer) avoided(host string) bool {
+// isAvoided reports whether host is skipped. After a pause, one call tries the host again once
+// there is a connection to it. If calls waited for that connection, a forwarding host that is cut
+// off from the others couldn't use its own connection to the server in time.
+func (r *Relayer) isAvoided(host string) bool {
 	if host == r.Self {
 		return false
 	}
-	if r.silent.Suspect(host) && !r.Peers.EnsureConnection(host) {
+	if r.unresponsive.Suspect(host) && !r.Peers.EnsureConnection(host) {
 		return true
 	}
 	n := time.Now()
-	return r.Avoided != nil && r.Avoided(host, n) || !r.silent.Admit(host, n)
+	return r.Avoided != nil && r.Avoided(host, n) || !r.unresponsive.Admit(host, n)
 }
 
-// ask asks one host and notes whether it answered.
-func (r *Relayer) ask(ctx context.Context, host string, q Request) (controller.Status, error) {
+// callHost makes the call at one host and records whether it responded.
+func (r *Relayer) callHost(ctx context.Context, host string, q Request) (controller.Status, error) {
 	if host == r.Self {
 		return r.CallDirectly(ctx, q)
 	}
@@ -165,40 +166,41 @@
 	s, err := r.Peers.Control(ctx, host, q)
 	var f *encoder.Refusal
 	if err == nil || errors.As(err, &f) {
-		r.silent.RecordAnswer(host)
+		r.unresponsive.RecordAnswer(host)
 	} else {
-		r.silent.RecordFailure(host, time.Now())
+		r.unresponsive.RecordFailure(host, time.Now())
 	}
 	return s, err
 }
 
-// reached reports whether err is the word of a host that tried the call.
-func reached(self bool, err error) bool {
+// isServerError reports whether err is from a host that tried the call at the backend server. self
+// reports whether that is this host.
+func isServerError(self bool, err error) bool {
 	var f *encoder.Refusal
-	return self || errors.As(err, &f) && tried(f)
+	return self || errors.As(err, &f) && isAboutServer(f)
 }
 
-// tried reports whether f is about the backend server and not about the host.
-func tried(f *encoder.Refusal) bool {
+// isAboutServer reports whether f concerns the backend server and not the host.
+func isAboutServer(f *encoder.Refusal) bool {
 	return f.Reason == encoder.ReasonUnreachable || f.Reason == encoder.ReasonNotRunning
 }
 
-// unheard reports whether err shows that the call wasn't tried. A command whose
-// answer was lost may have taken effect; its caller decides by the status.
-func unheard(err error) bool {
+// notExecuted reports whether err shows that the call wasn't tried at the backend server. A command
+// whose answer was lost may have taken effect; its caller decides by the status.
+func notExecuted(err error) bool {
 	var f *encoder.Refusal
 	if errors.As(err, &f) {
-		return !tried(f) && f.Reason != encoder.ReasonFault
+		return !isAboutServer(f) && f.Reason != encoder.ReasonFault
 	}
 	return errors.Is(err, ErrNotSent)
 }
 
-// ErrNotSent says that the other host didn't get the call.
+// ErrNotSent is returned when the call was certainly not sent to the other entry host.
 const ErrNotSent = errors.ConstError("entry host not asked")
 
 // CallDirectly makes the call over this host's own connection.
 func (r *Relayer) CallDirectly(ctx context.Context, q Request) (controller.Status, error) {
-	r.used.Store(time.Now().UnixNano())
+	r.lastUse.Store(time.Now().UnixNano())
 	switch q.Call {
 	case CallStatus:
 		return r.Local.Status(ctx)
@@ -212,19 +214,19 @@
 	return controller.Status{}, errors.NotSupportedf("control call %q", q.Call)
 }
 
-// closer is a control side that holds a connection.
+// closer is a controller.Control that holds a connection.
 type closer interface {
 	Close(ctx context.Context) error
 }
 
-// CloseIdle closes this host's connection where it wasn't used since t.
+// CloseIdle closes this host's connection if it hasn't been used since t.
 func (r *Relayer) CloseIdle(ctx context.Context, t time.Time) {
-	u := r.used.Load()
-	if u == 0 || u > t.UnixNano() || !r.used.CompareAndSwap(u, 0) {
+	u := r.lastUse.Load()
+	if u == 0 || u > t.UnixNano() || !r.lastUse.CompareAndSwap(u, 0) {
 		return
 	}
 	if c, ok := r.Local.(closer); ok {
-		// The connection is given up either way.
+		// The error is ignored because the connection is dropped either way.
 		_ = c.Close(ctx)
 	}
 }
--- a/internal/backend/relayer/request.go
+++ b/internal/backend/relayer/request.go
@@ -14,13 +14,13 @@
 	"github.com/cuminwick/cuminwick/internal/peer/listener"
 )
 
-// KindControl is the message that carries a Request; a controller.Status answers it.
+// KindControl is the kind of a message that carries a Request. The answer is a controller.Status.
 const KindControl encoder.Kind = "control"
 
 // Call names a method of controller.Control.
 type Call string
 
-// Calls.
+// Calls of controller.Control.
 const (
 	CallStatus    Call = "status"
 	CallRaiseTerm Call = "raise-term"
@@ -28,16 +28,16 @@
 	CallFollow    Call = "follow"
 )
 
-// Request is one control call.
+// Request describes one control call.
 type Request struct {
 	DatabaseGroup string      `cbor:"1,keyasint"`
 	BackendServer string      `cbor:"2,keyasint"`
 	Call          Call        `cbor:"3,keyasint"`
 	Term          marker.Term `cbor:"4,keyasint,omitempty"`
-	// Primary and PrimaryAddress name the server to follow.
+	// Primary and PrimaryAddress are the name and address of the server to follow.
 	Primary        string `cbor:"5,keyasint,omitempty"`
 	PrimaryAddress string `cbor:"6,keyasint,omitempty"`
-	// Remaining is the time until the asking host gives up.
+	// Remaining is the time until the forwarding host gives up.
 	Remaining time.Duration `cbor:"7,keyasint,omitempty"`
 }
 
@@ -45,12 +45,13 @@
 type Dialer struct {
 	Dialer *dialer.Dialer
 
-	mu      sync.Mutex
-	dialing map[string]bool
+	mu sync.Mutex
+	// connecting holds the hosts to which a connection is being opened.
+	connecting map[string]bool
 }
 
-// reachTimeout bounds an attempt to connect that no call waits for.
-const reachTimeout = 2 * time.Second
+// connectTimeout bounds an attempt to connect that no call waits for.
+const connectTimeout = 2 * time.Second
 
 // EnsureConnection implements Peers.
 func (d *Dialer) EnsureConnection(host string) bool {
@@ -59,28 +60,29 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.dialing == nil {
-		d.dialing = make(map[string]bool)
+	if d.connecting == nil {
+		d.connecting = make(map[string]bool)
 	}
-	if !d.dialing[host] {
-		d.dialing[host] = true
-		go d.runDial(host)
+	if !d.connecting[host] {
+		d.connecting[host] = true
+		go d.connect(host)
 	}
 	return false
 }
 
-// runDial connects to host. What it sends asks for nothing.
-func (d *Dialer) runDial(host string) {
-	x, cancel := context.WithTimeout(context.Background(), reachTimeout)
+// connect opens a connection to host by sending a probe.
+func (d *Dialer) connect(host string) {
+	x, cancel := context.WithTimeout(context.Background(), connectTimeout)
 	defer cancel()
-	// A failure shows in the next EnsureConnection.
+	// The error is ignored: the next EnsureConnection finds no connection.
 	_ = d.Dialer.Send(x, host, dialer.KindProbe, struct{}{})
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.dialing, host)
+	delete(d.connecting, host)
 }
 
-// Control implements Peers.
+// Control implements Peers. An error is controller.ErrRefused if no server accepts connections at
+// the backend server's address.
 func (d *Dialer) Control(ctx context.Context, host string, q Request) (controller.Status, error) {
 	s, err := dialer.Call[Request, controller.Status](ctx, d.Dialer, host, KindControl, q)
 	if errors.Is(err, dialer.ErrBackoff) || errors.Is(err, dialer.ErrUnknownHost) {
@@ -93,45 +95,46 @@
 	return s, err
 }
 
-// Server answers the calls of other entry hosts.
+// Server serves the control calls of other entry hosts.
 type Server struct {
-	// Find returns the relayer of a backend server, nil if this host serves none.
+	// Find returns the relayer of a backend server, nil if this host has none.
 	Find func(group, server string) *Relayer
 }
 
-// Route returns the listener's route for control calls.
+// Route returns the route for control calls.
 func (s *Server) Route() listener.Route {
-	return listener.Handle(KindControl, s.serve)
+	return listener.Handle(KindControl, s.handle)
 }
 
-// served is the time to call the backend server in. It leaves a fifth for the
-// way back: a backend server that doesn't answer must not look like an owner
-// that doesn't.
-func served(remaining time.Duration) time.Duration {
+// callTimeout returns the timeout of the call to the backend server, defaultTimeout if the
+// remaining time is unknown (zero). A fifth of the remaining time is reserved for the answer to the
+// forwarding host, so that it can distinguish a backend server that doesn't respond from a pool
+// owner that doesn't.
+func callTimeout(remaining time.Duration) time.Duration {
 	if remaining <= 0 {
 		return defaultTimeout
 	}
 	return remaining - remaining/5
 }
 
-// reason tells a server that has ended from one that doesn't answer.
-func reason(err error) encoder.Reason {
+// refusalReason distinguishes a server that has ended from one that doesn't respond.
+func refusalReason(err error) encoder.Reason {
 	if errors.Is(err, controller.ErrRefused) {
 		return encoder.ReasonNotRunning
 	}
 	return encoder.ReasonUnreachable
 }
 
-func (s *Server) serve(ctx context.Context, _ encoder.Sender, q Request) (controller.Status, error) {
+func (s *Server) handle(ctx context.Context, _ encoder.Sender, q Request) (controller.Status, error) {
 	r := s.Find(q.DatabaseGroup, q.BackendServer)
 	if r == nil {
 		return controller.Status{}, &encoder.Refusal{Reason: encoder.ReasonNotOwner}
 	}
-	x, cancel := context.WithTimeout(ctx, served(q.Remaining))
+	x, cancel := context.WithTimeout(ctx, callTimeout(q.Remaining))
 	defer cancel()
 	v, err := r.CallDirectly(x, q)
 	if err != nil {
-		return v, &encoder.Refusal{Reason: reason(err), Detail: err.Error()}
+		return v, &encoder.Refusal{Reason: refusalReason(err), Detail: err.Error()}
 	}
 	return v, nil
 }
