--- a/internal/backend/dialer/login.go
+++ b/internal/backend/dialer/login.go
@@ -78,7 +78,7 @@
 // release returns the underlying connection, from which pgconn reads nothing further. It returns
 // ErrStrayRead if a pending read consumed bytes.
 func (l *loginConn) release() (net.Conn, error) {
-	if l.stopReads() {
+	if l.close() {
 		// A deadline in the past ends the pending reads.
 		if err := l.SetReadDeadline(time.Now().Add(-time.Second)); err != nil {
 			return nil, errors.Annotate(err, "end reads of the login")
@@ -91,8 +91,8 @@
 	return l.Conn, errors.Trace(l.SetReadDeadline(time.Time{}))
 }
 
-// stopReads prevents further reads and reports whether any are pending.
-func (l *loginConn) stopReads() bool {
+// close prevents further reads and reports whether any are pending.
+func (l *loginConn) close() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.released = true
