--- a/internal/clock/scheduler/pause.go
+++ b/internal/clock/scheduler/pause.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Pause waits for d, or until ctx ends, whose error it returns then. It is for
-// parts that have no scheduler: requests, operators' commands and stand-ins.
+// Pause waits for d or until ctx ends, and returns the error of ctx if that ended first. It uses a
+// timer of the standard library and is meant for code that has no scheduler: requests, operators'
+// commands and stand-ins.
 func Pause(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/internal/clock/scheduler/plain.go
+++ b/internal/clock/scheduler/plain.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// plain is a timer of the standard library, for parts that have no scheduler.
-type plain struct {
+// standardTimer is a timer or ticker of the standard library, for subscriptions of a nil Scheduler.
+type standardTimer struct {
 	ticker *time.Ticker
 	timer  *time.Timer
 }
 
-func (p *plain) stop() bool {
+func (p *standardTimer) stop() bool {
 	if p.ticker != nil {
 		p.ticker.Stop()
 		return true
@@ -19,13 +19,13 @@
 	return p.timer.Stop()
 }
 
-// Timer sends once on the returned channel, after d.
+// Timer sends the time once on the returned channel, after d.
 func (s *Scheduler) Timer(d time.Duration) (<-chan time.Time, *Subscription) {
 	if s == nil {
 		t := time.NewTimer(d)
-		return t.C, &Subscription{plain: &plain{timer: t}}
+		return t.C, &Subscription{standard: &standardTimer{timer: t}}
 	}
-	t := ticker{c: make(chan time.Time, 1)}
+	t := channelNotifier{c: make(chan time.Time, 1)}
 	return t.c, s.After(d, t.notify)
 }
 
@@ -41,11 +41,11 @@
 	}
 }
 
-// caller makes a function of time one without, as time.AfterFunc takes it.
-type caller struct {
+// callback adapts a notify function to the parameterless function that time.AfterFunc expects.
+type callback struct {
 	notify func(now time.Time)
 }
 
-func (c caller) call() {
+func (c callback) call() {
 	c.notify(time.Now())
 }
--- a/internal/clock/scheduler/scheduler.go
+++ b/internal/clock/scheduler/scheduler.go
@@ -1,4 +1,4 @@
-// Package scheduler runs what other parts of the process want done at a time.
+// Package scheduler calls functions after a delay or periodically.
 package scheduler
 
 import (
@@ -9,10 +9,10 @@
 	"github.com/cuminwick/cuminwick/internal/container/prioritizer"
 )
 
-// Scheduler is the one timer service of a process: a heap of due times with a
-// single loop, so that no part keeps a timer or ticker of its own. Its zero
-// value is ready; what is due waits until Run. A nil Scheduler gives each
-// subscription a timer of the standard library, for a part that runs alone.
+// Scheduler is the timer service shared by all packages of a process. It keeps a heap of due times
+// and runs a single loop, which replaces separate timers and tickers. The zero value is ready to
+// use; nothing is notified before Run. With a nil Scheduler, After, Ticks, Timer and Sleep use
+// timers of the standard library; Every requires a Scheduler.
 type Scheduler struct {
 	mu    sync.Mutex
 	queue prioritizer.Queue[*Subscription]
@@ -20,59 +20,62 @@
 	once  sync.Once
 }
 
-// Subscription is something to be done once or again and again.
+// Subscription is a pending call, either single or periodic.
 type Subscription struct {
 	scheduler *Scheduler
-	plain     *plain
-	item      *prioritizer.Item[*Subscription]
-	due       time.Time
+	// standard is set instead of all other fields if there is no scheduler.
+	standard *standardTimer
+	item     *prioritizer.Item[*Subscription]
+	due      time.Time
+	// period is zero for a single call.
 	period    time.Duration
 	notify    func(now time.Time)
 	cancelled bool
 }
 
-// After calls notify once, after d. All notify functions run in the
-// scheduler's loop, one at a time: they must not wait for anything.
+// After calls notify once, after d. All notify functions run one at a time in the scheduler's loop,
+// so they must not block.
 func (s *Scheduler) After(d time.Duration, notify func(now time.Time)) *Subscription {
 	if s == nil {
-		return &Subscription{plain: &plain{timer: time.AfterFunc(d, caller{notify: notify}.call)}}
+		return &Subscription{standard: &standardTimer{timer: time.AfterFunc(d, callback{notify: notify}.call)}}
 	}
 	return s.add(d, 0, notify)
 }
 
-// Every calls notify each d, for the first time after d. A period that passed
-// while the process was paused isn't made up for.
+// Every calls notify at intervals of d, the first time after d. Periods that passed while the
+// process was paused are skipped.
 func (s *Scheduler) Every(d time.Duration, notify func(now time.Time)) *Subscription {
 	return s.add(d, d, notify)
 }
 
-// Ticks sends on the returned channel each d. A receiver that is behind gets
-// one tick, not all that it missed.
+// Ticks sends the time on the returned channel at intervals of d. A slow receiver gets one pending
+// tick; the others are dropped.
 func (s *Scheduler) Ticks(d time.Duration) (<-chan time.Time, *Subscription) {
 	if s == nil {
 		t := time.NewTicker(d)
-		return t.C, &Subscription{plain: &plain{ticker: t}}
+		return t.C, &Subscription{standard: &standardTimer{ticker: t}}
 	}
-	t := ticker{c: make(chan time.Time, 1)}
+	t := channelNotifier{c: make(chan time.Time, 1)}
 	return t.c, s.Every(d, t.notify)
 }
 
-type ticker struct {
+// channelNotifier sends times on a channel of capacity one and drops those that don't fit.
+type channelNotifier struct {
 	c chan time.Time
 }
 
-func (t ticker) notify(now time.Time) {
+func (t channelNotifier) notify(now time.Time) {
 	select {
 	case t.c <- now:
 	default:
 	}
 }
 
-// Cancel ends the subscription and reports whether it was still pending. A
-// notify function that is running already isn't waited for.
+// Cancel ends the subscription and reports whether it was still pending. It doesn't wait for a
+// notify function that is already running.
 func (x *Subscription) Cancel() bool {
-	if x.plain != nil {
-		return x.plain.stop()
+	if x.standard != nil {
+		return x.standard.stop()
 	}
 	s := x.scheduler
 	s.mu.Lock()
@@ -110,20 +113,20 @@
 	}
 }
 
-// Run notifies subscribers until ctx ends.
+// Run calls the notify functions of due subscriptions until ctx ends.
 func (s *Scheduler) Run(ctx context.Context) error {
 	s.once.Do(s.init)
 	return s.loop(ctx)
 }
 
-// idle is how long the loop sleeps when nothing is due.
-const idle = time.Hour
+// idleWait is how long the loop waits while there are no subscriptions.
+const idleWait = time.Hour
 
 func (s *Scheduler) loop(ctx context.Context) error {
-	t := time.NewTimer(idle)
+	t := time.NewTimer(idleWait)
 	defer t.Stop()
 	for {
-		t.Reset(s.step())
+		t.Reset(s.notifyDue())
 		select {
 		case <-t.C:
 		case <-s.wake:
@@ -133,11 +136,11 @@
 	}
 }
 
-// step notifies all that is due and returns the time until the next.
-func (s *Scheduler) step() time.Duration {
+// notifyDue notifies all due subscriptions and returns the time until the next one is due.
+func (s *Scheduler) notifyDue() time.Duration {
 	for {
 		now := time.Now()
-		x, wait := s.next(now)
+		x, wait := s.popDue(now)
 		if x == nil {
 			return wait
 		}
@@ -145,24 +148,25 @@
 	}
 }
 
-// next takes the first subscription if it is due, or returns the time until it is.
-func (s *Scheduler) next(now time.Time) (*Subscription, time.Duration) {
+// popDue removes and returns the first subscription if it is due. Otherwise it returns nil and the
+// time until one is due.
+func (s *Scheduler) popDue(now time.Time) (*Subscription, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	x, ok := s.queue.First()
 	if !ok {
-		return nil, idle
+		return nil, idleWait
 	}
 	if d := x.due.Sub(now); d > 0 {
 		return nil, d
 	}
 	s.queue.Pop()
-	x.renew(now)
+	x.reschedule(now)
 	return x, 0
 }
 
-// renew puts a periodic subscription back at its next time after now.
-func (x *Subscription) renew(now time.Time) {
+// reschedule queues a periodic subscription again, for its next time after now.
+func (x *Subscription) reschedule(now time.Time) {
 	if x.period <= 0 || x.cancelled {
 		return
 	}
--- a/internal/clock/scheduler/scheduler_test.go
+++ b/internal/clock/scheduler/scheduler_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// play runs f beside a scheduler, in virtual time.
-func play(t *testing.T, f func(s *Scheduler)) {
+// withScheduler calls f with a running scheduler, in virtual time.
+func withScheduler(t *testing.T, f func(s *Scheduler)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &Scheduler{}
 		c, stop := context.WithCancel(t.Context())
@@ -21,7 +21,7 @@
 }
 
 func TestOrderAndTimes(t *testing.T) {
-	play(t, func(s *Scheduler) {
+	withScheduler(t, func(s *Scheduler) {
 		b := time.Now()
 		var got []time.Duration
 		note := func(now time.Time) { got = append(got, now.Sub(b)) }
@@ -31,18 +31,18 @@
 		time.Sleep(70 * time.Millisecond)
 		synctest.Wait()
 		if !p.Cancel() {
-			t.Error("a periodic subscription wasn't pending")
+			t.Error("the periodic subscription wasn't pending at Cancel")
 		}
 		time.Sleep(time.Second)
 		w := []time.Duration{10e6, 20e6, 30e6, 40e6, 60e6}
 		if d := cmp.Diff(w, got); d != "" {
-			t.Errorf("notified at other times (-want +got):\n%s", d)
+			t.Errorf("notification times differ (-want +got):\n%s", d)
 		}
 	})
 }
 
 func TestCancelFromNotify(t *testing.T) {
-	play(t, func(s *Scheduler) {
+	withScheduler(t, func(s *Scheduler) {
 		n := 0
 		c := make(chan *Subscription, 1)
 		c <- s.Every(time.Second, func(time.Time) {
@@ -57,10 +57,10 @@
 	})
 }
 
-// A notify function that is held up for a while stands for a paused process.
-// Periods that passed meanwhile must not be made up for in one burst.
+// Guards against a burst of notifications after the process was paused, one for each period that
+// passed meanwhile. A notify function that blocks the loop simulates the pause.
 func TestPauseMakesNoBurst(t *testing.T) {
-	play(t, func(s *Scheduler) {
+	withScheduler(t, func(s *Scheduler) {
 		n := 0
 		s.Every(time.Second, func(time.Time) { n++ })
 		s.After(1500*time.Millisecond, func(time.Time) { time.Sleep(time.Minute) })
@@ -73,36 +73,36 @@
 }
 
 func TestTicksCoalesce(t *testing.T) {
-	play(t, func(s *Scheduler) {
+	withScheduler(t, func(s *Scheduler) {
 		c, x := s.Ticks(time.Second)
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
 		x.Cancel()
 		<-c
 		if len(c) != 0 {
-			t.Error("a slow receiver found more than one tick")
+			t.Error("a slow receiver got more than one tick")
 		}
 	})
 }
 
-// A part without a scheduler must see the same times, and its timers must end
-// when they are cancelled.
+// Guards against a nil Scheduler that notifies at other times than a real one, or whose timers keep
+// running after Cancel.
 func TestWithoutScheduler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var s *Scheduler
 		b := time.Now()
 		c, x := s.Ticks(time.Second)
 		if d := (<-c).Sub(b); d != time.Second {
-			t.Errorf("ticked after %v", d)
+			t.Errorf("first tick after %v, want 1s", d)
 		}
 		x.Cancel()
 		n := make(chan time.Time, 1)
 		s.After(time.Second, func(now time.Time) { n <- now })
 		if d := (<-n).Sub(b); d != 2*time.Second {
-			t.Errorf("notified after %v", d)
+			t.Errorf("notified after %v, want 2s", d)
 		}
 		if !s.After(time.Second, func(time.Time) { t.Error("notified after Cancel") }).Cancel() {
-			t.Error("what is due later wasn't pending")
+			t.Error("the subscription wasn't pending at Cancel")
 		}
 		time.Sleep(time.Minute)
 		if len(c) != 0 {
@@ -122,10 +122,10 @@
 			c, cancel := context.WithTimeout(r, 1500*time.Millisecond)
 			defer cancel()
 			if !s.Sleep(c, time.Second) || s.Sleep(c, time.Second) {
-				t.Error("want one second slept and the next cut off")
+				t.Error("want one complete sleep and one cut off by the context")
 			}
 			if s != nil && s.queue.Len() != 0 {
-				t.Error("a sleep that was cut off is still due")
+				t.Error("the subscription of a sleep that was cut off is still queued")
 			}
 		})
 	}
--- a/internal/clock/scheduler/stopwatch.go
+++ b/internal/clock/scheduler/stopwatch.go
@@ -2,14 +2,13 @@
 
 import "time"
 
-// Stopwatch tells the monotonic time since its first reading. A jump of the wall
-// clock doesn't move it. It may not be read by several goroutines at once before
-// the first reading has returned.
+// Stopwatch measures monotonic time from the first call of Elapsed. Steps of the wall clock don't
+// affect it. Concurrent calls of Elapsed are allowed only after the first one has returned.
 type Stopwatch struct {
 	started time.Time
 }
 
-// Elapsed returns the time since the first call, zero for that one.
+// Elapsed returns the time since its first call, which itself returns zero.
 func (w *Stopwatch) Elapsed() time.Duration {
 	if w.started.IsZero() {
 		w.started = time.Now()
--- a/internal/clock/scheduler/wall_test.go
+++ b/internal/clock/scheduler/wall_test.go
@@ -10,10 +10,11 @@
 	"testing"
 )
 
-// wallReader is where the code reads or writes wall-clock time, and why a step of
-// the clock breaks no promise there.
+// wallReader is a file that reads or writes wall-clock time.
 type wallReader struct {
-	file, why string
+	file string
+	// reason is why a step of the clock violates no guarantee there.
+	reason string
 }
 
 var wallReaders = []wallReader{
@@ -21,19 +22,19 @@
 	{"config/follower/reporter.go", "shown to operators"},
 	{"config/publisher/publisher.go", "shown to operators"},
 	{"log/encoder/buffer.go", "log lines"},
-	{"host/runner/membership.go", "start number; a host that hears of a higher one of its own goes above it"},
-	{"settings/defaulter/defaulter.go", "start number, as above"},
-	{"outcome/recorder/recorder.go", "when keys are forgotten, which is done only while two clocks agree"},
-	{"config/follower/clock.go", "a step lets a lease run out early, never late"},
-	{"backend/relayer/relayer.go", "closes an idle connection too early or late, the next call opens one"},
-	{"peer/dialer/caller.go", "a fixed deadline in the past, which ends a read at once"},
-	{"peer/linker/linker.go", "closes a link without streams too early or late, the next call opens one"},
+	{"host/runner/membership.go", "incarnation; a host that learns of a higher one of its own takes one above it"},
+	{"settings/defaulter/defaulter.go", "incarnation, as in membership.go"},
+	{"outcome/recorder/recorder.go", "expiry of keys, which is done only while two clocks agree"},
+	{"config/follower/clock.go", "a step can make a lease expire early, never late"},
+	{"backend/relayer/relayer.go", "a step closes an idle connection too early or late; the next call opens one"},
+	{"peer/dialer/caller.go", "a fixed deadline in the past, which ends a read immediately"},
+	{"peer/linker/linker.go", "a step closes a link without streams too early or late; the next call opens one"},
 }
 
-// The wall clock of a host is set forward or back while it runs. Nobody may
-// notice more than odd times in logs: leases, deadlines, suspicions and orders
-// of promotion go by monotonic time, which a time.Time loses where it is turned
-// into a number or a date. Each place that does so is listed with a reason.
+// Guards against decisions that go wrong when the wall clock of a host is set forward or back while
+// it runs. Leases, deadlines, failure suspicions and promotion orders use monotonic time, which a
+// time.Time loses when it is converted to a number or a date. Each file that does so is listed in
+// wallReaders with a reason; a step of the clock may only affect what is listed there.
 func TestNoDecisionUsesWallTime(t *testing.T) {
 	found := map[string]bool{}
 	for _, r := range wallReaders {
@@ -42,15 +43,15 @@
 	root := filepath.Join("..", "..")
 	err := filepath.WalkDir(root, func(path string, e fs.DirEntry, err error) error {
 		n := filepath.ToSlash(strings.TrimPrefix(path, root+string(filepath.Separator)))
-		if err != nil || e.IsDir() || !strings.HasSuffix(n, ".go") || strings.HasSuffix(n, "_test.go") || ofTheBench(n) {
+		if err != nil || e.IsDir() || !strings.HasSuffix(n, ".go") || strings.HasSuffix(n, "_test.go") || isStandInOrBench(n) {
 			return err
 		}
 		f, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
-		if err != nil || !readsWall(f) {
+		if err != nil || !usesWallTime(f) {
 			return err
 		}
 		if _, ok := found[n]; !ok {
-			t.Errorf("%s uses wall-clock time and isn't listed", n)
+			t.Errorf("%s uses wall-clock time and isn't listed in wallReaders", n)
 		}
 		found[n] = true
 		return nil
@@ -60,18 +61,19 @@
 	}
 	for n, ok := range found {
 		if !ok {
-			t.Errorf("%s is listed and uses no wall-clock time", n)
+			t.Errorf("%s is listed in wallReaders and uses no wall-clock time", n)
 		}
 	}
 }
 
-// ofTheBench reports whether the file belongs to the stand-ins or to package bench.
-func ofTheBench(name string) bool {
+// isStandInOrBench reports whether the file belongs to the stand-ins or to the benchmarks, which are not
+// part of an entry host.
+func isStandInOrBench(name string) bool {
 	return strings.HasPrefix(name, "standin/") || strings.HasPrefix(name, "bench/")
 }
 
-// readsWall reports whether the file drops a time's monotonic part.
-func readsWall(f *ast.File) bool {
+// usesWallTime reports whether the file calls methods that drop the monotonic reading of a time.
+func usesWallTime(f *ast.File) bool {
 	found := false
 	ast.Inspect(f, func(n ast.Node) bool {
 		if s, ok := n.(*ast.SelectorExpr); ok {
