--- a/internal/clock/steady/steady.go
+++ b/internal/clock/steady/steady.go
@@ -1,5 +1,5 @@
-// Package steady reads a clock that only goes forward and counts the time in which
-// the host stood still.
+// Package steady reads a clock that never goes back and that includes the time during which the host
+// was suspended.
 package steady
 
 import (
@@ -8,13 +8,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since an unknown start. The monotonic clock of package time
-// stops while a host is suspended: what was learnt before would then seem fresh
-// after, though the world went on for seconds.
+// Now returns the time since an unspecified start. The monotonic clock of package time stops while a
+// host is suspended, so that data received before would appear fresh after it, although other hosts
+// kept running for seconds. Now panics if the system has no such clock.
 func Now() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		// The clock exists on each kernel that this program can run on.
+		// All kernels that the program supports have this clock.
 		panic("boot time clock: " + err.Error())
 	}
 	return time.Duration(t.Nano())
