--- a/internal/clock/watchdog/watchdog_test.go
+++ b/internal/clock/watchdog/watchdog_test.go
@@ -12,14 +12,14 @@
 	"github.com/juju/errors"
 )
 
-// ended is after how long the context ends.
-func ended(ctx context.Context, began time.Time) time.Duration {
+// waitForEnd waits until ctx ends and returns the time since began.
+func waitForEnd(ctx context.Context, began time.Time) time.Duration {
 	<-ctx.Done()
 	return time.Since(began)
 }
 
-// A large answer takes longer than the limit for its beginning. Given up and asked again, it
-// would load the link for nothing.
+// Guards against a call that is cancelled while a large answer arrives. Its retry would load the link
+// for nothing.
 func TestCallThatMakesProgressGoesOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
@@ -32,36 +32,36 @@
 			Progress(inner)
 		}
 		if inner.Err() != nil || outer.Err() != nil {
-			t.Fatalf("ended by %v and %v after %v", context.Cause(inner), context.Cause(outer), time.Since(began))
+			t.Fatalf("contexts ended by %v and %v after %v despite progress", context.Cause(inner), context.Cause(outer), time.Since(began))
 		}
-		if d := ended(inner, began); d != 5300*time.Millisecond || !errors.Is(context.Cause(inner), ErrStalled) {
-			t.Errorf("inner ended after %v by %v", d, context.Cause(inner))
+		if d := waitForEnd(inner, began); d != 5300*time.Millisecond || !errors.Is(context.Cause(inner), ErrStalled) {
+			t.Errorf("inner context ended after %v by %v, want 5.3s by ErrStalled", d, context.Cause(inner))
 		}
-		if d := ended(outer, began); d != 6*time.Second {
-			t.Errorf("outer ended after %v", d)
+		if d := waitForEnd(outer, began); d != 6*time.Second {
+			t.Errorf("outer context ended after %v, want 6s", d)
 		}
 	})
 }
 
-// The first progress comes early in a long wait. The wait must not be cut to the time that
-// is allowed between two pieces.
+// Guards against a long wait that is cut to the stall timeout because progress was reported early in
+// it.
 func TestProgressDoesNotShortenTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		c, stop := WithStallTimeout(t.Context(), 3*time.Second, 100*time.Millisecond)
 		defer stop()
 		Progress(c)
-		if d := ended(c, began); d != 3*time.Second {
-			t.Errorf("ended after %v", d)
+		if d := waitForEnd(c, began); d != 3*time.Second {
+			t.Errorf("context ended after %v, want 3s", d)
 		}
 	})
 }
 
-func TestReaderNotesEachPiece(t *testing.T) {
+func TestReaderReportsEachRead(t *testing.T) {
 	n := 0
 	c := WithObserver(t.Context(), func() { n++ })
 	b, err := io.ReadAll(Reader{Context: c, Source: iotest.OneByteReader(strings.NewReader("abc"))})
 	if string(b) != "abc" || err != nil || n != 3 {
-		t.Errorf("read %q %v with %d pieces", b, err, n)
+		t.Errorf("read %q, error %v, progress %d times, want \"abc\" with progress 3 times", b, err, n)
 	}
 }
