--- a/internal/log/encoder/buffer.go
+++ b/internal/log/encoder/buffer.go
@@ -8,13 +8,14 @@
 	"unicode/utf8"
 )
 
-// timeFormat keeps a fixed width, so that lines sort by their time.
+// timeFormat has a fixed width, so that lines can be sorted by time as text.
 const timeFormat = "2006-01-02T15:04:05.000000Z"
 
 // line is one JSON object under construction.
 type line []byte
 
-func open(b line, now time.Time, level, message string) line {
+// beginLine starts a line in the memory of b.
+func beginLine(b line, now time.Time, level, message string) line {
 	b = append(b, `{"time":"`...)
 	b = now.UTC().AppendFormat(b, timeFormat)
 	b = append(b, `","level":"`...)
@@ -23,17 +24,19 @@
 	return b.text(message)
 }
 
+// end completes the object and the line.
 func (b line) end() line {
 	return append(b, '}', '\n')
 }
 
-// key starts a member; the name needs no escape.
+// key appends the name of a member. The name must not need escaping.
 func (b line) key(name string) line {
 	b = append(b, ',', '"')
 	b = append(b, name...)
 	return append(b, '"', ':')
 }
 
+// string appends a member unless v is empty.
 func (b line) string(name, v string) line {
 	if v == "" {
 		return b
@@ -45,10 +48,10 @@
 	return strconv.AppendUint(b.key(name), v, 10)
 }
 
-// text appends v as a JSON string. Plain ASCII is copied as it stands; all else
-// is left to the standard library, which costs an allocation.
+// text appends v as a JSON string. Plain ASCII is copied unchanged; everything else is encoded by the
+// standard library, which allocates memory.
 func (b line) text(v string) line {
-	if !isPlain(v) {
+	if !isPlainASCII(v) {
 		j, err := json.Marshal(v)
 		if err != nil {
 			return append(b, `""`...)
@@ -60,7 +63,8 @@
 	return append(b, '"')
 }
 
-func isPlain(v string) bool {
+// isPlainASCII reports whether v is ASCII that needs no escaping in JSON.
+func isPlainASCII(v string) bool {
 	for i := range len(v) {
 		c := v[i]
 		if c < ' ' || c >= utf8.RuneSelf || c == '"' || c == '\\' {
@@ -70,7 +74,7 @@
 	return true
 }
 
-// any appends a member of a type that is only known at run time.
+// any appends a member whose type is known only at run time.
 func (b line) any(name string, v any) line {
 	b = b.key(name)
 	switch x := v.(type) {
--- a/internal/log/encoder/decision.go
+++ b/internal/log/encoder/decision.go
@@ -2,46 +2,48 @@
 
 import "time"
 
-// Decision is one choice of where a request or a piece of work goes.
+// Decision describes one choice of a backend server or host, for instance by routing.
 type Decision struct {
-	// Kind is what was chosen, for instance "route", "pool-owner" or "promotion".
+	// Kind is the kind of the choice, for instance "route", "pool-owner" or "promotion".
 	Kind string
-	// Request and Session number the request and the caller's session on this host.
+	// Request and Session are the numbers of the request and of the caller's session on this host.
 	Request uint64
 	Session uint64
-	// DatabaseGroup and Team are whom the decision concerns.
+	// DatabaseGroup is the group that the request addresses.
 	DatabaseGroup string
-	Team          string
+	// Team is the team of the caller's database role, empty if it has none.
+	Team string
 	// Rule is the routing rule that matched, empty if none did.
 	Rule string
-	// Chosen is the backend server or host, empty if the request was refused.
+	// Chosen is the backend server or host that was chosen, empty if the request was refused.
 	Chosen string
 	// Reason is the reason for the choice or the refusal.
 	Reason string
-	// PassedOver lists the others and why each wasn't chosen.
+	// PassedOver lists the other candidates and the reasons why they weren't chosen.
 	PassedOver []PassedOver
 }
 
-// PassedOver is a backend server or host that wasn't chosen.
+// PassedOver is a backend server or host that was a candidate and wasn't chosen.
 type PassedOver struct {
-	Name   string
+	Name string
+	// Reason is why it wasn't chosen.
 	Reason string
 }
 
-// LogDecision writes one line for d, unless sampling leaves it out. Refusals are
-// always written. It keeps no reference to d.
+// LogDecision queues one line for d unless sampling omits it. Refusals are always logged. It keeps no
+// reference to d.
 func (e *Encoder) LogDecision(d *Decision) {
-	if d.Chosen != "" && !e.decisions.hit(e.SampleDecisions) {
+	if d.Chosen != "" && !e.decisions.keep(e.SampleDecisions) {
 		return
 	}
 	p := e.scratch()
-	*p = decision((*p)[:0], e.now(), d)
-	e.append(*p)
+	*p = encodeDecision((*p)[:0], e.now(), d)
+	e.enqueue(*p)
 	e.release(p)
 }
 
-func decision(b line, now time.Time, d *Decision) line {
-	b = open(b, now, "info", "decision")
+func encodeDecision(b line, now time.Time, d *Decision) line {
+	b = beginLine(b, now, "info", "decision")
 	b = b.string("kind", d.Kind)
 	b = b.uint("request", d.Request)
 	b = b.uint("session", d.Session)
@@ -50,11 +52,11 @@
 	b = b.string("rule", d.Rule)
 	b = b.string("chosen", d.Chosen)
 	b = b.string("why", d.Reason)
-	b = passed(b, d.PassedOver)
+	b = encodePassedOver(b, d.PassedOver)
 	return b.end()
 }
 
-func passed(b line, l []PassedOver) line {
+func encodePassedOver(b line, l []PassedOver) line {
 	if len(l) == 0 {
 		return b
 	}
--- a/internal/log/encoder/encoder.go
+++ b/internal/log/encoder/encoder.go
@@ -1,4 +1,4 @@
-// Package encoder writes log entries as JSON lines without making callers wait for the output.
+// Package encoder writes log entries as JSON lines without blocking the code that logs them.
 package encoder
 
 import (
@@ -13,18 +13,20 @@
 	"github.com/cuminwick/cuminwick/internal/fault/wrapper"
 )
 
-// Encoder is an apex/log handler that queues encoded lines; its loop writes
-// them in batches. A line that finds the queue full is dropped and counted: a
-// stuck output must not stop requests.
+// Encoder is an apex/log handler that queues encoded lines; Run writes them in batches. Lines that
+// don't fit into the queue are dropped and counted, because an output that blocks must not block
+// requests. The exported fields are set before use.
 type Encoder struct {
-	// Writer takes whole lines.
+	// Writer is the output. Each write consists of whole lines.
 	Writer io.Writer
-	// QueueBytes bounds the lines that wait.
+	// QueueBytes is the maximum size of the queued lines.
 	QueueBytes int
-	// SampleDebug and SampleDecisions write one line in so many, all if zero or one.
-	SampleDebug     int
+	// SampleDebug is n if one in n debug lines is written; zero or one writes all of them.
+	SampleDebug int
+	// SampleDecisions is n if one in n decisions is written, besides refusals; zero or one writes all
+	// of them.
 	SampleDecisions int
-	// Now returns the time that lines bear, time.Now if unset.
+	// Now returns the time of a line. It is time.Now if unset.
 	Now func() time.Time
 
 	debugs    sampler
@@ -38,36 +40,37 @@
 	wake    chan struct{}
 }
 
-// sampler counts the lines of one kind.
+// sampler selects the lines of one kind that are written.
 type sampler struct {
 	n atomic.Uint64
 }
 
-// hit reports whether the next line is one of the one in every that is written.
-func (s *sampler) hit(every int) bool {
+// keep reports whether the next line is written, which is true for one line in every.
+func (s *sampler) keep(every int) bool {
 	if every <= 1 {
 		return true
 	}
 	return s.n.Add(1)%uint64(every) == 1
 }
 
-// HandleLog queues one entry; it never waits for the output.
+// HandleLog queues one entry. It implements log.Handler and never waits for the output.
 func (e *Encoder) HandleLog(x *log.Entry) error {
-	if x.Level == log.DebugLevel && !e.debugs.hit(e.SampleDebug) {
+	if x.Level == log.DebugLevel && !e.debugs.keep(e.SampleDebug) {
 		return nil
 	}
 	p := e.scratch()
-	b := open((*p)[:0], e.now(), x.Level.String(), x.Message)
+	b := beginLine((*p)[:0], e.now(), x.Level.String(), x.Message)
 	for _, n := range x.Fields.Names() {
 		b = b.any(n, x.Fields.Get(n))
 	}
 	*p = b.end()
-	e.append(*p)
+	e.enqueue(*p)
 	e.release(p)
 	return nil
 }
 
-// LogError logs err at error level with the step and the peer it carries.
+// LogError logs err at error level, with the step and the peer of the innermost wrapper.Fault in its
+// chain.
 func LogError(l log.Interface, err error, message string) {
 	f := log.Fields{"error": err.Error()}
 	if w, ok := wrapper.Find(err); ok {
@@ -77,14 +80,15 @@
 	l.WithFields(f).Error(message)
 }
 
-// Dropped returns how many lines found the queue full.
+// Dropped returns the number of lines dropped so far because the queue was full.
 func (e *Encoder) Dropped() uint64 {
 	return e.dropped.Load()
 }
 
-// Run writes queued lines until ctx ends, and then those still queued.
+// Run writes queued lines until ctx ends, and then those that are still queued. It returns early if a
+// write fails.
 func (e *Encoder) Run(ctx context.Context) error {
-	e.start()
+	e.initOnce()
 	return e.loop(ctx)
 }
 
@@ -106,11 +110,12 @@
 	}
 }
 
-// flush writes what is queued and returns the written buffer for use again.
+// flush writes the queued lines and returns their buffer for reuse. reported is the number of dropped
+// lines that the log reports already; flush adds a line for further ones.
 func (e *Encoder) flush(spare []byte, reported *uint64) ([]byte, error) {
 	b := e.swap(spare)
 	if n := e.dropped.Load(); n > *reported {
-		b = open(b, e.now(), "warn", "log lines dropped").uint("dropped", n-*reported).end()
+		b = beginLine(b, e.now(), "warn", "log lines dropped").uint("dropped", n-*reported).end()
 		*reported = n
 	}
 	if len(b) == 0 {
@@ -120,6 +125,7 @@
 	return b[:0], wrapper.Wrap(err, "write", "log")
 }
 
+// swap returns the queued lines and makes spare the buffer of the now empty queue.
 func (e *Encoder) swap(spare []byte) []byte {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -128,9 +134,10 @@
 	return b
 }
 
-func (e *Encoder) append(b []byte) {
-	e.start()
-	if !e.queue(b) {
+// enqueue queues b or counts it as dropped, and wakes Run, which reports drops too.
+func (e *Encoder) enqueue(b []byte) {
+	e.initOnce()
+	if !e.tryEnqueue(b) {
 		e.dropped.Add(1)
 	}
 	select {
@@ -139,8 +146,8 @@
 	}
 }
 
-// queue reports whether b fitted.
-func (e *Encoder) queue(b []byte) bool {
+// tryEnqueue queues b if it fits, and reports whether it did.
+func (e *Encoder) tryEnqueue(b []byte) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.pending)+len(b) > e.QueueBytes {
@@ -150,7 +157,7 @@
 	return true
 }
 
-func (e *Encoder) start() {
+func (e *Encoder) initOnce() {
 	e.once.Do(e.init)
 }
 
@@ -158,9 +165,11 @@
 	e.wake = make(chan struct{}, 1)
 }
 
-// maximumScratchBytes keeps a single huge line from being held for good.
+// maximumScratchBytes is the largest buffer that is kept for reuse, so that a single huge line doesn't
+// occupy memory permanently.
 const maximumScratchBytes = 16 << 10
 
+// scratch returns a buffer for one line, which release returns to the pool.
 func (e *Encoder) scratch() *line {
 	if p, ok := e.pool.Get().(*line); ok {
 		return p
--- a/internal/log/encoder/encoder_test.go
+++ b/internal/log/encoder/encoder_test.go
@@ -20,7 +20,7 @@
 
 var update = flag.Bool("update", false, "rewrite the golden file")
 
-func sample() *Decision {
+func sampleDecision() *Decision {
 	return &Decision{
 		Kind: "route", Request: 7, Session: 3, DatabaseGroup: "kalkul-1", Team: "costing",
 		Rule: "past-submissions", Chosen: "kalkul-1-b", Reason: "fresh enough, shortest wait",
@@ -28,8 +28,8 @@
 	}
 }
 
-// run logs what f logs and returns the output once the encoder has ended.
-func run(t *testing.T, e *Encoder, f func(*log.Logger)) string {
+// captureOutput calls f with a logger for e and returns the output after Run has ended.
+func captureOutput(t *testing.T, e *Encoder, f func(*log.Logger)) string {
 	t.Helper()
 	var b bytes.Buffer
 	synctest.Test(t, func(t *testing.T) {
@@ -45,16 +45,16 @@
 }
 
 func TestLines(t *testing.T) {
-	got := run(t, &Encoder{QueueBytes: 1 << 16}, func(l *log.Logger) {
+	got := captureOutput(t, &Encoder{QueueBytes: 1 << 16}, func(l *log.Logger) {
 		e := wrapper.Wrap(errors.New("refused"), "dial", "kalkul-1-a")
 		LogError(l, errors.Annotate(e, "serve request"), "request failed")
 		l.WithFields(log.Fields{"wait": 3 * time.Millisecond, "count": 4, "open": true, "list": []int{1}}).Warn("quoted \"text\"\nšč")
-		l.Handler.(*Encoder).LogDecision(sample())
+		l.Handler.(*Encoder).LogDecision(sampleDecision())
 		l.Handler.(*Encoder).LogDecision(&Decision{Kind: "route", Request: 8, Reason: "queue full"})
 	})
 	for _, l := range bytes.Split(bytes.TrimSpace([]byte(got)), []byte("\n")) {
 		if !json.Valid(l) {
-			t.Errorf("not JSON: %s", l)
+			t.Errorf("line isn't JSON: %s", l)
 		}
 	}
 	if *update {
@@ -70,10 +70,10 @@
 }
 
 func TestSamplingKeepsRefusals(t *testing.T) {
-	got := run(t, &Encoder{QueueBytes: 1 << 16, SampleDebug: 10, SampleDecisions: 5}, func(l *log.Logger) {
+	got := captureOutput(t, &Encoder{QueueBytes: 1 << 16, SampleDebug: 10, SampleDecisions: 5}, func(l *log.Logger) {
 		for range 20 {
 			l.Debug("detail")
-			l.Handler.(*Encoder).LogDecision(sample())
+			l.Handler.(*Encoder).LogDecision(sampleDecision())
 			l.Handler.(*Encoder).LogDecision(&Decision{Kind: "route", Reason: "queue full"})
 		}
 	})
@@ -82,21 +82,21 @@
 	}
 }
 
-// The output is a pipe whose reader has stopped. Requests must go on, and once
-// the reader is back the operator is told how many lines are missing.
+// Guards against requests that block because the output does: here it is a pipe whose reader has
+// stopped. When the reader resumes, the log must report how many lines are missing.
 func TestStuckOutputDropsAndCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, w := io.Pipe()
 		e := &Encoder{Writer: w, QueueBytes: 1 << 10}
 		c, stop := context.WithCancel(t.Context())
 		go e.Run(c)
-		e.LogDecision(sample())
+		e.LogDecision(sampleDecision())
 		synctest.Wait()
 		for range 100 {
-			e.LogDecision(sample())
+			e.LogDecision(sampleDecision())
 		}
 		if e.Dropped() == 0 {
-			t.Error("nothing was dropped by a stuck output")
+			t.Error("no lines were dropped while the output was blocked")
 		}
 		stop()
 		var b bytes.Buffer
@@ -105,7 +105,7 @@
 		w.Close()
 		synctest.Wait()
 		if !bytes.Contains(b.Bytes(), []byte("log lines dropped")) {
-			t.Errorf("the output doesn't tell of dropped lines:\n%s", b.String())
+			t.Errorf("the output doesn't report dropped lines:\n%s", b.String())
 		}
 	})
 }
@@ -113,7 +113,7 @@
 func BenchmarkDecide(b *testing.B) {
 	e := &Encoder{Writer: io.Discard, QueueBytes: 4 << 20}
 	go e.Run(b.Context())
-	d := sample()
+	d := sampleDecision()
 	b.ReportAllocs()
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
@@ -126,7 +126,7 @@
 func BenchmarkDecideSampledOut(b *testing.B) {
 	e := &Encoder{Writer: io.Discard, QueueBytes: 4 << 20, SampleDecisions: 1000}
 	go e.Run(b.Context())
-	d := sample()
+	d := sampleDecision()
 	b.ReportAllocs()
 	for b.Loop() {
 		e.LogDecision(d)
--- a/internal/log/encoder/statement.go
+++ b/internal/log/encoder/statement.go
@@ -5,41 +5,43 @@
 	"time"
 )
 
-// Statement is what became of one statement of a caller, with what decided it.
+// Statement describes the execution of one statement of a caller.
 type Statement struct {
-	// Request is the caller's id of the statement.
+	// Request is the id that the caller gave the statement.
 	Request       string
 	Database      string
 	DatabaseGroup string
-	// Operation is read, write, commit or another kind of statement.
+	// Operation is the kind of statement: read, write, execute or commit.
 	Operation string
-	// Outcome is ran, not-run, failed or unknown; Code says more where it isn't ran.
+	// Outcome is ran, not-run, failed or unknown.
 	Outcome string
-	Code    string
-	// Server is the last one that it was sent to, empty if there was none, and Role
-	// its part in the group.
+	// Code details an Outcome other than ran, and is empty otherwise.
+	Code string
+	// Server is the last one that the statement was sent to, empty if there was none.
 	Server string
-	Role   string
-	// Reason is the reason for the choice, or what stood in the way.
+	// Role is the role of Server in the group, primary or replica, empty without a Server.
+	Role string
+	// Reason explains the choice of Server or the refusal.
 	Reason string
-	// RequiredPosition is the position that the server had to have, empty for none.
+	// RequiredPosition is the log position that the server had to have, empty for none.
 	RequiredPosition string
 	Attempts         int
-	// Configuration is the version that the statement was routed by.
+	// Configuration is the version of the configuration by which the statement was routed.
 	Configuration uint64
+	// Wait is the time spent waiting for leases, Elapsed the time of the whole statement.
 	Wait, Elapsed time.Duration
 }
 
-// LogStatement writes one line for s. It keeps no reference to s.
+// LogStatement queues one line for s. It keeps no reference to s.
 func (e *Encoder) LogStatement(s *Statement) {
 	p := e.scratch()
-	*p = statement((*p)[:0], e.now(), s)
-	e.append(*p)
+	*p = encodeStatement((*p)[:0], e.now(), s)
+	e.enqueue(*p)
 	e.release(p)
 }
 
-func statement(b line, now time.Time, s *Statement) line {
-	b = open(b, now, "info", "statement")
+func encodeStatement(b line, now time.Time, s *Statement) line {
+	b = beginLine(b, now, "info", "statement")
 	b = b.string("request", s.Request)
 	b = b.string("database", s.Database)
 	b = b.string("database-group", s.DatabaseGroup)
@@ -57,7 +59,7 @@
 	return b.end()
 }
 
-// duration appends a time in microseconds with its unit.
+// duration appends a member with d in microseconds and the unit "us".
 func (b line) duration(name string, d time.Duration) line {
 	b = append(b.key(name), '"')
 	b = strconv.AppendInt(b, d.Microseconds(), 10)
