--- a/internal/log/decoder/decoder.go
+++ b/internal/log/decoder/decoder.go
@@ -1,4 +1,4 @@
-// Package decoder finds the JSON lines of log files.
+// Package decoder extracts JSON objects from the lines of log files.
 package decoder
 
 import (
@@ -7,18 +7,19 @@
 	"io"
 )
 
-// maximumLine is the longest line that is read, in bytes.
-const maximumLine = 1 << 20
+// maximumLineBytes is the length of the longest line that is read.
+const maximumLineBytes = 1 << 20
 
-// Each calls take with each JSON object of a log, which it may not keep. What a collector of
-// logs writes before an object is left out, as are lines without one. It returns an error of
-// reading, bufio.ErrTooLong for a line of more than 1 MiB.
-func Each(log io.Reader, take func(object []byte)) error {
+// Each calls handle for each line of log that contains '{', with the rest of the line from there on.
+// The prefix that a log collector writes before the object is thus omitted. Each doesn't check that
+// the object is valid JSON. handle must not keep object. Each returns an error if reading fails, and
+// bufio.ErrTooLong for a line of more than 1 MiB.
+func Each(log io.Reader, handle func(object []byte)) error {
 	s := bufio.NewScanner(log)
-	s.Buffer(nil, maximumLine)
+	s.Buffer(nil, maximumLineBytes)
 	for s.Scan() {
 		if i := bytes.IndexByte(s.Bytes(), '{'); i >= 0 {
-			take(s.Bytes()[i:])
+			handle(s.Bytes()[i:])
 		}
 	}
 	return s.Err()
