--- a/internal/metric/collector/collector_test.go
+++ b/internal/metric/collector/collector_test.go
@@ -10,7 +10,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// The page on metrics lists each one that the code has, and no other.
+// Guards against metrics that docs/metrics.md omits, and against entries there of metrics that don't
+// exist.
 func TestPageListsAllMetrics(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/metrics.md")
 	if err != nil {
@@ -31,6 +32,6 @@
 	slices.Sort(want)
 	slices.Sort(got)
 	if d := cmp.Diff(want, got); d != "" {
-		t.Errorf("metrics differ (-page +code):\n%s", d)
+		t.Errorf("metrics in docs/metrics.md and in the code differ (-page +code):\n%s", d)
 	}
 }
