--- a/internal/metric/server/server.go
+++ b/internal/metric/server/server.go
@@ -15,44 +15,47 @@
 	"github.com/cuminwick/cuminwick/internal/fault/wrapper"
 )
 
-// Check returns nil while all is well, and otherwise why not.
+// Check returns nil if the check passes, and otherwise an error with the reason.
 type Check func() error
 
-// Server answers /metrics, /livez and /readyz on the administration address.
+// Server answers /metrics, /livez and /readyz on the administration address. Its fields are set before
+// Run. A nil Live or Ready always passes.
 type Server struct {
-	// Listener is closed when Run ends.
+	// Listener accepts the connections. Run closes it.
 	Listener net.Listener
-	// TLS serves HTTPS if it is set.
-	TLS      *tls.Config
+	// TLS is the configuration of HTTPS. If it is nil, HTTP is served.
+	TLS *tls.Config
+	// Gatherer provides the metrics.
 	Gatherer prometheus.Gatherer
-	// Live fails when only a restart can help.
+	// Live fails when the process can recover only by a restart.
 	Live Check
-	// Ready fails while new callers should be sent elsewhere.
+	// Ready fails while new callers should be routed to other hosts.
 	Ready Check
-	// Administration answers all other paths, if it is set.
+	// Administration answers all other paths. If it is nil, they are answered with 404.
 	Administration http.Handler
 }
 
-// Bounds on what a client of the administration address may take up.
+// Limits on the resources that a client of the administration address can occupy, and on the time
+// for requests in progress to finish.
 const (
-	headerTimeout = 5 * time.Second
-	idleTimeout   = time.Minute
-	stopTimeout   = 5 * time.Second
-	headerBytes   = 16 << 10
+	headerTimeout      = 5 * time.Second
+	idleTimeout        = time.Minute
+	stopTimeout        = 5 * time.Second
+	maximumHeaderBytes = 16 << 10
 )
 
-// Run serves until ctx ends, then lets requests in progress finish.
+// Run serves until ctx ends, and then waits up to stopTimeout for requests in progress to finish.
 func (s *Server) Run(ctx context.Context) error {
 	h := &http.Server{
 		Handler:           s.Handler(),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    headerBytes,
+		MaxHeaderBytes:    maximumHeaderBytes,
 	}
 	c, stop := context.WithCancel(ctx)
 	x := stopper{server: h, ended: make(chan struct{})}
 	go x.run(c)
-	err := h.Serve(s.listener())
+	err := h.Serve(s.serveListener())
 	stop()
 	<-x.ended
 	if errors.Is(err, http.ErrServerClosed) {
@@ -61,17 +64,19 @@
 	return wrapper.Wrap(err, "serve administration", s.Listener.Addr().String())
 }
 
-func (s *Server) listener() net.Listener {
+// serveListener returns Listener, with TLS if that is set.
+func (s *Server) serveListener() net.Listener {
 	if s.TLS == nil {
 		return s.Listener
 	}
 	return tls.NewListener(s.Listener, s.TLS)
 }
 
-// stopper ends an HTTP server when a context ends.
+// stopper shuts down an HTTP server when a context ends.
 type stopper struct {
 	server *http.Server
-	ended  chan struct{}
+	// ended is closed when the server has been shut down.
+	ended chan struct{}
 }
 
 func (s stopper) run(ctx context.Context) {
@@ -84,25 +89,25 @@
 	}
 }
 
-// Handler returns what answers requests.
+// Handler returns the handler of all paths.
 func (s *Server) Handler() http.Handler {
 	m := http.NewServeMux()
 	m.Handle("GET /metrics", promhttp.HandlerFor(s.Gatherer, promhttp.HandlerOpts{}))
-	m.Handle("GET /livez", checker{check: s.Live})
-	m.Handle("GET /readyz", checker{check: s.Ready})
+	m.Handle("GET /livez", checkHandler{check: s.Live})
+	m.Handle("GET /readyz", checkHandler{check: s.Ready})
 	if s.Administration != nil {
 		m.Handle("/", s.Administration)
 	}
 	return m
 }
 
-// checker answers 200 or, with the reason, 503.
-type checker struct {
+// checkHandler answers 200, or 503 with the reason if the check fails.
+type checkHandler struct {
 	check Check
 }
 
-// ServeHTTP runs the check.
-func (c checker) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+// ServeHTTP implements http.Handler.
+func (c checkHandler) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	var err error
 	if c.check != nil {
 		err = c.check()
--- a/internal/metric/server/server_test.go
+++ b/internal/metric/server/server_test.go
@@ -38,7 +38,7 @@
 			w := httptest.NewRecorder()
 			s.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, tt.path, nil))
 			if w.Code != tt.status || !strings.Contains(w.Body.String(), tt.contains) {
-				t.Errorf("%d %s, want %d with %q", w.Code, w.Body.String(), tt.status, tt.contains)
+				t.Errorf("status %d, body %q, want status %d, body containing %q", w.Code, w.Body.String(), tt.status, tt.contains)
 			}
 		})
 	}
@@ -63,6 +63,6 @@
 	http.DefaultClient.CloseIdleConnections()
 	stop()
 	if err := <-e; err != nil {
-		t.Errorf("Run = %v", err)
+		t.Errorf("Run returned %v, want nil", err)
 	}
 }
