--- a/internal/clock/scheduler/wall_test.go
+++ b/internal/clock/scheduler/wall_test.go
@@ -10,11 +10,10 @@
 	"testing"
 )
 
-// wallReader is a file that reads or writes wall-clock time.
+// wallReader is a file that reads or writes wall-clock time, with the reason why a step of the clock
+// violates no guarantee there.
 type wallReader struct {
-	file string
-	// reason is why a step of the clock violates no guarantee there.
-	reason string
+	file, reason string
 }
 
 var wallReaders = []wallReader{
--- a/internal/log/decoder/decoder_test.go
+++ b/internal/log/decoder/decoder_test.go
@@ -22,6 +22,6 @@
 func TestLineTooLongIsAnError(t *testing.T) {
 	log := "{}\n" + strings.Repeat("x", maximumLineBytes+1) + "\n{}\n"
 	if err := Each(strings.NewReader(log), func([]byte) {}); !errors.Is(err, bufio.ErrTooLong) {
-		t.Errorf("error %v, want %v", err, bufio.ErrTooLong)
+		t.Errorf("error %v, want bufio.ErrTooLong", err)
 	}
 }
