--- a/internal/log/encoder/decision.go
+++ b/internal/log/encoder/decision.go
@@ -38,7 +38,7 @@
 	}
 	p := e.scratch()
 	*p = encodeDecision((*p)[:0], e.now(), d)
-	e.enqueue(*p)
+	e.append(*p)
 	e.release(p)
 }
 
--- a/internal/log/encoder/encoder.go
+++ b/internal/log/encoder/encoder.go
@@ -64,7 +64,7 @@
 		b = b.any(n, x.Fields.Get(n))
 	}
 	*p = b.end()
-	e.enqueue(*p)
+	e.append(*p)
 	e.release(p)
 	return nil
 }
@@ -134,10 +134,10 @@
 	return b
 }
 
-// enqueue queues b or counts it as dropped, and wakes Run, which reports drops too.
-func (e *Encoder) enqueue(b []byte) {
+// append queues b or counts it as dropped, and wakes Run, which reports drops too.
+func (e *Encoder) append(b []byte) {
 	e.initOnce()
-	if !e.tryEnqueue(b) {
+	if !e.tryAppend(b) {
 		e.dropped.Add(1)
 	}
 	select {
@@ -146,8 +146,8 @@
 	}
 }
 
-// tryEnqueue queues b if it fits, and reports whether it did.
-func (e *Encoder) tryEnqueue(b []byte) bool {
+// tryAppend queues b if it fits, and reports whether it did.
+func (e *Encoder) tryAppend(b []byte) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.pending)+len(b) > e.QueueBytes {
--- a/internal/log/encoder/statement.go
+++ b/internal/log/encoder/statement.go
@@ -36,7 +36,7 @@
 func (e *Encoder) LogStatement(s *Statement) {
 	p := e.scratch()
 	*p = encodeStatement((*p)[:0], e.now(), s)
-	e.enqueue(*p)
+	e.append(*p)
 	e.release(p)
 }
 
