--- a/internal/wire/batcher/batcher.go
+++ b/internal/wire/batcher/batcher.go
@@ -1,4 +1,4 @@
-// Package batcher collects the messages that go to a backend server together.
+// Package batcher collects the messages that are sent to a backend server together.
 package batcher
 
 import (
@@ -23,15 +23,15 @@
 	CopyFail byte = 'f'
 )
 
-// Answer says what becomes of the backend server's answer to an item.
+// Answer tells whether an item is sent to the backend server and how it is answered to the caller.
 type Answer uint8
 
 const (
-	// Pass hands the answer to the caller.
+	// Pass sends the message and forwards the answer to the caller.
 	Pass Answer = iota
-	// Discard drops the answer, since the caller didn't send the message.
+	// Discard sends the message and discards the answer, for a message that the caller didn't send.
 	Discard
-	// Inject makes up the answer, since the message isn't sent.
+	// Inject doesn't send the message and synthesizes the answer for the caller.
 	Inject
 	// Omit neither sends the message nor answers it.
 	Omit
@@ -39,14 +39,17 @@
 
 // Item is one message of a batch.
 type Item struct {
+	// Type is the type byte of the message.
 	Type   byte
 	Answer Answer
-	// Name is the prepared statement that a Parse defines.
+	// Name is the prepared statement that a Parse defines, empty for the unnamed one and for other
+	// messages.
 	Name string
-	// Begins says that a Query opens with a BEGIN that the caller didn't send,
-	// whose CommandComplete is dropped.
+	// Begins reports that a Query starts with a BEGIN that the caller didn't send. The CommandComplete
+	// of the BEGIN is discarded.
 	Begins bool
 
+	// start and end are the offsets of the message in Batch.raw.
 	start, end int
 }
 
@@ -54,10 +57,12 @@
 type Batch struct {
 	Items []Item
 
+	// raw holds the messages of all items.
 	raw []byte
 }
 
-// Reset empties the batch and keeps its memory up to limit bytes.
+// Reset empties the batch. It keeps the memory for reuse unless the messages occupy more than limit
+// bytes.
 func (b *Batch) Reset(limit int) {
 	b.Items = b.Items[:0]
 	b.raw = b.raw[:0]
@@ -67,25 +72,25 @@
 	}
 }
 
-// Grow makes room for a number of items and their bytes.
+// Grow allocates memory for further items and for the given number of bytes of their messages.
 func (b *Batch) Grow(items, bytes int) {
 	b.Items = slices.Grow(b.Items, items)
 	b.raw = slices.Grow(b.raw, bytes)
 }
 
-// Size returns the size of all messages.
+// Size returns the size of all messages in bytes, including those that aren't sent.
 func (b *Batch) Size() int {
 	return len(b.raw)
 }
 
-// Add appends a message with its header.
+// Add appends a message of type t; raw includes the header.
 func (b *Batch) Add(t byte, a Answer, raw []byte) {
 	s := len(b.raw)
 	b.raw = append(b.raw, raw...)
 	b.Items = append(b.Items, Item{Type: t, Answer: a, start: s, end: len(b.raw)})
 }
 
-// AddBody appends a message made of the parts of a body.
+// AddBody appends a message of type t whose body is the concatenation of parts.
 func (b *Batch) AddBody(t byte, a Answer, parts ...[]byte) {
 	s := len(b.raw)
 	b.raw = append(b.raw, t, 0, 0, 0, 0)
@@ -96,7 +101,7 @@
 	b.Items = append(b.Items, Item{Type: t, Answer: a, start: s, end: len(b.raw)})
 }
 
-// AddParse appends a Parse of a named statement; tail is the message after the name.
+// AddParse appends a Parse of the named statement; tail is the body of the message after the name.
 func (b *Batch) AddParse(a Answer, name string, tail []byte) {
 	b.AddBody(Parse, a, []byte(name), []byte{0}, tail)
 	b.Items[len(b.Items)-1].Name = name
@@ -107,7 +112,7 @@
 	b.AddBody(Query, a, []byte(sql), []byte{0})
 }
 
-// EncodeQuery returns the message of a simple query.
+// EncodeQuery returns the message of a simple query, with its header.
 func EncodeQuery(sql string) []byte {
 	var b Batch
 	b.AddQuery(Discard, sql)
@@ -124,7 +129,7 @@
 	return b.Raw(i)[framer.HeaderBytes:]
 }
 
-// AppendTo appends to p the messages that are sent.
+// AppendTo appends to p the messages of the items that are sent, and returns the result.
 func (b *Batch) AppendTo(p []byte) []byte {
 	for i := range b.Items {
 		if a := b.Items[i].Answer; a == Pass || a == Discard {
@@ -134,8 +139,8 @@
 	return p
 }
 
-// EndsRequest reports whether the batch ends the request, so that the backend server
-// answers it with ReadyForQuery.
+// EndsRequest reports whether the batch ends with a Sync or a Query, so that the backend server answers
+// it with ReadyForQuery.
 func (b *Batch) EndsRequest() bool {
 	if len(b.Items) == 0 {
 		return false
@@ -144,11 +149,11 @@
 	return t == Sync || t == Query
 }
 
-// WithBegin returns a batch that runs sql, a BEGIN, before the items of b.
+// WithBegin returns a batch that runs sql, a BEGIN, before the items of b. b must not be empty.
 //
-// BEGIN stands in the same text, or before the same Sync, as what follows it:
-// were it a request of its own and cancelled, the rest would run outside a
-// transaction, and a ROLLBACK could not undo it.
+// The BEGIN is in the same query text, or before the same Sync, as the items of b. If it were a request
+// of its own and were cancelled, the rest would run outside a transaction, and a ROLLBACK could not
+// undo it.
 func (b *Batch) WithBegin(sql string) *Batch {
 	n := &Batch{}
 	if b.Items[0].Type == Query {
