--- a/internal/wire/follower/follower.go
+++ b/internal/wire/follower/follower.go
@@ -1,4 +1,4 @@
-// Package follower matches the messages of a backend server to the batch that they answer.
+// Package follower matches the messages of a backend server to the items of the batch that they answer.
 package follower
 
 import "github.com/cuminwick/cuminwick/internal/wire/batcher"
@@ -27,29 +27,32 @@
 	BackendCopyDone      byte = 'c'
 )
 
-// Follower follows the answers to one batch.
+// Follower tracks the answers to one batch.
 //
-// A backend server answers the items of a batch in order, each with one last
-// message; after an error it skips everything up to the Sync. Counting these
-// tells which answers belong to messages that the caller never sent, which
-// answers must be made up, and when a batch that ends in Flush is answered.
+// A backend server answers the items of a batch in order, and the last message of each answer has a
+// type that marks it as such. After an error the server skips everything up to the Sync. By counting
+// these last messages, a Follower determines which answers belong to messages that the caller didn't
+// send, which answers must be synthesized, and when a batch that ends with a Flush is answered.
 type Follower struct {
+	// Batch is the batch that was sent. It is set before use.
 	Batch *batcher.Batch
-	// Failed says that an ErrorResponse came.
+	// Failed reports that an ErrorResponse was received.
 	Failed bool
 
+	// next is the index of the first item whose answer isn't complete.
 	next int
-	// begun says that the answer to the Query's own BEGIN was dropped.
-	begun bool
+	// beginDiscarded reports that the answer to the prepended BEGIN of a Query was discarded.
+	beginDiscarded bool
 }
 
-// NextInjected returns the type of the made-up answer that is due now, if any.
+// NextInjected returns the type of the synthesized answer that is due now, or false if none is. It is
+// called before the first message of the backend server and after each one, until it returns false.
 func (f *Follower) NextInjected() (byte, bool) {
 	for f.next < len(f.Batch.Items) {
 		i := f.Batch.Items[f.next]
 		if i.Answer == batcher.Inject {
 			f.next++
-			return injected(i.Type), true
+			return injectedType(i.Type), true
 		}
 		if i.Answer != batcher.Omit && i.Type != batcher.Flush {
 			return 0, false
@@ -59,7 +62,8 @@
 	return 0, false
 }
 
-// Accept takes the type of the next message and reports whether the caller gets it.
+// Accept processes the type of the next message of the backend server and reports whether the message
+// is forwarded to the caller.
 func (f *Follower) Accept(t byte) bool {
 	if t == ErrorResponse {
 		return f.acceptError()
@@ -68,26 +72,26 @@
 		return true
 	}
 	i := f.Batch.Items[f.next]
-	if !ofRequest(t) {
+	if !isAnswer(t) {
 		return true
 	}
-	if ends(i.Type, t) {
+	if completes(i.Type, t) {
 		f.next++
 	}
-	if i.Begins && t == CommandComplete && !f.begun {
-		f.begun = true
+	if i.Begins && t == CommandComplete && !f.beginDiscarded {
+		f.beginDiscarded = true
 		return false
 	}
 	return i.Answer == batcher.Pass
 }
 
-// Done reports whether the whole batch is answered.
+// Done reports whether all items of the batch are answered.
 func (f *Follower) Done() bool {
 	return f.next >= len(f.Batch.Items)
 }
 
-// acceptError skips to the Sync; the error itself always reaches the caller,
-// also that of a message which the caller didn't send.
+// acceptError skips to the Sync or Query. It always returns true, because the caller gets every error,
+// even that of a message which the caller didn't send.
 func (f *Follower) acceptError() bool {
 	f.Failed = true
 	for f.next < len(f.Batch.Items) {
@@ -100,13 +104,15 @@
 	return true
 }
 
-// ofRequest reports whether a message type answers an item, unlike those that
-// a backend server may send at any time.
-func ofRequest(t byte) bool {
+// isAnswer reports whether a message of type t answers an item. The other types may be sent by a
+// backend server at any time.
+func isAnswer(t byte) bool {
 	return t != NoticeResponse && t != ParameterStatus && t != NotificationResponse
 }
 
-func ends(item, t byte) bool {
+// completes reports whether a message of type t is the last one of the answer to an item of the given
+// type.
+func completes(item, t byte) bool {
 	switch item {
 	case batcher.Parse:
 		return t == ParseComplete
@@ -123,14 +129,16 @@
 	}
 }
 
-func injected(item byte) byte {
+// injectedType returns the type of the synthesized answer to an item of the given type, which is Parse
+// or Close.
+func injectedType(item byte) byte {
 	if item == batcher.Parse {
 		return ParseComplete
 	}
 	return CloseComplete
 }
 
-// Unanswered returns the items that aren't answered yet.
+// Unanswered returns the items whose answers aren't complete yet.
 func (f *Follower) Unanswered() []batcher.Item {
 	return f.Batch.Items[min(f.next, len(f.Batch.Items)):]
 }
--- a/internal/wire/follower/follower_test.go
+++ b/internal/wire/follower/follower_test.go
@@ -7,8 +7,8 @@
 	"github.com/cuminwick/cuminwick/internal/wire/follower"
 )
 
-// follow feeds the types of a server's messages and returns those that the
-// caller gets, made-up ones in lower case brackets.
+// follow passes the types of a backend server's messages to a Follower and returns those that the
+// caller gets, synthesized ones in square brackets.
 func follow(t *testing.T, b *batcher.Batch, messages string) string {
 	t.Helper()
 	f := follower.Follower{Batch: b}
@@ -26,12 +26,14 @@
 		inject()
 	}
 	if !f.Done() {
-		t.Errorf("batch not answered by %q", messages)
+		t.Errorf("batch isn't answered by %q", messages)
 	}
 	return got
 }
 
-func batch(items string, answers ...batcher.Answer) *batcher.Batch {
+// newBatch returns a batch of messages with the types in items. Items without an element in answers
+// have Pass.
+func newBatch(items string, answers ...batcher.Answer) *batcher.Batch {
 	b := &batcher.Batch{}
 	for i := range len(items) {
 		a := batcher.Pass
@@ -49,21 +51,21 @@
 		batch          *batcher.Batch
 		messages, want string
 	}{
-		{name: "simple query", batch: batch("Q"), messages: "TDDCZ", want: "TDDCZ"},
-		{name: "several statements in a query", batch: batch("Q"), messages: "TDCCZ", want: "TDCCZ"},
-		{name: "extended query", batch: batch("PBDES"), messages: "12TDCZ", want: "12TDCZ"},
-		{name: "parse the caller didn't send", batch: batch("PBDES", batcher.Discard), messages: "12TDCZ", want: "2TDCZ"},
-		{name: "parse that isn't sent", batch: batch("PBDES", batcher.Inject), messages: "2TDCZ", want: "[1]2TDCZ"},
-		{name: "parse neither sent nor answered", batch: batch("PBES", batcher.Omit), messages: "2CZ", want: "2CZ"},
-		{name: "close answered in its place", batch: batch("BEC", batcher.Pass, batcher.Pass, batcher.Inject), messages: "2C", want: "2C[3]"},
-		{name: "error skips to the sync", batch: batch("PBEPBES", batcher.Discard), messages: "EZ", want: "EZ"},
-		{name: "nothing made up after an error", batch: batch("PBECS", batcher.Pass, batcher.Pass, batcher.Pass, batcher.Inject), messages: "1EZ", want: "1EZ"},
-		{name: "notices and parameters at any time", batch: batch("PBES", batcher.Discard), messages: "N1S2CZ", want: "NS2CZ"},
-		{name: "flush", batch: batch("PDH"), messages: "1tT", want: "1tT"},
-		{name: "begun query", batch: batch("Q").WithBegin("BEGIN"), messages: "CTDCZ", want: "TDCZ"},
-		{name: "begun query that fails at begin", batch: batch("Q").WithBegin("BEGIN"), messages: "EZ", want: "EZ"},
-		{name: "begun extended query", batch: batch("PBES").WithBegin("BEGIN"), messages: "12C12CZ", want: "12CZ"},
-		{name: "begun extended query that fails at begin", batch: batch("PBES").WithBegin("BEGIN"), messages: "12EZ", want: "EZ"},
+		{name: "simple query", batch: newBatch("Q"), messages: "TDDCZ", want: "TDDCZ"},
+		{name: "several statements in a query", batch: newBatch("Q"), messages: "TDCCZ", want: "TDCCZ"},
+		{name: "extended query", batch: newBatch("PBDES"), messages: "12TDCZ", want: "12TDCZ"},
+		{name: "parse the caller didn't send", batch: newBatch("PBDES", batcher.Discard), messages: "12TDCZ", want: "2TDCZ"},
+		{name: "parse that isn't sent", batch: newBatch("PBDES", batcher.Inject), messages: "2TDCZ", want: "[1]2TDCZ"},
+		{name: "parse neither sent nor answered", batch: newBatch("PBES", batcher.Omit), messages: "2CZ", want: "2CZ"},
+		{name: "close that isn't sent", batch: newBatch("BEC", batcher.Pass, batcher.Pass, batcher.Inject), messages: "2C", want: "2C[3]"},
+		{name: "error skips up to the sync", batch: newBatch("PBEPBES", batcher.Discard), messages: "EZ", want: "EZ"},
+		{name: "nothing synthesized after an error", batch: newBatch("PBECS", batcher.Pass, batcher.Pass, batcher.Pass, batcher.Inject), messages: "1EZ", want: "1EZ"},
+		{name: "notices and parameter statuses between answers", batch: newBatch("PBES", batcher.Discard), messages: "N1S2CZ", want: "NS2CZ"},
+		{name: "flush", batch: newBatch("PDH"), messages: "1tT", want: "1tT"},
+		{name: "query with begin", batch: newBatch("Q").WithBegin("BEGIN"), messages: "CTDCZ", want: "TDCZ"},
+		{name: "query with begin that fails at begin", batch: newBatch("Q").WithBegin("BEGIN"), messages: "EZ", want: "EZ"},
+		{name: "extended query with begin", batch: newBatch("PBES").WithBegin("BEGIN"), messages: "12C12CZ", want: "12CZ"},
+		{name: "extended query with begin that fails at begin", batch: newBatch("PBES").WithBegin("BEGIN"), messages: "12EZ", want: "EZ"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -74,18 +76,18 @@
 	}
 }
 
-// A BEGIN is cancelled while the first statement of its transaction is already
-// under way. Outside a transaction the statement would take effect at once,
-// although its caller was told that it was cancelled.
+// Guards against a BEGIN that is cancelled on its own, while the first statement of its transaction is
+// already sent. The statement would then run outside a transaction and take effect, although the caller
+// received the answer that it was cancelled.
 func TestBeginStandsInTheRequestOfItsStatement(t *testing.T) {
-	q := batch("Q").WithBegin("BEGIN")
+	q := newBatch("Q").WithBegin("BEGIN")
 	if len(q.Items) != 1 || string(q.Body(0)) != "BEGIN; x\x00" {
-		t.Errorf("simple query %q in %d items", q.Body(0), len(q.Items))
+		t.Errorf("simple query has body %q and %d items, want BEGIN and the query in one item", q.Body(0), len(q.Items))
 	}
-	e := batch("PBES").WithBegin("BEGIN")
+	e := newBatch("PBES").WithBegin("BEGIN")
 	for i := range e.Items {
 		if s := e.Items[i].Type == batcher.Sync; s != (i == len(e.Items)-1) {
-			t.Errorf("item %d is %q", i, e.Items[i].Type)
+			t.Errorf("item %d has type %q, want one Sync, at the end", i, e.Items[i].Type)
 		}
 	}
 }
