--- a/internal/wire/framer/framer.go
+++ b/internal/wire/framer/framer.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// HeaderBytes is the size of a message's type and length.
+	// HeaderBytes is the size of a message's header, which consists of type and length.
 	HeaderBytes = 5
-	// ChunkBytes is the largest part of a message that Next and Rest return at once.
+	// ChunkBytes is the maximum size of the part of a body that Next and Rest return at once.
 	ChunkBytes = 32 << 10
-	// lengthBytes is the size of the length field, which counts itself.
+	// lengthBytes is the size of the length field. The length includes the field itself.
 	lengthBytes = 4
 )
 
 const (
-	// ErrLength is returned for a length field that no message can have.
+	// ErrLength is returned for a length below lengthBytes or above 1 GiB.
 	ErrLength = errors.ConstError("message length out of range")
-	// ErrTooLarge is returned for a message above the reader's limit.
+	// ErrTooLarge is returned by NextWhole for a message whose body exceeds Reader.MaximumBytes.
 	ErrTooLarge = errors.ConstError("message too large")
 )
 
-// Frame is one message, or the first part of a long one, with its header.
+// Frame is one message, or the beginning of a long one, with its header.
 type Frame struct {
 	// Type is the message's type byte.
 	Type byte
-	// Raw holds the header and at most ChunkBytes of the body. It is valid
-	// until the next call on the reader.
+	// Raw holds the header and the beginning of the body: at most ChunkBytes from Next, all of it from
+	// NextWhole. It is valid until the next call of Next, NextWhole or Rest.
 	Raw []byte
-	// Remaining is the number of body bytes that Rest still has to return.
+	// Remaining is the number of bytes of the body that Rest hasn't returned yet.
 	Remaining int
 }
 
@@ -47,13 +47,14 @@
 	return f.Remaining == 0
 }
 
-// Reader cuts a byte stream into frames.
+// Reader splits a byte stream into frames.
 type Reader struct {
-	// Source is the stream; its buffer size bounds what is read ahead.
+	// Source is the stream. The size of its buffer limits how much is read ahead.
 	Source *bufio.Reader
-	// MaximumBytes is the longest message accepted whole by NextWhole.
+	// MaximumBytes is the size of the largest body that NextWhole accepts.
 	MaximumBytes int
 
+	// buffer is the memory of the last frame or part.
 	buffer []byte
 }
 
@@ -62,18 +63,20 @@
 	return r.Source.Buffered()
 }
 
-// Next reads a message, or the first ChunkBytes of its body.
+// Next reads a message, or the header and first ChunkBytes of a longer one. It returns ErrLength for an
+// invalid length, io.EOF at the end of the stream and io.ErrUnexpectedEOF within a message.
 func (r *Reader) Next() (Frame, error) {
-	t, n, err := r.header()
+	t, n, err := r.readHeader()
 	if err != nil {
 		return Frame{}, err
 	}
-	return r.frame(t, n, min(n, ChunkBytes))
+	return r.readFrame(t, n, min(n, ChunkBytes))
 }
 
-// NextWhole reads a message with its whole body, which may not exceed MaximumBytes.
+// NextWhole reads a message with its whole body. It returns ErrTooLarge for a body above MaximumBytes,
+// with the type of the message in the frame, and otherwise the errors of Next.
 func (r *Reader) NextWhole() (Frame, error) {
-	t, n, err := r.header()
+	t, n, err := r.readHeader()
 	if err != nil {
 		return Frame{}, err
 	}
@@ -81,22 +84,22 @@
 		return Frame{Type: t}, errors.Annotatef(ErrTooLarge, "message %q of %d bytes, limit %d", t, n, r.MaximumBytes)
 	}
 	if n > ChunkBytes {
-		return r.long(t, n)
+		return r.readLong(t, n)
 	}
-	return r.frame(t, n, n)
+	return r.readFrame(t, n, n)
 }
 
-// long reads a long message and takes memory only as it arrives. Otherwise a
-// caller could announce a message of MaximumBytes, send nothing more, and have
-// the host hold that much for each such connection.
-func (r *Reader) long(t byte, n int) (Frame, error) {
-	b := r.room(ChunkBytes)[:0]
+// readLong reads a message of more than ChunkBytes and allocates memory only as it arrives. Otherwise a
+// caller could announce a message of MaximumBytes and send nothing more, and the host would allocate
+// that much memory for each such connection.
+func (r *Reader) readLong(t byte, n int) (Frame, error) {
+	b := r.resizeBuffer(ChunkBytes)[:0]
 	for len(b) < HeaderBytes+n {
 		k := min(HeaderBytes+n-len(b), max(len(b), ChunkBytes))
 		b = slices.Grow(b, k)
 		p := b[len(b) : len(b)+k]
 		if _, err := io.ReadFull(r.Source, p); err != nil {
-			return Frame{}, unexpected(err)
+			return Frame{}, unexpectedEOF(err)
 		}
 		b = b[:len(b)+k]
 	}
@@ -104,29 +107,32 @@
 	return Frame{Type: t, Raw: b}, nil
 }
 
-// Rest reads the next part of a frame's body, at most ChunkBytes.
+// Rest reads the next part of f's body, at most ChunkBytes, and reduces f.Remaining. The result is valid
+// until the next call of Next, NextWhole or Rest.
 func (r *Reader) Rest(f *Frame) ([]byte, error) {
 	n := min(f.Remaining, ChunkBytes)
-	b := r.room(n)
+	b := r.resizeBuffer(n)
 	if _, err := io.ReadFull(r.Source, b); err != nil {
-		return nil, unexpected(err)
+		return nil, unexpectedEOF(err)
 	}
 	f.Remaining -= n
 	return b, nil
 }
 
-// Shrink gives a large buffer back, so that a parked connection holds little memory.
+// Shrink releases a buffer of more than limit bytes, so that an idle connection occupies little memory.
 func (r *Reader) Shrink(limit int) {
 	if cap(r.buffer) > limit {
 		r.buffer = nil
 	}
 }
 
-func (r *Reader) header() (byte, int, error) {
+// readHeader returns the type of the next message and the size of its body, without consuming the
+// header.
+func (r *Reader) readHeader() (byte, int, error) {
 	h, err := r.Source.Peek(HeaderBytes)
 	if err != nil {
 		if len(h) > 0 {
-			err = unexpected(err)
+			err = unexpectedEOF(err)
 		}
 		return 0, 0, err
 	}
@@ -138,22 +144,25 @@
 	return t, int(n) - lengthBytes, nil
 }
 
-func (r *Reader) frame(t byte, body, part int) (Frame, error) {
-	b := r.room(HeaderBytes + part)
+// readFrame reads the header and the first part bytes of a body of the given size.
+func (r *Reader) readFrame(t byte, body, part int) (Frame, error) {
+	b := r.resizeBuffer(HeaderBytes + part)
 	if _, err := io.ReadFull(r.Source, b); err != nil {
-		return Frame{}, unexpected(err)
+		return Frame{}, unexpectedEOF(err)
 	}
 	return Frame{Type: t, Raw: b, Remaining: body - part}, nil
 }
 
-func (r *Reader) room(n int) []byte {
+// resizeBuffer returns the buffer with a length of n, reallocated if it is smaller than that.
+func (r *Reader) resizeBuffer(n int) []byte {
 	if cap(r.buffer) < n {
 		r.buffer = make([]byte, n, max(n, 512))
 	}
 	return r.buffer[:n]
 }
 
-func unexpected(err error) error {
+// unexpectedEOF returns io.ErrUnexpectedEOF for io.EOF and other errors unchanged.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/wire/framer/fuzz_test.go
+++ b/internal/wire/framer/fuzz_test.go
@@ -9,43 +9,45 @@
 	"github.com/juju/errors"
 )
 
-// fuzzMaximumBytes is above ChunkBytes, so that long messages are read too.
+// fuzzMaximumBytes exceeds ChunkBytes, so that long messages are tested too.
 const fuzzMaximumBytes = 3 * ChunkBytes
 
-func reader(b []byte) *Reader {
+func newReader(b []byte) *Reader {
 	return &Reader{Source: bufio.NewReader(bytes.NewReader(b)), MaximumBytes: fuzzMaximumBytes}
 }
 
-func message(t byte, body int) []byte {
+// encodeMessage returns a message whose body has the given size.
+func encodeMessage(t byte, body int) []byte {
 	n := body + lengthBytes
 	return append([]byte{t, byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}, bytes.Repeat([]byte{'x'}, body)...)
 }
 
-// A caller announces a message just below the limit and sends no more. The
-// reader waits for it with one chunk of memory; with the whole message's, some
-// hundred such callers would use up the host's memory.
+// Guards against memory that is allocated for an announced message before it arrives. A caller announces
+// a message just below the limit and sends only its beginning. If the reader allocated memory for all of
+// it, about a hundred such callers would exhaust the host's memory.
 func TestAnnouncedMessageTakesNoMemory(t *testing.T) {
-	r := reader(message('Q', fuzzMaximumBytes)[:100])
+	r := newReader(encodeMessage('Q', fuzzMaximumBytes)[:100])
 	r.MaximumBytes = 1 << 30
 	if _, err := r.NextWhole(); !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want io.ErrUnexpectedEOF", err)
 	}
 	if cap(r.buffer) > 2*ChunkBytes {
-		t.Errorf("%d bytes taken", cap(r.buffer))
+		t.Errorf("buffer of %d bytes, want two chunks at most", cap(r.buffer))
 	}
 }
 
-// Frames, put together, are the bytes that were read, whole or in parts.
+// FuzzReader guards against frames and parts whose concatenation differs from the stream, against
+// unexpected errors, and against buffers much larger than the input.
 func FuzzReader(f *testing.F) {
-	f.Add(uint32(10), message('S', 0), true)
-	f.Add(uint32(2*ChunkBytes+1), message('c', 0), false)
+	f.Add(uint32(10), encodeMessage('S', 0), true)
+	f.Add(uint32(2*ChunkBytes+1), encodeMessage('c', 0), false)
 	f.Add(uint32(fuzzMaximumBytes), []byte{}, true)
 	f.Add(uint32(fuzzMaximumBytes+1), []byte{}, true)
 	f.Add(uint32(0), []byte{'Q', 0, 0, 0, 3}, true)
 	f.Add(uint32(0), []byte{'Q', 255, 255, 255, 255, 0}, false)
 	f.Fuzz(func(t *testing.T, body uint32, rest []byte, whole bool) {
-		b := append(message('d', int(body%(fuzzMaximumBytes+2))), rest...)
-		r := reader(b)
+		b := append(encodeMessage('d', int(body%(fuzzMaximumBytes+2))), rest...)
+		r := newReader(b)
 		next := r.Next
 		if whole {
 			next = r.NextWhole
@@ -63,16 +65,16 @@
 			}
 		}
 		if !bytes.HasPrefix(b, got) {
-			t.Errorf("%d bytes read differ from the %d sent", len(got), len(b))
+			t.Errorf("%d bytes read aren't the beginning of the %d bytes of input", len(got), len(b))
 		}
 		switch {
 		case errors.Is(err, ErrLength), errors.Is(err, ErrTooLarge), errors.Is(err, io.ErrUnexpectedEOF):
 		case errors.Is(err, io.EOF) && len(got) == len(b):
 		default:
-			t.Errorf("%d of %d bytes read, then %v", len(got), len(b), err)
+			t.Errorf("%d of %d bytes read, then unexpected error %v", len(got), len(b), err)
 		}
 		if cap(r.buffer) > 2*len(b)+2*ChunkBytes {
-			t.Errorf("%d bytes of memory for %d", cap(r.buffer), len(b))
+			t.Errorf("buffer of %d bytes for %d bytes of input", cap(r.buffer), len(b))
 		}
 	})
 }
