--- a/internal/fault/wrapper/wrapper.go
+++ b/internal/fault/wrapper/wrapper.go
@@ -1,20 +1,22 @@
-// Package wrapper gives errors the step and the peer at which they arose.
+// Package wrapper annotates errors with the step that failed and the peer involved.
 package wrapper
 
 import (
 	"github.com/juju/errors"
 )
 
-// Fault is an error with the step that failed and the peer it was taken with.
+// Fault is an error with the step that failed and the peer involved.
 type Fault struct {
-	// Step is what was being done, for instance "dial".
+	// Step is the operation that failed, for instance "dial".
 	Step string
-	// Peer names the other side: an address, a host or a backend server.
+	// Peer is the other end or the object of the operation: an address, a host, a backend server or the
+	// like.
 	Peer string
-	Err  error
+	// Err is the cause.
+	Err error
 }
 
-// Wrap returns err with its step and peer, or nil if err is nil.
+// Wrap returns a Fault of err with step and peer, or nil if err is nil.
 func Wrap(err error, step, peer string) error {
 	if err == nil {
 		return nil
