--- a/internal/bench/runner/deployed.go
+++ b/internal/bench/runner/deployed.go
@@ -105,7 +105,7 @@
 		MaximumHosts:  d.Deployment.MaximumHosts,
 		Groups:        d.Deployment.Groups,
 		Service:       d.Deployment.Service,
-		Server: deployer.Pattern{
+		Server: deployer.ServerTemplate{
 			Slots:       d.Deployment.Slots,
 			Connections: d.Deployment.Connections,
 			ConnectTime: d.Deployment.ConnectTime,
@@ -116,11 +116,11 @@
 			Match:      declarer.Match{Tag: definer.ReviewTag},
 			MaximumAge: d.Load.ReviewAge,
 		}},
-		Platform: d.store,
-		Source:   d.source,
-		Marks:    &signer.Signer{Deployment: d.Deployment.Name, Keys: []signer.Key{{ID: 1, Secret: []byte(benchKey)}}},
-		Lines:    d.Lines,
-		Log:      d.Log,
+		Platform:   d.store,
+		Source:     d.source,
+		Marks:      &signer.Signer{Deployment: d.Deployment.Name, Keys: []signer.Key{{ID: 1, Secret: []byte(benchKey)}}},
+		LogEncoder: d.Lines,
+		Log:        d.Log,
 	}
 	if !d.Followed && d.source == nil {
 		d.deployment.Source = fixed
@@ -223,7 +223,7 @@
 	d.setAbsent(name, true)
 	d.deployment.Drain(i)
 	// A stop that cut off callers shows in the checker's count.
-	if err := d.deployment.Drained(ctx, i); err != nil {
+	if err := d.deployment.AwaitStopped(ctx, i); err != nil {
 		d.Log.WithError(err).WithField("step", "drain").WithField("peer", name).Warn("entry host drained")
 	}
 	return nil
@@ -236,9 +236,9 @@
 		return err
 	}
 	// How it ended is known already, only that it has ended isn't.
-	_ = d.deployment.Drained(ctx, i)
+	_ = d.deployment.AwaitStopped(ctx, i)
 	d.setKilled(name, false)
-	h, err := d.deployment.Restarted(ctx, i)
+	h, err := d.deployment.Restart(ctx, i)
 	if err != nil {
 		return err
 	}
--- a/internal/demo/presenter/presenter.go
+++ b/internal/demo/presenter/presenter.go
@@ -29,7 +29,7 @@
 const logQueueBytes = 4 << 20
 
 // Sizes of the demo's backend servers, those of the smaller deployment.
-var pattern = deployer.Pattern{
+var pattern = deployer.ServerTemplate{
 	Slots:       3,
 	Connections: 40,
 	ConnectTime: 10 * time.Millisecond,
@@ -95,7 +95,7 @@
 		Server:        pattern,
 		Platform:      new(storekeeper.Store),
 		Marks:         &signer.Signer{Deployment: "demo", Keys: []signer.Key{{ID: 1, Secret: k}}},
-		Lines:         e,
+		LogEncoder:    e,
 		Log:           &log.Logger{Handler: e, Level: log.InfoLevel},
 	}
 	return p.deployment.Start(ctx)
@@ -169,5 +169,5 @@
 
 // Drained implements tourist.Surroundings.
 func (p *Presenter) Drained(ctx context.Context, i int) error {
-	return p.deployment.Drained(ctx, i)
+	return p.deployment.AwaitStopped(ctx, i)
 }
--- a/internal/host/deployer/deployer.go
+++ b/internal/host/deployer/deployer.go
@@ -59,7 +59,7 @@
 	Groups  []string
 	Service string
 	// Server is the pattern of every backend server.
-	Server Pattern
+	Server ServerTemplate
 	// RoutingRules and Limits go into the configuration.
 	RoutingRules []file.RoutingRule
 	Limits       file.Limits
@@ -68,10 +68,10 @@
 	PlatformAt func(at Place) accessor.Platform
 	// Source makes the configuration source of a host; without it the file is
 	// applied to the platform, and hosts follow that.
-	Source func(host string, f *file.File) runner.Source
-	Marks  server.Marks
-	Lines  *encoder.Encoder
-	Log    log.Interface
+	Source     func(host string, f *file.File) runner.Source
+	Marks      server.Marks
+	LogEncoder *encoder.Encoder
+	Log        log.Interface
 	// Dial, if set, makes the dialer from a place, for instance one that adds
 	// latency.
 	Dial func(from Place) Dial
@@ -89,12 +89,12 @@
 	CallerLimits func(l *declarer.Limits)
 	// Driver holds the thresholds of failover, driver.Defaults if zero.
 	Driver driver.Settings
-	// OwnerPatience is the least time that pool owners are given, see runner.Host.
-	OwnerPatience time.Duration
+	// MinimumPeerTimeout is the least time that pool owners are given, see runner.Host.
+	MinimumPeerTimeout time.Duration
 	// ServingHosts is the setting of that name, the default if zero.
 	ServingHosts int
-	// Alone keeps entry hosts from knowing of each other.
-	Alone bool
+	// Standalone keeps entry hosts from knowing of each other.
+	Standalone bool
 	// Gossip has entry hosts find each other by heartbeats, each with the one
 	// before it as seed, in place of Roster.
 	Gossip bool
@@ -120,8 +120,8 @@
 	context context.Context
 }
 
-// Pattern is what all backend servers have in common.
-type Pattern struct {
+// ServerTemplate is what all backend servers have in common.
+type ServerTemplate struct {
 	Slots       int
 	Connections int
 	ConnectTime time.Duration
@@ -249,8 +249,8 @@
 		Marks:          d.Marks,
 		DriverSettings: d.Driver,
 
-		MinimumPeerTimeout: d.OwnerPatience,
-		LogEncoder:         d.Lines,
+		MinimumPeerTimeout: d.MinimumPeerTimeout,
+		LogEncoder:         d.LogEncoder,
 		Log:                d.Log,
 
 		PrimaryReads: d.PrimaryReads,
--- a/internal/host/deployer/identity.go
+++ b/internal/host/deployer/identity.go
@@ -17,7 +17,7 @@
 
 // secure gives h what it needs to talk to the other hosts.
 func (d *Deployment) secure(h *runner.Host) error {
-	if d.Alone {
+	if d.Standalone {
 		return nil
 	}
 	c, err := d.authority.Issue(time.Now(), certificateValidity, h.Settings.HostName)
@@ -59,7 +59,7 @@
 
 // enlist tells all hosts of h.
 func (d *Deployment) enlist(h *runner.Host) {
-	if d.Alone {
+	if d.Standalone {
 		return
 	}
 	m := assigner.Host{
--- a/internal/host/deployer/isolation_test.go
+++ b/internal/host/deployer/isolation_test.go
@@ -53,7 +53,7 @@
 	p := &partition{conns: make(map[net.Conn]string)}
 	d := start(t, failover, func(d *deployer.Deployment) {
 		// The zone's entry host reaches no other either.
-		d.Alone = true
+		d.Standalone = true
 		d.Dial = func(from deployer.Place) deployer.Dial {
 			if from.AvailabilityZone == "c" {
 				return p.dial
--- a/internal/host/deployer/lifecycle.go
+++ b/internal/host/deployer/lifecycle.go
@@ -78,8 +78,8 @@
 	l.roster.RemoveAt(l.name, l.address)
 }
 
-// Drained returns when host i has stopped, with an error if it cut off callers.
-func (d *Deployment) Drained(ctx context.Context, i int) error {
+// AwaitStopped returns when host i has stopped, with an error if it cut off callers.
+func (d *Deployment) AwaitStopped(ctx context.Context, i int) error {
 	select {
 	case <-d.ends[i].done:
 		return d.ends[i].err
@@ -88,9 +88,9 @@
 	}
 }
 
-// Restarted starts host i anew, after it has ended, and returns it when callers
+// Restart starts host i anew, after it has ended, and returns it when callers
 // can connect. The caller puts it into Hosts, which others may read meanwhile.
-func (d *Deployment) Restarted(ctx context.Context, i int) (*runner.Host, error) {
+func (d *Deployment) Restart(ctx context.Context, i int) (*runner.Host, error) {
 	select {
 	case <-d.ends[i].done:
 	case <-ctx.Done():
--- a/internal/host/deployer/lines_bench_test.go
+++ b/internal/host/deployer/lines_bench_test.go
@@ -39,8 +39,8 @@
 
 func benchmarkLines(b *testing.B, e *encoder.Encoder) {
 	d := startShared(b, 1, func(d *deployer.Deployment) {
-		d.Server = deployer.Pattern{Slots: 16, Connections: 32}
-		d.Lines = e
+		d.Server = deployer.ServerTemplate{Slots: 16, Connections: 32}
+		d.LogEncoder = e
 		if e != nil {
 			d.Log = &log.Logger{Handler: e, Level: log.InfoLevel}
 		}
--- a/internal/host/deployer/log_bench_test.go
+++ b/internal/host/deployer/log_bench_test.go
@@ -27,13 +27,13 @@
 	} {
 		b.Run(x.name, func(b *testing.B) {
 			d := startShared(b, 1, func(d *deployer.Deployment) {
-				d.Alone = true
-				d.Server = deployer.Pattern{Slots: 64, Connections: 200}
+				d.Standalone = true
+				d.Server = deployer.ServerTemplate{Slots: 64, Connections: 200}
 				if x.output == nil {
 					return
 				}
-				d.Lines = &encoder.Encoder{Writer: x.output(b), QueueBytes: 4 << 20, SampleDecisions: x.sample}
-				go d.Lines.Run(b.Context())
+				d.LogEncoder = &encoder.Encoder{Writer: x.output(b), QueueBytes: 4 << 20, SampleDecisions: x.sample}
+				go d.LogEncoder.Run(b.Context())
 			})
 			c := connect(b, d, 0, "")
 			exec(b, c, "CREATE TABLE t (id bigint PRIMARY KEY)")
@@ -54,8 +54,8 @@
 				}
 			})
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "reads/s")
-			if d.Lines != nil {
-				b.ReportMetric(float64(d.Lines.Dropped()), "dropped")
+			if d.LogEncoder != nil {
+				b.ReportMetric(float64(d.LogEncoder.Dropped()), "dropped")
 			}
 		})
 	}
--- a/internal/host/deployer/members_test.go
+++ b/internal/host/deployer/members_test.go
@@ -82,7 +82,7 @@
 		exec(t, c, "INSERT INTO t (id) VALUES ($1)", i)
 	}
 	awaitLiveBeside(t, d, own)
-	if err := d.Drained(t.Context(), own); err != nil {
+	if err := d.AwaitStopped(t.Context(), own); err != nil {
 		t.Errorf("drain: %v", err)
 	}
 }
--- a/internal/host/deployer/pools_bench_test.go
+++ b/internal/host/deployer/pools_bench_test.go
@@ -84,7 +84,7 @@
 	for n, alone := range map[string]bool{"shared": false, "alone": true} {
 		b.Run(n, func(b *testing.B) {
 			d := startShared(b, 3, func(d *deployer.Deployment) {
-				d.Alone = alone
+				d.Standalone = alone
 				d.Server.ServiceTime = 2 * time.Millisecond
 			})
 			c := dial(b, d)
--- a/internal/host/deployer/pools_test.go
+++ b/internal/host/deployer/pools_test.go
@@ -41,7 +41,7 @@
 		HostsPerPlace: n,
 		Groups:        []string{"db"},
 		Service:       "db",
-		Server:        deployer.Pattern{Slots: 2, Connections: 16},
+		Server:        deployer.ServerTemplate{Slots: 2, Connections: 16},
 		Platform:      new(storekeeper.Store),
 		Source:        func(_ string, f *file.File) runner.Source { return runner.FixedSource{Revision: 1, File: f} },
 		Marks:         &signer.Signer{Deployment: "test", Keys: []signer.Key{{ID: 1, Secret: []byte("0123456789abcdef")}}},
@@ -295,7 +295,7 @@
 		work(n)
 		n++
 	}
-	if err := d.Drained(t.Context(), own); err != nil {
+	if err := d.AwaitStopped(t.Context(), own); err != nil {
 		t.Fatal(err)
 	}
 	next := -1
@@ -305,7 +305,7 @@
 		}
 	}
 	until(t, "connections of the next owner", func() bool { work(n); n++; return d.Hosts[next].PoolConnections("db", p) > 0 })
-	h, err := d.Restarted(t.Context(), own)
+	h, err := d.Restart(t.Context(), own)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -423,7 +423,7 @@
 	d := startShared(t, 3, func(d *deployer.Deployment) {
 		d.Server.ServiceTime = time.Millisecond
 		// No host is gone here; one that is short of processors mustn't pass for it.
-		d.OwnerPatience = time.Minute
+		d.MinimumPeerTimeout = time.Minute
 	})
 	var w sync.WaitGroup
 	for _, h := range d.Hosts {
--- a/internal/host/deployer/reads_bench_test.go
+++ b/internal/host/deployer/reads_bench_test.go
@@ -31,7 +31,7 @@
 		d.MaximumHosts = 1
 		near := deployer.Place{AvailabilityZone: "a", Region: "one"}
 		d.Places = []deployer.Place{near, near, near}
-		d.Server = deployer.Pattern{Slots: 64, Connections: 128}
+		d.Server = deployer.ServerTemplate{Slots: 64, Connections: 128}
 	})
 	host := d.Hosts[0].Address()
 	c := open(b, host)
--- a/internal/host/deployer/serving_test.go
+++ b/internal/host/deployer/serving_test.go
@@ -177,10 +177,10 @@
 	for _, i := range serving {
 		d.Drain(i)
 		w.more(20)
-		if err := d.Drained(t.Context(), i); err != nil {
+		if err := d.AwaitStopped(t.Context(), i); err != nil {
 			t.Error(err)
 		}
-		h, err := d.Restarted(t.Context(), i)
+		h, err := d.Restart(t.Context(), i)
 		if err != nil {
 			t.Fatal(err)
 		}
