--- a/internal/admin/authorizer/authorizer_test.go
+++ b/internal/admin/authorizer/authorizer_test.go
@@ -11,7 +11,9 @@
 	"github.com/cuminwick/cuminwick/internal/config/declarer"
 )
 
-func file() declarer.File {
+// twoTeams returns a configuration with one database group for each of two teams and one that they
+// share.
+func twoTeams() declarer.File {
 	return declarer.File{
 		DatabaseGroups: []declarer.DatabaseGroup{
 			{Name: "a", Service: "s", BackendServers: []declarer.BackendServer{{Name: "a1", Slots: 2}}},
@@ -30,7 +32,10 @@
 	}
 }
 
-func TestForbidden(t *testing.T) {
+// The operator of a team must not be able to change what other teams depend on. A check of the new
+// file alone would allow it: a change may also extend the team's ownership, such as by a claim of
+// another group.
+func TestForbiddenChanges(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		change  func(*declarer.File)
@@ -54,26 +59,28 @@
 		{"other team's rule taken over", func(f *declarer.File) { f.RoutingRules[1].Match.DatabaseGroup = "a" }, false},
 		{"own share", func(f *declarer.File) { f.Teams[0].Share = 9 }, false},
 		{"claim of another group", func(f *declarer.File) { f.Teams[0].DatabaseGroups = []string{"a", "b"} }, false},
-		{"everybody's limits", func(f *declarer.File) { f.Limits.QueueLength = 1 }, false},
+		{"limits of all teams", func(f *declarer.File) { f.Limits.QueueLength = 1 }, false},
 		{"other team's role", func(f *declarer.File) { f.Teams[1].Roles[0].Verifier = "v" }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := file()
+			f := twoTeams()
 			c.change(&f)
-			l := authorizer.Token{Role: authorizer.TeamOperator, Team: "ta"}.ForbiddenChanges(file(), f)
+			l := authorizer.Token{Role: authorizer.TeamOperator, Team: "ta"}.ForbiddenChanges(twoTeams(), f)
 			if (len(l) == 0) != c.allowed {
 				t.Errorf("forbidden: %v", l)
 			}
-			if l := (authorizer.Token{Role: authorizer.Administrator}).ForbiddenChanges(file(), f); len(l) > 0 {
+			if l := (authorizer.Token{Role: authorizer.Administrator}).ForbiddenChanges(twoTeams(), f); len(l) > 0 {
 				t.Errorf("forbidden to an administrator: %v", l)
 			}
-			if l := (authorizer.Token{Role: authorizer.Reader}).ForbiddenChanges(file(), f); (len(l) == 0) != (c.name == "nothing") {
+			if l := (authorizer.Token{Role: authorizer.Reader}).ForbiddenChanges(twoTeams(), f); (len(l) == 0) != (c.name == "nothing") {
 				t.Errorf("forbidden to a reader: %v", l)
 			}
 		})
 	}
 }
 
+// A tokens file may hold a plain token instead of its hash, or a team operator without a team, by
+// mistake. Such a file must be refused, and only a listed token may be found.
 func TestTokens(t *testing.T) {
 	s := sha256.Sum256([]byte("the-token"))
 	name := filepath.Join(t.TempDir(), "tokens.yaml")
@@ -91,13 +98,13 @@
 		t.Errorf("got %+v, %t", x, ok)
 	}
 	if _, ok := l.Find("another"); ok {
-		t.Error("found a token that isn't there")
+		t.Error("found a token that isn't in the file")
 	}
 	if _, ok := l.Find(""); ok {
-		t.Error("found an empty token")
+		t.Error("found an entry for an empty token")
 	}
 	write("tokens:\n  - name: anna\n    role: team-operator\n    sha256: the-token\n")
 	if _, err := authorizer.Load(name); err == nil {
-		t.Error("a token in the clear and a missing team are no faults")
+		t.Error("a file with a plain token and without a team was accepted")
 	}
 }
