--- a/internal/admin/authorizer/authorizer.go
+++ b/internal/admin/authorizer/authorizer.go
@@ -24,8 +24,8 @@
 const (
 	// Administrator may use every operation and change everything.
 	Administrator Role = "administrator"
-	// TeamOperator may change only the configuration that belongs to its team alone. It may hand
-	// over and settle requests in all database groups of its team.
+	// TeamOperator may change only the configuration that belongs to its team alone. It may
+	// move primaries and settle requests in all database groups of its team.
 	TeamOperator Role = "team-operator"
 	// Reader may read but change nothing.
 	Reader Role = "reader"
--- a/internal/admin/handler/answer.go
+++ b/internal/admin/handler/answer.go
@@ -13,7 +13,7 @@
 	"github.com/cuminwick/cuminwick/internal/settings/decoder"
 )
 
-// Causes of refusals.
+// Reasons for which a request is refused.
 const (
 	errUnauthorized = errors.ConstError("token missing or unknown")
 	errForbidden    = errors.ConstError("not allowed")
@@ -26,40 +26,42 @@
 	changes []differ.Change
 }
 
-// Error names the first change.
+// Error returns the first change as text.
 func (f *forbiddenError) Error() string {
 	return "change not allowed: " + f.changes[0].String()
 }
 
-// Failure is the body of every answer that isn't a success.
+// Failure is the body of a response that reports an error.
 type Failure struct {
 	Error string `json:"error"`
-	// Faults are what is wrong with a file.
+	// Faults are the faults of a configuration file.
 	Faults decoder.Faults `json:"faults,omitempty"`
 	// Forbidden are the changes that the token doesn't allow.
 	Forbidden []differ.Change `json:"forbidden,omitempty"`
 }
 
-// answer is the status and body of a response.
-type answer struct {
+// response is the status of an HTTP response and the value that is encoded as its body.
+type response struct {
 	status int
 	body   any
 }
 
-func ok(v any) answer {
-	return answer{status: http.StatusOK, body: v}
+// success responds with v as the body.
+func success(v any) response {
+	return response{status: http.StatusOK, body: v}
 }
 
-func (a answer) write(w http.ResponseWriter) {
+// write sends the response as JSON. It forbids caches to store it.
+func (a response) write(w http.ResponseWriter) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Cache-Control", "no-store")
 	w.WriteHeader(a.status)
-	// A client that is gone can't be told anything.
+	// An error means that the connection to the client is lost; there is no other way to report it.
 	_ = json.NewEncoder(w).Encode(a.body)
 }
 
-// applied answers a change by how it ended.
-func applied(a Applied, x applier.Result) answer {
+// changeResponse responds to a change; the status follows from the outcome x.
+func changeResponse(a Applied, x applier.Result) response {
 	a.Result = &x
 	s := http.StatusOK
 	switch x.Outcome {
@@ -72,31 +74,31 @@
 	case applier.Withdrawn:
 		s = http.StatusConflict
 	}
-	return answer{status: s, body: a}
+	return response{status: s, body: a}
 }
 
-// failure answers an error. Errors of the platform are told in general terms,
-// their details go into the log.
-func failure(err error) answer {
+// errorResponse responds to an error. Errors of the platform are reported in general terms; their
+// details are only logged.
+func errorResponse(err error) response {
 	var f decoder.Faults
 	var d *forbiddenError
 	switch {
 	case errors.As(err, &f):
-		return answer{http.StatusUnprocessableEntity, Failure{Error: decoder.ErrFaults.Error(), Faults: f}}
+		return response{http.StatusUnprocessableEntity, Failure{Error: decoder.ErrFaults.Error(), Faults: f}}
 	case errors.As(err, &d):
-		return answer{http.StatusForbidden, Failure{Error: errForbidden.Error(), Forbidden: d.changes}}
+		return response{http.StatusForbidden, Failure{Error: errForbidden.Error(), Forbidden: d.changes}}
 	case errors.Is(err, authenticator.ErrTooManyFailures):
-		return answer{http.StatusTooManyRequests, Failure{Error: authenticator.ErrTooManyFailures.Error()}}
+		return response{http.StatusTooManyRequests, Failure{Error: authenticator.ErrTooManyFailures.Error()}}
 	case errors.Is(err, errUnauthorized):
-		return answer{http.StatusUnauthorized, Failure{Error: errUnauthorized.Error()}}
+		return response{http.StatusUnauthorized, Failure{Error: errUnauthorized.Error()}}
 	case errors.Is(err, errForbidden):
-		return answer{http.StatusForbidden, Failure{Error: err.Error()}}
+		return response{http.StatusForbidden, Failure{Error: err.Error()}}
 	case errors.Is(err, errMalformed):
-		return answer{http.StatusBadRequest, Failure{Error: err.Error()}}
+		return response{http.StatusBadRequest, Failure{Error: err.Error()}}
 	case errors.Is(err, errConflict):
-		return answer{http.StatusConflict, Failure{Error: err.Error()}}
+		return response{http.StatusConflict, Failure{Error: err.Error()}}
 	case errors.Is(err, publisher.ErrNotKept):
-		return answer{http.StatusNotFound, Failure{Error: err.Error()}}
+		return response{http.StatusNotFound, Failure{Error: err.Error()}}
 	}
-	return answer{http.StatusServiceUnavailable, Failure{Error: "platform doesn't answer"}}
+	return response{http.StatusServiceUnavailable, Failure{Error: "platform doesn't answer"}}
 }
--- a/internal/admin/handler/handler.go
+++ b/internal/admin/handler/handler.go
@@ -20,38 +20,43 @@
 
 // Bounds of a request.
 const (
-	// DefaultTimeout is how long a change may take until it is withdrawn.
+	// DefaultTimeout is how long a change may take before it is withdrawn.
 	DefaultTimeout   = 60 * time.Second
 	maximumBodyBytes = 8 << 20
 )
 
-// tokensMaximumAge is how long tokens are kept before their file is read again.
-const tokensMaximumAge = 10 * time.Second
+// maximumTokensAge is how long tokens are cached before their file is read again.
+const maximumTokensAge = 10 * time.Second
 
-// Handler answers the requests of operators.
+// Handler serves the requests of operators.
 type Handler struct {
+	// Platform stores the configuration.
 	Platform accessor.Platform
-	// TokensFile holds the hashes of tokens; without it nothing is allowed.
+	// TokensFile is the name of the file with the hashes of tokens. Without it every request is
+	// refused.
 	TokensFile string
-	// Status is what this host says of its own configuration; it may be nil.
+	// Status returns the state of this host's own configuration; it may be nil.
 	Status func() follower.Status
-	// Host is the entry host that answers; it may be nil.
+	// Host controls the entry host that serves the API. If it is nil, requests about the host are
+	// refused.
 	Host HostControl
-	// Failures bounds wrong tokens, unless it is nil.
+	// Failures limits the wrong tokens from each address; nil disables the limit.
 	Failures *authenticator.FailureLimiter
-	// Timeout is how long a change may take, DefaultTimeout if unset.
+	// Timeout bounds each request, DefaultTimeout if unset. A change that isn't accepted by then is
+	// withdrawn.
 	Timeout time.Duration
 	Log     log.Interface
 
 	once sync.Once
 	mux  *http.ServeMux
 
-	mu     sync.Mutex
-	tokens authorizer.Tokens
-	readAt time.Time
+	// mu guards tokens and tokensReadAt, the time at which they were read from TokensFile.
+	mu           sync.Mutex
+	tokens       authorizer.Tokens
+	tokensReadAt time.Time
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP serves one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.once.Do(h.init)
 	h.mux.ServeHTTP(w, r)
@@ -64,32 +69,32 @@
 	}
 }
 
-// endpoint is one route of one handler.
+// endpoint serves one route of a handler.
 type endpoint struct {
 	handler *Handler
 	route   Route
 }
 
-// ServeHTTP checks the token, calls the route and logs who did what.
+// ServeHTTP authenticates the request, runs the route and logs the operator and the outcome.
 func (e *endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	t, err := e.handler.authenticate(r, time.Now())
 	if err == nil && e.route.Mutates && !t.MayChange() {
 		err = errors.Annotatef(errForbidden, "token %s may only read", t.Name)
 	}
 	r.Body = http.MaxBytesReader(w, r.Body, maximumBodyBytes)
-	var a answer
+	var a response
 	if err == nil {
 		a, err = e.call(r, t)
 	}
 	if err != nil {
-		a = failure(err)
+		a = errorResponse(err)
 	}
-	e.handler.log(r, t, a, err)
+	e.handler.logRequest(r, t, a, err)
 	a.write(w)
 }
 
-// call runs the route with a bound on the time that a change may take.
-func (e *endpoint) call(r *http.Request, t authorizer.Token) (answer, error) {
+// call runs the route with the handler's timeout.
+func (e *endpoint) call(r *http.Request, t authorizer.Token) (response, error) {
 	d := e.handler.Timeout
 	if d <= 0 {
 		d = DefaultTimeout
@@ -105,8 +110,8 @@
 	return e.route.serve(q)
 }
 
-// log writes one line for each request; the token itself never appears.
-func (h *Handler) log(r *http.Request, t authorizer.Token, a answer, err error) {
+// logRequest writes one line for each request. The token itself is never logged.
+func (h *Handler) logRequest(r *http.Request, t authorizer.Token, a response, err error) {
 	l := h.Log.WithFields(log.Fields{
 		"operator": t.Name, "method": r.Method, "path": r.URL.Path, "peer": r.RemoteAddr, "status": a.status,
 	})
@@ -117,12 +122,13 @@
 	l.Info("administration request answered")
 }
 
-// authenticate finds the token of a request.
+// authenticate returns the entry of the token that a request carries. An unknown or missing token
+// counts as a failure of the client's address.
 func (h *Handler) authenticate(r *http.Request, now time.Time) (authorizer.Token, error) {
 	if h.Failures != nil && !h.Failures.Allow(r.RemoteAddr, now) {
 		return authorizer.Token{}, errors.Annotatef(authenticator.ErrTooManyFailures, "peer %s", r.RemoteAddr)
 	}
-	l, err := h.load(now)
+	l, err := h.loadTokens(now)
 	if err != nil {
 		return authorizer.Token{}, err
 	}
@@ -139,15 +145,15 @@
 	return authorizer.Token{}, errors.Annotatef(errUnauthorized, "peer %s", r.RemoteAddr)
 }
 
-// load returns the tokens, read again now and then so that one can be revoked
-// without a restart.
-func (h *Handler) load(now time.Time) (authorizer.Tokens, error) {
+// loadTokens returns the tokens. It reads the file again once they are older than maximumTokensAge,
+// so that a token can be revoked without a restart.
+func (h *Handler) loadTokens(now time.Time) (authorizer.Tokens, error) {
 	if h.TokensFile == "" {
 		return authorizer.Tokens{}, errors.Annotate(errForbidden, "no tokens file is set")
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.readAt.IsZero() && now.Sub(h.readAt) < tokensMaximumAge {
+	if !h.tokensReadAt.IsZero() && now.Sub(h.tokensReadAt) < maximumTokensAge {
 		return h.tokens, nil
 	}
 	t, err := authorizer.Load(h.TokensFile)
@@ -157,6 +163,6 @@
 		return authorizer.Tokens{}, errors.Annotate(errForbidden, "the tokens file isn't usable")
 	}
 	h.tokens = t
-	h.readAt = now
+	h.tokensReadAt = now
 	return t, nil
 }
--- a/internal/admin/handler/handler_test.go
+++ b/internal/admin/handler/handler_test.go
@@ -30,18 +30,18 @@
 	return hex.EncodeToString(h[:])
 }
 
-// control is an entry host on which every request ran.
-type control struct {
+// fakeHost is an entry host on which every request ran.
+type fakeHost struct {
 	handler.HostControl
 }
 
-func (control) Outcome(context.Context, string, string, bool) (recorder.Outcome, error) {
+func (fakeHost) Outcome(context.Context, string, string, bool) (recorder.Outcome, error) {
 	return recorder.Ran, nil
 }
 
-// start serves the API before a store and one host; it returns the API and
-// what is logged.
-func start(t *testing.T) (*handler.Handler, *strings.Builder) {
+// startHandler runs a host that follows the configuration in a store, and returns a handler for the
+// same store and the handler's log.
+func startHandler(t *testing.T) (*handler.Handler, *strings.Builder) {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "tokens.yaml")
 	text := "tokens:\n" +
@@ -71,15 +71,15 @@
 		Platform:   s,
 		TokensFile: name,
 		Status:     f.Status,
-		Host:       control{},
+		Host:       fakeHost{},
 		Failures:   &authenticator.FailureLimiter{PerMinute: 3},
 		Log:        &log.Logger{Handler: handlers.New(&b)},
 	}
 	return h, &b
 }
 
-// ask makes one request and returns its status and body.
-func ask(h http.Handler, method, path, token, body string) (int, string) {
+// send makes one request and returns the status and body of the response.
+func send(h http.Handler, method, path, token, body string) (int, string) {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.Header.Set("Authorization", "Bearer "+token)
 	w := httptest.NewRecorder()
@@ -88,7 +88,7 @@
 }
 
 func TestOperations(t *testing.T) {
-	h, logged := start(t)
+	h, logged := startHandler(t)
 	b, err := os.ReadFile("../../../configuration.example.yaml")
 	if err != nil {
 		t.Fatal(err)
@@ -96,28 +96,28 @@
 	file := string(b)
 	own := strings.Replace(file, "maximum-age: 2s", "maximum-age: 3s", 1)
 	foreign := strings.Replace(file, "queue-length: 200", "queue-length: 1", 1)
-	hidden := "database-groups"
+	groupsKey := "database-groups"
 	for _, c := range []struct {
 		name, method, path, token, body string
 		status                          int
 		want                            string
 	}{
 		{"faults", "PUT", "/v1/configuration", "root-token", "teams: 1", 422, `"faults":[`},
-		{"reader changes", "PUT", "/v1/configuration", "watch-token", file, 403, "may only read"},
-		{"team brings the first file", "PUT", "/v1/configuration", "anna-token", file, 403, "forbidden"},
+		{"change by a reader", "PUT", "/v1/configuration", "watch-token", file, 403, "may only read"},
+		{"first file by a team", "PUT", "/v1/configuration", "anna-token", file, 403, "forbidden"},
 		{"dry run", "PUT", "/v1/configuration?dry-run=true", "root-token", file, 200, `"dry-run":true`},
 		{"apply", "PUT", "/v1/configuration?note=first", "root-token", file, 200, `"outcome":"in-force"`},
-		{"team changes its own rule", "PUT", "/v1/configuration", "anna-token", own, 200, `"outcome":"in-force"`},
-		{"team changes common limits", "PUT", "/v1/configuration", "anna-token", foreign, 403, "queue-length"},
+		{"change of the own rule by a team", "PUT", "/v1/configuration", "anna-token", own, 200, `"outcome":"in-force"`},
+		{"change of common limits by a team", "PUT", "/v1/configuration", "anna-token", foreign, 403, "queue-length"},
 		{"edited from an old revision", "PUT", "/v1/configuration?from=1", "root-token", file, 409, "edited from revision 1"},
 		{"validate", "POST", "/v1/configuration/validate", "watch-token", file, 200, `"faults":null`},
-		{"read", "GET", "/v1/configuration", "watch-token", "", 200, hidden},
+		{"read", "GET", "/v1/configuration", "watch-token", "", 200, groupsKey},
 		{"history", "GET", "/v1/revisions", "watch-token", "", 200, `"operator":"anna"`},
 		{"earlier revision", "GET", "/v1/revisions/1", "watch-token", "", 200, `"revision":1`},
 		{"revision that isn't kept", "GET", "/v1/revisions/9", "watch-token", "", 404, "isn't kept"},
 		{"not a revision", "GET", "/v1/revisions/x", "watch-token", "", 400, "isn't a revision"},
 		{"apply an earlier revision", "POST", "/v1/revisions/1/apply", "root-token", "", 200, `"note":"revision 1 again"`},
-		{"team withdraws", "POST", "/v1/configuration/withdraw", "anna-token", "", 403, "administrator"},
+		{"withdrawal by a team", "POST", "/v1/configuration/withdraw", "anna-token", "", 403, "administrator"},
 		{"withdraw nothing", "POST", "/v1/configuration/withdraw", "root-token", "", 404, "nothing-staged"},
 		{"resume", "POST", "/v1/configuration/resume", "root-token", "", 200, `"outcome":"in-force"`},
 		{"status", "GET", "/v1/status", "watch-token", "", 200, `"standing"`},
@@ -127,12 +127,12 @@
 		{"no route", "GET", "/v1/nothing", "root-token", "", 404, "not found"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s, a := ask(h, c.method, c.path, c.token, c.body)
+			s, a := send(h, c.method, c.path, c.token, c.body)
 			if s != c.status || !strings.Contains(a, c.want) {
-				t.Errorf("status %d, answer %s", s, a)
+				t.Errorf("status %d, response %s", s, a)
 			}
 			if strings.Contains(a, "SCRAM") {
-				t.Error("a verifier is shown")
+				t.Error("the response shows a verifier")
 			}
 		})
 	}
@@ -143,36 +143,37 @@
 	}
 }
 
-// An operator reads the configuration, edits it and sends it back. The verifiers,
-// which were never shown, must stay what they are.
+// An operator reads the configuration, edits it and sends it back. The verifiers in it are hidden,
+// so applying the text as it is would replace those in force.
 func TestReadAndWriteBack(t *testing.T) {
-	h, _ := start(t)
+	h, _ := startHandler(t)
 	b, err := os.ReadFile("../../../configuration.example.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask(h, "PUT", "/v1/configuration", "root-token", string(b))
-	_, a := ask(h, "GET", "/v1/configuration", "root-token", "")
+	send(h, "PUT", "/v1/configuration", "root-token", string(b))
+	_, a := send(h, "GET", "/v1/configuration", "root-token", "")
 	var c handler.Configuration
 	if err := json.Unmarshal([]byte(a), &c); err != nil {
 		t.Fatal(err)
 	}
 	f := strings.Replace(c.File, "queue-length: 200", "queue-length: 150", 1)
-	s, a := ask(h, "PUT", "/v1/configuration", "root-token", f)
+	s, a := send(h, "PUT", "/v1/configuration", "root-token", f)
 	if s != 200 || strings.Contains(a, "verifier") || strings.Count(a, `"subject"`) != 1 {
-		t.Errorf("status %d, answer %s", s, a)
+		t.Errorf("status %d, response %s", s, a)
 	}
 }
 
-// Somebody tries tokens one after the other.
+// An attacker guesses tokens. After a few wrong ones from an address, further attempts are refused,
+// even with a valid token.
 func TestWrongTokensAreBounded(t *testing.T) {
-	h, _ := start(t)
+	h, _ := startHandler(t)
 	for range 3 {
-		if s, _ := ask(h, "GET", "/v1/status", "wrong", ""); s != 401 {
+		if s, _ := send(h, "GET", "/v1/status", "wrong", ""); s != 401 {
 			t.Errorf("status %d", s)
 		}
 	}
-	if s, _ := ask(h, "GET", "/v1/status", "root-token", ""); s != 429 {
+	if s, _ := send(h, "GET", "/v1/status", "root-token", ""); s != 429 {
 		t.Errorf("status %d after many failures", s)
 	}
 }
--- a/internal/admin/handler/host.go
+++ b/internal/admin/handler/host.go
@@ -13,40 +13,41 @@
 	"github.com/cuminwick/cuminwick/internal/outcome/recorder"
 )
 
-// HostControl is what the answering host offers beside configurations.
+// HostControl controls the entry host that serves the API.
 type HostControl interface {
 	// StartDrain begins to stop the host without cutting off a request.
 	StartDrain()
 	// DrainTimeout is the time within which the drain ends.
 	DrainTimeout() time.Duration
-	// HandOver moves a group's primary off the named backend server, with
-	// writes standing still only while the new primary takes over.
+	// HandOver moves a group's primary off the named backend server. Writes pause only while the
+	// new primary takes over.
 	HandOver(ctx context.Context, group, backendServer string) error
-	// MemberView is what the host knows of all entry hosts.
+	// MemberView returns the state of all entry hosts as this host has observed it.
 	MemberView() declarer.View
-	// Outcome tells what became of the request with an idempotency key. With
-	// settle an attempt that hasn't run is kept from ever running.
+	// Outcome returns the outcome of the request with an idempotency key. With settle, an attempt
+	// that hasn't run is prevented from ever running.
 	Outcome(ctx context.Context, group, key string, settle bool) (recorder.Outcome, error)
 }
 
-// Draining is the answer to a drain.
+// Draining is the response to a drain request.
 type Draining struct {
-	// Within is the declared time in which the host ends.
+	// Within is the time in which the host stops, as a Go duration string.
 	Within string `json:"within"`
 }
 
-// HandedOver is the answer to a hand-over.
+// HandedOver is the response to a hand-over request.
 type HandedOver struct {
 	DatabaseGroup string `json:"database-group"`
-	// From is the backend server that was primary.
+	// From is the backend server that was the primary before.
 	From string `json:"from"`
 }
 
-// Outcome is what became of a request.
+// Outcome is the outcome of the request with an idempotency key.
 type Outcome struct {
-	DatabaseGroup string           `json:"database-group"`
-	Key           string           `json:"key"`
-	Outcome       recorder.Outcome `json:"outcome"`
+	DatabaseGroup string `json:"database-group"`
+	// Key is the idempotency key of the request.
+	Key     string           `json:"key"`
+	Outcome recorder.Outcome `json:"outcome"`
 }
 
 var (
@@ -56,7 +57,7 @@
 	settleParameter = Parameter{Name: "settle", In: "query", Type: "boolean", Summary: "keep an attempt that hasn't run from ever running, so that the answer is final"}
 )
 
-// hostRoutes are the operations on the answering host itself.
+// hostRoutes returns the operations on the entry host that serves the API.
 func hostRoutes() []Route {
 	return []Route{
 		{
@@ -81,81 +82,82 @@
 	}
 }
 
-// errNoHost is the cause where the handler serves no entry host.
+// errNoHost is the reason for refusing an operation on the host if Handler.Host is nil.
 const errNoHost = errors.ConstError("not offered here")
 
-func (q request) control() (HostControl, error) {
+func (q request) hostControl() (HostControl, error) {
 	if q.handler.Host == nil {
 		return nil, errors.Annotate(errForbidden, errNoHost.Error())
 	}
 	return q.handler.Host, nil
 }
 
-// drain is for administrators: a host serves all teams.
-func (q request) drain() (answer, error) {
-	h, err := q.control()
+// drain requires an administrator, because a host serves all teams.
+func (q request) drain() (response, error) {
+	h, err := q.hostControl()
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	if q.token.Role != authorizer.Administrator {
-		return answer{}, errors.Annotatef(errForbidden, "token %s may not drain a host", q.token.Name)
+		return response{}, errors.Annotatef(errForbidden, "token %s may not drain a host", q.token.Name)
 	}
 	h.StartDrain()
-	return answer{status: http.StatusAccepted, body: Draining{Within: h.DrainTimeout().String()}}, nil
+	return response{status: http.StatusAccepted, body: Draining{Within: h.DrainTimeout().String()}}, nil
 }
 
-// handOver is for administrators and for the operators of the group's team.
-func (q request) handOver() (answer, error) {
-	h, err := q.control()
+// handOver requires an administrator or an operator of a team that has the group.
+func (q request) handOver() (response, error) {
+	h, err := q.hostControl()
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	g, s := q.PathValue("group"), q.PathValue("server")
-	if err := q.mayAsk(g); err != nil {
-		return answer{}, err
+	if err := q.checkGroup(g); err != nil {
+		return response{}, err
 	}
 	if err := h.HandOver(q.Context(), g, s); err != nil {
-		return answer{http.StatusConflict, Failure{Error: err.Error()}}, nil
+		return response{http.StatusConflict, Failure{Error: err.Error()}}, nil
 	}
-	return ok(HandedOver{DatabaseGroup: g, From: s}), nil
+	return success(HandedOver{DatabaseGroup: g, From: s}), nil
 }
 
-func (q request) members() (answer, error) {
-	h, err := q.control()
+func (q request) members() (response, error) {
+	h, err := q.hostControl()
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	return ok(h.MemberView()), nil
+	return success(h.MemberView()), nil
 }
 
-func (q request) outcome() (answer, error) {
-	h, err := q.control()
+func (q request) outcome() (response, error) {
+	h, err := q.hostControl()
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	k := q.PathValue("key")
 	if err := recorder.CheckKey(k); err != nil {
-		return answer{}, errors.Annotate(errMalformed, err.Error())
+		return response{}, errors.Annotate(errMalformed, err.Error())
 	}
 	settle := q.URL.Query().Get("settle") == "true"
 	if settle && !q.token.MayChange() {
-		return answer{}, errors.Annotatef(errForbidden, "token %s may only read", q.token.Name)
+		return response{}, errors.Annotatef(errForbidden, "token %s may only read", q.token.Name)
 	}
 	g := q.PathValue("group")
-	if err := q.mayAsk(g); err != nil {
-		return answer{}, err
+	if err := q.checkGroup(g); err != nil {
+		return response{}, err
 	}
 	o, err := h.Outcome(q.Context(), g, k, settle)
 	if err != nil {
-		// The outcome is told as unknown; a failure would leave the caller guessing why.
-		return answer{http.StatusServiceUnavailable, Failure{Error: "outcome unknown: " + err.Error()}}, nil
+		// The response says that the outcome is unknown and why. errorResponse would hide the
+		// reason.
+		return response{http.StatusServiceUnavailable, Failure{Error: "outcome unknown: " + err.Error()}}, nil
 	}
-	return ok(Outcome{DatabaseGroup: g, Key: k, Outcome: o}), nil
+	return success(Outcome{DatabaseGroup: g, Key: k, Outcome: o}), nil
 }
 
-// mayAsk keeps a team's operator to the groups of its team: settling an attempt
-// in another team's group would keep its request from running.
-func (q request) mayAsk(group string) error {
+// checkGroup refuses a team operator the groups of other teams: settling an attempt in such a group
+// would prevent another team's request from running.
+func (q request) checkGroup(group string) error {
 	if q.token.Role != authorizer.TeamOperator {
 		return nil
 	}
--- a/internal/admin/handler/request.go
+++ b/internal/admin/handler/request.go
@@ -19,46 +19,49 @@
 	"github.com/cuminwick/cuminwick/internal/config/publisher"
 )
 
-// bodyName stands for the request's body in faults.
+// bodyName is the file name that faults of the request's body state.
 const bodyName = "request"
 
-// request is one request with whose it is.
+// request is one authenticated request.
 type request struct {
 	*http.Request
-	token    authorizer.Token
-	handler  *Handler
+	token   authorizer.Token
+	handler *Handler
+	// operator changes the configuration in the name of the token's holder.
 	operator *publisher.Operator
 }
 
-func (q request) readConfiguration() (answer, error) {
+func (q request) readConfiguration() (response, error) {
 	f, r, err := q.accepted()
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	return configuration(f, r)
+	return configurationResponse(f, r)
 }
 
-func (q request) readRevision() (answer, error) {
-	r, err := q.revision()
+func (q request) readRevision() (response, error) {
+	r, err := q.pathRevision()
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	f, err := q.operator.File(q.Context(), r)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	return configuration(f, r)
+	return configurationResponse(f, r)
 }
 
-func configuration(f declarer.File, r declarer.Revision) (answer, error) {
+// configurationResponse responds with f, which is the file of revision r, with its verifiers
+// hidden.
+func configurationResponse(f declarer.File, r declarer.Revision) (response, error) {
 	b, err := yaml.Marshal(concealer.Hide(f))
 	if err != nil {
-		return answer{}, errors.Annotatef(err, "encode revision %d", r)
+		return response{}, errors.Annotatef(err, "encode revision %d", r)
 	}
-	return ok(Configuration{Revision: r, File: string(b)}), nil
+	return success(Configuration{Revision: r, File: string(b)}), nil
 }
 
-// accepted returns the configuration in force.
+// accepted returns the latest accepted configuration and its revision.
 func (q request) accepted() (declarer.File, declarer.Revision, error) {
 	h, err := q.operator.Head(q.Context())
 	if err != nil {
@@ -68,8 +71,8 @@
 	return f, h.Accepted, err
 }
 
-// body parses the file in the request's body over base.
-func (q request) body(base declarer.File) (parser.Result, error) {
+// parseBody parses the file in the request's body. Hidden verifiers are taken from base.
+func (q request) parseBody(base declarer.File) (parser.Result, error) {
 	b, err := io.ReadAll(q.Body)
 	if err != nil {
 		return parser.Result{}, errors.Annotate(errMalformed, err.Error())
@@ -77,81 +80,82 @@
 	return parser.ParseWithBase(bodyName, b, base), nil
 }
 
-func (q request) validate() (answer, error) {
+func (q request) validate() (response, error) {
 	base, _, err := q.accepted()
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	p, err := q.body(base)
+	p, err := q.parseBody(base)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	return ok(Findings{Faults: p.Faults, Warnings: p.Warnings}), nil
+	return success(Findings{Faults: p.Faults, Warnings: p.Warnings}), nil
 }
 
-func (q request) applyFile() (answer, error) {
+func (q request) applyFile() (response, error) {
 	base, r, err := q.accepted()
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	p, err := q.body(base)
+	p, err := q.parseBody(base)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	if len(p.Faults) > 0 {
-		return answer{}, p.Faults
+		return response{}, p.Faults
 	}
 	a := Applied{Warnings: p.Warnings}
 	return q.apply(a, base, r, p.File, q.FormValue("note"))
 }
 
-func (q request) applyRevision() (answer, error) {
-	r, err := q.revision()
+func (q request) applyRevision() (response, error) {
+	r, err := q.pathRevision()
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	f, err := q.operator.File(q.Context(), r)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	f.EditedFrom = 0
-	base, in, err := q.accepted()
+	base, current, err := q.accepted()
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	n := q.FormValue("note")
 	if n == "" {
 		n = fmt.Sprintf("revision %d again", r)
 	}
-	return q.apply(Applied{}, base, in, f, n)
+	return q.apply(Applied{}, base, current, f, n)
 }
 
-// apply puts f in force on base, which is revision r. What the token allows was
-// judged against that revision, so f must not come into force on any other.
-func (q request) apply(a Applied, base declarer.File, r declarer.Revision, f declarer.File, note string) (answer, error) {
-	from, err := q.from(f, r)
+// apply puts f in force in place of base, which is the file of revision r. The token's permissions
+// are checked against that revision, so f must not come into force in place of any other.
+func (q request) apply(a Applied, base declarer.File, r declarer.Revision, f declarer.File, note string) (response, error) {
+	from, err := q.baseRevision(f, r)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	f = defaulter.Fill(f)
 	if l := q.token.ForbiddenChanges(base, f); len(l) > 0 {
-		return answer{}, &forbiddenError{changes: l}
+		return response{}, &forbiddenError{changes: l}
 	}
 	a.Changes = differ.Diff(base, f)
 	if d, _ := strconv.ParseBool(q.FormValue("dry-run")); d {
 		a.DryRun = true
-		return ok(a), nil
+		return success(a), nil
 	}
 	f.EditedFrom = 0
 	x, err := q.operator.Apply(q.Context(), f, publisher.Options{From: from, CheckFrom: true, Note: note})
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	return applied(a, x), nil
+	return changeResponse(a, x), nil
 }
 
-// from returns the revision on which f may come into force.
-func (q request) from(f declarer.File, r declarer.Revision) (declarer.Revision, error) {
+// baseRevision returns the revision that f may replace, which is r. It returns errConflict if f was
+// edited from another revision.
+func (q request) baseRevision(f declarer.File, r declarer.Revision) (declarer.Revision, error) {
 	n := f.EditedFrom
 	if s := q.FormValue("from"); s != "" {
 		v, err := strconv.ParseUint(s, 10, 64)
@@ -166,49 +170,52 @@
 	return r, nil
 }
 
-// resume and withdraw concern what anybody may have staged, so they are for
-// administrators.
-func (q request) resume() (answer, error) {
-	return q.staged(func() (applier.Result, error) { return q.operator.Resume(q.Context()) })
+// resume requires an administrator, because any operator may have staged the revision.
+func (q request) resume() (response, error) {
+	return q.changeStaged(func() (applier.Result, error) { return q.operator.Resume(q.Context()) })
 }
 
-func (q request) withdraw() (answer, error) {
-	return q.staged(func() (applier.Result, error) { return q.operator.Withdraw(q.Context()) })
+// withdraw requires an administrator for the same reason as resume.
+func (q request) withdraw() (response, error) {
+	return q.changeStaged(func() (applier.Result, error) { return q.operator.Withdraw(q.Context()) })
 }
 
-func (q request) staged(f func() (applier.Result, error)) (answer, error) {
+// changeStaged runs f, which resumes or withdraws the staged revision, if the token is an
+// administrator's.
+func (q request) changeStaged(f func() (applier.Result, error)) (response, error) {
 	if q.token.Role != authorizer.Administrator {
-		return answer{}, errors.Annotatef(errForbidden, "token %s isn't an administrator's", q.token.Name)
+		return response{}, errors.Annotatef(errForbidden, "token %s isn't an administrator's", q.token.Name)
 	}
 	x, err := f()
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	return applied(Applied{}, x), nil
+	return changeResponse(Applied{}, x), nil
 }
 
-func (q request) history() (answer, error) {
+func (q request) history() (response, error) {
 	h, err := q.operator.Head(q.Context())
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	return ok(h.History), nil
+	return success(h.History), nil
 }
 
-func (q request) status() (answer, error) {
+func (q request) status() (response, error) {
 	x, err := q.operator.Status(q.Context())
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	s := State{Status: x}
 	if q.handler.Status != nil {
 		h := q.handler.Status()
 		s.Host = &h
 	}
-	return ok(s), nil
+	return success(s), nil
 }
 
-func (q request) revision() (declarer.Revision, error) {
+// pathRevision returns the revision in the request's path.
+func (q request) pathRevision() (declarer.Revision, error) {
 	n, err := strconv.ParseUint(q.PathValue("revision"), 10, 64)
 	if err != nil || n == 0 {
 		return 0, errors.Annotatef(errMalformed, "%q isn't a revision", q.PathValue("revision"))
--- a/internal/admin/handler/routes.go
+++ b/internal/admin/handler/routes.go
@@ -15,28 +15,31 @@
 // MediaYAML is the media type of configuration files.
 const MediaYAML = "application/yaml"
 
-// Parameter is one parameter in the path or the query of a route.
+// Parameter is one parameter of a route.
 type Parameter struct {
-	Name    string
-	In      string
+	Name string
+	// In is "path" or "query".
+	In string
+	// Type is the JSON schema type.
 	Type    string
 	Summary string
 }
 
 // Route is one operation of the API.
 type Route struct {
-	Method  string
+	Method string
+	// Path is a pattern of http.ServeMux.
 	Path    string
 	Summary string
-	// Mutates says that the route needs a token that may change things.
+	// Mutates marks a route that requires a token for which MayChange is true.
 	Mutates    bool
 	Parameters []Parameter
 	// Body is the media type of the request's body, empty if it has none.
 	Body string
-	// Response is a value of the type that the route answers with.
+	// Response is a value of the type of the response's body.
 	Response any
 
-	serve func(request) (answer, error)
+	serve func(request) (response, error)
 }
 
 var (
@@ -46,31 +49,32 @@
 	revisionParameter = Parameter{Name: "revision", In: "path", Type: "integer", Summary: "number of the revision"}
 )
 
-// Configuration is a revision's file, with verifiers hidden.
+// Configuration is the configuration file of a revision, with verifiers hidden.
 type Configuration struct {
 	Revision declarer.Revision `json:"revision"`
-	// File is the file as YAML, ready to be edited and sent back.
+	// File is the file as YAML. It can be edited and sent back.
 	File string `json:"file"`
 }
 
-// Findings is what the check of a file has found.
+// Findings is the result of checking a configuration file.
 type Findings struct {
 	Faults   decoder.Faults `json:"faults"`
 	Warnings decoder.Faults `json:"warnings"`
 }
 
-// Applied is the answer to a change.
+// Applied is the response to a change of the configuration.
 type Applied struct {
 	DryRun   bool            `json:"dry-run,omitempty"`
 	Changes  []differ.Change `json:"changes,omitempty"`
 	Warnings decoder.Faults  `json:"warnings,omitempty"`
-	Result   *applier.Result `json:"result,omitempty"`
+	// Result is nil for a dry run.
+	Result *applier.Result `json:"result,omitempty"`
 }
 
-// State is the state of the deployment and of the host that answers.
+// State is the state of the deployment and of the host that serves the API.
 type State struct {
 	publisher.Status
-	// Host is what the answering host says of its own configuration.
+	// Host is the state of that host's own configuration, nil if it isn't available.
 	Host *follower.Status `json:"host,omitempty"`
 }
 
