--- a/internal/admin/describer/describer.go
+++ b/internal/admin/describer/describer.go
@@ -14,13 +14,13 @@
 	"github.com/cuminwick/cuminwick/internal/admin/handler"
 )
 
-// definitionsPath is where the document keeps the schemas of its types.
+// definitionsPath is the prefix of references to schemas in an OpenAPI document.
 const definitionsPath = "#/components/schemas/"
 
-// generatedPath is where the generator believes them to be.
+// generatedPath is the prefix that the schema generator writes instead.
 const generatedPath = "#/$defs/"
 
-// Document is an OpenAPI document, as far as the API needs it.
+// Document is an OpenAPI document, with only the properties that the API needs.
 type Document struct {
 	OpenAPI    string              `json:"openapi"`
 	Info       Info                `json:"info"`
@@ -29,64 +29,69 @@
 	Security   []map[string][]any  `json:"security"`
 }
 
-// Info names the API.
+// Info is the name, description and version of the API.
 type Info struct {
 	Title       string `json:"title"`
 	Description string `json:"description"`
 	Version     string `json:"version"`
 }
 
-// PathItem holds the operations of a path by lower-case method.
+// PathItem holds the operations of a path. The keys are HTTP methods in lower case.
 type PathItem map[string]Operation
 
-// Operation is one route.
+// Operation describes one route.
 type Operation struct {
-	Summary     string              `json:"summary"`
-	Parameters  []Parameter         `json:"parameters,omitempty"`
-	RequestBody *RequestBody        `json:"requestBody,omitempty"`
-	Responses   map[string]Response `json:"responses"`
+	Summary     string       `json:"summary"`
+	Parameters  []Parameter  `json:"parameters,omitempty"`
+	RequestBody *RequestBody `json:"requestBody,omitempty"`
+	// Responses holds the responses by status code, and under "default" that of all other codes.
+	Responses map[string]Response `json:"responses"`
 }
 
 // Parameter is one parameter of an operation.
 type Parameter struct {
-	Name        string `json:"name"`
+	Name string `json:"name"`
+	// In is "path" or "query".
 	In          string `json:"in"`
 	Required    bool   `json:"required"`
 	Description string `json:"description"`
 	Schema      Schema `json:"schema"`
 }
 
-// Schema is a type, or a reference to one.
+// Schema is a JSON type, or a reference to a schema in Components.
 type Schema struct {
 	Type  string  `json:"type,omitempty"`
 	Ref   string  `json:"$ref,omitempty"`
 	Items *Schema `json:"items,omitempty"`
 }
 
-// RequestBody is a request's body.
+// RequestBody describes the body of a request.
 type RequestBody struct {
-	Required bool                 `json:"required"`
-	Content  map[string]MediaType `json:"content"`
+	Required bool `json:"required"`
+	// Content holds the body's schema by media type, such as application/yaml.
+	Content map[string]MediaType `json:"content"`
 }
 
-// Response is one kind of answer.
+// Response describes the responses with one status code.
 type Response struct {
-	Description string               `json:"description"`
-	Content     map[string]MediaType `json:"content"`
+	Description string `json:"description"`
+	// Content holds the body's schema by media type, such as application/json.
+	Content map[string]MediaType `json:"content"`
 }
 
-// MediaType is a body in one media type.
+// MediaType describes a body in one media type.
 type MediaType struct {
 	Schema Schema `json:"schema"`
 }
 
-// Components holds the named types and how requests are authenticated.
+// Components holds the named schemas and security schemes that other parts of the document refer
+// to.
 type Components struct {
 	Schemas         jsonschema.Definitions    `json:"schemas"`
 	SecuritySchemes map[string]SecurityScheme `json:"securitySchemes"`
 }
 
-// SecurityScheme says how a request is authenticated.
+// SecurityScheme describes how a request is authenticated.
 type SecurityScheme struct {
 	Type   string `json:"type"`
 	Scheme string `json:"scheme"`
@@ -109,14 +114,15 @@
 		},
 	}
 	for _, r := range handler.Routes() {
-		d.add(r)
+		d.addRoute(r)
 	}
 	b, err := json.MarshalIndent(d, "", "  ")
 	b = bytes.ReplaceAll(b, []byte(generatedPath), []byte(definitionsPath))
 	return append(b, '\n'), errors.Annotate(err, "encode OpenAPI document")
 }
 
-func (d *Document) add(r handler.Route) {
+// addRoute adds the operation of r and the schemas of its responses.
+func (d *Document) addRoute(r handler.Route) {
 	o := Operation{
 		Summary: r.Summary,
 		Responses: map[string]Response{
@@ -147,11 +153,12 @@
 	d.Paths[r.Path][strings.ToLower(r.Method)] = o
 }
 
-// content describes a value's type and keeps the types that it is made of.
+// content describes v as JSON and adds the schemas of its types to the components.
 func (d *Document) content(v any) map[string]MediaType {
 	return map[string]MediaType{"application/json": {Schema: d.schema(reflect.TypeOf(v))}}
 }
 
+// schema returns the schema of t and adds the schemas of its named types to the components.
 func (d *Document) schema(t reflect.Type) Schema {
 	if t.Kind() == reflect.Slice {
 		s := d.schema(t.Elem())
--- a/internal/admin/describer/describer_test.go
+++ b/internal/admin/describer/describer_test.go
@@ -15,19 +15,22 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-const name = "../../../docs/openapi.json"
+// documentFile is the committed document.
+const documentFile = "../../../docs/openapi.json"
 
+// A change of the routes or their types leaves the committed document outdated unless it is
+// generated again.
 func TestCommittedDocumentMatchesRoutes(t *testing.T) {
 	got, err := describer.Describe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if *update {
-		if err := os.WriteFile(name, got, 0o644); err != nil {
+		if err := os.WriteFile(documentFile, got, 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	want, err := os.ReadFile(name)
+	want, err := os.ReadFile(documentFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,17 +53,17 @@
 	if n != len(handler.Routes()) {
 		t.Errorf("%d operations described, %d exist", n, len(handler.Routes()))
 	}
-	dangling(t, want, d)
+	checkReferences(t, want, d)
 }
 
-// dangling checks that each reference in the document leads to a type in it.
-func dangling(t *testing.T, b []byte, d describer.Document) {
+// checkReferences checks that each reference in the document is to a schema in it.
+func checkReferences(t *testing.T, b []byte, d describer.Document) {
 	t.Helper()
 	for _, s := range strings.Split(string(b), `"$ref": "`)[1:] {
 		r, _, _ := strings.Cut(s, `"`)
 		n, ok := strings.CutPrefix(r, "#/components/schemas/")
 		if _, found := d.Components.Schemas[n]; !ok || !found {
-			t.Errorf("reference %s leads nowhere", r)
+			t.Errorf("reference %s is to no schema of the document", r)
 		}
 	}
 }
