--- a/internal/command/runner/administration.go
+++ b/internal/command/runner/administration.go
@@ -17,28 +17,30 @@
 	"github.com/cuminwick/cuminwick/internal/fault/wrapper"
 )
 
-// administrationFlags say which entry host to ask.
+// administrationFlags are the flags of subcommands that call the administration API of an entry
+// host.
 type administrationFlags struct {
 	Administration string `arg:"--administration,env:CUMINWICK_ADMINISTRATION" placeholder:"URL" default:"http://127.0.0.1:8432" help:"administration address of an entry host"`
 	TokenFile      string `arg:"--token-file,env:CUMINWICK_TOKEN_FILE" placeholder:"FILE" help:"file with the operator's token"`
 	AuthorityFile  string `arg:"--authority-file" placeholder:"FILE" help:"certificate authority of the administration address [default: the system's]"`
 }
 
-// Bounds of a call to an entry host.
+// Bounds of a call of the administration API.
 const (
 	administrationTimeout = 15 * time.Second
-	maximumAnswerBytes    = 16 << 20
+	maximumResponseBytes  = 16 << 20
 )
 
-// administration calls one entry host.
-type administration struct {
+// administrationClient calls the administration API of one entry host.
+type administrationClient struct {
 	url    string
 	token  string
 	client *http.Client
 }
 
-func (f administrationFlags) open() (*administration, error) {
-	a := &administration{url: strings.TrimSuffix(f.Administration, "/"), client: &http.Client{Timeout: administrationTimeout}}
+// client reads the files that the flags name and returns a client.
+func (f administrationFlags) client() (*administrationClient, error) {
+	a := &administrationClient{url: strings.TrimSuffix(f.Administration, "/"), client: &http.Client{Timeout: administrationTimeout}}
 	if f.TokenFile != "" {
 		b, err := os.ReadFile(f.TokenFile)
 		if err != nil {
@@ -61,8 +63,8 @@
 	return a, nil
 }
 
-// call makes a request and decodes the answer into v.
-func (a *administration) call(ctx context.Context, method, path string, v any) error {
+// call makes a request and decodes the response into v.
+func (a *administrationClient) call(ctx context.Context, method, path string, v any) error {
 	r, err := http.NewRequestWithContext(ctx, method, a.url+path, nil)
 	if err != nil {
 		return errors.Annotate(err, "make request")
@@ -73,18 +75,19 @@
 		return wrapper.Wrap(err, "call", a.url)
 	}
 	defer x.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(x.Body, maximumAnswerBytes))
+	b, err := io.ReadAll(io.LimitReader(x.Body, maximumResponseBytes))
 	if err != nil {
 		return wrapper.Wrap(err, "read answer of", a.url)
 	}
 	if x.StatusCode >= http.StatusMultipleChoices {
-		return wrapper.Wrap(refused(x.StatusCode, b), "call", a.url)
+		return wrapper.Wrap(responseError(x.StatusCode, b), "call", a.url)
 	}
 	return wrapper.Wrap(json.Unmarshal(b, v), "decode answer of", a.url)
 }
 
-// refused returns the reason that an answer bears.
-func refused(status int, body []byte) error {
+// responseError returns the error in the body of a response, or its status text if the body has
+// none.
+func responseError(status int, body []byte) error {
 	var f handler.Failure
 	if err := json.Unmarshal(body, &f); err != nil || f.Error == "" {
 		return errors.Errorf("%d %s", status, http.StatusText(status))
@@ -92,8 +95,9 @@
 	return errors.New(f.Error)
 }
 
-// isUp reports whether the host still answers on its administration address.
-func (a *administration) isUp(ctx context.Context) bool {
+// isUp reports whether the host still responds on its administration address. Once ctx has ended it
+// returns true, because the request then fails whether or not the host has stopped.
+func (a *administrationClient) isUp(ctx context.Context) bool {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, a.url+"/livez", nil)
 	if err != nil {
 		return false
--- a/internal/command/runner/apply.go
+++ b/internal/command/runner/apply.go
@@ -18,12 +18,13 @@
 	"github.com/cuminwick/cuminwick/internal/platform/requester"
 )
 
-// platformFlags say where the platform is.
+// platformFlags are the flags of subcommands that call the platform.
 type platformFlags struct {
 	Platform  string `arg:"--platform,env:CUMINWICK_PLATFORM" placeholder:"URL" default:"http://127.0.0.1:7400" help:"platform's URL"`
 	TokenFile string `arg:"--platform-token-file" placeholder:"FILE" help:"file with the credential shown to the platform"`
 }
 
+// client reads the file that the flags name and returns a client.
 func (p platformFlags) client() (*requester.Client, error) {
 	c := &requester.Client{Address: p.Platform}
 	if p.TokenFile == "" {
@@ -53,30 +54,31 @@
 }
 
 func (a *apply) run(ctx context.Context, r *Runner) error {
-	if a.choices() != 1 {
+	if a.modes() != 1 {
 		return errors.Annotate(ErrUsage, "expected one of FILE, --revision N, --resume and --withdraw")
 	}
 	c, err := a.client()
 	if err != nil {
 		return err
 	}
-	o := &publisher.Operator{Platform: c, Name: a.Operator, Progress: r.progress}
+	o := &publisher.Operator{Platform: c, Name: a.Operator, Progress: r.printProgress}
 	ctx, cancel := context.WithTimeoutCause(ctx, a.Timeout, errors.Errorf("not accepted within %s", a.Timeout))
 	defer cancel()
 	switch {
 	case a.Resume:
-		return a.finish(r)(o.Resume(ctx))
+		return a.printResult(r)(o.Resume(ctx))
 	case a.Withdraw:
-		return a.finish(r)(o.Withdraw(ctx))
+		return a.printResult(r)(o.Withdraw(ctx))
 	}
 	f, p, err := a.load(ctx, r, o)
 	if err != nil {
 		return err
 	}
-	return a.put(ctx, r, o, f, p)
+	return a.previewAndApply(ctx, r, o, f, p)
 }
 
-func (a *apply) choices() int {
+// modes returns how many of the mutually exclusive modes are set.
+func (a *apply) modes() int {
 	n := 0
 	for _, b := range []bool{a.File != "", a.Revision != 0, a.Resume, a.Withdraw} {
 		if b {
@@ -86,7 +88,7 @@
 	return n
 }
 
-// load reads the file to be applied, from disk or from the history.
+// load reads the file to apply from disk or, with --revision, from the platform.
 func (a *apply) load(ctx context.Context, r *Runner, o *publisher.Operator) (declarer.File, publisher.Options, error) {
 	p := publisher.Options{Note: a.Note}
 	if a.From != 0 {
@@ -104,15 +106,15 @@
 	if err != nil {
 		return declarer.File{}, p, err
 	}
-	r.warn(x.Warnings)
+	r.printWarnings(x.Warnings)
 	if len(x.Faults) > 0 {
 		return declarer.File{}, p, errors.Errorf("%s has %d faults, nothing applied:\n%v", a.File, len(x.Faults), x.Faults)
 	}
 	return x.File, p, nil
 }
 
-// put shows what changes and applies it, unless this is a dry run.
-func (a *apply) put(ctx context.Context, r *Runner, o *publisher.Operator, f declarer.File, p publisher.Options) error {
+// previewAndApply prints the changes and applies f unless this is a dry run.
+func (a *apply) previewAndApply(ctx context.Context, r *Runner, o *publisher.Operator, f declarer.File, p publisher.Options) error {
 	l, from, err := o.Preview(ctx, f)
 	if err != nil {
 		return err
@@ -125,11 +127,11 @@
 		_, _ = fmt.Fprintf(r.Errors, "  %s\n", c)
 	}
 	if !p.CheckFrom && f.EditedFrom == 0 {
-		// The changes were shown against this revision; applying on another
-		// one would silently undo somebody's change.
+		// The changes were printed against this revision. Applying f to a later one would silently
+		// undo the changes made in between.
 		p.From, p.CheckFrom = from, true
 	}
-	return a.finish(r)(o.Apply(ctx, f, p))
+	return a.printResult(r)(o.Apply(ctx, f, p))
 }
 
 func changeTable(l []differ.Change) table {
@@ -140,8 +142,9 @@
 	return t
 }
 
-// progress shows how far an apply has got in each availability zone.
-func (r *Runner) progress(p publisher.Progress) {
+// printProgress prints for each availability zone how many hosts are ready or have the revision in
+// force.
+func (r *Runner) printProgress(p publisher.Progress) {
 	if p.PlatformError != "" {
 		_, _ = fmt.Fprintf(r.Errors, "waiting for the platform: %s\n", p.PlatformError)
 		return
@@ -149,9 +152,9 @@
 	if len(p.Zones) == 0 || p.Revision == 0 {
 		return
 	}
-	state, what := "staged", "ready"
+	state, zoneState := "staged", "ready"
 	if p.Accepted {
-		state, what = "accepted", "in force"
+		state, zoneState = "accepted", "in force"
 	}
 	var l []string
 	for _, z := range p.Zones {
@@ -161,11 +164,12 @@
 		}
 		l = append(l, fmt.Sprintf("%s %d of %d", z.AvailabilityZone, n, z.Hosts))
 	}
-	_, _ = fmt.Fprintf(r.Errors, "revision %d %s, %s at %s\n", p.Revision, state, what, strings.Join(l, ", "))
+	_, _ = fmt.Fprintf(r.Errors, "revision %d %s, %s at %s\n", p.Revision, state, zoneState, strings.Join(l, ", "))
 }
 
-// finish prints the result and fails where the revision isn't in force.
-func (a *apply) finish(r *Runner) func(applier.Result, error) error {
+// printResult returns a function that prints a result and returns outcomeError for it, or the error
+// of the operation.
+func (a *apply) printResult(r *Runner) func(applier.Result, error) error {
 	return func(x applier.Result, err error) error {
 		if err != nil {
 			return err
@@ -177,26 +181,27 @@
 		if err := a.Format.show(r.Output, t, x); err != nil {
 			return err
 		}
-		return a.verdict(x)
+		return a.outcomeError(x)
 	}
 }
 
-// verdict returns an error unless what was asked for has come about.
-func (a *apply) verdict(x applier.Result) error {
+// outcomeError returns an error unless the revision is in force or, with --withdraw, withdrawn.
+func (a *apply) outcomeError(x applier.Result) error {
 	switch {
 	case x.Outcome == applier.InForce && !a.Withdraw:
 		return nil
 	case x.Outcome == applier.Withdrawn && a.Withdraw:
 		return nil
 	case x.Outcome == applier.Accepted:
-		return errors.Errorf("revision %d is accepted, but these hosts haven't told that they decide by it: %s", x.Entry.Revision, missing(x))
+		return errors.Errorf("revision %d is accepted, but these hosts haven't told that they decide by it: %s", x.Entry.Revision, describeMissing(x))
 	case x.Outcome == applier.Conflict:
 		return errors.Errorf("%s: revision %d by %s at %s", x.Reason, x.Entry.Revision, x.Entry.Operator, x.Entry.StagedAt.Format(time.RFC3339))
 	}
 	return errors.Errorf("%s: %s", x.Outcome, x.Reason)
 }
 
-func missing(x applier.Result) string {
+// describeMissing lists the hosts that haven't reported the accepted revision as in force.
+func describeMissing(x applier.Result) string {
 	var l []string
 	for _, h := range x.Missing {
 		l = append(l, h.AvailabilityZone+"/"+h.Host+" (revision "+fmt.Sprint(h.InForce)+", last heard "+h.ReportedAt.Format(time.RFC3339)+")")
--- a/internal/command/runner/bench.go
+++ b/internal/command/runner/bench.go
@@ -19,13 +19,14 @@
 
 	"github.com/cuminwick/cuminwick/internal/bench/definer"
 	"github.com/cuminwick/cuminwick/internal/bench/reporter"
-	measurer "github.com/cuminwick/cuminwick/internal/bench/runner"
+	benchrunner "github.com/cuminwick/cuminwick/internal/bench/runner"
 )
 
-// ErrViolations is returned by a bench run that found a broken promise.
+// ErrViolations is the cause of the error of a benchmark that found broken promises. The promises
+// are those that internal/bench/checker counts, such as that no acknowledged write is lost.
 const ErrViolations = errors.ConstError("promises were broken")
 
-// bench measures a scenario.
+// bench runs a benchmark scenario against the stand-ins.
 type bench struct {
 	Scenario   string        `arg:"--scenario" placeholder:"NAME" help:"scenario to run, see --list"`
 	Deployment string        `arg:"--deployment" default:"kalkul-db" placeholder:"NAME" help:"kalkul-db or helpline-records"`
@@ -53,17 +54,17 @@
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	end, err := b.profile()
+	stopProfile, err := b.startProfile()
 	if err != nil {
 		return err
 	}
-	defer end()
-	l, done, err := b.logger()
+	defer stopProfile()
+	l, closeLog, err := b.openLog()
 	if err != nil {
 		return err
 	}
-	defer done()
-	m := &measurer.Bench{
+	defer closeLog()
+	m := &benchrunner.Bench{
 		Scenario:   b.Scenario,
 		Deployment: b.Deployment,
 		Policy:     b.Policy,
@@ -73,10 +74,10 @@
 		LoadPercent: b.Load,
 	}
 	if r.Terminal {
-		m.Progress = b.progress(r.Errors)
+		m.Progress = b.progressPrinter(r.Errors)
 	}
 	v, err := b.measure(ctx, m)
-	if errors.Is(err, measurer.ErrUnknown) {
+	if errors.Is(err, benchrunner.ErrUnknown) {
 		return errors.WithType(err, ErrUsage)
 	}
 	if err != nil {
@@ -85,8 +86,8 @@
 	return b.show(r, v)
 }
 
-// measure runs all seeds, one after the other, until ctx ends.
-func (b *bench) measure(ctx context.Context, m *measurer.Bench) ([]*reporter.Result, error) {
+// measure runs the scenario with each seed in turn. After the end of ctx no further seed is run.
+func (b *bench) measure(ctx context.Context, m *benchrunner.Bench) ([]*reporter.Result, error) {
 	var l []*reporter.Result
 	for i := range max(1, b.Seeds) {
 		if i > 0 && ctx.Err() != nil {
@@ -102,8 +103,8 @@
 	return l, nil
 }
 
-// logger returns where log lines go, and what closes it.
-func (b *bench) logger() (log.Interface, func(), error) {
+// openLog returns the logger of the entry hosts and a function that closes its file.
+func (b *bench) openLog() (log.Interface, func(), error) {
 	if b.LogFile == "" {
 		return &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}, func() {}, nil
 	}
@@ -114,8 +115,8 @@
 	return &log.Logger{Handler: json.New(f), Level: log.InfoLevel}, func() { f.Close() }, nil
 }
 
-// profile starts a CPU profile if one is asked for, and returns what ends it.
-func (b *bench) profile() (func(), error) {
+// startProfile starts a CPU profile if --cpu-profile is set, and returns a function that stops it.
+func (b *bench) startProfile() (func(), error) {
 	if b.Profile == "" {
 		return func() {}, nil
 	}
@@ -132,7 +133,7 @@
 	}, nil
 }
 
-// list describes the scenarios.
+// list prints the scenarios and policies with their descriptions.
 func (b *bench) list(r *Runner) error {
 	t := table{head: []string{"scenario", "description"}}
 	l := definer.Scenarios()
@@ -145,21 +146,23 @@
 	return b.Format.show(r.Output, t, l)
 }
 
-// progress returns what writes a line over itself.
-func (b *bench) progress(w io.Writer) func(time.Duration, int) {
+// progressPrinter returns a function that prints the progress of a run and overwrites the same line
+// each time.
+func (b *bench) progressPrinter(w io.Writer) func(time.Duration, int) {
 	return func(d time.Duration, n int) {
 		_, _ = fmt.Fprintf(w, "\r%s on %s: %.0f of %.0f s, %d statements ", b.Scenario, b.Deployment, d.Seconds(), b.Duration.Seconds(), n)
 	}
 }
 
-// result is one run or a sweep over several seeds.
+// result is the outcome of one run or of a sweep over several seeds.
 type result interface {
 	WriteTable(w io.Writer) error
 	WriteJSON(w io.Writer) error
 	Failed() bool
 }
 
-// show prints the result, writes the pages, and fails where a promise was broken.
+// show prints the result and writes the report pages. It returns ErrViolations if a promise was
+// broken.
 func (b *bench) show(r *Runner, l []*reporter.Result) error {
 	if r.Terminal {
 		_, _ = fmt.Fprint(r.Errors, "\r", strings.Repeat(" ", 79), "\r")
@@ -186,7 +189,7 @@
 	return nil
 }
 
-// writePage writes the page of one run, if asked for.
+// writePage writes the report page of one run if --report is set.
 func (b *bench) writePage(v *reporter.Result) error {
 	if b.Report == "" {
 		return nil
--- a/internal/command/runner/configuration_test.go
+++ b/internal/command/runner/configuration_test.go
@@ -16,8 +16,9 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// one runs the platform stand-in and one host that follows the configuration.
-func one(t *testing.T) string {
+// startPlatformAndHost runs the platform's stand-in and one host that follows the configuration. It
+// returns the platform's URL.
+func startPlatformAndHost(t *testing.T) string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	s := &storekeeper.Server{Address: "127.0.0.1:0"}
@@ -47,7 +48,7 @@
 func TestConfigurationCommands(t *testing.T) {
 	const file = "../../../configuration.example.yaml"
 	const faulty = "../../config/parser/testdata/faults.yaml"
-	p := one(t)
+	p := startPlatformAndHost(t)
 	for _, c := range []struct {
 		name   string
 		args   []string
--- a/internal/command/runner/demo.go
+++ b/internal/command/runner/demo.go
@@ -12,8 +12,8 @@
 	"github.com/cuminwick/cuminwick/internal/demo/presenter"
 )
 
-// demo runs a small deployment in one process and takes a scripted tour of it as a
-// caller, which fails unless every promise held.
+// demo runs a small deployment in one process and a scripted sequence of checks against it as a
+// caller. It fails unless the deployment kept every promise that is checked.
 type demo struct {
 	Stay bool   `arg:"--stay" help:"serve until interrupted in place of the tour"`
 	Log  string `arg:"--log" placeholder:"FILE" help:"write the entry hosts' log lines to FILE [default: cuminwick-demo.log in the directory for temporary files]"`
--- a/internal/command/runner/demo_test.go
+++ b/internal/command/runner/demo_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// A newcomer's first command runs everything in one process. Did it fail silently, or
-// leave out a promise, nobody would trust what it shows.
+// The demo could skip the check of a promise, or fail, and still exit with success.
 func TestDemo(t *testing.T) {
 	const promises = 8
 	c, o, e := invoke(t, "demo", "--log", filepath.Join(t.TempDir(), "demo.log"))
--- a/internal/command/runner/drain.go
+++ b/internal/command/runner/drain.go
@@ -11,7 +11,7 @@
 	"github.com/cuminwick/cuminwick/internal/admin/handler"
 )
 
-// drain stops an entry host.
+// drain stops an entry host, or moves a primary off a backend server.
 type drain struct {
 	NoWait        bool   `arg:"--no-wait" help:"return at once instead of waiting until the host has stopped"`
 	BackendServer string `arg:"--backend-server" placeholder:"NAME" help:"move the primary of --group off this backend server instead of stopping the host"`
@@ -19,15 +19,15 @@
 	administrationFlags
 }
 
-// Times of the wait for a host's end.
+// Timing of the wait for a host to stop.
 const (
-	drainPoll = 200 * time.Millisecond
-	// drainGrace is added to what the host declares.
+	drainPollInterval = 200 * time.Millisecond
+	// drainGrace is added to the drain time that the host states.
 	drainGrace = 10 * time.Second
 )
 
 func (d *drain) run(ctx context.Context, r *Runner) error {
-	a, err := d.open()
+	a, err := d.client()
 	if err != nil {
 		return err
 	}
@@ -46,11 +46,11 @@
 	if err != nil {
 		return errors.Annotate(err, "read declared time")
 	}
-	return d.await(ctx, r, a, w)
+	return d.waitForStop(ctx, r, a, w)
 }
 
-// handOver moves a primary off a backend server that is to be stopped.
-func (d *drain) handOver(ctx context.Context, r *Runner, a *administration) error {
+// handOver moves the primary of --group off --backend-server, so that the server can be stopped.
+func (d *drain) handOver(ctx context.Context, r *Runner, a *administrationClient) error {
 	if d.BackendServer == "" || d.Group == "" {
 		return errors.Annotate(ErrUsage, "--backend-server and --group belong together")
 	}
@@ -63,11 +63,12 @@
 	return nil
 }
 
-// await returns when the host doesn't answer any more.
-func (d *drain) await(ctx context.Context, r *Runner, a *administration, within time.Duration) error {
+// waitForStop returns when the host doesn't respond any more, or with an error if it still does
+// after the stated time and drainGrace.
+func (d *drain) waitForStop(ctx context.Context, r *Runner, a *administrationClient, within time.Duration) error {
 	c, cancel := context.WithTimeout(ctx, within+drainGrace)
 	defer cancel()
-	t := time.NewTicker(drainPoll)
+	t := time.NewTicker(drainPollInterval)
 	defer t.Stop()
 	for a.isUp(c) {
 		select {
--- a/internal/command/runner/format.go
+++ b/internal/command/runner/format.go
@@ -10,14 +10,14 @@
 	"github.com/juju/errors"
 )
 
-// format says how data is printed.
+// format is the format of the data on standard output.
 type format string
 
-// Formats of data on standard output.
+// Formats of data.
 const (
-	// formatTable is for people.
+	// formatTable is a table with aligned columns.
 	formatTable format = "table"
-	// formatJSON is for programs.
+	// formatJSON is indented JSON.
 	formatJSON format = "json"
 )
 
@@ -31,13 +31,13 @@
 	return errors.Errorf("unknown format %q, expected table or json", b)
 }
 
-// table is data for people.
+// table is the data of formatTable.
 type table struct {
 	head []string
 	rows [][]string
 }
 
-// show prints t or, as JSON, v.
+// show prints t in formatTable, or v in formatJSON.
 func (f format) show(w io.Writer, t table, v any) error {
 	if f == formatJSON {
 		e := json.NewEncoder(w)
@@ -47,6 +47,7 @@
 	return errors.Annotate(t.write(w), "print")
 }
 
+// write prints the table with its head in upper case.
 func (t table) write(w io.Writer) error {
 	x := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	if _, err := fmt.Fprintln(x, strings.ToUpper(strings.Join(t.head, "\t"))); err != nil {
--- a/internal/command/runner/host_test.go
+++ b/internal/command/runner/host_test.go
@@ -33,7 +33,7 @@
 		return n
 	}
 	token, wrong := write("token", "secret-token\n"), write("wrong", "other\n")
-	x := &host{}
+	x := &fakeHost{}
 	h := httptest.NewServer(&handler.Handler{
 		Platform:   &storekeeper.Store{},
 		TokensFile: write("tokens.yaml", "tokens: [{name: anna, role: administrator, sha256: "+hex.EncodeToString(s[:])+"}]\n"),
@@ -71,24 +71,24 @@
 	}
 }
 
-// host is an entry host that holds no outcome.
-type host struct {
+// fakeHost is an entry host that has recorded no outcome. db-a is the primary of each group.
+type fakeHost struct {
 	drained int
 }
 
-func (h *host) StartDrain() { h.drained++ }
+func (h *fakeHost) StartDrain() { h.drained++ }
 
-func (h *host) HandOver(_ context.Context, _, s string) error {
+func (h *fakeHost) HandOver(_ context.Context, _, s string) error {
 	if s != "db-a" {
 		return errors.NotFoundf("primary on %s", s)
 	}
 	return nil
 }
 
-func (h *host) DrainTimeout() time.Duration { return time.Second }
-func (h *host) MemberView() declarer.View   { return declarer.View{} }
+func (h *fakeHost) DrainTimeout() time.Duration { return time.Second }
+func (h *fakeHost) MemberView() declarer.View   { return declarer.View{} }
 
-func (h *host) Outcome(_ context.Context, _, _ string, settle bool) (recorder.Outcome, error) {
+func (h *fakeHost) Outcome(_ context.Context, _, _ string, settle bool) (recorder.Outcome, error) {
 	if settle {
 		return recorder.NotRun, nil
 	}
--- a/internal/command/runner/outcome.go
+++ b/internal/command/runner/outcome.go
@@ -8,7 +8,7 @@
 	"github.com/cuminwick/cuminwick/internal/admin/handler"
 )
 
-// outcome tells whether a request ran.
+// outcome prints whether the request with an idempotency key ran.
 type outcome struct {
 	Group  string `arg:"positional,required" placeholder:"DATABASE-GROUP" help:"database group that the request was for"`
 	Key    string `arg:"positional,required" placeholder:"KEY" help:"idempotency key of the request"`
@@ -18,7 +18,7 @@
 }
 
 func (o *outcome) run(ctx context.Context, r *Runner) error {
-	a, err := o.open()
+	a, err := o.client()
 	if err != nil {
 		return err
 	}
--- a/internal/command/runner/runner.go
+++ b/internal/command/runner/runner.go
@@ -13,34 +13,36 @@
 
 // Exit codes.
 const (
-	// ExitDone says that what was asked for is done.
+	// ExitDone means that the command succeeded.
 	ExitDone = 0
-	// ExitFailed says that it isn't, for the reason on standard error.
+	// ExitFailed means that the command failed; the reason is on standard error.
 	ExitFailed = 1
-	// ExitUsage says that the command line was wrong and nothing was tried.
+	// ExitUsage means that the command line was invalid and nothing was done.
 	ExitUsage = 2
 )
 
 // Errors of subcommands.
 const (
-	// ErrUsage is the cause of errors in what the command line asks for.
+	// ErrUsage is the cause of errors in the command line that the parser doesn't find.
 	ErrUsage = errors.ConstError("usage")
 )
 
 // Runner runs one command line.
 type Runner struct {
-	// Output takes data, Errors takes errors and progress.
+	// Output receives data.
 	Output io.Writer
+	// Errors receives errors, warnings and progress.
 	Errors io.Writer
-	// Terminal says that Errors is a terminal, where progress may be shown.
+	// Terminal marks Errors as a terminal, on which a line of progress can be overwritten.
 	Terminal bool
 }
 
 // command is a parsed subcommand.
 type command interface {
-	// run does the work; its data goes to r.Output.
+	// run runs the subcommand and writes its data to r.Output. An error whose cause is ErrUsage
+	// leads to ExitUsage, any other to ExitFailed.
 	run(ctx context.Context, r *Runner) error
-	// example returns one command line to copy.
+	// example returns a command line that the help shows as an example.
 	example() string
 }
 
@@ -57,17 +59,17 @@
 	StandIn  *standIn  `arg:"subcommand:stand-in" help:"run a stand-in of the platform or of a backend server"`
 }
 
-// Description opens the help.
+// Description returns the text at the head of the help.
 func (arguments) Description() string {
 	return "cuminwick is a database proxy with session consistency."
 }
 
-// Epilogue closes the help.
+// Epilogue returns the text at the end of the help.
 func (arguments) Epilogue() string {
 	return "Exit codes: 0 done, 1 failed, 2 wrong usage."
 }
 
-// Version is printed for --version.
+// Version returns the text that --version prints.
 func (arguments) Version() string {
 	return version()
 }
@@ -104,10 +106,11 @@
 	if !ok {
 		return r.usage(p, errors.New("a subcommand is missing"))
 	}
-	return r.finish(p, c.run(ctx, r))
+	return r.exitCode(p, c.run(ctx, r))
 }
 
-func (r *Runner) finish(p *arg.Parser, err error) int {
+// exitCode prints err, if it isn't nil, and returns the exit code for it.
+func (r *Runner) exitCode(p *arg.Parser, err error) int {
 	switch {
 	case err == nil:
 		return ExitDone
--- a/internal/command/runner/runner_test.go
+++ b/internal/command/runner/runner_test.go
@@ -38,7 +38,7 @@
 		{name: "unknown flag", args: []string{"serve", "--nonsense"}, code: 2, errors: "Usage"},
 		{name: "missing flag", args: []string{"serve"}, code: 2, errors: "--settings"},
 		{name: "unknown format", args: []string{"status", "--format", "xml"}, code: 2, errors: "table or json"},
-		{name: "stand-in of nothing", args: []string{"stand-in"}, code: 2, errors: "stand-in platform"},
+		{name: "stand-in without a subcommand", args: []string{"stand-in"}, code: 2, errors: "stand-in platform"},
 		{name: "unknown scenario", args: []string{"bench", "--scenario", "nope"}, code: 2, errors: "unknown name"},
 		{name: "unknown deployment", args: []string{"bench", "--scenario", "steady", "--deployment", "nope"}, code: 2, errors: "unknown name"},
 		{name: "settings file that is absent", args: []string{"serve", "--settings", "absent"}, code: 1, errors: "absent"},
@@ -71,15 +71,15 @@
 	}
 }
 
-// An operator stops a host twice because the first stop takes too long. The
-// first signal lets transactions finish, the second one must cut them off.
+// An operator sends a second signal because the drain after the first one takes too long. The first
+// signal must not end transactions in progress; the second one must.
 func TestSignals(t *testing.T) {
-	c, s := listen(t.Context())
+	c, s := handleSignals(t.Context())
 	defer s.stop()
 	s.signals <- syscall.SIGTERM
 	<-s.drain
 	if c.Err() != nil {
-		t.Error("the first signal cut off what was in progress")
+		t.Error("the first signal ended the context")
 	}
 	s.signals <- syscall.SIGTERM
 	<-c.Done()
--- a/internal/command/runner/serve.go
+++ b/internal/command/runner/serve.go
@@ -13,7 +13,8 @@
 	Settings string `arg:"--settings,required" placeholder:"FILE" help:"settings file of this host"`
 }
 
-// run serves until the first signal and then drains; a second one cuts off.
+// run serves until the first signal and then drains. A second signal ends it without waiting for
+// transactions in progress.
 func (s *serve) run(ctx context.Context, r *Runner) error {
 	x, err := loader.Load(s.Settings, time.Now())
 	if err != nil {
@@ -23,7 +24,7 @@
 	if err := a.Assemble(); err != nil {
 		return err
 	}
-	c, g := listen(ctx)
+	c, g := handleSignals(ctx)
 	defer g.stop()
 	return a.Run(c, g.drain)
 }
--- a/internal/command/runner/signaller.go
+++ b/internal/command/runner/signaller.go
@@ -7,18 +7,19 @@
 	"syscall"
 )
 
-// signaller turns the first SIGTERM or interrupt into a request to drain, and
-// the second one into the end of the context.
+// signaller requests a drain at the first SIGTERM or interrupt, and cancels a context at the second
+// one.
 type signaller struct {
-	// drain is closed by the first signal.
+	// drain is closed at the first signal.
 	drain chan struct{}
-	// cancel is called by the second one.
+	// cancel is called at the second signal.
 	cancel  context.CancelFunc
 	signals chan os.Signal
 }
 
-// listen starts to take signals; the returned context ends with the second one.
-func listen(ctx context.Context) (context.Context, *signaller) {
+// handleSignals starts a goroutine that handles signals until stop is called or ctx ends. The
+// returned context ends at the second signal.
+func handleSignals(ctx context.Context) (context.Context, *signaller) {
 	c, cancel := context.WithCancel(ctx)
 	s := &signaller{
 		drain:   make(chan struct{}),
@@ -30,7 +31,7 @@
 	return c, s
 }
 
-// stop gives the signals their usual effect back.
+// stop restores the default effect of the signals and ends the context.
 func (s *signaller) stop() {
 	signal.Stop(s.signals)
 	s.cancel()
--- a/internal/command/runner/standin.go
+++ b/internal/command/runner/standin.go
@@ -15,7 +15,8 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// standIn groups the stand-ins.
+// standIn groups the subcommands that run stand-ins. A stand-in simulates a service that a
+// deployment depends on.
 type standIn struct {
 	Platform *standInPlatform `arg:"subcommand:platform" help:"run an object service and host list"`
 	Backend  *standInBackend  `arg:"subcommand:backend" help:"run a backend server"`
@@ -29,7 +30,7 @@
 	return "cuminwick stand-in platform --address 127.0.0.1:8500"
 }
 
-// standInPlatform runs the platform's stand-in.
+// standInPlatform runs the stand-in of the platform, which stores objects and lists hosts.
 type standInPlatform struct {
 	Address string `arg:"--address" default:"127.0.0.1:8500" help:"address to listen on"`
 }
@@ -50,7 +51,7 @@
 	return "cuminwick stand-in platform --address 127.0.0.1:8500"
 }
 
-// standInBackend runs a backend server's stand-in.
+// standInBackend runs the stand-in of a backend server.
 type standInBackend struct {
 	Name                string        `arg:"--name" default:"db-1" help:"the server's name in its group"`
 	Address             string        `arg:"--address" default:"127.0.0.1:5433" help:"address to listen on"`
@@ -65,7 +66,7 @@
 }
 
 func (s *standInBackend) run(ctx context.Context, r *Runner) error {
-	l, err := s.leader()
+	l, err := s.parseFollow()
 	if err != nil {
 		return err
 	}
@@ -85,12 +86,12 @@
 	if s.PasswordEnvironment != "" {
 		b.Password = os.Getenv(s.PasswordEnvironment)
 	}
-	go s.announce(ctx, r, b)
+	go s.printAddress(ctx, r, b)
 	return errors.Annotate(b.Run(ctx), "stand-in backend")
 }
 
-// announce prints the addresses once they are known.
-func (s *standInBackend) announce(ctx context.Context, r *Runner, b *responder.Server) {
+// printAddress prints the addresses once the server listens on them.
+func (s *standInBackend) printAddress(ctx context.Context, r *Runner, b *responder.Server) {
 	select {
 	case <-b.Ready():
 	case <-ctx.Done():
@@ -103,8 +104,8 @@
 	r.print(t)
 }
 
-// leader reads the primary to follow.
-func (s *standInBackend) leader() (replicator.Leader, error) {
+// parseFollow returns the primary to follow according to --follow, the zero value if it isn't set.
+func (s *standInBackend) parseFollow() (replicator.Leader, error) {
 	if s.Follow == "" {
 		return replicator.Leader{}, nil
 	}
--- a/internal/command/runner/status.go
+++ b/internal/command/runner/status.go
@@ -10,11 +10,11 @@
 	"github.com/cuminwick/cuminwick/internal/config/publisher"
 )
 
-// silentAfter is when a host that hasn't reported is shown as silent: it has
-// missed several reports.
+// silentAfter is the age of a host's last report above which the host is shown as silent. By then
+// it has missed several reports.
 const silentAfter = 3 * follower.DefaultReportInterval
 
-// status shows the state of the deployment.
+// status prints the state of the hosts, or the accepted revisions.
 type status struct {
 	History bool   `arg:"--history" help:"show the accepted revisions instead of the hosts"`
 	Format  format `arg:"--format" default:"table" placeholder:"table|json" help:"how the status is printed"`
@@ -53,6 +53,7 @@
 	return t
 }
 
+// orDash replaces an empty table cell by a dash.
 func orDash(s string) string {
 	if s == "" {
 		return "-"
@@ -60,7 +61,8 @@
 	return s
 }
 
-// hostState compares clocks of two machines, which is good enough to show.
+// hostState describes the state of a host. It compares the clocks of two machines, which is
+// accurate enough for display.
 func hostState(d encoder.Head, h encoder.Holder, now time.Time) string {
 	switch {
 	case now.Sub(h.ReportedAt) > silentAfter:
--- a/internal/command/runner/validate.go
+++ b/internal/command/runner/validate.go
@@ -13,7 +13,7 @@
 	"github.com/cuminwick/cuminwick/internal/settings/loader"
 )
 
-// validate checks a file without any connection.
+// validate checks a configuration or settings file without any network connection.
 type validate struct {
 	File     string `arg:"positional" placeholder:"FILE" help:"configuration file"`
 	Settings string `arg:"--settings" placeholder:"FILE" help:"settings file of an entry host"`
@@ -38,13 +38,13 @@
 	return errors.Errorf("%s has %d faults", v.Settings, len(f))
 }
 
-// configuration checks a configuration file; warnings don't fail it.
+// configuration checks a configuration file. It prints warnings but doesn't fail because of them.
 func (v *validate) configuration(r *Runner) error {
 	p, err := parser.ParseFile(v.File)
 	if err != nil {
 		return err
 	}
-	r.warn(p.Warnings)
+	r.printWarnings(p.Warnings)
 	if len(p.Faults) == 0 {
 		return nil
 	}
@@ -54,8 +54,8 @@
 	return errors.Errorf("%s has %d faults", v.File, len(p.Faults))
 }
 
-// warn prints what is allowed but probably not meant.
-func (r *Runner) warn(w decoder.Faults) {
+// printWarnings prints warnings about values that are allowed but probably unintended.
+func (r *Runner) printWarnings(w decoder.Faults) {
 	for _, x := range w {
 		_, _ = fmt.Fprintf(r.Errors, "warning: %s\n", x)
 	}
--- a/internal/command/runner/version.go
+++ b/internal/command/runner/version.go
@@ -5,16 +5,17 @@
 	"runtime/debug"
 )
 
-// version describes the build: module version, revision and Go version.
+// version returns the module version, revision and Go version of the build.
 func version() string {
 	b, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "cuminwick (no build information)"
 	}
-	return fmt.Sprintf("cuminwick %s %s %s", b.Main.Version, revision(b), b.GoVersion)
+	return fmt.Sprintf("cuminwick %s %s %s", b.Main.Version, vcsRevision(b), b.GoVersion)
 }
 
-func revision(b *debug.BuildInfo) string {
+// vcsRevision returns the revision of the source tree, marked if it had uncommitted changes.
+func vcsRevision(b *debug.BuildInfo) string {
 	r, dirty := "unknown", ""
 	for _, s := range b.Settings {
 		switch {
