--- a/internal/command/runner/administration.go
+++ b/internal/command/runner/administration.go
@@ -33,14 +33,14 @@
 
 // administrationClient calls the administration API of one entry host.
 type administrationClient struct {
-	url    string
-	token  string
-	client *http.Client
+	url        string
+	token      string
+	httpClient *http.Client
 }
 
 // client reads the files that the flags name and returns a client.
 func (f administrationFlags) client() (*administrationClient, error) {
-	a := &administrationClient{url: strings.TrimSuffix(f.Administration, "/"), client: &http.Client{Timeout: administrationTimeout}}
+	a := &administrationClient{url: strings.TrimSuffix(f.Administration, "/"), httpClient: &http.Client{Timeout: administrationTimeout}}
 	if f.TokenFile != "" {
 		b, err := os.ReadFile(f.TokenFile)
 		if err != nil {
@@ -59,7 +59,7 @@
 	if !p.AppendCertsFromPEM(b) {
 		return nil, errors.Errorf("no certificate in %s", f.AuthorityFile)
 	}
-	a.client.Transport = &http.Transport{TLSClientConfig: &tls.Config{RootCAs: p, MinVersion: tls.VersionTLS12}}
+	a.httpClient.Transport = &http.Transport{TLSClientConfig: &tls.Config{RootCAs: p, MinVersion: tls.VersionTLS12}}
 	return a, nil
 }
 
@@ -70,7 +70,7 @@
 		return errors.Annotate(err, "make request")
 	}
 	r.Header.Set("Authorization", "Bearer "+a.token)
-	x, err := a.client.Do(r)
+	x, err := a.httpClient.Do(r)
 	if err != nil {
 		return wrapper.Wrap(err, "call", a.url)
 	}
@@ -102,7 +102,7 @@
 	if err != nil {
 		return false
 	}
-	x, err := a.client.Do(r)
+	x, err := a.httpClient.Do(r)
 	if err != nil {
 		return ctx.Err() != nil
 	}
