--- a/internal/command/runner/demo.go
+++ b/internal/command/runner/demo.go
@@ -31,7 +31,7 @@
 	defer f.Close()
 	x, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	p := &presenter.Presenter{Output: r.Output, LogOutput: f, Stay: d.Stay}
+	p := &presenter.Presenter{Output: r.Output, LogOutput: f, KeepRunning: d.Stay}
 	return p.Run(x)
 }
 
--- a/internal/demo/presenter/presenter.go
+++ b/internal/demo/presenter/presenter.go
@@ -41,8 +41,8 @@
 	Output io.Writer
 	// LogOutput gets the log lines of all entry hosts.
 	LogOutput io.Writer
-	// Stay waits for ctx to end instead of taking the tour.
-	Stay bool
+	// KeepRunning waits for ctx to end instead of taking the tour.
+	KeepRunning bool
 
 	deployment *deployer.Deployment
 }
@@ -102,8 +102,8 @@
 }
 
 func (p *Presenter) present(ctx context.Context) error {
-	if !p.Stay {
-		t := &tourist.Tourist{Database: database, Surroundings: p, Output: p.Output}
+	if !p.KeepRunning {
+		t := &tourist.Tourist{Database: database, Environment: p, Output: p.Output}
 		return t.Run(ctx)
 	}
 	for _, h := range p.deployment.Hosts {
@@ -127,8 +127,8 @@
 	return a
 }
 
-// LosePrimary implements tourist.Surroundings.
-func (p *Presenter) LosePrimary(ctx context.Context) error {
+// CrashPrimary implements tourist.Surroundings.
+func (p *Presenter) CrashPrimary(ctx context.Context) error {
 	v, err := p.deployment.Hosts[0].Director().Runtime().Groups[database].Driver.WaitPrimary(ctx)
 	if err != nil {
 		return err
@@ -167,7 +167,7 @@
 	return nil
 }
 
-// Drained implements tourist.Surroundings.
-func (p *Presenter) Drained(ctx context.Context, i int) error {
+// AwaitStopped implements tourist.Surroundings.
+func (p *Presenter) AwaitStopped(ctx context.Context, i int) error {
 	return p.deployment.AwaitStopped(ctx, i)
 }
--- a/internal/demo/tourist/tourist.go
+++ b/internal/demo/tourist/tourist.go
@@ -28,24 +28,24 @@
 // codeCancelled is the SQLSTATE of a cancelled statement.
 const codeCancelled = "57014"
 
-// Surroundings is what the tour does beside being a caller.
-type Surroundings interface {
+// Environment is what the tour does beside being a caller.
+type Environment interface {
 	// Addresses returns the addresses of the entry hosts.
 	Addresses() []string
-	// LosePrimary crashes the primary's backend server.
-	LosePrimary(ctx context.Context) error
+	// CrashPrimary crashes the primary's backend server.
+	CrashPrimary(ctx context.Context) error
 	// Apply puts a changed configuration in force everywhere.
 	Apply(ctx context.Context) error
 	// Drain lets the entry host with this index stop as planned.
 	Drain(ctx context.Context, i int) error
-	// Drained returns when that host has stopped, with an error if it cut off callers.
-	Drained(ctx context.Context, i int) error
+	// AwaitStopped returns when that host has stopped, with an error if it cut off callers.
+	AwaitStopped(ctx context.Context, i int) error
 }
 
 // Tourist is one tour.
 type Tourist struct {
-	Database     string
-	Surroundings Surroundings
+	Database    string
+	Environment Environment
 	// Output gets a line for each promise.
 	Output io.Writer
 
@@ -80,7 +80,7 @@
 		{promise: "a transaction that is rolled back leaves nothing", check: t.rollback},
 		{promise: "after the primary is lost, writes go on and nothing acknowledged is missing", check: t.losePrimary},
 		{promise: "a request with a key runs once though it is sent twice", check: t.repeat},
-		{promise: "a file is in force on every entry host once applied", check: t.Surroundings.Apply},
+		{promise: "a file is in force on every entry host once applied", check: t.Environment.Apply},
 		{promise: "a drained entry host cuts off no request", check: t.drain},
 	}
 }
@@ -103,7 +103,7 @@
 
 // open connects to entry host i with the session's mark.
 func (t *Tourist) open(ctx context.Context, i int) (*pgx.Conn, error) {
-	a := t.Surroundings.Addresses()[i]
+	a := t.Environment.Addresses()[i]
 	c, err := pgx.ParseConfig("postgres://tourist@" + a + "/" + t.Database + "?sslmode=disable")
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -152,14 +152,14 @@
 }
 
 func (t *Tourist) update(ctx context.Context, i int, id string) error {
-	return t.do(ctx, i%len(t.Surroundings.Addresses()), func(c *pgx.Conn) error {
+	return t.do(ctx, i%len(t.Environment.Addresses()), func(c *pgx.Conn) error {
 		_, err := c.Exec(ctx, "UPDATE lines SET amount = amount + 1 WHERE id = $1", id)
 		return err
 	})
 }
 
 func (t *Tourist) expect(ctx context.Context, i int, id string, want int64) error {
-	return t.do(ctx, i%len(t.Surroundings.Addresses()), func(c *pgx.Conn) error {
+	return t.do(ctx, i%len(t.Environment.Addresses()), func(c *pgx.Conn) error {
 		var got int64
 		if err := c.QueryRow(ctx, "SELECT amount FROM lines WHERE id = $1", id).Scan(&got); err != nil {
 			return err
@@ -240,7 +240,7 @@
 }
 
 func (t *Tourist) losePrimary(ctx context.Context) error {
-	if err := t.Surroundings.LosePrimary(ctx); err != nil {
+	if err := t.Environment.CrashPrimary(ctx); err != nil {
 		return err
 	}
 	if err := t.update(ctx, 0, "rates"); err != nil {
@@ -275,7 +275,7 @@
 		if _, err := x.Exec(ctx, "UPDATE lines SET amount = 1 WHERE id = 'rates'"); err != nil {
 			return err
 		}
-		if err := t.Surroundings.Drain(ctx, host); err != nil {
+		if err := t.Environment.Drain(ctx, host); err != nil {
 			return err
 		}
 		if _, err := x.Exec(ctx, "UPDATE lines SET amount = 2 WHERE id = 'rates'"); err != nil {
@@ -284,6 +284,6 @@
 		if err := x.Commit(ctx); err != nil {
 			return errors.Annotate(err, "commit during the drain")
 		}
-		return t.Surroundings.Drained(ctx, host)
+		return t.Environment.AwaitStopped(ctx, host)
 	})
 }
--- a/internal/demo/tourist/tourist_test.go
+++ b/internal/demo/tourist/tourist_test.go
@@ -15,11 +15,11 @@
 	address string
 }
 
-func (n nowhere) Addresses() []string              { return []string{n.address, n.address, n.address} }
-func (nowhere) LosePrimary(context.Context) error  { return errors.New("nothing runs") }
-func (nowhere) Apply(context.Context) error        { return errors.New("nothing runs") }
-func (nowhere) Drain(context.Context, int) error   { return errors.New("nothing runs") }
-func (nowhere) Drained(context.Context, int) error { return errors.New("nothing runs") }
+func (n nowhere) Addresses() []string                   { return []string{n.address, n.address, n.address} }
+func (nowhere) CrashPrimary(context.Context) error      { return errors.New("nothing runs") }
+func (nowhere) Apply(context.Context) error             { return errors.New("nothing runs") }
+func (nowhere) Drain(context.Context, int) error        { return errors.New("nothing runs") }
+func (nowhere) AwaitStopped(context.Context, int) error { return errors.New("nothing runs") }
 
 // The deployment is down. A tour that then said that a promise held would say so of
 // anything.
@@ -32,7 +32,7 @@
 	go refuse(l)
 	defer l.Close()
 	var o bytes.Buffer
-	r := &Tourist{Database: "demo", Surroundings: nowhere{l.Addr().String()}, Output: &o}
+	r := &Tourist{Database: "demo", Environment: nowhere{l.Addr().String()}, Output: &o}
 	if err := r.Run(t.Context()); !errors.Is(err, errBroken) {
 		t.Errorf("got %v, want %v", err, errBroken)
 	}
--- a/internal/proxy/assembler/growth_test.go
+++ b/internal/proxy/assembler/growth_test.go
@@ -60,7 +60,7 @@
 	t.Helper()
 	f := &fleet{network: newNetwork(crossingRate), store: &storekeeper.Store{}, random: rand.New(rand.NewPCG(seed, 0))}
 	m := f.network.add(storeAddress, "near", storeRate)
-	f.server = &http.Server{Handler: storekeeper.View{Store: f.store}}
+	f.server = &http.Server{Handler: storekeeper.Handler{Store: f.store}}
 	go (&storeServer{server: f.server, listener: m}).run()
 	f.grow(60)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/soak/caller/caller.go
+++ b/internal/soak/caller/caller.go
@@ -37,8 +37,8 @@
 	value   atomic.Int64
 }
 
-// Note adds to the history under its lock.
-func (r *Recorder) Note(f func(h *checker.History)) {
+// Update adds to the history under its lock.
+func (r *Recorder) Update(f func(h *checker.History)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.history)
@@ -114,8 +114,8 @@
 	}
 }
 
-// Work does so many operations, and ends at the first that breaks the session.
-func (s *Session) Work(operations int) {
+// Run does so many operations, and ends at the first that breaks the session.
+func (s *Session) Run(operations int) {
 	defer s.Close()
 	if ok, err := s.Open(); err != nil || !ok {
 		return
@@ -147,7 +147,7 @@
 	a, err := s.ask(fmt.Sprintf("WRITE x0 %d", w.Value))
 	w.ID = fmt.Sprintf("%s.%d", s.Name, s.n)
 	w.Outcome, w.Answered = outcome(a, err), time.Now()
-	s.Recorder.Note(func(h *checker.History) { h.Writes = append(h.Writes, w) })
+	s.Recorder.Update(func(h *checker.History) { h.Writes = append(h.Writes, w) })
 	if w.Outcome != checker.OutcomeRan {
 		return false
 	}
@@ -191,8 +191,8 @@
 		if s.tx.open {
 			sent = s.tx.began // what is cut off is the transaction
 		}
-		s.Recorder.Note(func(h *checker.History) {
-			h.Cuts = append(h.Cuts, checker.Cut{Host: s.Host.Name, ID: id, Sent: sent, Ended: time.Now()})
+		s.Recorder.Update(func(h *checker.History) {
+			h.Disconnects = append(h.Disconnects, checker.Disconnect{Host: s.Host.Name, ID: id, Sent: sent, Ended: time.Now()})
 		})
 		return a, errGone
 	}
@@ -229,8 +229,8 @@
 			a.code, _, _ = strings.Cut(rest, " ")
 		case "READY":
 			if a.code == "" && signed(text) && signature != "sig."+id {
-				s.Recorder.Note(func(h *checker.History) {
-					h.Strange = append(h.Strange, fmt.Sprintf("strange: %s (%s) got the answer %q", id, text, signature))
+				s.Recorder.Update(func(h *checker.History) {
+					h.UnexpectedAnswers = append(h.UnexpectedAnswers, fmt.Sprintf("strange: %s (%s) got the answer %q", id, text, signature))
 				})
 			}
 			return a, nil
@@ -270,7 +270,7 @@
 	a, err := s.ask(fmt.Sprintf("WRITE %s %d", item, w.Value))
 	w.ID = fmt.Sprintf("%s.%d", s.Name, s.n)
 	w.Outcome, w.Answered = outcome(a, err), time.Now()
-	s.Recorder.Note(func(h *checker.History) { h.Writes = append(h.Writes, w) })
+	s.Recorder.Update(func(h *checker.History) { h.Writes = append(h.Writes, w) })
 	return err
 }
 
@@ -286,12 +286,12 @@
 	}
 	r := checker.Read{ID: fmt.Sprintf("%s.%d", s.Name, s.n), Session: s.Name, Item: item, Freshness: s.Freshness, Sent: sent}
 	if _, err := fmt.Sscan(a.row, &r.Value); err != nil {
-		s.Recorder.Note(func(h *checker.History) {
-			h.Strange = append(h.Strange, fmt.Sprintf("strange: %s read %q", r.ID, a.row))
+		s.Recorder.Update(func(h *checker.History) {
+			h.UnexpectedAnswers = append(h.UnexpectedAnswers, fmt.Sprintf("strange: %s read %q", r.ID, a.row))
 		})
 		return nil
 	}
-	s.Recorder.Note(func(h *checker.History) { h.Reads = append(h.Reads, r) })
+	s.Recorder.Update(func(h *checker.History) { h.Reads = append(h.Reads, r) })
 	return nil
 }
 
@@ -341,7 +341,7 @@
 	for i := range l {
 		l[i].Outcome, l[i].Answered = o, time.Now()
 	}
-	s.Recorder.Note(func(h *checker.History) { h.Writes = append(h.Writes, l...) })
+	s.Recorder.Update(func(h *checker.History) { h.Writes = append(h.Writes, l...) })
 }
 
 // History returns what was seen, once all sessions have ended.
--- a/internal/soak/checker/checker.go
+++ b/internal/soak/checker/checker.go
@@ -27,12 +27,12 @@
 
 // Freshnesses.
 const (
-	// FreshnessEvery is every acknowledged commit.
-	FreshnessEvery Freshness = iota
-	// FreshnessAge is each that was acknowledged longer ago than the route's staleness.
-	FreshnessAge
-	// FreshnessOwn is FreshnessAge, and each of the session's own.
-	FreshnessOwn
+	// FreshnessLatest is every acknowledged commit.
+	FreshnessLatest Freshness = iota
+	// FreshnessBoundedStaleness is each that was acknowledged longer ago than the route's staleness.
+	FreshnessBoundedStaleness
+	// FreshnessReadYourWrites is FreshnessAge, and each of the session's own.
+	FreshnessReadYourWrites
 )
 
 // Write is one write as its caller saw it.
@@ -53,12 +53,12 @@
 	Sent time.Time
 }
 
-// Visit is a session's attempt to reach a database that a version of the configuration
+// ConfigurationProbe is a session's attempt to reach a database that a version of the configuration
 // has added.
-type Visit struct {
+type ConfigurationProbe struct {
 	// Host and Life name one process of an entry host.
-	Host string
-	Life int
+	Host        string
+	Incarnation int
 	// Version is that of the configuration which added the database.
 	Version int
 	Found   bool
@@ -67,8 +67,8 @@
 	Answered time.Time
 }
 
-// Cut is a connection that broke while its caller waited for an answer.
-type Cut struct {
+// Disconnect is a connection that broke while its caller waited for an answer.
+type Disconnect struct {
 	Host        string
 	ID          string
 	Sent, Ended time.Time
@@ -80,21 +80,21 @@
 	At   time.Time
 	// Grace is how long the process has, and Calm that nothing else was wrong from some
 	// seconds before to its end.
-	Grace time.Duration
-	Calm  bool
+	Grace       time.Duration
+	Undisturbed bool
 }
 
 // History is all that callers saw.
 type History struct {
 	// Staleness is that of the routes whose reads may be of an age.
-	Staleness time.Duration
-	Writes    []Write
-	Reads     []Read
-	Visits    []Visit
-	Cuts      []Cut
-	Stops     []Stop
-	// Strange are answers that no request should get.
-	Strange []string
+	Staleness           time.Duration
+	Writes              []Write
+	Reads               []Read
+	ConfigurationProbes []ConfigurationProbe
+	Disconnects         []Disconnect
+	Stops               []Stop
+	// UnexpectedAnswers are answers that no request should get.
+	UnexpectedAnswers []string
 }
 
 // cutSlack is how long after a request was sent its host may not have read it yet.
@@ -103,7 +103,7 @@
 // Check returns the promises that were broken, none if all held.
 func Check(h *History, t replicator.Truth) []string {
 	c := &check{history: h, truth: t}
-	c.broken = append(append(c.broken, t.Broken...), h.Strange...)
+	c.broken = append(append(c.broken, t.Violations...), h.UnexpectedAnswers...)
 	c.writes()
 	c.doubled()
 	for _, r := range h.Reads {
@@ -158,7 +158,7 @@
 			continue
 		}
 		age := c.history.Staleness
-		if r.Freshness == FreshnessEvery || r.Freshness == FreshnessOwn && r.Session == w.Session {
+		if r.Freshness == FreshnessLatest || r.Freshness == FreshnessReadYourWrites && r.Session == w.Session {
 			age = 0
 		}
 		if w.Answered.Before(r.Sent.Add(-age)) {
@@ -177,16 +177,16 @@
 // visits looks for a process that went back to an older configuration.
 func (c *check) visits() {
 	found := make(map[life]time.Time)
-	for _, v := range c.history.Visits {
-		k := life{host: v.Host, life: v.Life, version: v.Version}
+	for _, v := range c.history.ConfigurationProbes {
+		k := life{host: v.Host, life: v.Incarnation, version: v.Version}
 		if f, ok := found[k]; v.Found && (!ok || v.Answered.Before(f)) {
 			found[k] = v.Answered
 		}
 	}
-	for _, v := range c.history.Visits {
-		f, ok := found[life{host: v.Host, life: v.Life, version: v.Version}]
+	for _, v := range c.history.ConfigurationProbes {
+		f, ok := found[life{host: v.Host, life: v.Incarnation, version: v.Version}]
 		if !v.Found && ok && f.Before(v.Sent) {
-			c.note("reverted: %s (process %d) served version %d and %v later didn't", v.Host, v.Life, v.Version, v.Sent.Sub(f))
+			c.note("reverted: %s (process %d) served version %d and %v later didn't", v.Host, v.Incarnation, v.Version, v.Sent.Sub(f))
 		}
 	}
 }
@@ -194,10 +194,10 @@
 // stops looks for requests that a planned stop cut off.
 func (c *check) stops() {
 	for _, s := range c.history.Stops {
-		if !s.Calm {
+		if !s.Undisturbed {
 			continue
 		}
-		for _, x := range c.history.Cuts {
+		for _, x := range c.history.Disconnects {
 			within := x.Ended.After(s.At) && x.Ended.Before(s.At.Add(s.Grace))
 			if x.Host == s.Host && within && x.Ended.Sub(x.Sent) > cutSlack {
 				c.note("cut off: %s waited %v at %s, which was stopped as planned", x.ID, x.Ended.Sub(x.Sent), x.Host)
--- a/internal/soak/planner/planner.go
+++ b/internal/soak/planner/planner.go
@@ -55,15 +55,15 @@
 // Fault is one thing that goes wrong.
 type Fault struct {
 	Kind Kind
-	// At is from the start, For how long it lasts.
-	At, For time.Duration
+	// At is from the start, Duration how long it lasts.
+	At, Duration time.Duration
 	// Target picks the host, group or server, by its remainder.
 	Target int
 }
 
 // String tells the fault in one line.
 func (f Fault) String() string {
-	return fmt.Sprintf("%v %s for %v, target %d", f.At, f.Kind, f.For, f.Target)
+	return fmt.Sprintf("%v %s for %v, target %d", f.At, f.Kind, f.Duration, f.Target)
 }
 
 const (
@@ -90,7 +90,7 @@
 }
 
 func draw(r *rand.Rand, at time.Duration) Fault {
-	return Fault{Kind: Kind(r.IntN(int(kinds))), At: at, For: shortest + rand64(r, longest-shortest), Target: r.IntN(1 << 16)}
+	return Fault{Kind: Kind(r.IntN(int(kinds))), At: at, Duration: shortest + rand64(r, longest-shortest), Target: r.IntN(1 << 16)}
 }
 
 // rand64 returns a time below d.
--- a/internal/soak/planner/planner_test.go
+++ b/internal/soak/planner/planner_test.go
@@ -19,7 +19,7 @@
 		}
 		for _, f := range p {
 			seen[f.Kind] = true
-			if f.At < quiet || f.For < shortest || f.For > longest {
+			if f.At < quiet || f.Duration < shortest || f.Duration > longest {
 				t.Errorf("seed %d: %v", seed, f)
 			}
 		}
--- a/internal/soak/replicator/replicator.go
+++ b/internal/soak/replicator/replicator.go
@@ -42,7 +42,7 @@
 
 	mu      sync.Mutex
 	servers []*Server
-	leader  *Server
+	primary *Server
 	// token is the highest fencing token that was seen.
 	token uint64
 	// commits counts how often each write took effect, dropped are those that a promotion
@@ -52,16 +52,16 @@
 	broken  []string
 }
 
-// ErrRefused is an order that can't be carried out.
-const ErrRefused = errors.ConstError("promotion refused")
+// ErrPromotionRefused is an order that can't be carried out.
+const ErrPromotionRefused = errors.ConstError("promotion refused")
 
 // Add makes a server; the first one leads.
 func (g *Group) Add(id, zone string) *Server {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := &Server{ID: id, Zone: zone, term: 1}
-	if g.leader == nil {
-		g.leader = s
+	if g.primary == nil {
+		g.primary = s
 		g.commits, g.dropped = make(map[string]int), make(map[string]bool)
 	}
 	g.servers = append(g.servers, s)
@@ -87,20 +87,20 @@
 	s.address = address
 }
 
-// Leader returns the server that leads.
-func (g *Group) Leader() *Server {
+// Primary returns the server that leads.
+func (g *Group) Primary() *Server {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.leader
+	return g.primary
 }
 
-// State is what is wrong with a server.
-type State struct {
+// ServerFault is what is wrong with a server.
+type ServerFault struct {
 	Down, Mute, Deaf bool
 }
 
-// Break sets what is wrong with a server, the zero value for nothing.
-func (g *Group) Break(s *Server, x State) {
+// SetFault sets what is wrong with a server, the zero value for nothing.
+func (g *Group) SetFault(s *Server, x ServerFault) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s.down, s.mute, s.deaf = x.Down, x.Mute, x.Deaf
@@ -112,11 +112,11 @@
 	i := slices.IndexFunc(g.servers, func(s *Server) bool { return s.ID == id })
 	if i < 0 || g.servers[i].down || token < g.token {
 		g.mu.Unlock()
-		return errors.Annotatef(ErrRefused, "%s with token %d after %d", id, token, g.token)
+		return errors.Annotatef(ErrPromotionRefused, "%s with token %d after %d", id, token, g.token)
 	}
 	g.token = token
 	s := g.servers[i]
-	same := s == g.leader
+	same := s == g.primary
 	g.mu.Unlock()
 	if same {
 		return nil
@@ -130,7 +130,7 @@
 
 // lead makes s the leader. What it lacks is dropped. The mutex is held.
 func (g *Group) lead(s *Server) {
-	term := g.leader.term + 1
+	term := g.primary.term + 1
 	for _, o := range g.servers {
 		for _, r := range o.log {
 			if !slices.Contains(s.log, r) {
@@ -140,7 +140,7 @@
 		o.log = common(o.log, s.log)
 	}
 	s.term = term
-	g.leader = s
+	g.primary = s
 }
 
 // common returns the part of l that is at the start of k as well.
@@ -158,7 +158,7 @@
 	defer t.Stop()
 	for {
 		g.mu.Lock()
-		term, n, l := g.leader.term, len(g.leader.log), g.leader
+		term, n, l := g.primary.term, len(g.primary.log), g.primary
 		g.mu.Unlock()
 		select {
 		case <-done:
@@ -166,7 +166,7 @@
 		case <-t.C:
 		}
 		g.mu.Lock()
-		if l == g.leader && term == l.term && !l.down {
+		if l == g.primary && term == l.term && !l.down {
 			for _, s := range g.servers {
 				if s != l && !s.down && !s.deaf {
 					s.term, s.log = term, slices.Clone(l.log[:min(n, len(l.log))])
@@ -190,15 +190,15 @@
 	Commits map[string]int
 	// Dropped are the writes that a promotion rolled back.
 	Dropped map[string]bool
-	// Broken are the promises that were broken at a server.
-	Broken []string
+	// Violations are the promises that were broken at a server.
+	Violations []string
 }
 
 // Truth returns a copy of what the group holds.
 func (g *Group) Truth() Truth {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	t := Truth{Log: slices.Clone(g.leader.log), Commits: make(map[string]int), Dropped: make(map[string]bool), Broken: slices.Clone(g.broken)}
+	t := Truth{Log: slices.Clone(g.primary.log), Commits: make(map[string]int), Dropped: make(map[string]bool), Violations: slices.Clone(g.broken)}
 	for k, v := range g.commits {
 		t.Commits[k] = v
 	}
@@ -224,7 +224,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	role := "replica"
-	if s == g.leader {
+	if s == g.primary {
 		role = "primary"
 	}
 	return entry{Backend: g.Name, Address: s.address, Zone: s.Zone, Capacity: slots, State: "ready", Role: role, Sequence: 1}, !s.down
--- a/internal/soak/replicator/responder.go
+++ b/internal/soak/replicator/responder.go
@@ -248,7 +248,7 @@
 		return done(id, "")
 	case "BEGIN":
 		plain := len(f) == 1
-		if plain && g.leader != s {
+		if plain && g.primary != s {
 			return refuse("READONLY")
 		}
 		c.open, c.plain, c.term, c.owner = true, plain, s.term, ""
@@ -265,7 +265,7 @@
 // status is the row that a server tells of itself. The group's mutex is held.
 func (c *connection) status() string {
 	s, role := c.responder.Server, "replica"
-	if c.responder.Group.leader == s {
+	if c.responder.Group.primary == s {
 		role = "primary"
 	}
 	return fmt.Sprintf("%s %d %s 0 0 0 %d", role, s.term, s.position(), c.responder.count())
@@ -303,7 +303,7 @@
 		kind, _, _ := strings.Cut(p, " ")
 		f = append([]string{kind}, f[2:]...)
 	}
-	deposed := c.open && c.plain && (g.leader != s || s.term != c.term)
+	deposed := c.open && c.plain && (g.primary != s || s.term != c.term)
 	switch f[0] {
 	case "READ":
 		if deposed {
@@ -311,7 +311,7 @@
 		}
 		return done(id, fmt.Sprintf("ROW %d\r\n", s.latest(f[1], c.written)))
 	case "WRITE":
-		if deposed || g.leader != s {
+		if deposed || g.primary != s {
 			return c.fail("READONLY")
 		}
 		r := Record{Term: s.term, ID: id, Item: f[1]}
@@ -340,7 +340,7 @@
 // commit appends to the leader's log. The mutex is held.
 func (g *Group) commit(l []Record) {
 	for _, r := range l {
-		g.leader.log = append(g.leader.log, r)
+		g.primary.log = append(g.primary.log, r)
 		g.commits[r.ID]++
 	}
 }
--- a/internal/soak/runner/deployment_test.go
+++ b/internal/soak/runner/deployment_test.go
@@ -35,7 +35,7 @@
 )
 
 // freshness is that of the databases by their name's beginning.
-var freshness = map[string]checker.Freshness{"every": checker.FreshnessEvery, "age": checker.FreshnessAge, "own": checker.FreshnessOwn}
+var freshness = map[string]checker.Freshness{"every": checker.FreshnessLatest, "age": checker.FreshnessBoundedStaleness, "own": checker.FreshnessReadYourWrites}
 
 // kinds are the words of the same in the configuration.
 var kinds = map[string]string{"every": "primary", "age": "bounded_staleness", "own": "read_your_writes"}
@@ -142,8 +142,8 @@
 		}
 		changed := n%int(beat/step) == 0
 		for i, g := range d.groups {
-			changed = changed || g.Leader() != leaders[i]
-			leaders[i] = g.Leader()
+			changed = changed || g.Primary() != leaders[i]
+			leaders[i] = g.Primary()
 		}
 		if !changed {
 			continue
@@ -153,7 +153,7 @@
 				_ = d.store.Renew("servers", s.Server.ID, e)
 			}
 		}
-		d.store.Lapse("servers")
+		d.store.RemoveExpired("servers")
 	}
 }
 
@@ -249,7 +249,7 @@
 		return err
 	}
 	d.network.Locate(l.Addr().String(), disturber.Place{AvailabilityZone: "store", Region: "one"})
-	s := &http.Server{Handler: storekeeper.View{Store: d.store, Address: (&way{network: d.network, from: h.place}).to}, ReadHeaderTimeout: time.Minute}
+	s := &http.Server{Handler: storekeeper.Handler{Store: d.store, RewriteAddress: (&way{network: d.network, from: h.place}).to}, ReadHeaderTimeout: time.Minute}
 	go (&service{server: s, listener: l}).run()
 	store, err := d.network.Proxy(h.place, l.Addr().String())
 	if err != nil {
--- a/internal/soak/runner/faults_test.go
+++ b/internal/soak/runner/faults_test.go
@@ -78,20 +78,20 @@
 	case planner.KindKill:
 		h.signal(syscall.SIGKILL)
 		h.await(time.Minute)
-		time.Sleep(x.fault.For)
+		time.Sleep(x.fault.Duration)
 		x.trouble.restart(h)
 	case planner.KindStop:
 		h.signal(syscall.SIGTERM)
 		x.trouble.stopped(h, began)
-		time.Sleep(x.fault.For / 4)
+		time.Sleep(x.fault.Duration / 4)
 		x.trouble.restart(h)
 	case planner.KindPause:
 		h.signal(syscall.SIGSTOP)
-		time.Sleep(x.fault.For)
+		time.Sleep(x.fault.Duration)
 		h.signal(syscall.SIGCONT)
 	case planner.KindIsolate:
 		n.Isolate(h.Name, disturber.ButForCallers)
-		time.Sleep(x.fault.For)
+		time.Sleep(x.fault.Duration)
 		n.Isolate(h.Name, disturber.Joined)
 	case planner.KindSilence:
 		n.Silence(h.Name, "store")
@@ -136,7 +136,7 @@
 		return l[x.fault.Target/groups%servers]
 	}
 	for _, s := range l {
-		if (s.Server == g.Leader()) == (x.fault.Kind == planner.KindPrimaryCrash) {
+		if (s.Server == g.Primary()) == (x.fault.Kind == planner.KindPrimaryCrash) {
 			return s
 		}
 	}
@@ -148,21 +148,21 @@
 	g := s.Group
 	switch x.fault.Kind {
 	case planner.KindPrimaryCrash:
-		g.Break(s.Server, replicator.State{Down: true})
+		g.SetFault(s.Server, replicator.ServerFault{Down: true})
 		s.Close()
-		time.Sleep(x.fault.For)
+		time.Sleep(x.fault.Duration)
 		if err := s.Open(""); err != nil {
 			x.trouble.fail("start: " + err.Error())
 		}
-		g.Break(s.Server, replicator.State{})
+		g.SetFault(s.Server, replicator.ServerFault{})
 	case planner.KindServerMute:
-		g.Break(s.Server, replicator.State{Mute: true})
-		time.Sleep(x.fault.For)
-		g.Break(s.Server, replicator.State{})
+		g.SetFault(s.Server, replicator.ServerFault{Mute: true})
+		time.Sleep(x.fault.Duration)
+		g.SetFault(s.Server, replicator.ServerFault{})
 	case planner.KindReplicaDeaf:
-		g.Break(s.Server, replicator.State{Deaf: true})
-		time.Sleep(x.fault.For)
-		g.Break(s.Server, replicator.State{})
+		g.SetFault(s.Server, replicator.ServerFault{Deaf: true})
+		time.Sleep(x.fault.Duration)
+		g.SetFault(s.Server, replicator.ServerFault{})
 	case planner.KindServerSilence:
 		s.Silence()
 	}
@@ -172,31 +172,31 @@
 	defer x.note(time.Now())
 	s := x.trouble.deployment.store
 	if x.fault.Kind == planner.KindStoreForgets {
-		s.Forget()
+		s.DropHistory()
 		return
 	}
-	s.Break(storeFaults[x.fault.Kind])
-	time.Sleep(x.fault.For)
-	s.Break(storekeeper.Fault{})
+	s.SetFault(storeFaults[x.fault.Kind])
+	time.Sleep(x.fault.Duration)
+	s.SetFault(storekeeper.Fault{})
 }
 
 var storeFaults = map[planner.Kind]storekeeper.Fault{
-	planner.KindStoreSilent: {Way: storekeeper.WaySilent},
-	planner.KindStoreBusy:   {Way: storekeeper.WayBusy},
-	planner.KindStoreReset:  {Way: storekeeper.WayReset},
+	planner.KindStoreSilent: {Mode: storekeeper.ModeSilent},
+	planner.KindStoreBusy:   {Mode: storekeeper.ModeBusy},
+	planner.KindStoreReset:  {Mode: storekeeper.ModeReset},
 	planner.KindStoreSlow:   {Delay: 250 * time.Millisecond},
-	planner.KindStoreLoses:  {Lost: 400},
+	planner.KindStoreLoses:  {LostAnswersPerMille: 400},
 }
 
 // calm marks the planned stops beside which nothing else was wrong.
 func (t *trouble) calm() []checker.Stop {
 	l := t.stops
 	for i, s := range l {
-		l[i].Calm = true
+		l[i].Undisturbed = true
 		for _, x := range t.spans {
 			same := x.fault.Kind == planner.KindStop && x.began.Equal(s.At)
 			if !same && x.began.Before(s.At.Add(s.Grace)) && x.end.After(s.At.Add(-contact)) {
-				l[i].Calm = false
+				l[i].Undisturbed = false
 			}
 		}
 	}
--- a/internal/soak/runner/soak_test.go
+++ b/internal/soak/runner/soak_test.go
@@ -131,13 +131,13 @@
 			outcomes[w.Outcome]++
 		}
 		reads += len(h.Reads)
-		visits += len(h.Visits)
-		cuts += len(h.Cuts)
+		visits += len(h.ConfigurationProbes)
+		cuts += len(h.Disconnects)
 		dropped += len(s.deployment.groups[i].Truth().Dropped)
 	}
 	calm := 0
 	for _, x := range s.trouble.calm() {
-		if x.Calm {
+		if x.Undisturbed {
 			calm++
 		}
 	}
@@ -228,7 +228,7 @@
 			continue
 		}
 		x := d.databases[w.random.IntN(len(d.databases))]
-		w.soak.session(h, x, w.random).Work(1 + w.random.IntN(8))
+		w.soak.session(h, x, w.random).Run(1 + w.random.IntN(8))
 	}
 }
 
@@ -264,11 +264,11 @@
 	n := 1 + v.random.Int64N(v.soak.deployment.version.Load())
 	c := &caller.Session{Name: "v", Host: v.host.Host, Database: extra(n), Random: v.random}
 	defer c.Close()
-	x := checker.Visit{Host: v.host.Name, Life: v.host.lives(), Version: int(n), Sent: time.Now()}
+	x := checker.ConfigurationProbe{Host: v.host.Name, Incarnation: v.host.lives(), Version: int(n), Sent: time.Now()}
 	found, err := c.Open()
 	x.Found, x.Answered = found, time.Now()
-	if err != nil || v.host.lives() != x.Life {
+	if err != nil || v.host.lives() != x.Incarnation {
 		return
 	}
-	v.soak.deployment.recorders[0].Note(func(h *checker.History) { h.Visits = append(h.Visits, x) })
+	v.soak.deployment.recorders[0].Update(func(h *checker.History) { h.ConfigurationProbes = append(h.ConfigurationProbes, x) })
 }
--- a/internal/soak/storekeeper/handler.go
+++ b/internal/soak/storekeeper/handler.go
@@ -12,26 +12,26 @@
 // maximumBody bounds a call's body, in bytes.
 const maximumBody = 1 << 20
 
-// View is the store as one entry host reaches it.
-type View struct {
+// Handler is the store as one entry host reaches it.
+type Handler struct {
 	Store *Store
-	// Address returns the way from this host to an address that an object names, so that a
+	// RewriteAddress returns the way from this host to an address that an object names, so that a
 	// fault on one host's way is that host's alone. Addresses stay as they are if it is nil.
-	Address func(address string) string
+	RewriteAddress func(address string) string
 }
 
 // ServeHTTP answers one call.
-func (v View) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (v Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f := v.Store.broken()
 	time.Sleep(f.Delay)
-	switch f.Way {
-	case WaySilent:
+	switch f.Mode {
+	case ModeSilent:
 		<-r.Context().Done()
 		return
-	case WayBusy:
+	case ModeBusy:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case WayReset:
+	case ModeReset:
 		panic(http.ErrAbortHandler)
 	}
 	if r.URL.Path == "/promote" {
@@ -73,8 +73,8 @@
 }
 
 // translate replaces the address that an object names by this host's way to it.
-func (v View) translate(o object) object {
-	if v.Address == nil {
+func (v Handler) translate(o object) object {
+	if v.RewriteAddress == nil {
 		return o
 	}
 	var spec map[string]any
@@ -85,14 +85,14 @@
 	if !ok {
 		return o
 	}
-	spec["address"] = v.Address(a)
+	spec["address"] = v.RewriteAddress(a)
 	if b, err := json.Marshal(spec); err == nil {
 		o.Spec = b
 	}
 	return o
 }
 
-func (v View) get(w http.ResponseWriter, kind, name string) {
+func (v Handler) get(w http.ResponseWriter, kind, name string) {
 	o, ok := v.Store.get(kind, name)
 	if !ok {
 		w.WriteHeader(http.StatusNotFound)
@@ -101,7 +101,7 @@
 	answer(w, http.StatusOK, v.translate(o))
 }
 
-func (v View) watch(w http.ResponseWriter, r *http.Request, kind string) {
+func (v Handler) watch(w http.ResponseWriter, r *http.Request, kind string) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("watch"), 10, 64)
 	ms, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	t := time.NewTimer(time.Duration(ms) * time.Millisecond)
@@ -130,7 +130,7 @@
 }
 
 // change creates, replaces or deletes one object.
-func (v View) change(w http.ResponseWriter, r *http.Request, kind, name string) {
+func (v Handler) change(w http.ResponseWriter, r *http.Request, kind, name string) {
 	b, err := io.ReadAll(io.LimitReader(r.Body, maximumBody))
 	if err != nil {
 		return
@@ -177,7 +177,7 @@
 	ID      string `json:"id"`
 }
 
-func (v View) promote(w http.ResponseWriter, r *http.Request) {
+func (v Handler) promote(w http.ResponseWriter, r *http.Request) {
 	var o order
 	if json.NewDecoder(io.LimitReader(r.Body, maximumBody)).Decode(&o) != nil {
 		w.WriteHeader(http.StatusBadRequest)
--- a/internal/soak/storekeeper/storekeeper.go
+++ b/internal/soak/storekeeper/storekeeper.go
@@ -10,28 +10,28 @@
 	"time"
 )
 
-// Way is how a store doesn't answer.
-type Way uint8
+// Mode is how a store doesn't answer.
+type Mode uint8
 
 // Ways.
 const (
-	// WayUp is a store that answers.
-	WayUp Way = iota
-	// WaySilent takes calls and never answers.
-	WaySilent
-	// WayBusy answers 503.
-	WayBusy
-	// WayReset breaks connections off.
-	WayReset
+	// ModeNormal is a store that answers.
+	ModeNormal Mode = iota
+	// ModeSilent takes calls and never answers.
+	ModeSilent
+	// ModeBusy answers 503.
+	ModeBusy
+	// ModeReset breaks connections off.
+	ModeReset
 )
 
 // Fault is what is wrong with the store.
 type Fault struct {
-	Way Way
+	Mode Mode
 	// Delay is added to each answer.
 	Delay time.Duration
-	// Lost is how many of a thousand writes are done and not answered.
-	Lost int
+	// LostAnswersPerMille is how many of a thousand writes are done and not answered.
+	LostAnswersPerMille int
 }
 
 // lapse is how long an entry of a server is kept that isn't renewed.
@@ -73,8 +73,8 @@
 	writes  int
 }
 
-// Break sets what is wrong with the store, the zero value for nothing.
-func (s *Store) Break(f Fault) {
+// SetFault sets what is wrong with the store, the zero value for nothing.
+func (s *Store) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
@@ -104,7 +104,7 @@
 // Renew is Put for an entry that lapses unless it is renewed. A store that doesn't answer
 // takes no renewal.
 func (s *Store) Renew(kind, name string, spec any) error {
-	if s.broken().Way != WayUp {
+	if s.broken().Mode != ModeNormal {
 		return nil
 	}
 	if _, err := s.Put(kind, name, spec); err != nil {
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// Lapse removes the entries of the kind that weren't renewed in time.
-func (s *Store) Lapse(kind string) {
+// RemoveExpired removes the entries of the kind that weren't renewed in time.
+func (s *Store) RemoveExpired(kind string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for n := range s.kinds[kind] {
@@ -130,8 +130,8 @@
 	}
 }
 
-// Forget drops the history, as a store may at any time.
-func (s *Store) Forget() {
+// DropHistory drops the history, as a store may at any time.
+func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events, s.floor = nil, s.revision
@@ -221,5 +221,5 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.writes++
-	return s.fault.Lost > 0 && s.writes*s.fault.Lost%1000 < s.fault.Lost
+	return s.fault.LostAnswersPerMille > 0 && s.writes*s.fault.LostAnswersPerMille%1000 < s.fault.LostAnswersPerMille
 }
