--- a/internal/demo/presenter/presenter.go
+++ b/internal/demo/presenter/presenter.go
@@ -1,4 +1,5 @@
-// Package presenter runs the demo: a platform stand-in, one database group of three backend servers and three entry hosts in one process.
+// Package presenter runs the demo: a platform stand-in, one database group of three backend
+// servers and three entry hosts in one process.
 package presenter
 
 import (
@@ -19,45 +20,47 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// database is the demo's database group.
+// database names the demo's database group, its service and the database that callers open.
 const database = "demo"
 
-// markKeyBytes is the size of the demo's signing key.
+// markKeyBytes is the size of the random key that signs session marks.
 const markKeyBytes = 32
 
-// logQueueBytes bounds the log lines that wait to be written.
+// logQueueBytes is the maximum size of the queue of log lines that are not written yet.
 const logQueueBytes = 4 << 20
 
-// Sizes of the demo's backend servers, those of the smaller deployment.
-var pattern = deployer.ServerTemplate{
+// serverTemplate sizes the demo's backend servers as in the smaller deployment.
+var serverTemplate = deployer.ServerTemplate{
 	Slots:       3,
 	Connections: 40,
 	ConnectTime: 10 * time.Millisecond,
 }
 
-// Presenter is one demo. The exported fields are set before Run.
+// Presenter runs one demo deployment. The exported fields are set before Run.
 type Presenter struct {
-	// Output gets a line for each promise, or the addresses with Stay.
+	// Output receives one result line per step of the tour, or the addresses if KeepRunning
+	// is set.
 	Output io.Writer
-	// LogOutput gets the log lines of all entry hosts.
+	// LogOutput receives the log lines of all entry hosts.
 	LogOutput io.Writer
-	// KeepRunning waits for ctx to end instead of taking the tour.
+	// KeepRunning serves until the context of Run ends instead of running the tour.
 	KeepRunning bool
 
 	deployment *deployer.Deployment
 }
 
-// Run runs the demo until ctx ends or the tour is over.
+// Run starts the deployment, runs the tour or serves until ctx ends, and stops the deployment.
+// It returns the first error of these steps or of the log writer.
 func (p *Presenter) Run(ctx context.Context) error {
 	e := &encoder.Encoder{Writer: p.LogOutput, QueueBytes: logQueueBytes, SampleDebug: 1, SampleDecisions: 1}
 	x, stop := context.WithCancel(ctx)
 	defer stop()
-	w := &lines{encoder: e, done: make(chan error, 1)}
+	w := &logWriter{encoder: e, done: make(chan error, 1)}
 	go w.run(x)
 	if err := p.start(ctx, e); err != nil {
 		return err
 	}
-	err := p.present(ctx)
+	err := p.tourOrServe(ctx)
 	if e := p.deployment.Stop(); err == nil {
 		err = e
 	}
@@ -68,16 +71,18 @@
 	return err
 }
 
-// lines writes the log lines.
-type lines struct {
+// logWriter runs the log encoder in a goroutine of its own.
+type logWriter struct {
 	encoder *encoder.Encoder
-	done    chan error
+	// done receives the error with which the encoder ended.
+	done chan error
 }
 
-func (l *lines) run(ctx context.Context) {
+func (l *logWriter) run(ctx context.Context) {
 	l.done <- l.encoder.Run(ctx)
 }
 
+// start starts the deployment, which logs to e.
 func (p *Presenter) start(ctx context.Context, e *encoder.Encoder) error {
 	k := make([]byte, markKeyBytes)
 	if _, err := rand.Read(k); err != nil {
@@ -92,7 +97,7 @@
 		HostsPerPlace: 1,
 		Groups:        []string{database},
 		Service:       database,
-		Server:        pattern,
+		Server:        serverTemplate,
 		Platform:      new(storekeeper.Store),
 		Marks:         &signer.Signer{Deployment: "demo", Keys: []signer.Key{{ID: 1, Secret: k}}},
 		LogEncoder:    e,
@@ -101,7 +106,9 @@
 	return p.deployment.Start(ctx)
 }
 
-func (p *Presenter) present(ctx context.Context) error {
+// tourOrServe runs the tour, or prints the addresses and waits for the end of ctx if KeepRunning
+// is set.
+func (p *Presenter) tourOrServe(ctx context.Context) error {
 	if !p.KeepRunning {
 		t := &tourist.Tourist{Database: database, Environment: p, Output: p.Output}
 		return t.Run(ctx)
@@ -118,7 +125,7 @@
 	_, _ = fmt.Fprintf(p.Output, format, a...)
 }
 
-// Addresses implements tourist.Surroundings.
+// Addresses implements tourist.Environment.
 func (p *Presenter) Addresses() []string {
 	var a []string
 	for _, h := range p.deployment.Hosts {
@@ -127,7 +134,7 @@
 	return a
 }
 
-// CrashPrimary implements tourist.Surroundings.
+// CrashPrimary implements tourist.Environment.
 func (p *Presenter) CrashPrimary(ctx context.Context) error {
 	v, err := p.deployment.Hosts[0].Director().Runtime().Groups[database].Driver.WaitPrimary(ctx)
 	if err != nil {
@@ -142,7 +149,8 @@
 	return errors.NotFoundf("backend server %s", v.Primary)
 }
 
-// Apply implements tourist.Surroundings.
+// Apply implements tourist.Environment. It adds a routing rule and checks that each entry host
+// uses the new revision.
 func (p *Presenter) Apply(ctx context.Context) error {
 	f := *p.deployment.File
 	f.RoutingRules = []file.RoutingRule{{Name: "reviews", Match: file.Match{Tag: "review"}, MaximumAge: reviewAge}}
@@ -158,16 +166,16 @@
 	return nil
 }
 
-// reviewAge is how old the data of the rule may be that the tour applies.
+// reviewAge is the maximum age of data that the routing rule of the tour allows.
 const reviewAge = 5 * time.Second
 
-// Drain implements tourist.Surroundings.
+// Drain implements tourist.Environment.
 func (p *Presenter) Drain(_ context.Context, i int) error {
 	p.deployment.Drain(i)
 	return nil
 }
 
-// AwaitStopped implements tourist.Surroundings.
+// AwaitStopped implements tourist.Environment.
 func (p *Presenter) AwaitStopped(ctx context.Context, i int) error {
 	return p.deployment.AwaitStopped(ctx, i)
 }
