--- a/internal/soak/checker/checker.go
+++ b/internal/soak/checker/checker.go
@@ -1,5 +1,5 @@
-// Package checker compares what callers were told with what the group holds at the end. It
-// shares no code with the product.
+// Package checker compares the answers that callers received with the final state of the database
+// group. It shares no code with the product.
 package checker
 
 import (
@@ -9,42 +9,44 @@
 	"github.com/cuminwick/cuminwick/internal/soak/replicator"
 )
 
-// Outcome is what a caller was told of a write.
+// Outcome is the result of a write according to the answer that its caller received.
 type Outcome uint8
 
 // Outcomes.
 const (
-	// OutcomeUnknown says nothing.
+	// OutcomeUnknown is a write without an answer, or whose answer leaves open whether it ran.
 	OutcomeUnknown Outcome = iota
-	// OutcomeRan is a write that took effect.
+	// OutcomeRan is a write that was acknowledged as committed.
 	OutcomeRan
-	// OutcomeNotRun is one that didn't, and never will.
+	// OutcomeNotRun is a write that was reported as not run; it must never take effect.
 	OutcomeNotRun
 )
 
-// Freshness is what a read must see.
+// Freshness states which acknowledged commits a read must see.
 type Freshness uint8
 
-// Freshnesses.
+// Freshness values.
 const (
-	// FreshnessLatest is every acknowledged commit.
+	// FreshnessLatest requires every commit that was acknowledged before the read was sent.
 	FreshnessLatest Freshness = iota
-	// FreshnessBoundedStaleness is each that was acknowledged longer ago than the route's staleness.
+	// FreshnessBoundedStaleness requires the commits that were acknowledged longer than
+	// History.Staleness before the read was sent.
 	FreshnessBoundedStaleness
-	// FreshnessReadYourWrites is FreshnessAge, and each of the session's own.
+	// FreshnessReadYourWrites requires those of FreshnessBoundedStaleness and all commits of the
+	// read's own session.
 	FreshnessReadYourWrites
 )
 
-// Write is one write as its caller saw it.
+// Write is one write with the outcome that its caller received.
 type Write struct {
 	ID, Session, Item string
 	Value             int
 	Outcome           Outcome
-	// Answered is when the caller was told.
+	// Answered is when the caller received the outcome.
 	Answered time.Time
 }
 
-// Read is one read as its caller saw it.
+// Read is one read with the value that its caller received.
 type Read struct {
 	ID, Session, Item string
 	Value             int
@@ -53,105 +55,115 @@
 	Sent time.Time
 }
 
-// ConfigurationProbe is a session's attempt to reach a database that a version of the configuration
-// has added.
+// ConfigurationProbe is a session's attempt to open a database that a version of the configuration
+// added.
 type ConfigurationProbe struct {
-	// Host and Life name one process of an entry host.
+	// Host is the name of the entry host, Incarnation the number of its process.
 	Host        string
 	Incarnation int
-	// Version is that of the configuration which added the database.
+	// Version is the version of the configuration that added the database.
 	Version int
-	Found   bool
-	Sent    time.Time
-	// Answered is when the answer came.
+	// Found reports whether the host served the database.
+	Found bool
+	// Sent is when the session was opened.
+	Sent time.Time
+	// Answered is when the answer was received.
 	Answered time.Time
 }
 
-// Disconnect is a connection that broke while its caller waited for an answer.
+// Disconnect is a connection that broke, or timed out, while its caller waited for an answer.
 type Disconnect struct {
-	Host        string
-	ID          string
+	Host string
+	// ID names the statement.
+	ID string
+	// Sent is when the statement, or the BEGIN of its transaction, was sent, Ended when the
+	// connection broke.
 	Sent, Ended time.Time
 }
 
 // Stop is a planned stop of an entry host.
 type Stop struct {
 	Host string
-	At   time.Time
-	// Grace is how long the process has, and Calm that nothing else was wrong from some
-	// seconds before to its end.
-	Grace       time.Duration
+	// At is when the stop was requested.
+	At time.Time
+	// Grace is the time from the request to the end of the process.
+	Grace time.Duration
+	// Undisturbed reports that no other fault was active shortly before the stop or during it.
 	Undisturbed bool
 }
 
-// History is all that callers saw.
+// History is everything that the callers of one group observed, and the planned stops of the entry
+// hosts.
 type History struct {
-	// Staleness is that of the routes whose reads may be of an age.
+	// Staleness is the maximum staleness of the routes with bounded staleness.
 	Staleness           time.Duration
 	Writes              []Write
 	Reads               []Read
 	ConfigurationProbes []ConfigurationProbe
 	Disconnects         []Disconnect
 	Stops               []Stop
-	// UnexpectedAnswers are answers that no request should get.
+	// UnexpectedAnswers describes answers that do not match their request.
 	UnexpectedAnswers []string
 }
 
-// cutSlack is how long after a request was sent its host may not have read it yet.
-const cutSlack = 200 * time.Millisecond
+// disconnectTolerance is the time after which the host must have read a request that was sent. A
+// connection that breaks earlier is not a request that the planned stop broke off.
+const disconnectTolerance = 200 * time.Millisecond
 
-// Check returns the promises that were broken, none if all held.
+// Check returns one line per violated guarantee, none if all held.
 func Check(h *History, t replicator.Truth) []string {
 	c := &check{history: h, truth: t}
-	c.broken = append(append(c.broken, t.Violations...), h.UnexpectedAnswers...)
+	c.violations = append(append(c.violations, t.Violations...), h.UnexpectedAnswers...)
 	c.writes()
-	c.doubled()
+	c.duplicates()
 	for _, r := range h.Reads {
 		c.read(r)
 	}
-	c.visits()
+	c.configurationProbes()
 	c.stops()
-	return c.broken
+	return c.violations
 }
 
-// check is one comparison.
+// check holds the input and the findings of one call of Check.
 type check struct {
-	history *History
-	truth   replicator.Truth
-	broken  []string
+	history    *History
+	truth      replicator.Truth
+	violations []string
 }
 
-func (c *check) note(format string, a ...any) {
-	c.broken = append(c.broken, fmt.Sprintf(format, a...))
+// report adds a finding.
+func (c *check) report(format string, a ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, a...))
 }
 
-// writes looks for what was lost, and for what took effect though its caller was told
-// that it didn't.
+// writes reports acknowledged writes that were lost, and writes that took effect although they
+// were answered as not run.
 func (c *check) writes() {
-	kept := make(map[string]bool)
+	present := make(map[string]bool)
 	for _, r := range c.truth.Log {
-		kept[r.ID] = true
+		present[r.ID] = true
 	}
 	for _, w := range c.history.Writes {
 		switch {
-		case w.Outcome == OutcomeRan && !kept[w.ID] && !c.truth.Dropped[w.ID]:
-			c.note("lost: %s was acknowledged and isn't there", w.ID)
+		case w.Outcome == OutcomeRan && !present[w.ID] && !c.truth.Dropped[w.ID]:
+			c.report("lost: %s was acknowledged and isn't there", w.ID)
 		case w.Outcome == OutcomeNotRun && c.truth.Commits[w.ID] > 0:
-			c.note("false not-run: %s took effect", w.ID)
+			c.report("false not-run: %s took effect", w.ID)
 		}
 	}
 }
 
-// doubled looks for writes that took effect twice.
-func (c *check) doubled() {
+// duplicates reports writes that took effect more than once.
+func (c *check) duplicates() {
 	for id, n := range c.truth.Commits {
 		if n > 1 {
-			c.note("doubled: %s took effect %d times", id, n)
+			c.report("doubled: %s took effect %d times", id, n)
 		}
 	}
 }
 
-// read looks for a commit that the read should have seen. Values of an item only grow.
+// read reports the commits that the read should have seen and did not. The values of an item only
+// grow, so a read that returned a lower value missed the write.
 func (c *check) read(r Read) {
 	for _, w := range c.history.Writes {
 		if w.Outcome != OutcomeRan || w.Item != r.Item || w.Value <= r.Value || c.truth.Dropped[w.ID] {
@@ -162,36 +174,38 @@
 			age = 0
 		}
 		if w.Answered.Before(r.Sent.Add(-age)) {
-			c.note("stale: %s of %s saw %d, and %s had %d acknowledged %v before", r.ID, r.Item, r.Value, w.ID, w.Value, r.Sent.Sub(w.Answered))
+			c.report("stale: %s of %s saw %d, and %s had %d acknowledged %v before", r.ID, r.Item, r.Value, w.ID, w.Value, r.Sent.Sub(w.Answered))
 		}
 	}
 }
 
-// life is one process of an entry host and one version of the configuration.
-type life struct {
-	host    string
-	life    int
-	version int
+// servedVersion identifies a configuration version at one process of an entry host.
+type servedVersion struct {
+	host        string
+	incarnation int
+	version     int
 }
 
-// visits looks for a process that went back to an older configuration.
-func (c *check) visits() {
-	found := make(map[life]time.Time)
+// configurationProbes reports processes that served a version of the configuration and later did
+// not.
+func (c *check) configurationProbes() {
+	found := make(map[servedVersion]time.Time)
 	for _, v := range c.history.ConfigurationProbes {
-		k := life{host: v.Host, life: v.Incarnation, version: v.Version}
+		k := servedVersion{host: v.Host, incarnation: v.Incarnation, version: v.Version}
 		if f, ok := found[k]; v.Found && (!ok || v.Answered.Before(f)) {
 			found[k] = v.Answered
 		}
 	}
 	for _, v := range c.history.ConfigurationProbes {
-		f, ok := found[life{host: v.Host, life: v.Incarnation, version: v.Version}]
+		f, ok := found[servedVersion{host: v.Host, incarnation: v.Incarnation, version: v.Version}]
 		if !v.Found && ok && f.Before(v.Sent) {
-			c.note("reverted: %s (process %d) served version %d and %v later didn't", v.Host, v.Incarnation, v.Version, v.Sent.Sub(f))
+			c.report("reverted: %s (process %d) served version %d and %v later didn't", v.Host, v.Incarnation, v.Version, v.Sent.Sub(f))
 		}
 	}
 }
 
-// stops looks for requests that a planned stop cut off.
+// stops reports requests that a planned stop broke off. Stops during other faults are skipped, as
+// those break connections too.
 func (c *check) stops() {
 	for _, s := range c.history.Stops {
 		if !s.Undisturbed {
@@ -199,8 +213,8 @@
 		}
 		for _, x := range c.history.Disconnects {
 			within := x.Ended.After(s.At) && x.Ended.Before(s.At.Add(s.Grace))
-			if x.Host == s.Host && within && x.Ended.Sub(x.Sent) > cutSlack {
-				c.note("cut off: %s waited %v at %s, which was stopped as planned", x.ID, x.Ended.Sub(x.Sent), x.Host)
+			if x.Host == s.Host && within && x.Ended.Sub(x.Sent) > disconnectTolerance {
+				c.report("cut off: %s waited %v at %s, which was stopped as planned", x.ID, x.Ended.Sub(x.Sent), x.Host)
 			}
 		}
 	}
