--- a/internal/soak/planner/planner.go
+++ b/internal/soak/planner/planner.go
@@ -1,5 +1,5 @@
-// Package planner makes a plan of faults from a seed: a few at a time, singly and in pairs,
-// at any moment of a soak.
+// Package planner derives the plan of faults of a soak test from a seed: single faults and pairs,
+// spread over the length of the soak.
 package planner
 
 import (
@@ -9,91 +9,101 @@
 	"time"
 )
 
-// Kind is what goes wrong.
+// Kind is a kind of fault.
 type Kind uint8
 
 // Kinds of fault.
 const (
-	// KindKill kills an entry host's process; it is started again.
+	// KindKill kills an entry host's process, which is started again after the fault's duration.
 	KindKill Kind = iota
-	// KindPause stops it for a while; it resumes unaware.
+	// KindPause suspends an entry host's process (SIGSTOP) and resumes it.
 	KindPause
-	// KindStop stops it as planned; it is started again.
+	// KindStop stops an entry host as planned (SIGTERM); it is started again.
 	KindStop
-	// KindIsolate cuts an entry host off from the store and the other hosts.
+	// KindIsolate disconnects an entry host from the store and the other entry hosts.
 	KindIsolate
-	// KindSilence has its open connections to the store and the other hosts go silent.
+	// KindSilence stops all traffic on an entry host's open connections to the store and the other
+	// entry hosts; new connections work.
 	KindSilence
-	// KindStoreSilent, KindStoreBusy and KindStoreReset are a store that doesn't answer.
+	// KindStoreSilent is a store that accepts calls and never answers.
 	KindStoreSilent
+	// KindStoreBusy is a store that answers 503.
 	KindStoreBusy
+	// KindStoreReset is a store that resets the connection of each call.
 	KindStoreReset
-	// KindStoreSlow and KindStoreLoses are one that answers late, or not to each write.
+	// KindStoreSlow is a store that delays each answer.
 	KindStoreSlow
+	// KindStoreLoses is a store that carries out some writes without answering them.
 	KindStoreLoses
-	// KindStoreForgets is one that drops its history.
+	// KindStoreForgets is a store that drops its history of changes.
 	KindStoreForgets
-	// KindPrimaryCrash ends a primary; it comes back with its log.
+	// KindPrimaryCrash crashes a primary, which restarts with its log.
 	KindPrimaryCrash
-	// KindServerMute is a server that takes statements and answers none.
+	// KindServerMute is a backend server that accepts statements and answers none.
 	KindServerMute
-	// KindServerSilence has the open connections to a server go silent.
+	// KindServerSilence stops all answers on the open connections to a backend server; new
+	// connections work.
 	KindServerSilence
-	// KindReplicaDeaf is a replica that receives nothing.
+	// KindReplicaDeaf is a replica that receives no replication.
 	KindReplicaDeaf
-	kinds
+	kindCount
 )
 
+// names holds the name of each Kind, in the order of the constants.
 var names = [...]string{
 	"kill", "pause", "stop", "isolate", "silence", "store-silent", "store-busy", "store-reset", "store-slow",
 	"store-loses", "store-forgets", "primary-crash", "server-mute", "server-silence", "replica-deaf",
 }
 
-// String returns the kind in kebab case.
+// String returns the kind's name in kebab case.
 func (k Kind) String() string { return names[k] }
 
-// Fault is one thing that goes wrong.
+// Fault is one planned fault.
 type Fault struct {
 	Kind Kind
-	// At is from the start, Duration how long it lasts.
+	// At is the time of the fault since the start of the soak, Duration how long it lasts.
 	At, Duration time.Duration
-	// Target picks the host, group or server, by its remainder.
+	// Target selects the host, group or server: its remainder modulo their number is the index.
 	Target int
 }
 
-// String tells the fault in one line.
+// String describes the fault in one line.
 func (f Fault) String() string {
 	return fmt.Sprintf("%v %s for %v, target %d", f.At, f.Kind, f.Duration, f.Target)
 }
 
 const (
-	// quiet is the time before the first fault, apart the least between two steps.
-	quiet = 1500 * time.Millisecond
-	apart = 1200 * time.Millisecond
-	// shortest and longest bound a fault.
-	shortest = 300 * time.Millisecond
-	longest  = 4 * time.Second
+	// firstFault is the time before the first fault.
+	firstFault = 1500 * time.Millisecond
+	// minimumInterval is the minimum time between two steps of a plan, each a fault or a pair of
+	// faults; the maximum is twice that.
+	minimumInterval = 1200 * time.Millisecond
+	// minimumDuration and maximumDuration are the bounds of a fault's duration.
+	minimumDuration = 300 * time.Millisecond
+	maximumDuration = 4 * time.Second
 )
 
-// Plan returns the faults of a soak of the length, in order. Half of them come in pairs.
+// Plan returns the faults of a soak of the given length, in order of time. The same seed and length
+// give the same plan. Half of the steps are pairs of faults.
 func Plan(seed uint64, length time.Duration) []Fault {
 	r := rand.New(rand.NewPCG(seed, 0))
 	var l []Fault
-	for at := quiet; at < length; at += apart + rand64(r, apart) {
-		l = append(l, draw(r, at))
+	for at := firstFault; at < length; at += minimumInterval + randomDuration(r, minimumInterval) {
+		l = append(l, randomFault(r, at))
 		if r.IntN(2) == 0 {
-			l = append(l, draw(r, at+rand64(r, apart)))
+			l = append(l, randomFault(r, at+randomDuration(r, minimumInterval)))
 		}
 	}
 	slices.SortStableFunc(l, func(a, b Fault) int { return int(a.At - b.At) })
 	return l
 }
 
-func draw(r *rand.Rand, at time.Duration) Fault {
-	return Fault{Kind: Kind(r.IntN(int(kinds))), At: at, Duration: shortest + rand64(r, longest-shortest), Target: r.IntN(1 << 16)}
+// randomFault returns a fault of random kind, duration and target.
+func randomFault(r *rand.Rand, at time.Duration) Fault {
+	return Fault{Kind: Kind(r.IntN(int(kindCount))), At: at, Duration: minimumDuration + randomDuration(r, maximumDuration-minimumDuration), Target: r.IntN(1 << 16)}
 }
 
-// rand64 returns a time below d.
-func rand64(r *rand.Rand, d time.Duration) time.Duration {
+// randomDuration returns a random duration below d, in whole milliseconds.
+func randomDuration(r *rand.Rand, d time.Duration) time.Duration {
 	return time.Duration(r.Int64N(int64(d))).Truncate(time.Millisecond)
 }
