--- a/internal/soak/checker/checker_test.go
+++ b/internal/soak/checker/checker_test.go
@@ -52,7 +52,7 @@
 		"answered not run and committed":         {history: History{Writes: []Write{{ID: "a", Outcome: OutcomeNotRun}}}, truth: committed("a"), want: "false not-run: a"},
 		"answered not run and committed twice":   {history: History{Writes: []Write{{ID: "a", Outcome: OutcomeNotRun}}}, truth: twice, want: "false not-run: a"},
 		"unknown and committed":                  {history: History{Writes: []Write{{ID: "a"}}}, truth: committed("a")},
-		"committed twice":                        {truth: twice, want: "doubled: a"},
+		"twice":                                  {truth: twice, want: "doubled: a"},
 		"sees every commit":                      {history: History{Writes: []Write{acknowledged("a", "s", 1, 0)}, Reads: read(FreshnessLatest, "o", 1, 5)}, truth: committed("a")},
 		"misses a commit":                        {history: History{Writes: []Write{acknowledged("a", "s", 1, 0)}, Reads: read(FreshnessLatest, "o", 0, 5)}, truth: committed("a"), want: "stale: r"},
 		"misses a commit acknowledged later":     {history: History{Writes: []Write{acknowledged("a", "s", 1, 9)}, Reads: read(FreshnessLatest, "o", 0, 5)}, truth: committed("a")},
