--- a/internal/soak/caller/caller.go
+++ b/internal/soak/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller drives sessions at entry hosts as applications do: short ones, many of
-// which leave in the middle of what they asked for, and writes down what it was told.
+// Package caller runs short sessions at entry hosts as applications do, some of which disconnect
+// without waiting for an answer, and records what they observed for the checker.
 package caller
 
 import (
@@ -18,73 +18,84 @@
 )
 
 const (
-	// dialTimeout and answerTimeout bound what a caller waits for.
+	// dialTimeout and answerTimeout are the maximum times that a caller waits.
 	dialTimeout   = 2 * time.Second
 	answerTimeout = 8 * time.Second
-	// items is how many things are written and read in each group: few, so that sessions
-	// meet at them.
+	// items is the number of distinct items that are written and read in each group: few, so that
+	// sessions use the same ones at the same time.
 	items = 4
-	// thinking bounds the pause inside a transaction, in milliseconds.
-	thinking = 300
-	// leaving is how many of a hundred statements their callers don't wait for.
-	leaving = 10
+	// maximumThinkTimeMilliseconds is the maximum pause between the statements of a transaction.
+	maximumThinkTimeMilliseconds = 300
+	// disconnectPercent is the share of statements after which the caller disconnects without
+	// waiting for the answer.
+	disconnectPercent = 10
 )
 
-// Recorder gathers what the callers of one group saw.
+// Recorder collects the history of the callers of one group.
 type Recorder struct {
 	mu      sync.Mutex
 	history checker.History
-	value   atomic.Int64
+	// value is the last value that nextValue returned.
+	value atomic.Int64
 }
 
-// Update adds to the history under its lock.
+// Update calls f with the history while it holds the recorder's lock.
 func (r *Recorder) Update(f func(h *checker.History)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.history)
 }
 
-// next returns a value that is higher than all before.
-func (r *Recorder) next() int { return int(r.value.Add(1)) }
+// nextValue returns a value higher than all that it returned before. The checker relies on growing
+// values of each item.
+func (r *Recorder) nextValue() int { return int(r.value.Add(1)) }
 
-// Host is an entry host as callers reach it.
+// Host is the name of an entry host and the address at which callers reach it.
 type Host struct {
 	Name    string
 	Address string
 }
 
-// Session is one connection of a caller. Its exported fields are set before Work.
+// Session is one connection of a caller to an entry host. Its exported fields are set before Open,
+// Run or Probe.
 type Session struct {
-	// Name begins the ids of its statements.
+	// Name identifies the session and is the first part of the ids of its statements.
 	Name     string
 	Host     Host
 	Database string
-	// Freshness is what the reads of the database must see.
+	// Freshness states which commits the reads of the database must see.
 	Freshness checker.Freshness
-	Recorder  *Recorder
-	Random    *rand.Rand
+	// Recorder receives what the session observes.
+	Recorder *Recorder
+	// Random decides the operations, pauses and disconnects.
+	Random *rand.Rand
 
 	conn  net.Conn
 	lines *bufio.Reader
-	n     int
-	// tx is the open transaction.
+	// statements is the number of statements sent; it is the second part of a statement's id.
+	statements int
+	// tx is the open transaction, or the zero value.
 	tx transaction
 }
 
-// transaction is what a session has written in one.
+// transaction is a session's open transaction with the writes whose outcome is not recorded yet.
 type transaction struct {
-	open   bool
+	open bool
+	// began is when BEGIN was sent.
 	began  time.Time
 	writes []checker.Write
 }
 
-// errGone is a connection that broke, or on which nothing came in time.
-const errGone = errors.ConstError("connection broke")
+// errConnectionBroken is returned for a connection that broke, or that received no answer within
+// answerTimeout.
+const errConnectionBroken = errors.ConstError("connection broke")
 
-// errLeft is a caller that left by itself.
-const errLeft = errors.ConstError("caller left")
+// errCallerDisconnected is returned after the session closed its connection without waiting for an
+// answer.
+const errCallerDisconnected = errors.ConstError("caller left")
 
-// Open starts the session, and returns false if its host doesn't serve the database.
+// Open connects and starts the session. It returns false if the host does not serve the database,
+// and an error if the connection fails or the host answers otherwise.
 func (s *Session) Open() (bool, error) {
 	c, err := net.DialTimeout("tcp4", s.Host.Address, dialTimeout)
 	if err != nil {
@@ -107,14 +118,15 @@
 	return false, errors.Errorf("greeted by %q", l)
 }
 
-// Close ends it.
+// Close closes the connection, if there is one.
 func (s *Session) Close() {
 	if s.conn != nil {
 		s.conn.Close()
 	}
 }
 
-// Run does so many operations, and ends at the first that breaks the session.
+// Run opens the session and carries out the given number of operations. It ends early if an
+// operation breaks the session.
 func (s *Session) Run(operations int) {
 	defer s.Close()
 	if ok, err := s.Open(); err != nil || !ok {
@@ -128,7 +140,7 @@
 	}
 	for range operations {
 		if s.operate() != nil {
-			s.undone(checker.OutcomeNotRun) // no commit was asked for
+			s.recordWrites(checker.OutcomeNotRun) // no COMMIT was sent
 			return
 		}
 	}
@@ -143,9 +155,9 @@
 	if a, err := s.ask("SET who " + s.Name); err != nil || a.code != "" {
 		return false
 	}
-	w := checker.Write{Session: s.Name, Item: "x0", Value: s.Recorder.next()}
+	w := checker.Write{Session: s.Name, Item: "x0", Value: s.Recorder.nextValue()}
 	a, err := s.ask(fmt.Sprintf("WRITE x0 %d", w.Value))
-	w.ID = fmt.Sprintf("%s.%d", s.Name, s.n)
+	w.ID = fmt.Sprintf("%s.%d", s.Name, s.statements)
 	w.Outcome, w.Answered = outcome(a, err), time.Now()
 	s.Recorder.Update(func(h *checker.History) { h.Writes = append(h.Writes, w) })
 	if w.Outcome != checker.OutcomeRan {
@@ -155,6 +167,8 @@
 	return err == nil && a.code == ""
 }
 
+// operate carries out one random operation: a write, a transaction, or a read, which may use the
+// prepared statement.
 func (s *Session) operate() error {
 	item := fmt.Sprintf("x%d", s.Random.IntN(items))
 	switch s.Random.IntN(8) {
@@ -168,41 +182,42 @@
 	return s.read("READ "+item, item)
 }
 
-// answer is what came back for one statement.
+// answer is the result row or the error code that was received for one statement.
 type answer struct {
 	row  string
 	code string
 }
 
-// ask sends one statement and waits for its answer.
+// ask sends one statement and waits for its answer, unless the session disconnects at random. It
+// records a connection that broke meanwhile.
 func (s *Session) ask(text string) (answer, error) {
-	s.n++
-	id := fmt.Sprintf("%s.%d", s.Name, s.n)
+	s.statements++
+	id := fmt.Sprintf("%s.%d", s.Name, s.statements)
 	sent := time.Now()
 	s.conn.SetDeadline(sent.Add(answerTimeout))
 	if _, err := fmt.Fprintf(s.conn, "QUERY %s %s\r\n", id, text); err != nil {
-		return answer{}, errGone
+		return answer{}, errConnectionBroken
 	}
-	if s.Random.IntN(100) < leaving && s.leaves(text) {
-		return answer{}, errLeft
+	if s.Random.IntN(100) < disconnectPercent && s.disconnect(text) {
+		return answer{}, errCallerDisconnected
 	}
 	a, err := s.await(id, text)
 	if err != nil {
 		if s.tx.open {
-			sent = s.tx.began // what is cut off is the transaction
+			sent = s.tx.began // the whole transaction was broken off
 		}
 		s.Recorder.Update(func(h *checker.History) {
 			h.Disconnects = append(h.Disconnects, checker.Disconnect{Host: s.Host.Name, ID: id, Sent: sent, Ended: time.Now()})
 		})
-		return a, errGone
+		return a, errConnectionBroken
 	}
 	return a, nil
 }
 
-// leaves reports whether a caller may leave without the answer, and does so. Work only
-// starts once the values are set.
-func (s *Session) leaves(text string) bool {
-	if s.n <= 2 || strings.HasPrefix(text, "BEGIN") {
+// disconnect closes the connection after a short pause and returns true. It returns false and keeps
+// the connection for the first two statements, which set up the session, and for BEGIN.
+func (s *Session) disconnect(text string) bool {
+	if s.statements <= 2 || strings.HasPrefix(text, "BEGIN") {
 		return false
 	}
 	time.Sleep(time.Duration(s.Random.IntN(5)) * time.Millisecond)
@@ -210,7 +225,8 @@
 	return true
 }
 
-// await reads an answer. It must be the one to this statement, with the server's word.
+// await reads the answer. It records an unexpected answer if the signature of the server is not the
+// one of this statement.
 func (s *Session) await(id, text string) (answer, error) {
 	var a answer
 	signature := ""
@@ -219,8 +235,8 @@
 		if err != nil {
 			return a, err
 		}
-		word, rest, _ := strings.Cut(l, " ")
-		switch word {
+		keyword, rest, _ := strings.Cut(l, " ")
+		switch keyword {
 		case "ROW":
 			a.row = rest
 		case "DONE":
@@ -238,18 +254,21 @@
 	}
 }
 
-// signed reports whether only a server may answer the statement.
+// signed reports whether the answer to the statement must carry a server's signature, as an entry
+// host may not answer it by itself.
 func signed(text string) bool {
-	word, _, _ := strings.Cut(text, " ")
-	return word == "READ" || word == "WRITE" || word == "EXEC" || word == "COMMIT"
+	keyword, _, _ := strings.Cut(text, " ")
+	return keyword == "READ" || keyword == "WRITE" || keyword == "EXEC" || keyword == "COMMIT"
 }
 
+// line reads one line without its end.
 func (s *Session) line() (string, error) {
 	l, err := s.lines.ReadString('\n')
 	return strings.TrimRight(l, "\r\n"), err
 }
 
-// outcome is what an answer says of a write.
+// outcome returns the outcome of a write that got the answer. Only the listed error codes say that
+// it did not run.
 func outcome(a answer, err error) checker.Outcome {
 	switch {
 	case err != nil:
@@ -264,17 +283,17 @@
 	return checker.OutcomeUnknown
 }
 
-// write makes one write by itself.
+// write makes one write outside a transaction and records its outcome.
 func (s *Session) write(item string) error {
-	w := checker.Write{Session: s.Name, Item: item, Value: s.Recorder.next()}
+	w := checker.Write{Session: s.Name, Item: item, Value: s.Recorder.nextValue()}
 	a, err := s.ask(fmt.Sprintf("WRITE %s %d", item, w.Value))
-	w.ID = fmt.Sprintf("%s.%d", s.Name, s.n)
+	w.ID = fmt.Sprintf("%s.%d", s.Name, s.statements)
 	w.Outcome, w.Answered = outcome(a, err), time.Now()
 	s.Recorder.Update(func(h *checker.History) { h.Writes = append(h.Writes, w) })
 	return err
 }
 
-// read makes one read and notes what it saw.
+// read makes one read and records the value. The read counts as sent when its transaction began.
 func (s *Session) read(text, item string) error {
 	sent := time.Now()
 	if s.tx.open {
@@ -284,7 +303,7 @@
 	if err != nil || a.code != "" {
 		return err
 	}
-	r := checker.Read{ID: fmt.Sprintf("%s.%d", s.Name, s.n), Session: s.Name, Item: item, Freshness: s.Freshness, Sent: sent}
+	r := checker.Read{ID: fmt.Sprintf("%s.%d", s.Name, s.statements), Session: s.Name, Item: item, Freshness: s.Freshness, Sent: sent}
 	if _, err := fmt.Sscan(a.row, &r.Value); err != nil {
 		s.Recorder.Update(func(h *checker.History) {
 			h.UnexpectedAnswers = append(h.UnexpectedAnswers, fmt.Sprintf("strange: %s read %q", r.ID, a.row))
@@ -295,7 +314,8 @@
 	return nil
 }
 
-// transact writes twice and reads in a transaction, and commits it or rolls it back.
+// transact writes and reads the item twice in a transaction and commits it, or rolls it back at
+// random or after an error.
 func (s *Session) transact(item string) error {
 	began := time.Now()
 	if a, err := s.ask("BEGIN"); err != nil || a.code != "" {
@@ -304,9 +324,9 @@
 	s.tx = transaction{open: true, began: began}
 	defer func() { s.tx = transaction{} }()
 	for range 2 {
-		w := checker.Write{Session: s.Name, Item: item, Value: s.Recorder.next()}
+		w := checker.Write{Session: s.Name, Item: item, Value: s.Recorder.nextValue()}
 		a, err := s.ask(fmt.Sprintf("WRITE %s %d", item, w.Value))
-		w.ID = fmt.Sprintf("%s.%d", s.Name, s.n)
+		w.ID = fmt.Sprintf("%s.%d", s.Name, s.statements)
 		s.tx.writes = append(s.tx.writes, w)
 		if err != nil || a.code != "" {
 			return s.rollBack(err)
@@ -314,19 +334,20 @@
 		if err := s.read("READ "+item, item); err != nil {
 			return s.rollBack(err)
 		}
-		time.Sleep(time.Duration(s.Random.IntN(thinking)) * time.Millisecond)
+		time.Sleep(time.Duration(s.Random.IntN(maximumThinkTimeMilliseconds)) * time.Millisecond)
 	}
 	if s.Random.IntN(4) == 0 {
 		return s.rollBack(nil)
 	}
 	a, err := s.ask("COMMIT")
-	s.undone(outcome(a, err))
+	s.recordWrites(outcome(a, err))
 	return err
 }
 
-// rollBack ends a transaction that was never asked to commit.
+// rollBack records the writes of a transaction for which no COMMIT was sent as not run. It sends
+// ROLLBACK unless err is set, which it returns.
 func (s *Session) rollBack(err error) error {
-	s.undone(checker.OutcomeNotRun)
+	s.recordWrites(checker.OutcomeNotRun)
 	if err != nil {
 		return err
 	}
@@ -334,8 +355,8 @@
 	return err
 }
 
-// undone notes how the writes of the transaction ended.
-func (s *Session) undone(o checker.Outcome) {
+// recordWrites records the writes of the transaction with the given outcome.
+func (s *Session) recordWrites(o checker.Outcome) {
 	l := s.tx.writes
 	s.tx.writes = nil
 	for i := range l {
@@ -344,5 +365,5 @@
 	s.Recorder.Update(func(h *checker.History) { h.Writes = append(h.Writes, l...) })
 }
 
-// History returns what was seen, once all sessions have ended.
+// History returns the history without locking, so only once all sessions have ended.
 func (r *Recorder) History() *checker.History { return &r.history }
