--- a/internal/soak/runner/deployment_test.go
+++ b/internal/soak/runner/deployment_test.go
@@ -24,57 +24,62 @@
 )
 
 const (
-	// groups and servers make up a deployment, with the hosts of the flag.
-	groups  = 2
-	servers = 3
-	// staleness is that of the routes whose reads may be of an age, grace that of a stop.
+	// groups is the number of database groups, serversPerGroup that of the backend servers of each.
+	groups          = 2
+	serversPerGroup = 3
+	// staleness is the maximum staleness of the routes with bounded staleness.
 	staleness = time.Second
-	grace     = 6 * time.Second
-	// beat is how often a server renews its entry.
-	beat = 400 * time.Millisecond
+	// grace is the time that an entry host has for a planned stop.
+	grace = 6 * time.Second
+	// renewalInterval is the time between two renewals of a server's entry in the store.
+	renewalInterval = 400 * time.Millisecond
 )
 
-// freshness is that of the databases by their name's beginning.
+// freshness maps a database's kind, the beginning of its name, to what its reads must see.
 var freshness = map[string]checker.Freshness{"every": checker.FreshnessLatest, "age": checker.FreshnessBoundedStaleness, "own": checker.FreshnessReadYourWrites}
 
-// kinds are the words of the same in the configuration.
-var kinds = map[string]string{"every": "primary", "age": "bounded_staleness", "own": "read_your_writes"}
+// routeTypes maps a database's kind to the type of its route in the configuration.
+var routeTypes = map[string]string{"every": "primary", "age": "bounded_staleness", "own": "read_your_writes"}
 
-// database is one that callers may name.
+// database is a database that callers open.
 type database struct {
-	name  string
-	kind  string
+	name string
+	// kind is a key of freshness and routeTypes.
+	kind string
+	// group is the index of the database group.
 	group int
 }
 
-// deployment is all parts of one soak.
+// deployment holds all parts of one soak: the stand-ins, the network and the entry hosts' processes.
 type deployment struct {
 	directory string
-	// prefix begins the entry hosts' addresses.
+	// prefix is the first three octets of the entry hosts' addresses, with the last dot.
 	prefix    string
 	network   *disturber.Network
 	store     *storekeeper.Store
 	groups    []*replicator.Group
-	recorders []*caller.Recorder
+	recorders []*caller.Recorder // one per group, by its index
 	servers   []*server
 	hosts     []*host
 	databases []database
-	// version is that of the configuration in force.
+	// version is the version of the configuration that was declared last.
 	version atomic.Int64
-	// storeBusy is held by the fault that is at work on the store.
-	storeBusy sync.Mutex
-	done      chan struct{}
+	// storeFaultLock is held by the active fault of the store, so that faults of the store do not overlap.
+	storeFaultLock sync.Mutex
+	// done is closed to stop replication and the registrar.
+	done chan struct{}
 }
 
-// server is one server with the fault that is at work on it.
+// server is one backend server.
 type server struct {
 	*replicator.Responder
-	busy sync.Mutex
+	// faultLock is held by the active fault of the server, so that its faults do not overlap.
+	faultLock sync.Mutex
 }
 
-// deploy starts all parts.
+// deploy starts all parts of a soak, which keep their files in the directory.
 func deploy(ctx context.Context, directory string) (*deployment, error) {
-	d := &deployment{directory: directory, prefix: addresses(), done: make(chan struct{})}
+	d := &deployment{directory: directory, prefix: loopbackPrefix(), done: make(chan struct{})}
 	d.network = &disturber.Network{Latency: func(disturber.Path) time.Duration { return 0 }}
 	d.network.Open(ctx)
 	d.store = &storekeeper.Store{Promote: d.promote}
@@ -93,15 +98,16 @@
 	return d, nil
 }
 
+// addGroups starts the database groups with their servers and replication.
 func (d *deployment) addGroups() error {
 	for i := range groups {
 		g := &replicator.Group{Name: fmt.Sprintf("group-%d", i), Lag: 10 * time.Millisecond, PromoteTime: 200 * time.Millisecond}
 		d.groups = append(d.groups, g)
 		d.recorders = append(d.recorders, &caller.Recorder{})
-		for k := range kinds {
+		for k := range routeTypes {
 			d.databases = append(d.databases, database{name: fmt.Sprintf("%s-%d", k, i), kind: k, group: i})
 		}
-		for j := range servers {
+		for j := range serversPerGroup {
 			s := &server{Responder: &replicator.Responder{Group: g, Server: g.Add(fmt.Sprintf("i-%d-%d", i, j), zone(j))}}
 			if err := s.Open("127.0.0.1"); err != nil {
 				return err
@@ -114,10 +120,10 @@
 	return nil
 }
 
-// zone deals the two availability zones out.
+// zone returns the availability zone of host or server i; the two zones alternate.
 func zone(i int) string { return fmt.Sprintf("zone-%d", i%2) }
 
-// replication is that of one group.
+// replication runs the replication of one group until done is closed.
 type replication struct {
 	group *replicator.Group
 	done  chan struct{}
@@ -125,7 +131,8 @@
 
 func (r *replication) run() { r.group.Replicate(r.done) }
 
-// registrar keeps the servers' entries in the store.
+// registrar renews the servers' entries in the store, at once after a change of primary, and removes
+// those that expired.
 type registrar struct {
 	deployment *deployment
 }
@@ -133,17 +140,17 @@
 func (r *registrar) run() {
 	const step = 50 * time.Millisecond
 	d := r.deployment
-	leaders := make([]*replicator.Server, groups)
+	primaries := make([]*replicator.Server, groups)
 	for n := 0; ; n++ {
 		select {
 		case <-d.done:
 			return
 		case <-time.After(step):
 		}
-		changed := n%int(beat/step) == 0
+		changed := n%int(renewalInterval/step) == 0
 		for i, g := range d.groups {
-			changed = changed || g.Primary() != leaders[i]
-			leaders[i] = g.Primary()
+			changed = changed || g.Primary() != primaries[i]
+			primaries[i] = g.Primary()
 		}
 		if !changed {
 			continue
@@ -157,6 +164,7 @@
 	}
 }
 
+// promote carries out a promotion that an entry host requested from the store.
 func (d *deployment) promote(group, id string, token uint64) error {
 	for _, g := range d.groups {
 		if g.Name == group {
@@ -166,7 +174,7 @@
 	return errors.NotFoundf("group %s", group)
 }
 
-// route and the types below are the operator's declaration on the wire.
+// route is one route of a configuration, as encoded for the store.
 type route struct {
 	Name      string `json:"name"`
 	Host      string `json:"host"`
@@ -176,15 +184,18 @@
 	Staleness int64  `json:"max_staleness_ms"`
 }
 
+// backend is one database group of a configuration, as encoded for the store.
 type backend struct {
 	Name        string `json:"name"`
 	Connections int    `json:"max_connections"`
 }
 
+// limits holds the limits of a configuration, as encoded for the store.
 type limits struct {
 	Idle int64 `json:"idle_tx_ms"`
 }
 
+// configuration is the operator's declaration, as encoded for the store.
 type configuration struct {
 	Version  int64     `json:"version"`
 	Routes   []route   `json:"routes"`
@@ -192,17 +203,19 @@
 	Limits   limits    `json:"limits"`
 }
 
-// extra names the database that a version of the configuration adds.
+// extra returns the name of the database that a version of the configuration adds.
 func extra(version int64) string { return fmt.Sprintf("extra-%d", version) }
 
-// bulk is how many more databases every fourth version adds, up to maximumBulk: a
-// configuration that grows by much at once, and is changed again at once.
+// bulkDatabases is the number of databases that every fourth version of the configuration adds, up to
+// maximumBulkDatabases in total. This tests a configuration that grows by many databases at once and
+// is changed again right after.
 const (
-	bulk        = 300
-	maximumBulk = 3000
+	bulkDatabases        = 300
+	maximumBulkDatabases = 3000
 )
 
-// configure declares the next version, which keeps all databases and adds one, or many.
+// configure declares the next version of the configuration, which keeps all databases and adds one,
+// and at every fourth version many.
 func (d *deployment) configure() error {
 	v := d.version.Load() + 1
 	c := configuration{Version: v, Limits: limits{Idle: 3000}}
@@ -210,14 +223,14 @@
 		c.Backends = append(c.Backends, backend{Name: g.Name, Connections: 24})
 	}
 	for _, x := range d.databases {
-		c.Routes = append(c.Routes, route{Name: x.name, Host: x.name, Kind: kinds[x.kind], Timeout: 1500, Backend: d.groups[x.group].Name, Staleness: staleness.Milliseconds()})
+		c.Routes = append(c.Routes, route{Name: x.name, Host: x.name, Kind: routeTypes[x.kind], Timeout: 1500, Backend: d.groups[x.group].Name, Staleness: staleness.Milliseconds()})
 	}
 	for i := int64(1); i <= v; i++ {
-		c.Routes = append(c.Routes, route{Name: extra(i), Host: extra(i), Kind: kinds["every"], Timeout: 1500, Backend: d.groups[0].Name})
+		c.Routes = append(c.Routes, route{Name: extra(i), Host: extra(i), Kind: routeTypes["every"], Timeout: 1500, Backend: d.groups[0].Name})
 	}
-	for i := range min(v/4*bulk, maximumBulk) {
+	for i := range min(v/4*bulkDatabases, maximumBulkDatabases) {
 		n := fmt.Sprintf("bulk-%d", i)
-		c.Routes = append(c.Routes, route{Name: n, Host: n, Kind: kinds["every"], Timeout: 1500, Backend: d.groups[0].Name})
+		c.Routes = append(c.Routes, route{Name: n, Host: n, Kind: routeTypes["every"], Timeout: 1500, Backend: d.groups[0].Name})
 	}
 	if _, err := d.store.Put("config", "main", c); err != nil {
 		return err
@@ -226,17 +239,18 @@
 	return nil
 }
 
-// instances numbers the deployments of this process, each with addresses of its own.
-var instances atomic.Int64
+// deployments counts the deployments of this process, each of which has its own addresses.
+var deployments atomic.Int64
 
-// addresses returns a network of loopback addresses that nobody else uses now: processes
-// that run at the same time have different ids.
-func addresses() string {
-	n := int(instances.Add(1))*7919 + os.Getpid()
+// loopbackPrefix returns the prefix of a network of loopback addresses for one deployment. It depends
+// on the process id, so that test processes that run at the same time use different addresses.
+func loopbackPrefix() string {
+	n := int(deployments.Add(1))*7919 + os.Getpid()
 	return fmt.Sprintf("127.%d.%d.", 64+n/200%128, 1+n%200)
 }
 
-// addHost starts an entry host.
+// addHost starts entry host i with a store endpoint of its own, which it reaches through a proxy of the
+// network, so that faults can affect each host alone.
 func (d *deployment) addHost(i int) error {
 	h := &host{directory: d.directory}
 	h.Name = fmt.Sprintf("entry-%d", i)
@@ -249,8 +263,8 @@
 		return err
 	}
 	d.network.Locate(l.Addr().String(), disturber.Place{AvailabilityZone: "store", Region: "one"})
-	s := &http.Server{Handler: storekeeper.Handler{Store: d.store, RewriteAddress: (&way{network: d.network, from: h.place}).to}, ReadHeaderTimeout: time.Minute}
-	go (&service{server: s, listener: l}).run()
+	s := &http.Server{Handler: storekeeper.Handler{Store: d.store, RewriteAddress: (&addressRewriter{network: d.network, from: h.place}).rewrite}, ReadHeaderTimeout: time.Minute}
+	go (&storeService{server: s, listener: l}).run()
 	store, err := d.network.Proxy(h.place, l.Addr().String())
 	if err != nil {
 		return err
@@ -263,15 +277,16 @@
 	return h.start()
 }
 
-// way is how a host reaches others.
-type way struct {
+// addressRewriter replaces addresses in the store's objects by those of the network's proxies from one
+// entry host.
+type addressRewriter struct {
 	network *disturber.Network
 	from    disturber.Place
 }
 
-// to returns the address of the proxy for another entry host's, and those of servers as
-// they are: a crashed server must refuse connections itself.
-func (w *way) to(address string) string {
+// rewrite returns the address of the proxy to another entry host. It returns addresses of backend
+// servers unchanged, as a crashed server must refuse connections itself.
+func (w *addressRewriter) rewrite(address string) string {
 	if !strings.HasSuffix(address, ":7101") {
 		return address
 	}
@@ -281,15 +296,15 @@
 	return address
 }
 
-// service serves the store to one host.
-type service struct {
+// storeService serves the store to one entry host.
+type storeService struct {
 	server   *http.Server
 	listener net.Listener
 }
 
-func (s *service) run() { _ = s.server.Serve(s.listener) }
+func (s *storeService) run() { _ = s.server.Serve(s.listener) }
 
-// settings is a host's settings file.
+// settings returns the contents of the host's settings file.
 func settings(h *host, ip, zone, store string) string {
 	return strings.Join([]string{
 		"node_name=" + h.Name, "ip=" + ip, "zone=" + zone, "region=one", "zones.zone-0=one", "zones.zone-1=one",
@@ -299,23 +314,23 @@
 	}, "\n")
 }
 
-// close ends all parts.
+// close stops all parts and returns the findings: hosts that did not stop in time or ended unexpectedly.
 func (d *deployment) close() []string {
-	var broken []string
+	var findings []string
 	for _, h := range d.hosts {
 		h.signal(syscall.SIGTERM)
 	}
 	for _, h := range d.hosts {
 		if !h.await(2 * grace) {
-			broken = append(broken, "drain: "+h.Name+" still runs after twice its grace")
+			findings = append(findings, "drain: "+h.Name+" still runs after twice its grace")
 			h.signal(syscall.SIGKILL)
 			h.await(time.Minute)
 		}
-		broken = append(broken, h.wrong...)
+		findings = append(findings, h.findings...)
 	}
 	close(d.done)
 	for _, s := range d.servers {
 		s.Close()
 	}
-	return broken
+	return findings
 }
--- a/internal/soak/runner/doc.go
+++ b/internal/soak/runner/doc.go
@@ -1,4 +1,4 @@
-// Package runner soaks real processes of entry hosts before stand-ins of the platform, under
-// faults from outside that a seed decides, and checks every promise. All of it is in test
-// files: no other process of cuminwick starts one.
+// Package runner soak-tests real entry host processes against stand-ins of the platform and the
+// backend servers, with injected faults derived from a seed, and checks every guarantee. All its code
+// is in test files, as no other process of cuminwick starts it.
 package runner
--- a/internal/soak/runner/faults_test.go
+++ b/internal/soak/runner/faults_test.go
@@ -12,79 +12,82 @@
 	"github.com/cuminwick/cuminwick/internal/soak/storekeeper"
 )
 
-// contact is how long before a planned stop nothing else may have been wrong for it to
-// count: what a fault leaves behind is settled within a second.
-const contact = time.Second
+// settleTime is the time after the end of a fault until its consequences are over. A planned stop is
+// undisturbed only if no other fault was active during it or within this time before it.
+const settleTime = time.Second
 
-// trouble carries faults out.
-type trouble struct {
+// injector carries out faults and records them.
+type injector struct {
 	deployment *deployment
 
-	mu    sync.Mutex
-	spans []span
-	stops []checker.Stop
-	wrong []string
+	mu       sync.Mutex
+	injected []injectedFault
+	stops    []checker.Stop
+	// findings are failures to start or stop a process or server.
+	findings []string
 }
 
-// span is a fault that was carried out.
-type span struct {
-	fault      planner.Fault
+// injectedFault is a fault that was carried out.
+type injectedFault struct {
+	fault planner.Fault
+	// began and end are the times between which it was active.
 	began, end time.Time
 }
 
-// injection is one fault under way.
+// injection carries out one fault.
 type injection struct {
-	trouble *trouble
-	fault   planner.Fault
+	injector *injector
+	fault    planner.Fault
 }
 
-// run carries the fault out, unless another one is at work on its target.
+// run carries out the fault, unless another fault of its target is active.
 func (x *injection) run(g *sync.WaitGroup) {
 	defer g.Done()
-	d, f := x.trouble.deployment, x.fault
+	d, f := x.injector.deployment, x.fault
 	switch f.Kind {
 	case planner.KindKill, planner.KindPause, planner.KindStop, planner.KindIsolate, planner.KindSilence:
 		h := d.hosts[f.Target%len(d.hosts)]
-		if h.busy.TryLock() {
-			defer h.busy.Unlock()
+		if h.faultLock.TryLock() {
+			defer h.faultLock.Unlock()
 			x.host(h)
 		}
 	case planner.KindPrimaryCrash, planner.KindServerMute, planner.KindServerSilence, planner.KindReplicaDeaf:
-		s := x.pick()
-		if s != nil && s.busy.TryLock() {
-			defer s.busy.Unlock()
+		s := x.targetServer()
+		if s != nil && s.faultLock.TryLock() {
+			defer s.faultLock.Unlock()
 			x.server(s)
 		}
 	default:
-		if d.storeBusy.TryLock() {
-			defer d.storeBusy.Unlock()
+		if d.storeFaultLock.TryLock() {
+			defer d.storeFaultLock.Unlock()
 			x.store()
 		}
 	}
 }
 
-// note writes down that the fault was at work since began.
-func (x *injection) note(began time.Time) {
-	x.trouble.mu.Lock()
-	defer x.trouble.mu.Unlock()
-	x.trouble.spans = append(x.trouble.spans, span{fault: x.fault, began: began, end: time.Now()})
+// record records that the fault was active from began until now.
+func (x *injection) record(began time.Time) {
+	x.injector.mu.Lock()
+	defer x.injector.mu.Unlock()
+	x.injector.injected = append(x.injector.injected, injectedFault{fault: x.fault, began: began, end: time.Now()})
 }
 
+// host carries out a fault of an entry host.
 func (x *injection) host(h *host) {
 	began := time.Now()
-	defer x.note(began)
-	n := x.trouble.deployment.network
+	defer x.record(began)
+	n := x.injector.deployment.network
 	switch x.fault.Kind {
 	case planner.KindKill:
 		h.signal(syscall.SIGKILL)
 		h.await(time.Minute)
 		time.Sleep(x.fault.Duration)
-		x.trouble.restart(h)
+		x.injector.restart(h)
 	case planner.KindStop:
 		h.signal(syscall.SIGTERM)
-		x.trouble.stopped(h, began)
+		x.injector.awaitStop(h, began)
 		time.Sleep(x.fault.Duration / 4)
-		x.trouble.restart(h)
+		x.injector.restart(h)
 	case planner.KindPause:
 		h.signal(syscall.SIGSTOP)
 		time.Sleep(x.fault.Duration)
@@ -95,15 +98,15 @@
 		n.Isolate(h.Name, disturber.Joined)
 	case planner.KindSilence:
 		n.Silence(h.Name, "store")
-		for _, o := range x.trouble.deployment.hosts {
+		for _, o := range x.injector.deployment.hosts {
 			n.Silence(h.Name, o.Name)
 		}
 	}
 }
 
-// stopped waits for the end of a planned stop.
-func (t *trouble) stopped(h *host, at time.Time) {
-	// The process must have ended within its grace; machines under load get as long again.
+// awaitStop waits for the end of a planned stop that was requested at the given time, and records it.
+func (t *injector) awaitStop(h *host, at time.Time) {
+	// The process must end within its grace; twice that is allowed for machines under load.
 	if !h.await(2 * grace) {
 		t.fail("drain: " + h.Name + " still runs after twice its grace")
 		h.signal(syscall.SIGKILL)
@@ -114,26 +117,29 @@
 	t.stops = append(t.stops, checker.Stop{Host: h.Name, At: at, Grace: time.Since(at)})
 }
 
-func (t *trouble) restart(h *host) {
+// restart starts the host's process again.
+func (t *injector) restart(h *host) {
 	if err := h.start(); err != nil {
 		t.fail("start: " + err.Error())
 	}
 }
 
-func (t *trouble) fail(what string) {
+// fail adds a finding.
+func (t *injector) fail(finding string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.wrong = append(t.wrong, what)
+	t.findings = append(t.findings, finding)
 }
 
-// pick returns the server that the fault is for, nil if there is none such.
-func (x *injection) pick() *server {
-	d := x.trouble.deployment
+// targetServer returns the server of the fault: the primary for a crash, a replica for a deaf replica,
+// any server of the group otherwise. It returns nil if there is none.
+func (x *injection) targetServer() *server {
+	d := x.injector.deployment
 	g := d.groups[x.fault.Target%groups]
-	first := x.fault.Target % groups * servers
-	l := d.servers[first : first+servers]
+	first := x.fault.Target % groups * serversPerGroup
+	l := d.servers[first : first+serversPerGroup]
 	if x.fault.Kind != planner.KindPrimaryCrash && x.fault.Kind != planner.KindReplicaDeaf {
-		return l[x.fault.Target/groups%servers]
+		return l[x.fault.Target/groups%serversPerGroup]
 	}
 	for _, s := range l {
 		if (s.Server == g.Primary()) == (x.fault.Kind == planner.KindPrimaryCrash) {
@@ -143,8 +149,9 @@
 	return nil
 }
 
+// server carries out a fault of a backend server.
 func (x *injection) server(s *server) {
-	defer x.note(time.Now())
+	defer x.record(time.Now())
 	g := s.Group
 	switch x.fault.Kind {
 	case planner.KindPrimaryCrash:
@@ -152,7 +159,7 @@
 		s.Close()
 		time.Sleep(x.fault.Duration)
 		if err := s.Open(""); err != nil {
-			x.trouble.fail("start: " + err.Error())
+			x.injector.fail("start: " + err.Error())
 		}
 		g.SetFault(s.Server, replicator.ServerFault{})
 	case planner.KindServerMute:
@@ -168,9 +175,10 @@
 	}
 }
 
+// store carries out a fault of the store.
 func (x *injection) store() {
-	defer x.note(time.Now())
-	s := x.trouble.deployment.store
+	defer x.record(time.Now())
+	s := x.injector.deployment.store
 	if x.fault.Kind == planner.KindStoreForgets {
 		s.DropHistory()
 		return
@@ -180,6 +188,7 @@
 	s.SetFault(storekeeper.Fault{})
 }
 
+// storeFaults maps the kinds of fault to the store's faults, except that of a dropped history.
 var storeFaults = map[planner.Kind]storekeeper.Fault{
 	planner.KindStoreSilent: {Mode: storekeeper.ModeSilent},
 	planner.KindStoreBusy:   {Mode: storekeeper.ModeBusy},
@@ -188,14 +197,14 @@
 	planner.KindStoreLoses:  {LostAnswersPerMille: 400},
 }
 
-// calm marks the planned stops beside which nothing else was wrong.
-func (t *trouble) calm() []checker.Stop {
+// plannedStops returns the planned stops and marks those that no other fault disturbed.
+func (t *injector) plannedStops() []checker.Stop {
 	l := t.stops
 	for i, s := range l {
 		l[i].Undisturbed = true
-		for _, x := range t.spans {
+		for _, x := range t.injected {
 			same := x.fault.Kind == planner.KindStop && x.began.Equal(s.At)
-			if !same && x.began.Before(s.At.Add(s.Grace)) && x.end.After(s.At.Add(-contact)) {
+			if !same && x.began.Before(s.At.Add(s.Grace)) && x.end.After(s.At.Add(-settleTime)) {
 				l[i].Undisturbed = false
 			}
 		}
--- a/internal/soak/runner/process_test.go
+++ b/internal/soak/runner/process_test.go
@@ -16,41 +16,48 @@
 	"github.com/cuminwick/cuminwick/internal/soak/caller"
 )
 
-// asHost makes the test's binary act as an entry host, so that no other binary is needed.
-const asHost = "CUMINWICK_SOAK_AS_HOST"
+// hostProcessVariable is the environment variable that makes the test binary run as an entry host, so
+// that no other binary is needed.
+const hostProcessVariable = "CUMINWICK_SOAK_AS_HOST"
 
-// settingsVariable names the settings file of an entry host's process.
+// settingsVariable is the environment variable with the path of an entry host's settings file.
 const settingsVariable = "CUMINWICK_BOOT"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asHost) != "" {
+	if os.Getenv(hostProcessVariable) != "" {
 		os.Exit(commander.Run(os.Args[1:], os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
 }
 
-// host is one entry host, whose process comes and goes.
+// host is one entry host, whose process is stopped and started again.
 type host struct {
 	caller.Host
-	place     disturber.Place
+	// place identifies the host in the network that injects faults.
+	place disturber.Place
+	// readiness is the address of the readiness check, peers that for other entry hosts.
 	readiness string
 	peers     string
+	// directory holds the log, settings is the path of the settings file.
 	directory string
 	settings  string
 
-	// busy is held by the fault that is at work on the host.
-	busy sync.Mutex
+	// faultLock is held by the active fault of the host, so that its faults do not overlap.
+	faultLock sync.Mutex
 
 	mu      sync.Mutex
 	command *exec.Cmd
-	ended   chan struct{}
-	life    int
-	output  *os.File
-	// wrong are ends of the process that nobody asked for.
-	wrong []string
-	// asked says that the process was killed or stopped, stopping since when it is.
-	asked    bool
-	stopping time.Time
+	// exited is closed when the process has ended.
+	exited chan struct{}
+	// incarnation is the number of times that the process was started.
+	incarnation int
+	output      *os.File
+	// findings are unexpected or failed ends of the process.
+	findings []string
+	// endRequested reports that the process was killed or stopped by the test.
+	endRequested bool
+	// stopRequested is when a planned stop was requested, zero without one.
+	stopRequested time.Time
 }
 
 // start starts the process.
@@ -62,62 +69,63 @@
 		return errors.Annotatef(err, "log of %s", h.Name)
 	}
 	c := exec.Command(os.Args[0], "serve")
-	c.Env = append(os.Environ(), asHost+"=1", settingsVariable+"="+h.settings)
+	c.Env = append(os.Environ(), hostProcessVariable+"=1", settingsVariable+"="+h.settings)
 	c.Stdout, c.Stderr = f, f
 	if err := c.Start(); err != nil {
 		return errors.Annotatef(err, "start %s", h.Name)
 	}
-	h.command, h.output, h.asked = c, f, false
-	h.stopping = time.Time{}
-	h.ended = make(chan struct{})
-	h.life++
-	go h.run(c, h.ended)
+	h.command, h.output, h.endRequested = c, f, false
+	h.stopRequested = time.Time{}
+	h.exited = make(chan struct{})
+	h.incarnation++
+	go h.run(c, h.exited)
 	return nil
 }
 
-// run waits for the process's end.
-func (h *host) run(c *exec.Cmd, ended chan struct{}) {
+// run waits for the end of the process, adds a finding if it was not requested or failed, and closes
+// exited.
+func (h *host) run(c *exec.Cmd, exited chan struct{}) {
 	err := c.Wait()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	const raceExit = 66
-	if x := c.ProcessState.ExitCode(); x == raceExit || !h.asked {
-		h.wrong = append(h.wrong, "ended: "+h.Name+" ended by itself or with a data race: "+c.ProcessState.String())
+	const raceExit = 66 // the race detector's default exit code
+	if x := c.ProcessState.ExitCode(); x == raceExit || !h.endRequested {
+		h.findings = append(h.findings, "ended: "+h.Name+" ended by itself or with a data race: "+c.ProcessState.String())
 	} else if err != nil && x > 0 {
-		h.wrong = append(h.wrong, "ended: "+h.Name+" failed: "+c.ProcessState.String())
+		h.findings = append(h.findings, "ended: "+h.Name+" failed: "+c.ProcessState.String())
 	}
 	h.output.Close()
-	close(ended)
+	close(exited)
 }
 
-// signal sends the process a signal; those that end it are asked for.
+// signal sends the process a signal. An end of the process after SIGKILL or SIGTERM is expected.
 func (h *host) signal(s syscall.Signal) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
-		h.asked = true
+		h.endRequested = true
 	}
 	if s == syscall.SIGTERM {
-		h.stopping = time.Now()
+		h.stopRequested = time.Now()
 	}
 	_ = h.command.Process.Signal(s)
 }
 
-// rotation is how long the balancer sends callers to a host that stops: it asks once a second
-// and twice before it believes.
-const rotation = 2 * time.Second
+// deregistrationDelay is how long the load balancer sends callers to a host that is stopping: it polls
+// once a second and removes a host after two failed polls.
+const deregistrationDelay = 2 * time.Second
 
-// listed reports whether the balancer sends callers to the host.
-func (h *host) listed() bool {
+// inRotation reports whether the load balancer sends callers to the host.
+func (h *host) inRotation() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.stopping.IsZero() || time.Since(h.stopping) < rotation
+	return h.stopRequested.IsZero() || time.Since(h.stopRequested) < deregistrationDelay
 }
 
-// await waits until the process has ended, and reports whether it did in time.
+// await waits until the process has ended, for at most d, and reports whether it has.
 func (h *host) await(d time.Duration) bool {
 	h.mu.Lock()
-	e := h.ended
+	e := h.exited
 	h.mu.Unlock()
 	select {
 	case <-e:
@@ -127,9 +135,9 @@
 	}
 }
 
-// lives returns how often the process was started.
-func (h *host) lives() int {
+// currentIncarnation returns the number of the host's process.
+func (h *host) currentIncarnation() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.life
+	return h.incarnation
 }
--- a/internal/soak/runner/soak_test.go
+++ b/internal/soak/runner/soak_test.go
@@ -16,27 +16,31 @@
 )
 
 var (
-	seeds  = flag.Int("soak.seeds", 2, "how many seeds are soaked")
-	first  = flag.Uint64("soak.first", 1, "the first of them")
-	length = flag.Duration("soak.length", 8*time.Second, "for how long faults come")
-	hosts  = flag.Int("soak.hosts", 4, "how many entry hosts there are, 250 at most")
+	seeds  = flag.Int("soak.seeds", 2, "number of seeds to run")
+	first  = flag.Uint64("soak.first", 1, "first seed")
+	length = flag.Duration("soak.length", 8*time.Second, "time during which faults are injected")
+	hosts  = flag.Int("soak.hosts", 4, "number of entry hosts, at most 250")
 )
 
 const (
-	// workers is how many callers work at a time.
+	// workers is the number of callers at a time.
 	workers = 24
-	// visitPause and configurePause are between visits and changes of the configuration.
-	visitPause     = 100 * time.Millisecond
-	configurePause = 900 * time.Millisecond
-	// recovery only ends a soak that would hang.
-	recovery = time.Minute
+	// probeInterval is the time between configuration probes of a host, configureInterval that between
+	// changes of the configuration.
+	probeInterval     = 100 * time.Millisecond
+	configureInterval = 900 * time.Millisecond
+	// recoveryTimeout is the maximum time to recover from all faults. It only ends a soak that would
+	// hang otherwise.
+	recoveryTimeout = time.Minute
 )
 
-// Entry hosts are killed, paused, stopped, cut off; the store is away, slow, forgets; servers
-// crash, go mute, fall behind: a few at a time, as a seed has it. Users must find each of
-// their saves once, see them, and be told truly what ran.
+// Entry hosts are killed, paused, stopped and isolated; the store is unavailable, slow or drops its
+// history; backend servers crash, stop answering or receive no replication. A seed determines which
+// faults occur and when. Guards against lost, duplicated and stale data and against false outcomes:
+// each acknowledged write must take effect exactly once and be visible to reads, and a write that was
+// answered as not run must never take effect.
 //
-// By hand, with fresh seeds: go test ./internal/soak/runner -run TestSoak -soak.seeds 50
+// Run it by hand with fresh seeds: go test ./internal/soak/runner -run TestSoak -soak.seeds 50
 // -soak.first N -parallel 4
 func TestSoak(t *testing.T) {
 	for i := range *seeds {
@@ -49,7 +53,7 @@
 }
 
 func soak(t *testing.T, seed uint64) {
-	// The logs of a soak that failed are kept.
+	// The logs of a failed soak are kept.
 	directory, err := os.MkdirTemp("", fmt.Sprintf("soak-%d-", seed))
 	if err != nil {
 		t.Fatal(err)
@@ -60,37 +64,38 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &soaking{deployment: d, random: rand.New(rand.NewPCG(seed, 1)), trouble: &trouble{deployment: d}}
-	broken := s.work(seed)
+	s := &soakRun{deployment: d, random: rand.New(rand.NewPCG(seed, 1)), injector: &injector{deployment: d}}
+	findings := s.run(seed)
 	t.Log(s.summary())
-	if len(broken) == 0 {
+	if len(findings) == 0 {
 		os.RemoveAll(directory)
 		return
 	}
 	for _, f := range planner.Plan(seed, *length) {
 		t.Log(f)
 	}
-	const most = 20
-	for _, b := range broken[:min(most, len(broken))] {
-		t.Error(b)
+	const maximumFindings = 20
+	for _, f := range findings[:min(maximumFindings, len(findings))] {
+		t.Error(f)
 	}
-	t.Logf("%d findings, logs in %s", len(broken), directory)
+	t.Logf("%d findings, logs in %s", len(findings), directory)
 }
 
-// soaking is one soak.
-type soaking struct {
+// soakRun is one soak with one seed.
+type soakRun struct {
 	deployment *deployment
 	random     *rand.Rand
-	trouble    *trouble
+	injector   *injector
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// sessions is the number of sessions made, from which their names are derived.
 	sessions int
 }
 
-// work soaks and returns what was broken.
-func (s *soaking) work(seed uint64) []string {
+// run runs the soak and returns its findings.
+func (s *soakRun) run(seed uint64) []string {
 	d := s.deployment
-	broken := s.recover()
+	findings := s.recover()
 	over := make(chan struct{})
 	var g sync.WaitGroup
 	for i := range workers {
@@ -99,101 +104,102 @@
 	}
 	for _, h := range d.hosts {
 		g.Add(1)
-		go (&visitor{soak: s, host: h, random: rand.New(rand.NewPCG(seed, uint64(len(h.Name))))}).run(&g, over)
+		go (&configurationProber{soak: s, host: h, random: rand.New(rand.NewPCG(seed, uint64(len(h.Name))))}).run(&g, over)
 	}
 	g.Add(1)
 	go (&operator{soak: s}).run(&g, over)
-	s.disturb(seed)
-	broken = append(broken, s.recover()...)
+	s.injectFaults(seed)
+	findings = append(findings, s.recover()...)
 	s.stop(seed)
 	close(over)
 	g.Wait()
-	broken = append(broken, s.trouble.wrong...)
-	broken = append(broken, d.close()...)
+	findings = append(findings, s.injector.findings...)
+	findings = append(findings, d.close()...)
 	for i, r := range d.recorders {
 		h := r.History()
-		h.Staleness, h.Stops = staleness, s.trouble.calm()
-		broken = append(broken, checker.Check(h, d.groups[i].Truth())...)
+		h.Staleness, h.Stops = staleness, s.injector.plannedStops()
+		findings = append(findings, checker.Check(h, d.groups[i].Truth())...)
 		if len(h.Reads) == 0 || len(h.Writes) == 0 {
-			broken = append(broken, "idle: nothing was read or written, so nothing was checked")
+			findings = append(findings, "idle: nothing was read or written, so nothing was checked")
 		}
 	}
-	return broken
+	return findings
 }
 
-// summary tells what was seen, so that a soak in which nothing happened shows as one.
-func (s *soaking) summary() string {
+// summary describes the soak in numbers, so that one in which nothing happened can be recognized.
+func (s *soakRun) summary() string {
 	var outcomes [3]int
-	reads, visits, cuts, dropped := 0, 0, 0, 0
+	reads, probes, disconnects, dropped := 0, 0, 0, 0
 	for i, r := range s.deployment.recorders {
 		h := r.History()
 		for _, w := range h.Writes {
 			outcomes[w.Outcome]++
 		}
 		reads += len(h.Reads)
-		visits += len(h.ConfigurationProbes)
-		cuts += len(h.Disconnects)
+		probes += len(h.ConfigurationProbes)
+		disconnects += len(h.Disconnects)
 		dropped += len(s.deployment.groups[i].Truth().Dropped)
 	}
-	calm := 0
-	for _, x := range s.trouble.calm() {
+	undisturbed := 0
+	for _, x := range s.injector.plannedStops() {
 		if x.Undisturbed {
-			calm++
+			undisturbed++
 		}
 	}
-	return fmt.Sprintf("%d sessions, %d reads, writes: %d ran, %d not run, %d unknown, %d rolled back by promotions; %d visits, %d cuts, %d faults, %d planned stops (%d calm)",
-		s.sessions, reads, outcomes[checker.OutcomeRan], outcomes[checker.OutcomeNotRun], outcomes[checker.OutcomeUnknown], dropped, visits, cuts, len(s.trouble.spans), len(s.trouble.stops), calm)
+	return fmt.Sprintf("%d sessions, %d reads, writes: %d ran, %d not run, %d unknown, %d rolled back by promotions; %d configuration probes, %d disconnects, %d faults, %d planned stops (%d undisturbed)",
+		s.sessions, reads, outcomes[checker.OutcomeRan], outcomes[checker.OutcomeNotRun], outcomes[checker.OutcomeUnknown], dropped, probes, disconnects, len(s.injector.injected), len(s.injector.stops), undisturbed)
 }
 
-// disturb carries the plan out and waits until all faults are over.
-func (s *soaking) disturb(seed uint64) {
+// injectFaults carries out the plan of the seed and waits until all faults are over.
+func (s *soakRun) injectFaults(seed uint64) {
 	began := time.Now()
 	var g sync.WaitGroup
 	for _, f := range planner.Plan(seed, *length) {
 		time.Sleep(time.Until(began.Add(f.At)))
 		g.Add(1)
-		go (&injection{trouble: s.trouble, fault: f}).run(&g)
+		go (&injection{injector: s.injector, fault: f}).run(&g)
 	}
 	g.Wait()
 }
 
-// stop stops one host as planned while nothing else is wrong.
-func (s *soaking) stop(seed uint64) {
-	time.Sleep(contact)
+// stop stops one host as planned while no other fault is active.
+func (s *soakRun) stop(seed uint64) {
+	time.Sleep(settleTime)
 	var g sync.WaitGroup
 	g.Add(1)
 	f := planner.Fault{Kind: planner.KindStop, Target: int(seed % uint64(*hosts))}
-	go (&injection{trouble: s.trouble, fault: f}).run(&g)
+	go (&injection{injector: s.injector, fault: f}).run(&g)
 	g.Wait()
 }
 
-// recover waits until each host serves a write and a read of each database.
-func (s *soaking) recover() []string {
-	var broken []string
-	end := time.Now().Add(recovery)
+// recover waits until each host serves a write and a read of each database, and returns findings for
+// those that do not within recoveryTimeout.
+func (s *soakRun) recover() []string {
+	var findings []string
+	end := time.Now().Add(recoveryTimeout)
 	for _, h := range s.deployment.hosts {
 		for _, x := range s.deployment.databases {
 			for !s.serves(h, x) {
 				if time.Now().After(end) {
-					broken = append(broken, fmt.Sprintf("not recovered: %s doesn't serve %s", h.Name, x.name))
+					findings = append(findings, fmt.Sprintf("not recovered: %s doesn't serve %s", h.Name, x.name))
 					break
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
 		}
 	}
-	return broken
+	return findings
 }
 
-// serves reports whether the host answers a write and a read.
-func (s *soaking) serves(h *host, x database) bool {
+// serves reports whether the host answers a write and a read of the database.
+func (s *soakRun) serves(h *host, x database) bool {
 	c := s.session(h, x, s.random)
 	defer c.Close()
 	return c.Probe()
 }
 
-// session makes a session of a name that no other has.
-func (s *soaking) session(h *host, x database, r *rand.Rand) *caller.Session {
+// session returns a new session with a unique name, which is not open yet.
+func (s *soakRun) session(h *host, x database, r *rand.Rand) *caller.Session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sessions++
@@ -203,8 +209,8 @@
 	}
 }
 
-// ended reports whether the soak is over after the pause.
-func ended(over <-chan struct{}, pause time.Duration) bool {
+// endedAfter waits for the pause or the end of the soak, and reports whether the soak is over.
+func endedAfter(over <-chan struct{}, pause time.Duration) bool {
 	select {
 	case <-over:
 		return true
@@ -213,18 +219,18 @@
 	}
 }
 
-// worker works as one caller after the other.
+// worker runs one session after the other, each at a random host and database.
 type worker struct {
-	soak   *soaking
+	soak   *soakRun
 	random *rand.Rand
 }
 
 func (w *worker) run(g *sync.WaitGroup, over <-chan struct{}) {
 	defer g.Done()
 	d := w.soak.deployment
-	for !ended(over, time.Duration(w.random.IntN(20))*time.Millisecond) {
+	for !endedAfter(over, time.Duration(w.random.IntN(20))*time.Millisecond) {
 		h := d.hosts[w.random.IntN(len(d.hosts))]
-		if !h.listed() {
+		if !h.inRotation() {
 			continue
 		}
 		x := d.databases[w.random.IntN(len(d.databases))]
@@ -232,42 +238,44 @@
 	}
 }
 
-// operator changes the configuration.
+// operator declares a new version of the configuration at intervals.
 type operator struct {
-	soak *soaking
+	soak *soakRun
 }
 
 func (o *operator) run(g *sync.WaitGroup, over <-chan struct{}) {
 	defer g.Done()
-	for !ended(over, configurePause) {
+	for !endedAfter(over, configureInterval) {
 		if err := o.soak.deployment.configure(); err != nil {
-			o.soak.trouble.fail("configure: " + err.Error())
+			o.soak.injector.fail("configure: " + err.Error())
 		}
 	}
 }
 
-// visitor looks at one host whether it serves what the configuration has added.
-type visitor struct {
-	soak   *soaking
+// configurationProber probes whether one host serves the databases that the configuration added.
+type configurationProber struct {
+	soak   *soakRun
 	host   *host
 	random *rand.Rand
 }
 
-func (v *visitor) run(g *sync.WaitGroup, over <-chan struct{}) {
+func (v *configurationProber) run(g *sync.WaitGroup, over <-chan struct{}) {
 	defer g.Done()
-	for !ended(over, visitPause) {
-		v.visit()
+	for !endedAfter(over, probeInterval) {
+		v.probe()
 	}
 }
 
-func (v *visitor) visit() {
+// probe opens a database that a random version added and records the result, unless the connection
+// fails or the host's process changes meanwhile.
+func (v *configurationProber) probe() {
 	n := 1 + v.random.Int64N(v.soak.deployment.version.Load())
 	c := &caller.Session{Name: "v", Host: v.host.Host, Database: extra(n), Random: v.random}
 	defer c.Close()
-	x := checker.ConfigurationProbe{Host: v.host.Name, Incarnation: v.host.lives(), Version: int(n), Sent: time.Now()}
+	x := checker.ConfigurationProbe{Host: v.host.Name, Incarnation: v.host.currentIncarnation(), Version: int(n), Sent: time.Now()}
 	found, err := c.Open()
 	x.Found, x.Answered = found, time.Now()
-	if err != nil || v.host.lives() != x.Incarnation {
+	if err != nil || v.host.currentIncarnation() != x.Incarnation {
 		return
 	}
 	v.soak.deployment.recorders[0].Update(func(h *checker.History) { h.ConfigurationProbes = append(h.ConfigurationProbes, x) })
