--- a/internal/soak/replicator/replicator.go
+++ b/internal/soak/replicator/replicator.go
@@ -1,6 +1,6 @@
-// Package replicator stands in for one database group: servers that replicate
-// asynchronously, keep what a lost lead dropped, and note each statement that breaks a
-// promise at the place where it runs.
+// Package replicator stands in for one database group: backend servers that replicate
+// asynchronously, record the writes that a promotion rolled back, and record each statement that
+// violates a guarantee where it runs.
 package replicator
 
 import (
@@ -14,13 +14,15 @@
 
 // Record is one committed write.
 type Record struct {
-	Term  uint64
+	// Term is the term of the primary that ran the write.
+	Term uint64
+	// ID is the id of the statement.
 	ID    string
 	Item  string
 	Value int
 }
 
-// Server is one server of the group. Its fields are the group's to guard.
+// Server is one server of the group. The group's mutex guards its fields.
 type Server struct {
 	ID   string
 	Zone string
@@ -29,33 +31,35 @@
 	address string
 	term    uint64
 	log     []Record
-	// down doesn't run, mute answers no statement, deaf receives nothing.
+	// down, mute and deaf are the current faults, see ServerFault.
 	down, mute, deaf bool
 }
 
 // Group is a database group. Its exported fields are set before use.
 type Group struct {
 	Name string
-	// Lag is how long a commit takes to a replica, PromoteTime a promotion.
-	Lag         time.Duration
+	// Lag is the delay of replication.
+	Lag time.Duration
+	// PromoteTime is how long a promotion takes.
 	PromoteTime time.Duration
 
 	mu      sync.Mutex
 	servers []*Server
 	primary *Server
-	// token is the highest fencing token that was seen.
+	// token is the highest fencing token of the promotions so far; lower ones are refused.
 	token uint64
-	// commits counts how often each write took effect, dropped are those that a promotion
-	// rolled back.
+	// commits counts by id how often each write took effect.
 	commits map[string]int
-	dropped map[string]bool
-	broken  []string
+	// dropped holds the ids of the writes that a promotion rolled back.
+	dropped    map[string]bool
+	violations []string
 }
 
-// ErrPromotionRefused is an order that can't be carried out.
+// ErrPromotionRefused is returned for a promotion of an unknown server, of one that is down, or with
+// an outdated fencing token.
 const ErrPromotionRefused = errors.ConstError("promotion refused")
 
-// Add makes a server; the first one leads.
+// Add adds a server. The first one is the primary.
 func (g *Group) Add(id, zone string) *Server {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -81,32 +85,39 @@
 	return s.address
 }
 
-func (g *Group) locate(s *Server, address string) {
+func (g *Group) setAddress(s *Server, address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s.address = address
 }
 
-// Primary returns the server that leads.
+// Primary returns the current primary.
 func (g *Group) Primary() *Server {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.primary
 }
 
-// ServerFault is what is wrong with a server.
+// ServerFault is the faults of a server; the zero value is none.
 type ServerFault struct {
-	Down, Mute, Deaf bool
+	// Down is a server that does not run.
+	Down bool
+	// Mute is a server that accepts statements and answers none.
+	Mute bool
+	// Deaf is a server that receives no replication.
+	Deaf bool
 }
 
-// SetFault sets what is wrong with a server, the zero value for nothing.
+// SetFault replaces the faults of a server; the zero value ends them.
 func (g *Group) SetFault(s *Server, x ServerFault) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s.down, s.mute, s.deaf = x.Down, x.Mute, x.Deaf
 }
 
-// Promote has the server lead the next term with the log that it has then.
+// Promote makes the server the primary of the next term, with the log that it has after PromoteTime.
+// It does nothing if the server is the primary already. It returns ErrPromotionRefused if the server is
+// unknown or down, or if a higher token was used before.
 func (g *Group) Promote(id string, token uint64) error {
 	g.mu.Lock()
 	i := slices.IndexFunc(g.servers, func(s *Server) bool { return s.ID == id })
@@ -124,12 +135,13 @@
 	time.Sleep(g.PromoteTime)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.lead(s)
+	g.setPrimary(s)
 	return nil
 }
 
-// lead makes s the leader. What it lacks is dropped. The mutex is held.
-func (g *Group) lead(s *Server) {
+// setPrimary makes s the primary. Writes that s does not have are rolled back on all servers. The
+// caller holds the mutex.
+func (g *Group) setPrimary(s *Server) {
 	term := g.primary.term + 1
 	for _, o := range g.servers {
 		for _, r := range o.log {
@@ -137,14 +149,14 @@
 				g.dropped[r.ID] = true
 			}
 		}
-		o.log = common(o.log, s.log)
+		o.log = commonPrefix(o.log, s.log)
 	}
 	s.term = term
 	g.primary = s
 }
 
-// common returns the part of l that is at the start of k as well.
-func common(l, k []Record) []Record {
+// commonPrefix returns the longest prefix of l that is also a prefix of k.
+func commonPrefix(l, k []Record) []Record {
 	n := 0
 	for n < len(l) && n < len(k) && l[n] == k[n] {
 		n++
@@ -152,7 +164,7 @@
 	return l[:n:n]
 }
 
-// Replicate gives each replica what the leader had a lag ago, until done is closed.
+// Replicate copies to each replica the log that the primary had before Lag, until done is closed.
 func (g *Group) Replicate(done <-chan struct{}) {
 	t := time.NewTicker(g.Lag)
 	defer t.Stop()
@@ -177,28 +189,28 @@
 	}
 }
 
-// note writes down a promise that was broken at a server. The mutex is held.
-func (g *Group) note(format string, a ...any) {
-	g.broken = append(g.broken, fmt.Sprintf(format, a...))
+// recordViolation records a guarantee that was violated at a server. The caller holds the mutex.
+func (g *Group) recordViolation(format string, a ...any) {
+	g.violations = append(g.violations, fmt.Sprintf(format, a...))
 }
 
-// Truth is what the group holds and did.
+// Truth is the actual state of the group, with which the checker compares the callers' history.
 type Truth struct {
-	// Log is the leader's.
+	// Log is the primary's log.
 	Log []Record
-	// Commits counts how often each write took effect.
+	// Commits counts by id how often each write took effect.
 	Commits map[string]int
-	// Dropped are the writes that a promotion rolled back.
+	// Dropped holds the ids of the writes that a promotion rolled back.
 	Dropped map[string]bool
-	// Violations are the promises that were broken at a server.
+	// Violations describes the guarantees that were violated at a server.
 	Violations []string
 }
 
-// Truth returns a copy of what the group holds.
+// Truth returns a copy of the group's state.
 func (g *Group) Truth() Truth {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	t := Truth{Log: slices.Clone(g.primary.log), Commits: make(map[string]int), Dropped: make(map[string]bool), Violations: slices.Clone(g.broken)}
+	t := Truth{Log: slices.Clone(g.primary.log), Commits: make(map[string]int), Dropped: make(map[string]bool), Violations: slices.Clone(g.violations)}
 	for k, v := range g.commits {
 		t.Commits[k] = v
 	}
@@ -208,7 +220,7 @@
 	return t
 }
 
-// entry is what a server says of itself in the store.
+// entry is a server's entry in the store.
 type entry struct {
 	Backend  string `json:"backend"`
 	Address  string `json:"address"`
@@ -219,7 +231,7 @@
 	Sequence uint64 `json:"sequence"`
 }
 
-// Entry returns the server's entry in the store, false while it is down.
+// Entry returns the server's entry for the store, and false while the server is down.
 func (g *Group) Entry(s *Server) (any, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/soak/replicator/responder.go
+++ b/internal/soak/replicator/responder.go
@@ -13,18 +13,20 @@
 )
 
 const (
-	// slots is how many statements run at a time, connections how many are taken.
-	slots       = 4
-	connections = 24
-	// workTime is what a statement takes.
-	workTime = 3 * time.Millisecond
+	// slots is the number of statements that run at a time.
+	slots = 4
+	// maximumConnections is the number of connections that a server accepts.
+	maximumConnections = 24
+	// statementTime is the run time of a statement.
+	statementTime = 3 * time.Millisecond
 )
 
-// Responder serves one server's connections. Its exported fields are set before Open.
+// Responder accepts and serves the connections of one server. Its exported fields are set before Open.
 type Responder struct {
 	Group  *Group
 	Server *Server
 
+	// slots limits the statements that run at a time.
 	slots chan struct{}
 
 	mu       sync.Mutex
@@ -32,8 +34,8 @@
 	open     map[*connection]struct{}
 }
 
-// Open listens at the server's address, at a free one of the network address for the first
-// time.
+// Open listens and serves until Close. The first call listens at a free port of ip; further calls
+// listen at the same address again and ignore ip.
 func (r *Responder) Open(ip string) error {
 	a := r.Group.address(r.Server)
 	if a == "" {
@@ -43,7 +45,7 @@
 	if err != nil {
 		return errors.Annotatef(err, "listen for server %s", r.Server.ID)
 	}
-	r.Group.locate(r.Server, l.Addr().String())
+	r.Group.setAddress(r.Server, l.Addr().String())
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.listener, r.open = l, make(map[*connection]struct{})
@@ -54,7 +56,7 @@
 	return nil
 }
 
-// Close ends the server as a crash does: its connections break and no process listens.
+// Close stops the server as a crash does: it closes the listener and all connections.
 func (r *Responder) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,7 +66,7 @@
 	}
 }
 
-// Silence has the open connections answer nothing any more, while new ones work.
+// Silence stops all answers on the connections that are open now. New connections work.
 func (r *Responder) Silence() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,7 +75,7 @@
 	}
 }
 
-// run serves until the listener is closed.
+// run accepts connections until the listener is closed.
 func (r *Responder) run(l net.Listener) {
 	for {
 		n, err := l.Accept()
@@ -90,17 +92,18 @@
 	}
 }
 
+// admit adds the connection, or returns false if maximumConnections are open.
 func (r *Responder) admit(c *connection) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.open) >= connections {
+	if len(r.open) >= maximumConnections {
 		return false
 	}
 	r.open[c] = struct{}{}
 	return true
 }
 
-func (r *Responder) leave(c *connection) {
+func (r *Responder) remove(c *connection) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.open, c)
@@ -113,30 +116,37 @@
 	return len(r.open)
 }
 
-// connection is one connection with its transaction.
+// connection is one connection with its session state and its open transaction.
 type connection struct {
 	responder *Responder
 	conn      net.Conn
-	// silent says that something on the way has lost track of it.
+	// silent makes the connection answer nothing, as if a device on the network path had dropped its
+	// state.
 	silent atomic.Bool
-	// values and prepared are what was set up on it.
+	// values are the session values by name, prepared the prepared statements by name.
 	values   map[string]string
 	prepared map[string]string
-	// open says that a transaction is, failed that it can only be rolled back, plain that
-	// it may write, and term the one under which it began.
-	open, failed, plain bool
-	term                uint64
+	// open reports that a transaction is open.
+	open bool
+	// failed reports that the transaction can only be rolled back.
+	failed bool
+	// writable reports that the transaction may write.
+	writable bool
+	// term is the server's term when the transaction began.
+	term uint64
 	// owner is the session of the transaction's first statement.
-	owner   string
+	owner string
+	// written are the writes of the transaction, which are not committed yet.
 	written []Record
 }
 
+// run answers statements until the connection ends.
 func (c *connection) run() {
-	defer c.responder.leave(c)
+	defer c.responder.remove(c)
 	defer c.conn.Close()
 	s := bufio.NewScanner(c.conn)
 	for s.Scan() {
-		if c.responder.Group.mutes(c.responder.Server) || c.silent.Load() {
+		if c.responder.Group.muted(c.responder.Server) || c.silent.Load() {
 			continue
 		}
 		a, ok := c.answer(strings.TrimSuffix(s.Text(), "\r"))
@@ -149,14 +159,14 @@
 	}
 }
 
-// mutes reports whether the server answers nothing.
-func (g *Group) mutes(s *Server) bool {
+// muted reports whether the server answers no statement at present.
+func (g *Group) muted(s *Server) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return s.mute
 }
 
-// answer answers one line, false for one that ends the connection.
+// answer returns the answer to one line, and false for a malformed line, which ends the connection.
 func (c *connection) answer(line string) (string, bool) {
 	f := strings.SplitN(line, " ", 3)
 	if f[0] == "STARTUP" {
@@ -166,9 +176,9 @@
 		return "", false
 	}
 	id, text := f[1], f[2]
-	if occupies(text) {
+	if usesSlot(text) {
 		c.responder.slots <- struct{}{}
-		time.Sleep(workTime)
+		time.Sleep(statementTime)
 		defer func() { <-c.responder.slots }()
 	}
 	g := c.responder.Group
@@ -178,16 +188,17 @@
 	return out + "READY " + c.state() + " " + c.responder.Server.position() + "\r\n", true
 }
 
-// occupies reports whether the statement uses a slot.
-func occupies(text string) bool {
-	word, _, _ := strings.Cut(text, " ")
-	switch word {
+// usesSlot reports whether the statement occupies a slot while it runs.
+func usesSlot(text string) bool {
+	keyword, _, _ := strings.Cut(text, " ")
+	switch keyword {
 	case "BEGIN", "ROLLBACK", "SET", "PREPARE", "RESET":
 		return false
 	}
 	return true
 }
 
+// start returns the answer to STARTUP, an error if the group or the server is another one.
 func (c *connection) start(f []string) string {
 	g, s := c.responder.Group, c.responder.Server
 	g.mu.Lock()
@@ -198,9 +209,11 @@
 	return "READY I " + s.position() + "\r\n"
 }
 
-// position is the end of the server's log. It begins at 1, so that no position is zero.
+// position returns the end of the server's log as term and index. The index starts at 1, so that no
+// position is zero.
 func (s *Server) position() string { return fmt.Sprintf("%d.%d", s.term, len(s.log)+1) }
 
+// state returns the transaction state: E for failed, T for open, I for none.
 func (c *connection) state() string {
 	switch {
 	case c.open && c.failed:
@@ -211,23 +224,25 @@
 	return "I"
 }
 
+// refuse returns an error answer.
 func refuse(code string) string { return "ERR " + code + " refused\r\n" }
 
-// fail refuses a statement of a transaction, which fails by it.
+// fail returns an error answer and marks an open transaction as failed.
 func (c *connection) fail(code string) string {
 	c.failed = c.open
 	return refuse(code)
 }
 
-// done is the answer to a statement that ran. Its signature names the statement.
+// done returns the answer to a statement that ran. Its signature holds the statement's id, so that a
+// caller recognizes the answer to another statement.
 func done(id, rows string) string { return rows + "DONE sig." + id + "\r\n" }
 
-// execute runs one statement. The group's mutex is held.
+// execute runs one statement. The caller holds the group's mutex.
 func (c *connection) execute(id, text string) string {
 	s, g := c.responder.Server, c.responder.Group
 	f := strings.Fields(text)
 	if f[0] == "AFTER" {
-		if !s.holds(f[1]) {
+		if !s.hasPosition(f[1]) {
 			return c.fail("LAGGING")
 		}
 		f = f[2:]
@@ -247,22 +262,22 @@
 		c.end()
 		return done(id, "")
 	case "BEGIN":
-		plain := len(f) == 1
-		if plain && g.primary != s {
+		writable := len(f) == 1
+		if writable && g.primary != s {
 			return refuse("READONLY")
 		}
-		c.open, c.plain, c.term, c.owner = true, plain, s.term, ""
+		c.open, c.writable, c.term, c.owner = true, writable, s.term, ""
 		return done(id, "")
 	case "STATUS":
 		return done(id, "ROW "+c.status()+"\r\n")
 	case "DEMOTE":
 		return done(id, "ROW "+c.status()+"\r\n")
 	}
-	c.look(id)
-	return c.work(id, f)
+	c.checkSession(id)
+	return c.access(id, f)
 }
 
-// status is the row that a server tells of itself. The group's mutex is held.
+// status returns the row with the server's status. The caller holds the group's mutex.
 func (c *connection) status() string {
 	s, role := c.responder.Server, "replica"
 	if c.responder.Group.primary == s {
@@ -271,12 +286,13 @@
 	return fmt.Sprintf("%s %d %s 0 0 0 %d", role, s.term, s.position(), c.responder.count())
 }
 
-// look notes a statement that runs among another session's. The mutex is held.
-func (c *connection) look(id string) {
+// checkSession records a violation if the statement runs with the values or in the transaction of
+// another session. The caller holds the group's mutex.
+func (c *connection) checkSession(id string) {
 	session, _, _ := strings.Cut(id, ".")
 	g := c.responder.Group
 	if c.values["who"] != session {
-		g.note("values: %s runs where session %q has set its values", id, c.values["who"])
+		g.recordViolation("values: %s runs where session %q has set its values", id, c.values["who"])
 	}
 	if !c.open {
 		return
@@ -285,12 +301,14 @@
 		c.owner = session
 	}
 	if c.owner != session {
-		g.note("mixed: %s runs in a transaction of %s", id, c.owner)
+		g.recordViolation("mixed: %s runs in a transaction of %s", id, c.owner)
 	}
 }
 
-// work runs what a caller asked for. The mutex is held.
-func (c *connection) work(id string, f []string) string {
+// access runs a read, a write, a prepared statement or a commit. A writable transaction is refused
+// once the server is not the primary of the term in which it began, except for an empty commit. The
+// caller holds the group's mutex.
+func (c *connection) access(id string, f []string) string {
 	s, g := c.responder.Server, c.responder.Group
 	if c.failed {
 		return refuse("MALFORMED")
@@ -303,7 +321,7 @@
 		kind, _, _ := strings.Cut(p, " ")
 		f = append([]string{kind}, f[2:]...)
 	}
-	deposed := c.open && c.plain && (g.primary != s || s.term != c.term)
+	deposed := c.open && c.writable && (g.primary != s || s.term != c.term)
 	switch f[0] {
 	case "READ":
 		if deposed {
@@ -337,7 +355,7 @@
 	return c.fail("MALFORMED")
 }
 
-// commit appends to the leader's log. The mutex is held.
+// commit appends the records to the primary's log. The caller holds the mutex.
 func (g *Group) commit(l []Record) {
 	for _, r := range l {
 		g.primary.log = append(g.primary.log, r)
@@ -345,20 +363,21 @@
 	}
 }
 
+// end resets the state of the transaction.
 func (c *connection) end() {
 	c.open, c.failed, c.written, c.owner = false, false, nil, ""
 }
 
-// holds reports whether the log has the position.
-func (s *Server) holds(position string) bool {
+// hasPosition reports whether the server's log has reached the position.
+func (s *Server) hasPosition(position string) bool {
 	var term uint64
 	var n int
 	_, _ = fmt.Sscanf(position, "%d.%d", &term, &n)
 	return term <= s.term && len(s.log)+1 >= n
 }
 
-// latest returns the highest value of the item, zero for none. Writers give ever higher
-// values, so it shows each write that the log has.
+// latest returns the highest value of the item in the log and in own, zero without one. Each write has
+// a higher value than those before, so the highest value is that of the latest write.
 func (s *Server) latest(item string, own []Record) int {
 	v := 0
 	for _, l := range [][]Record{s.log, own} {
