--- a/internal/soak/storekeeper/handler.go
+++ b/internal/soak/storekeeper/handler.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// maximumBody bounds a call's body, in bytes.
-const maximumBody = 1 << 20
+// maximumBodyBytes is the maximum size of a request body.
+const maximumBodyBytes = 1 << 20
 
-// Handler is the store as one entry host reaches it.
+// Handler serves the store over HTTP to one entry host.
 type Handler struct {
 	Store *Store
-	// RewriteAddress returns the way from this host to an address that an object names, so that a
-	// fault on one host's way is that host's alone. Addresses stay as they are if it is nil.
+	// RewriteAddress returns the address at which this host reaches an address in an object's spec, so
+	// that faults of the network can affect one host alone. Nil leaves addresses unchanged.
 	RewriteAddress func(address string) string
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP answers one request, or applies the store's fault to it.
 func (v Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f := v.Store.broken()
+	f := v.Store.currentFault()
 	time.Sleep(f.Delay)
 	switch f.Mode {
 	case ModeSilent:
@@ -49,31 +49,34 @@
 	default:
 		l, at := v.Store.list(kind)
 		for i := range l {
-			l[i] = v.translate(l[i])
+			l[i] = v.rewriteAddress(l[i])
 		}
 		answer(w, http.StatusOK, page{Items: l, Revision: at})
 	}
 }
 
+// page is the answer to a list request.
 type page struct {
 	Items    []object `json:"items"`
 	More     bool     `json:"more"`
 	Revision uint64   `json:"as_of"`
 }
 
+// changes is the answer to a watch request.
 type changes struct {
 	Events   []event `json:"events"`
 	Revision uint64  `json:"as_of"`
 }
 
+// answer writes the status and the body as JSON.
 func answer(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// translate replaces the address that an object names by this host's way to it.
-func (v Handler) translate(o object) object {
+// rewriteAddress returns the object with its address, if it has one, replaced by RewriteAddress.
+func (v Handler) rewriteAddress(o object) object {
 	if v.RewriteAddress == nil {
 		return o
 	}
@@ -92,29 +95,32 @@
 	return o
 }
 
+// get answers with one object.
 func (v Handler) get(w http.ResponseWriter, kind, name string) {
 	o, ok := v.Store.get(kind, name)
 	if !ok {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	answer(w, http.StatusOK, v.translate(o))
+	answer(w, http.StatusOK, v.rewriteAddress(o))
 }
 
+// watch answers with the changes after a revision. It waits for one for at most wait_ms,
+// and answers 410 if the history does not reach back to the revision.
 func (v Handler) watch(w http.ResponseWriter, r *http.Request, kind string) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("watch"), 10, 64)
 	ms, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	t := time.NewTimer(time.Duration(ms) * time.Millisecond)
 	defer t.Stop()
-	for over := false; ; {
-		l, at, kept, changed := v.Store.since(kind, after)
-		if !kept {
+	for expired := false; ; {
+		l, at, available, changed := v.Store.since(kind, after)
+		if !available {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		if len(l) > 0 || over {
+		if len(l) > 0 || expired {
 			for i := range l {
-				l[i].Object = v.translate(l[i].Object)
+				l[i].Object = v.rewriteAddress(l[i].Object)
 			}
 			answer(w, http.StatusOK, changes{Events: l, Revision: at})
 			return
@@ -122,16 +128,17 @@
 		select {
 		case <-changed:
 		case <-t.C:
-			over = true
+			expired = true
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-// change creates, replaces or deletes one object.
+// change creates, replaces or deletes one object. With the fault LostAnswersPerMille it carries out
+// some changes without answering them.
 func (v Handler) change(w http.ResponseWriter, r *http.Request, kind, name string) {
-	b, err := io.ReadAll(io.LimitReader(r.Body, maximumBody))
+	b, err := io.ReadAll(io.LimitReader(r.Body, maximumBodyBytes))
 	if err != nil {
 		return
 	}
@@ -146,21 +153,22 @@
 		name = o.Meta.Name
 	}
 	status, n := v.Store.apply(r.Method, kind, name, o)
-	if v.Store.lose() {
+	if v.Store.losesAnswer() {
 		panic(http.ErrAbortHandler)
 	}
 	answer(w, status, n)
 }
 
-// apply makes one change if its condition holds.
+// apply makes one change. It returns a conflict if the object to create exists or the revision is not
+// the current one, and not found if the object to change does not exist.
 func (s *Store) apply(method, kind, name string, o object) (int, object) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	old, there := s.kinds[kind][name]
+	old, exists := s.kinds[kind][name]
 	switch {
-	case method == http.MethodPost && there:
+	case method == http.MethodPost && exists:
 		return http.StatusConflict, old
-	case method != http.MethodPost && !there:
+	case method != http.MethodPost && !exists:
 		return http.StatusNotFound, object{}
 	case o.Meta.Revision != 0 && o.Meta.Revision != old.Meta.Revision:
 		return http.StatusConflict, old
@@ -171,15 +179,17 @@
 	return http.StatusOK, s.set(kind, name, o.Spec)
 }
 
-// order is that of a promotion on the wire.
-type order struct {
+// promotion is the body of a promotion request.
+type promotion struct {
 	Backend string `json:"backend"`
 	ID      string `json:"id"`
 }
 
+// promote carries out a promotion with the fencing token of the request's header, and answers a conflict
+// if it is refused.
 func (v Handler) promote(w http.ResponseWriter, r *http.Request) {
-	var o order
-	if json.NewDecoder(io.LimitReader(r.Body, maximumBody)).Decode(&o) != nil {
+	var o promotion
+	if json.NewDecoder(io.LimitReader(r.Body, maximumBodyBytes)).Decode(&o) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
--- a/internal/soak/storekeeper/storekeeper.go
+++ b/internal/soak/storekeeper/storekeeper.go
@@ -1,5 +1,5 @@
-// Package storekeeper stands in for the platform's object store and for its orders, with
-// the faults that a soak asks for.
+// Package storekeeper stands in for the platform's object store and its promotion requests, with
+// injected faults.
 package storekeeper
 
 import (
@@ -10,45 +10,46 @@
 	"time"
 )
 
-// Mode is how a store doesn't answer.
+// Mode is how the store answers requests.
 type Mode uint8
 
-// Ways.
+// Modes.
 const (
-	// ModeNormal is a store that answers.
+	// ModeNormal answers requests.
 	ModeNormal Mode = iota
-	// ModeSilent takes calls and never answers.
+	// ModeSilent accepts requests and never answers.
 	ModeSilent
-	// ModeBusy answers 503.
+	// ModeBusy answers 503 to all requests.
 	ModeBusy
-	// ModeReset breaks connections off.
+	// ModeReset resets the connection of each request.
 	ModeReset
 )
 
-// Fault is what is wrong with the store.
+// Fault is the faults of the store; the zero value is none.
 type Fault struct {
 	Mode Mode
-	// Delay is added to each answer.
+	// Delay is added before each answer.
 	Delay time.Duration
-	// LostAnswersPerMille is how many of a thousand writes are done and not answered.
+	// LostAnswersPerMille is how many of a thousand changes are carried out and not answered.
 	LostAnswersPerMille int
 }
 
-// lapse is how long an entry of a server is kept that isn't renewed.
-const lapse = 3600 * time.Millisecond
+// entryTTL is the time after which a server's entry that is not renewed expires.
+const entryTTL = 3600 * time.Millisecond
 
-// object is one object on the wire.
+// object is one object, as encoded in answers.
 type object struct {
 	Meta meta            `json:"meta"`
 	Spec json.RawMessage `json:"spec"`
 }
 
+// meta is the metadata of an object.
 type meta struct {
 	Name     string `json:"name"`
 	Revision uint64 `json:"revision"`
 }
 
-// event is one change.
+// event is one change of an object, as encoded in answers.
 type event struct {
 	Object  object `json:"object"`
 	Removed bool   `json:"removed"`
@@ -58,36 +59,39 @@
 
 // Store keeps objects by kind and name. Its exported field is set before use.
 type Store struct {
-	// Promote carries an order out; an error refuses it.
+	// Promote promotes the server of the group with a fencing token; an error refuses the request.
 	Promote func(group, server string, token uint64) error
 
 	mu       sync.Mutex
 	revision uint64
 	kinds    map[string]map[string]object
 	events   []event
-	// floor is the revision from which events are kept.
-	floor   uint64
+	// floor is the revision after which events are kept.
+	floor uint64
+	// changed is closed at the next change, nil while nobody waits for one.
 	changed chan struct{}
+	// renewed holds by name when each entry was last renewed.
 	renewed map[string]time.Time
 	fault   Fault
-	writes  int
+	// writes counts the changes that entry hosts requested.
+	writes int
 }
 
-// SetFault sets what is wrong with the store, the zero value for nothing.
+// SetFault replaces the store's faults; the zero value ends them.
 func (s *Store) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-func (s *Store) broken() Fault {
+func (s *Store) currentFault() Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fault
 }
 
-// Put sets an object as the operator or a server does, and returns its revision. The same
-// value again changes nothing.
+// Put sets an object, as the operator or a server does, and returns its revision. An unchanged value
+// keeps its revision. It returns an error if spec cannot be encoded.
 func (s *Store) Put(kind, name string, spec any) (uint64, error) {
 	b, err := json.Marshal(spec)
 	if err != nil {
@@ -101,10 +105,10 @@
 	return s.set(kind, name, b).Meta.Revision, nil
 }
 
-// Renew is Put for an entry that lapses unless it is renewed. A store that doesn't answer
-// takes no renewal.
+// Renew is Put for an entry that expires unless it is renewed. It does nothing while the store does not
+// answer requests.
 func (s *Store) Renew(kind, name string, spec any) error {
-	if s.broken().Mode != ModeNormal {
+	if s.currentFault().Mode != ModeNormal {
 		return nil
 	}
 	if _, err := s.Put(kind, name, spec); err != nil {
@@ -119,26 +123,26 @@
 	return nil
 }
 
-// RemoveExpired removes the entries of the kind that weren't renewed in time.
+// RemoveExpired removes the entries of the kind that were not renewed within entryTTL.
 func (s *Store) RemoveExpired(kind string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for n := range s.kinds[kind] {
-		if time.Since(s.renewed[n]) > lapse {
+		if time.Since(s.renewed[n]) > entryTTL {
 			s.remove(kind, n)
 		}
 	}
 }
 
-// DropHistory drops the history, as a store may at any time.
+// DropHistory drops all events, as a store may at any time.
 func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events, s.floor = nil, s.revision
-	s.announce()
+	s.notifyWaiters()
 }
 
-// set changes an object. The mutex is held.
+// set creates or replaces an object. The caller holds the mutex.
 func (s *Store) set(kind, name string, spec json.RawMessage) object {
 	if s.kinds == nil {
 		s.kinds = make(map[string]map[string]object)
@@ -153,7 +157,7 @@
 	return o
 }
 
-// remove drops an object. The mutex is held.
+// remove deletes an object. The caller holds the mutex.
 func (s *Store) remove(kind, name string) {
 	o := s.kinds[kind][name]
 	delete(s.kinds[kind], name)
@@ -161,21 +165,22 @@
 	s.record(event{Object: o, Removed: true, kind: kind})
 }
 
+// record adds an event, which is ordered by the store's revision and not by its object's. The caller
+// holds the mutex.
 func (s *Store) record(e event) {
-	// A change orders by the store's revision, whatever the object's is.
 	s.events = append(s.events, e)
-	s.announce()
+	s.notifyWaiters()
 }
 
-// announce wakes the waiting calls. The mutex is held.
-func (s *Store) announce() {
+// notifyWaiters wakes the requests that wait for a change. The caller holds the mutex.
+func (s *Store) notifyWaiters() {
 	if s.changed != nil {
 		close(s.changed)
 		s.changed = nil
 	}
 }
 
-// list returns the objects of a kind in order of their names.
+// list returns the objects of a kind, sorted by name, and the store's revision.
 func (s *Store) list(kind string) ([]object, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,8 +192,8 @@
 	return l, s.revision
 }
 
-// since returns the changes of a kind after the revision, false if they aren't kept, and
-// what is closed at the next change.
+// since returns the events of a kind after the revision, the store's revision, false if the history does
+// not reach back to the given revision, and a channel that is closed at the next change.
 func (s *Store) since(kind string, after uint64) ([]event, uint64, bool, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -208,7 +213,7 @@
 	return l, s.revision, true, s.changed
 }
 
-// get returns one object.
+// get returns one object, and false if it does not exist.
 func (s *Store) get(kind, name string) (object, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -216,8 +221,9 @@
 	return o, ok
 }
 
-// lose reports whether the answer to this write is to be lost: one in so many, in turn.
-func (s *Store) lose() bool {
+// losesAnswer counts a write and reports whether its answer is lost: LostAnswersPerMille of a thousand,
+// spread evenly.
+func (s *Store) losesAnswer() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.writes++
