--- a/internal/soak/replicator/replicator.go
+++ b/internal/soak/replicator/replicator.go
@@ -100,12 +100,9 @@
 
 // ServerFault is the faults of a server; the zero value is none.
 type ServerFault struct {
-	// Down is a server that does not run.
-	Down bool
-	// Mute is a server that accepts statements and answers none.
-	Mute bool
-	// Deaf is a server that receives no replication.
-	Deaf bool
+	// Down is a server that does not run, Mute one that accepts statements and answers none, Deaf a
+	// replica that receives no replication.
+	Down, Mute, Deaf bool
 }
 
 // SetFault replaces the faults of a server; the zero value ends them.
--- a/internal/soak/replicator/responder.go
+++ b/internal/soak/replicator/responder.go
@@ -126,12 +126,9 @@
 	// values are the session values by name, prepared the prepared statements by name.
 	values   map[string]string
 	prepared map[string]string
-	// open reports that a transaction is open.
-	open bool
-	// failed reports that the transaction can only be rolled back.
-	failed bool
-	// writable reports that the transaction may write.
-	writable bool
+	// open reports that a transaction is open, failed that it can only be rolled back, writable that it
+	// may write.
+	open, failed, writable bool
 	// term is the server's term when the transaction began.
 	term uint64
 	// owner is the session of the transaction's first statement.
