--- a/internal/bench/runner/fault.go
+++ b/internal/bench/runner/fault.go
@@ -131,7 +131,7 @@
 		return i.restartAll(ctx)
 	case definer.Leaving:
 		p, _ := i.primary()
-		p.Leave(true)
+		p.SetLeaving(true)
 		i.watch(&leavingServer{server: p, since: i.run.since(), before: -1})
 	case definer.OperatorsRace:
 		return i.race(ctx)
@@ -154,7 +154,7 @@
 func (i *injection) primary() (*responder.Server, int) {
 	l := i.system.Groups()[i.run.Deployment.Groups[0]].Servers
 	for n, s := range l {
-		if p, _ := s.Store().Leads(); p {
+		if p, _ := s.Store().IsPrimary(); p {
 			return s, n
 		}
 	}
@@ -166,7 +166,7 @@
 	for _, g := range i.system.Groups() {
 		for n := len(g.Servers) - 1; n >= 0; n-- {
 			s := g.Servers[n]
-			if p, _ := s.Store().Leads(); p {
+			if p, _ := s.Store().IsPrimary(); p {
 				continue
 			}
 			s.SetReplicationLag(replicaLag)
@@ -304,7 +304,7 @@
 	defer i.mutex.Unlock()
 	for _, l := range i.leaving {
 		if l.before < 0 && now > l.since+leavingGrace {
-			l.before = l.server.Work().Total()
+			l.before = l.server.StatementCounts().Total()
 		}
 	}
 }
@@ -314,7 +314,7 @@
 	var n int64
 	for _, l := range i.leaving {
 		if l.before >= 0 {
-			n += l.server.Work().Total() - l.before
+			n += l.server.StatementCounts().Total() - l.before
 		}
 	}
 	return n
--- a/internal/bench/runner/runner.go
+++ b/internal/bench/runner/runner.go
@@ -125,7 +125,7 @@
 // counts are the system's counters at one moment.
 type counts struct {
 	storeCalls, controlBytes, linkBytes int64
-	work                                responder.Work
+	work                                responder.StatementCounts
 }
 
 func (r *Run) count() counts {
@@ -200,11 +200,11 @@
 }
 
 // work sums the statements of all backend servers.
-func (r *Run) work() responder.Work {
-	var w responder.Work
+func (r *Run) work() responder.StatementCounts {
+	var w responder.StatementCounts
 	for _, g := range r.System.Groups() {
 		for _, s := range g.Servers {
-			c := s.Work()
+			c := s.StatementCounts()
 			w.PrimaryReads += c.PrimaryReads
 			w.ReplicaReads += c.ReplicaReads
 			w.Others += c.Others
@@ -218,7 +218,7 @@
 	var n int64
 	for _, g := range r.System.Groups() {
 		for _, s := range g.Servers {
-			n += s.Opened()
+			n += s.OpenedConnections()
 		}
 	}
 	return n
--- a/internal/bench/runner/state.go
+++ b/internal/bench/runner/state.go
@@ -96,7 +96,7 @@
 		if s.Store().Last() != l {
 			return false
 		}
-		if p, t := s.Store().Leads(); p && t == l.Term {
+		if p, t := s.Store().IsPrimary(); p && t == l.Term {
 			primaries++
 		}
 	}
--- a/internal/command/runner/standin.go
+++ b/internal/command/runner/standin.go
@@ -72,15 +72,15 @@
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	b := &responder.Server{
-		Name:         s.Name,
-		Address:      s.Address,
-		AdminAddress: s.AdminAddress,
-		Slots:        s.Slots,
-		Connections:  s.Connections,
-		ConnectTime:  s.ConnectTime,
-		ServiceTime:  s.ServiceTime,
-		Primary:      s.Primary,
-		Following:    l,
+		Name:               s.Name,
+		Address:            s.Address,
+		AdminAddress:       s.AdminAddress,
+		Slots:              s.Slots,
+		MaximumConnections: s.Connections,
+		ConnectTime:        s.ConnectTime,
+		ServiceTime:        s.ServiceTime,
+		Primary:            s.Primary,
+		Following:          l,
 	}
 	if s.PasswordEnvironment != "" {
 		b.Password = os.Getenv(s.PasswordEnvironment)
@@ -104,18 +104,18 @@
 }
 
 // leader reads the primary to follow.
-func (s *standInBackend) leader() (replicator.Leader, error) {
+func (s *standInBackend) leader() (replicator.Primary, error) {
 	if s.Follow == "" {
-		return replicator.Leader{}, nil
+		return replicator.Primary{}, nil
 	}
 	n, a, ok := strings.Cut(s.Follow, "=")
 	if !ok || n == "" || a == "" {
-		return replicator.Leader{}, errors.Annotatef(ErrUsage, "--follow %q: expected NAME=ADDRESS", s.Follow)
+		return replicator.Primary{}, errors.Annotatef(ErrUsage, "--follow %q: expected NAME=ADDRESS", s.Follow)
 	}
 	if s.Primary {
-		return replicator.Leader{}, errors.Annotate(ErrUsage, "--primary and --follow exclude each other")
+		return replicator.Primary{}, errors.Annotate(ErrUsage, "--primary and --follow exclude each other")
 	}
-	return replicator.Leader{Name: n, Address: a}, nil
+	return replicator.Primary{Name: n, Address: a}, nil
 }
 
 func (s *standInBackend) example() string {
--- a/internal/host/deployer/deployer.go
+++ b/internal/host/deployer/deployer.go
@@ -188,12 +188,12 @@
 	g := &grouper.Group{}
 	for i, p := range d.Places {
 		s := &responder.Server{
-			Name:        name + "-" + string(rune('a'+i)),
-			Address:     anyPort,
-			Slots:       d.Server.Slots,
-			Connections: d.Server.Connections,
-			ConnectTime: d.Server.ConnectTime,
-			ServiceTime: d.Server.ServiceTime,
+			Name:               name + "-" + string(rune('a'+i)),
+			Address:            anyPort,
+			Slots:              d.Server.Slots,
+			MaximumConnections: d.Server.Connections,
+			ConnectTime:        d.Server.ConnectTime,
+			ServiceTime:        d.Server.ServiceTime,
 		}
 		if d.PeerDial != nil {
 			s.Dial = d.PeerDial(p)
--- a/internal/host/deployer/drivers_test.go
+++ b/internal/host/deployer/drivers_test.go
@@ -86,7 +86,7 @@
 		x, cancel := context.WithCancel(t.Context())
 		reads := func() (n int64) {
 			for _, s := range d.Standins["db"].Servers {
-				n += s.Work().PrimaryReads + s.Work().ReplicaReads
+				n += s.StatementCounts().PrimaryReads + s.StatementCounts().ReplicaReads
 			}
 			return n
 		}
--- a/internal/host/deployer/failover_test.go
+++ b/internal/host/deployer/failover_test.go
@@ -20,14 +20,14 @@
 	exec(t, c, "CREATE TABLE t (id bigint PRIMARY KEY)")
 	exec(t, c, "/* key=first */ INSERT INTO t (id) VALUES (0)")
 	id := 0
-	for _, f := range []injector.CommitFailure{{Code: "40003", Lasts: true}, {Code: "40003"}, {Code: "08007", Lasts: true}, {Code: "08007"}} {
+	for _, f := range []injector.CommitFailure{{Code: "40003", Committed: true}, {Code: "40003"}, {Code: "08007", Committed: true}, {Code: "08007"}} {
 		for _, keyed := range []bool{true, false} {
 			for _, form := range [][]string{{"%s"}, {"BEGIN", "%s", "COMMIT"}} {
 				id++
-				t.Run(fmt.Sprintf("%s lasts=%t key=%t statements=%d", f.Code, f.Lasts, keyed, len(form)), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s lasts=%t key=%t statements=%d", f.Code, f.Committed, keyed, len(form)), func(t *testing.T) {
 					failCommit(t, connect(t, d, id%3, ""), id, form, keyed, d.Standins["db"].Servers[0].FailCommit, f)
 					n := query[int64](t, c, "SELECT count(*) FROM t WHERE id = $1", id)
-					if !keyed && (n == 1) != f.Lasts {
+					if !keyed && (n == 1) != f.Committed {
 						t.Errorf("a write without key is there %d times", n)
 					}
 				})
@@ -55,7 +55,7 @@
 		}
 		return
 	}
-	if strings.Contains(detail(err), "outcome=unknown") || f.Lasts && err != nil {
+	if strings.Contains(detail(err), "outcome=unknown") || f.Committed && err != nil {
 		t.Errorf("told %v, detail %q", err, detail(err))
 	}
 	n := query[int64](t, c, fmt.Sprintf("SELECT count(*) FROM t WHERE id = %d", id))
--- a/internal/host/deployer/pools_bench_test.go
+++ b/internal/host/deployer/pools_bench_test.go
@@ -106,7 +106,7 @@
 func opened(d *deployer.Deployment) int64 {
 	var most int64
 	for _, s := range d.Standins["db"].Servers {
-		most = max(most, s.Opened())
+		most = max(most, s.OpenedConnections())
 	}
 	return most
 }
--- a/internal/standin/executor/executor.go
+++ b/internal/standin/executor/executor.go
@@ -174,7 +174,7 @@
 		return failure(codeReadOnly, "cannot execute a write: %v", err)
 	case errors.Is(err, replicator.ErrDeadlock):
 		return failure(codeDeadlock, "deadlock detected")
-	case errors.Is(err, replicator.ErrTerm):
+	case errors.Is(err, replicator.ErrTermRefused):
 		return failure(codeObjectState, "%v", err)
 	}
 	return failure("XX000", "%v", err)
--- a/internal/standin/executor/functions.go
+++ b/internal/standin/executor/functions.go
@@ -132,7 +132,7 @@
 }
 
 func callRecovery(s *scope, _ []any) (any, error) {
-	l, _ := s.session.Store.Leads()
+	l, _ := s.session.Store.IsPrimary()
 	return !l, nil
 }
 
--- a/internal/standin/executor/settings.go
+++ b/internal/standin/executor/settings.go
@@ -95,7 +95,7 @@
 func (s *Session) show(v *pgquery.VariableShowStmt) (*Result, error) {
 	n := CanonicalSetting(v.Name)
 	if n == "transaction_read_only" {
-		l, _ := s.Store.Leads()
+		l, _ := s.Store.IsPrimary()
 		return oneRow([]Column{{Name: n, Type: pgtype.TextOID}}, []any{onOff(s.readOnly || !l)}, "SHOW"), nil
 	}
 	t, ok := s.Setting(n)
--- a/internal/standin/grouper/grouper_test.go
+++ b/internal/standin/grouper/grouper_test.go
@@ -230,7 +230,7 @@
 		_, err := a.Exec(context.Background(), "SELECT pg_sleep(600)")
 		done <- err
 	}()
-	until(t, "statement works", func() bool { return g.Servers[0].Work().PrimaryReads == 1 })
+	until(t, "statement works", func() bool { return g.Servers[0].StatementCounts().PrimaryReads == 1 })
 	if err := a.PgConn().CancelRequest(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -243,7 +243,7 @@
 }
 
 func TestConnectionLimit(t *testing.T) {
-	g := start(t, 1, func(s *responder.Server) { s.Connections = 2 })
+	g := start(t, 1, func(s *responder.Server) { s.MaximumConnections = 2 })
 	connect(t, g.Servers[0], "")
 	connect(t, g.Servers[0], "&application_name=cuminwick-control")
 	_, err := pgx.Connect(t.Context(), "postgres://anna@"+g.Servers[0].Addr()+"/records?sslmode=disable")
--- a/internal/standin/injector/injector.go
+++ b/internal/standin/injector/injector.go
@@ -25,8 +25,8 @@
 type CommitFailure struct {
 	// Code is its SQLSTATE.
 	Code string
-	// Lasts says that the commit takes effect all the same; otherwise it doesn't.
-	Lasts bool
+	// Committed says that the commit takes effect all the same; otherwise it doesn't.
+	Committed bool
 }
 
 // Faults are settings that goroutines wait on.
@@ -66,24 +66,24 @@
 	return c
 }
 
-// Wait returns when the server isn't paused, at once mostly.
-func (f *Faults) Wait(ctx context.Context) error {
+// WaitUnpaused returns when the server isn't paused, at once mostly.
+func (f *Faults) WaitUnpaused(ctx context.Context) error {
 	return f.until(ctx, func(s Settings) bool { return !s.Paused })
 }
 
-// Running returns when replication isn't stopped.
-func (f *Faults) Running(ctx context.Context) error {
+// WaitReplicating returns when replication isn't stopped.
+func (f *Faults) WaitReplicating(ctx context.Context) error {
 	return f.until(ctx, func(s Settings) bool { return !s.Paused && !s.ReplicationStopped })
 }
 
-// Connected returns when the server isn't isolated.
-func (f *Faults) Connected(ctx context.Context) error {
+// WaitConnected returns when the server isn't isolated.
+func (f *Faults) WaitConnected(ctx context.Context) error {
 	return f.until(ctx, func(s Settings) bool { return !s.Isolated })
 }
 
-// Lagged returns when a record that came at the given time may be taken over,
+// WaitReplicationLag returns when a record that came at the given time may be taken over,
 // by the replication lag that is set then.
-func (f *Faults) Lagged(ctx context.Context, came time.Time) error {
+func (f *Faults) WaitReplicationLag(ctx context.Context, came time.Time) error {
 	for {
 		s, c := f.Get()
 		d := time.Until(came.Add(s.ReplicationLag))
--- a/internal/standin/replicator/log.go
+++ b/internal/standin/replicator/log.go
@@ -57,11 +57,11 @@
 	return h
 }
 
-// Common returns the last position that two logs share.
+// CommonPosition returns the last position that two logs share.
 //
 // One primary writes a term, and a replica takes only records that continue its
 // log, so equal terms at a position mean equal logs up to there.
-func Common(a, b []Segment) marker.Position {
+func CommonPosition(a, b []Segment) marker.Position {
 	for i := len(a) - 1; i >= 0; i-- {
 		for j := len(b) - 1; j >= 0; j-- {
 			if a[i].Term == b[j].Term {
@@ -72,12 +72,12 @@
 	return 0
 }
 
-// Feed returns at most n records that follow position p, while the server leads under term t.
-func (s *Store) Feed(t marker.Term, p marker.Position, n int) ([]Record, error) {
+// ReadRecords returns at most n records that follow position p, while the server leads under term t.
+func (s *Store) ReadRecords(t marker.Term, p marker.Position, n int) ([]Record, error) {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	if s.role != controller.RolePrimary || s.term != t {
-		return nil, errors.Annotatef(ErrTerm, "feed from %s under %d: %s at %d", s.Name, t, s.role, s.term)
+		return nil, errors.Annotatef(ErrTermRefused, "feed from %s under %d: %s at %d", s.Name, t, s.role, s.term)
 	}
 	if int(p) >= len(s.log) {
 		return nil, nil
@@ -94,7 +94,7 @@
 	s.hold()
 	defer s.mutex.Unlock()
 	if t != s.term || s.role != controller.RoleReplica {
-		return false, errors.Annotatef(ErrTerm, "truncate %s under %d at %d", s.Name, t, s.term)
+		return false, errors.Annotatef(ErrTermRefused, "truncate %s under %d at %d", s.Name, t, s.term)
 	}
 	if int(p) >= len(s.log) {
 		return false, nil
@@ -120,7 +120,7 @@
 	s.hold()
 	defer s.mutex.Unlock()
 	if t != s.term || s.role != controller.RoleReplica {
-		return errors.Annotatef(ErrTerm, "append to %s under %d at %d", s.Name, t, s.term)
+		return errors.Annotatef(ErrTermRefused, "append to %s under %d at %d", s.Name, t, s.term)
 	}
 	for _, e := range r {
 		if e.Mark.Position != s.last().Position+1 || e.Mark.Term < s.last().Term {
--- a/internal/standin/replicator/replicator.go
+++ b/internal/standin/replicator/replicator.go
@@ -15,16 +15,16 @@
 const (
 	// ErrReadOnly is returned for a write on a server that isn't primary, or whose role changed since the transaction began.
 	ErrReadOnly = errors.ConstError("backend server accepts no writes")
-	// ErrTerm is returned for a control call whose term doesn't fit the accepted one.
-	ErrTerm = errors.ConstError("term refused")
+	// ErrTermRefused is returned for a control call whose term doesn't fit the accepted one.
+	ErrTermRefused = errors.ConstError("term refused")
 	// ErrDeadlock is returned to the transaction whose wait would close a cycle of waits.
 	ErrDeadlock = errors.ConstError("deadlock detected")
 	// ErrDiverged is returned for records that don't continue the log.
 	ErrDiverged = errors.ConstError("records do not continue the log")
 )
 
-// Leader names the primary that a replica follows.
-type Leader struct {
+// Primary names the primary that a replica follows.
+type Primary struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 }
@@ -40,7 +40,7 @@
 	ready     bool
 	role      controller.Role
 	term      marker.Term
-	leader    Leader
+	leader    Primary
 	leaving   bool
 	epoch     uint64
 	log       []Record
@@ -158,7 +158,7 @@
 // lead makes the server primary of its term and writes the term-start record.
 func (s *Store) lead() {
 	s.role = controller.RolePrimary
-	s.leader = Leader{}
+	s.leader = Primary{}
 	s.following.set(s.leader, s.term)
 	s.epoch++
 	s.write(nil)
@@ -169,7 +169,7 @@
 	s.hold()
 	defer s.mutex.Unlock()
 	if t <= s.term {
-		return s.status(now), errors.Annotatef(ErrTerm, "raise to %d on %s at %d", t, s.Name, s.term)
+		return s.status(now), errors.Annotatef(ErrTermRefused, "raise to %d on %s at %d", t, s.Name, s.term)
 	}
 	s.accept(t, now)
 	return s.status(now), nil
@@ -183,7 +183,7 @@
 		s.role = controller.RoleFenced
 		s.following.reset(now)
 	}
-	s.leader = Leader{}
+	s.leader = Primary{}
 	s.following.set(s.leader, s.term)
 	s.announce()
 }
@@ -204,19 +204,19 @@
 	if t == s.term && s.role == controller.RolePrimary {
 		return s.status(now), nil
 	}
-	if t != s.term || s.leader != (Leader{}) {
-		return s.status(now), errors.Annotatef(ErrTerm, "promote to %d on %s at %d following %q", t, s.Name, s.term, s.leader.Name)
+	if t != s.term || s.leader != (Primary{}) {
+		return s.status(now), errors.Annotatef(ErrTermRefused, "promote to %d on %s at %d following %q", t, s.Name, s.term, s.leader.Name)
 	}
 	s.lead()
 	return s.status(now), nil
 }
 
 // Follow makes the server a replica of l under term t. A primary of t itself refuses.
-func (s *Store) Follow(t marker.Term, l Leader, now time.Time) (controller.Status, error) {
+func (s *Store) Follow(t marker.Term, l Primary, now time.Time) (controller.Status, error) {
 	s.hold()
 	defer s.mutex.Unlock()
 	if t < s.term || (t == s.term && s.role == controller.RolePrimary) {
-		return s.status(now), errors.Annotatef(ErrTerm, "follow %s under %d on %s at %d", l.Name, t, s.Name, s.term)
+		return s.status(now), errors.Annotatef(ErrTermRefused, "follow %s under %d on %s at %d", l.Name, t, s.Name, s.term)
 	}
 	if t > s.term {
 		s.accept(t, now)
@@ -235,22 +235,22 @@
 	s.leaving = leaving
 }
 
-// Leader returns the primary that the server follows, with the term, empty if none.
+// FollowedPrimary returns the primary that the server follows, with the term, empty if none.
 // It doesn't wait for changes in progress.
-func (s *Store) Leader() (Leader, marker.Term) {
+func (s *Store) FollowedPrimary() (Primary, marker.Term) {
 	return s.following.get()
 }
 
-// Leads reports whether the server is primary, and under which term.
-func (s *Store) Leads() (bool, marker.Term) {
+// IsPrimary reports whether the server is primary, and under which term.
+func (s *Store) IsPrimary() (bool, marker.Term) {
 	s.hold()
 	defer s.mutex.Unlock()
 	return s.role == controller.RolePrimary, s.term
 }
 
-// Heard notes that the server heard its primary, if it still follows under t.
+// NoteContact notes that the server heard its primary, if it still follows under t.
 // It doesn't wait for changes in progress.
-func (s *Store) Heard(t marker.Term, now time.Time) {
+func (s *Store) NoteContact(t marker.Term, now time.Time) {
 	s.following.hear(t, now)
 }
 
--- a/internal/standin/replicator/replicator_test.go
+++ b/internal/standin/replicator/replicator_test.go
@@ -56,7 +56,7 @@
 	}
 	m.stores[0].Start(1)
 	for _, s := range m.stores[1:] {
-		if _, err := s.Follow(1, Leader{Name: "0"}, time.Now()); err != nil {
+		if _, err := s.Follow(1, Primary{Name: "0"}, time.Now()); err != nil {
 			panic(err)
 		}
 	}
@@ -90,7 +90,7 @@
 		return m.promote(e.Server, e.Other)
 	case "follow":
 		if p := m.primary(); p != nil && p != s {
-			_, _ = s.Follow(p.term, Leader{Name: p.Name}, time.Now())
+			_, _ = s.Follow(p.term, Primary{Name: p.Name}, time.Now())
 		}
 	}
 	return nil
@@ -109,19 +109,19 @@
 
 // replicate carries one record to s from the primary that it follows.
 func (m *model) replicate(s *Store) error {
-	l, t := s.Leader()
-	if l == (Leader{}) {
+	l, t := s.FollowedPrimary()
+	if l == (Primary{}) {
 		return nil
 	}
 	p := m.stores[l.Name[0]-'0']
-	if leads, u := p.Leads(); !leads || u != t {
+	if leads, u := p.IsPrimary(); !leads || u != t {
 		return nil
 	}
-	c := Common(s.History(), p.History())
+	c := CommonPosition(s.History(), p.History())
 	if _, err := s.Truncate(t, c); err != nil {
 		return err
 	}
-	r, err := p.Feed(t, c, 1)
+	r, err := p.ReadRecords(t, c, 1)
 	if err != nil {
 		return err
 	}
@@ -183,7 +183,7 @@
 			if s == p {
 				continue
 			}
-			if _, err := s.Follow(p.term, Leader{Name: p.Name}, time.Now()); err != nil {
+			if _, err := s.Follow(p.term, Primary{Name: p.Name}, time.Now()); err != nil {
 				t.Fatal(err)
 			}
 			for s.Last() != p.Last() {
@@ -217,19 +217,19 @@
 func TestOldTermIsRefused(t *testing.T) {
 	s := &Store{Name: "a"}
 	now := time.Now()
-	if _, err := s.Follow(3, Leader{Name: "b"}, now); err != nil {
+	if _, err := s.Follow(3, Primary{Name: "b"}, now); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Append(2, []Record{{Mark: marker.Mark{Term: 2, Position: 1}}}); !errors.Is(err, ErrTerm) {
+	if err := s.Append(2, []Record{{Mark: marker.Mark{Term: 2, Position: 1}}}); !errors.Is(err, ErrTermRefused) {
 		t.Error(err)
 	}
-	if _, err := s.Follow(2, Leader{Name: "c"}, now); !errors.Is(err, ErrTerm) {
+	if _, err := s.Follow(2, Primary{Name: "c"}, now); !errors.Is(err, ErrTermRefused) {
 		t.Error(err)
 	}
-	if _, err := s.RaiseTerm(3, now); !errors.Is(err, ErrTerm) {
+	if _, err := s.RaiseTerm(3, now); !errors.Is(err, ErrTermRefused) {
 		t.Error(err)
 	}
-	if _, err := s.Promote(3, now); !errors.Is(err, ErrTerm) {
+	if _, err := s.Promote(3, now); !errors.Is(err, ErrTermRefused) {
 		t.Errorf("promoted while following: %v", err)
 	}
 	if err := s.Append(3, []Record{{Mark: marker.Mark{Term: 3, Position: 2}}}); !errors.Is(err, ErrDiverged) {
@@ -243,12 +243,12 @@
 func TestPrimaryIsHeardWhileARecordIsApplied(t *testing.T) {
 	s := &Store{Name: "db-2"}
 	now := time.Now()
-	if _, err := s.Follow(1, Leader{Name: "db-1"}, now); err != nil {
+	if _, err := s.Follow(1, Primary{Name: "db-1"}, now); err != nil {
 		t.Fatal(err)
 	}
 	s.mutex.Lock()
-	s.Heard(1, now.Add(time.Second))
-	l, n := s.Leader()
+	s.NoteContact(1, now.Add(time.Second))
+	l, n := s.FollowedPrimary()
 	s.mutex.Unlock()
 	if d := s.Status(now.Add(time.Second)).SinceLastContact; d != 0 || l.Name != "db-1" || n != 1 {
 		t.Errorf("heard %v ago, follows %q under %d", d, l.Name, n)
--- a/internal/standin/responder/commit.go
+++ b/internal/standin/responder/commit.go
@@ -18,7 +18,7 @@
 	if f.Code == "" {
 		return t.Commit()
 	}
-	if f.Lasts {
+	if f.Committed {
 		if _, err := t.Commit(); err != nil {
 			return marker.Mark{}, err
 		}
--- a/internal/standin/responder/connection.go
+++ b/internal/standin/responder/connection.go
@@ -69,7 +69,7 @@
 		return c.replicate(ctx)
 	}
 	defer c.server.connections.Add(-1)
-	if k := c.server.connections.Add(1); c.server.Connections > 0 && k > int64(c.server.Connections) {
+	if k := c.server.connections.Add(1); c.server.MaximumConnections > 0 && k > int64(c.server.MaximumConnections) {
 		return c.refuse("53300", "sorry, too many clients already")
 	}
 	c.server.opened.Add(1)
@@ -77,7 +77,7 @@
 	if err := scheduler.Pause(ctx, c.server.ConnectTime); err != nil {
 		return err
 	}
-	if err := c.server.faults.Wait(ctx); err != nil {
+	if err := c.server.faults.WaitUnpaused(ctx); err != nil {
 		return err
 	}
 	if err := c.authenticate(); err != nil {
@@ -101,7 +101,7 @@
 		if err != nil {
 			return nil, errors.Annotate(err, "receive startup")
 		}
-		if err := c.server.faults.Wait(ctx); err != nil {
+		if err := c.server.faults.WaitUnpaused(ctx); err != nil {
 			return nil, err
 		}
 		switch m := m.(type) {
--- a/internal/standin/responder/extended.go
+++ b/internal/standin/responder/extended.go
@@ -230,7 +230,7 @@
 		if err != nil {
 			return errors.Annotate(err, "receive COPY data")
 		}
-		if err := c.server.faults.Wait(ctx); err != nil {
+		if err := c.server.faults.WaitUnpaused(ctx); err != nil {
 			return executor.Translate(err)
 		}
 		switch m := m.(type) {
--- a/internal/standin/responder/faults.go
+++ b/internal/standin/responder/faults.go
@@ -28,8 +28,8 @@
 // CommitFailure is the JSON form of a commit's failure.
 type CommitFailure struct {
 	SQLState string `json:"sqlstate"`
-	// Lasts says that the commit takes effect all the same.
-	Lasts bool `json:"lasts"`
+	// Committed says that the commit takes effect all the same.
+	Committed bool `json:"lasts"`
 }
 
 // FailCommit answers the next commit of a transaction that wrote with an error.
@@ -57,8 +57,8 @@
 	s.faults.Change(func(f *injector.Settings) { f.Isolated = on })
 }
 
-// Leave says in the server's status that it will stop soon, or not any more.
-func (s *Server) Leave(on bool) {
+// SetLeaving says in the server's status that it will stop soon, or not any more.
+func (s *Server) SetLeaving(on bool) {
 	s.Store().SetLeaving(on)
 }
 
@@ -137,10 +137,10 @@
 	set(f.ReplicationStopped, s.StopReplication)
 	set(f.Paused, s.Pause)
 	set(f.Isolated, s.Isolate)
-	set(f.Leaving, s.Leave)
+	set(f.Leaving, s.SetLeaving)
 	set(f.Crashed, s.setCrashed)
 	if c := f.CommitFailure; c != nil {
-		s.FailCommit(injector.CommitFailure{Code: c.SQLState, Lasts: c.Lasts})
+		s.FailCommit(injector.CommitFailure{Code: c.SQLState, Committed: c.Committed})
 	}
 	return nil
 }
--- a/internal/standin/responder/messages.go
+++ b/internal/standin/responder/messages.go
@@ -28,7 +28,7 @@
 		if err != nil {
 			return errors.Annotate(err, "receive message")
 		}
-		if err := c.server.faults.Wait(ctx); err != nil {
+		if err := c.server.faults.WaitUnpaused(ctx); err != nil {
 			return err
 		}
 		if _, ok := m.(*pgproto3.Terminate); ok {
@@ -100,7 +100,7 @@
 }
 
 func (c *connection) flush(ctx context.Context) error {
-	if err := c.server.faults.Wait(ctx); err != nil {
+	if err := c.server.faults.WaitUnpaused(ctx); err != nil {
 		return err
 	}
 	c.gathered = 0
--- a/internal/standin/responder/responder.go
+++ b/internal/standin/responder/responder.go
@@ -32,8 +32,8 @@
 	Address string
 	// Slots is how many statements work at a time, no limit if zero.
 	Slots int
-	// Connections is how many connections are accepted, no limit if zero.
-	Connections int
+	// MaximumConnections is how many connections are accepted, no limit if zero.
+	MaximumConnections int
 	// ConnectTime is what a new connection takes, ServiceTime what a statement takes in its slot.
 	ConnectTime, ServiceTime time.Duration
 	// Password is asked for by SCRAM-SHA-256, nothing is asked for if empty.
@@ -41,7 +41,7 @@
 	// Primary starts an empty server as the primary of term 1.
 	Primary bool
 	// Following is the primary that an empty server follows under term 1, if set.
-	Following replicator.Leader
+	Following replicator.Primary
 	// Dial opens connections to peers, plain TCP if nil.
 	Dial streamer.Dial
 	// AdminAddress serves faults and dumps over HTTP, nowhere if empty.
@@ -115,8 +115,8 @@
 	return &s.store
 }
 
-// Opened counts the connections accepted so far, without replicas and cancels.
-func (s *Server) Opened() int64 {
+// OpenedConnections counts the connections accepted so far, without replicas and cancels.
+func (s *Server) OpenedConnections() int64 {
 	return s.opened.Load()
 }
 
@@ -132,7 +132,7 @@
 	s.setAddress(p.address)
 	if s.Primary {
 		s.store.Start(1)
-	} else if s.Following != (replicator.Leader{}) {
+	} else if s.Following != (replicator.Primary{}) {
 		if _, err := s.store.Follow(1, s.Following, time.Now()); err != nil {
 			return err
 		}
--- a/internal/standin/responder/work.go
+++ b/internal/standin/responder/work.go
@@ -10,8 +10,8 @@
 // ownPrefix starts the names of tables that cuminwick keeps for itself.
 const ownPrefix = "cuminwick_"
 
-// Work counts the statements that worked in a slot.
-type Work struct {
+// StatementCounts counts the statements that worked in a slot.
+type StatementCounts struct {
 	// PrimaryReads and ReplicaReads are SELECTs by the server's role at the time.
 	PrimaryReads int64
 	ReplicaReads int64
@@ -20,7 +20,7 @@
 }
 
 // Total is the number of statements.
-func (w Work) Total() int64 {
+func (w StatementCounts) Total() int64 {
 	return w.PrimaryReads + w.ReplicaReads + w.Others
 }
 
@@ -31,9 +31,9 @@
 	others       atomic.Int64
 }
 
-// Work returns the statements counted so far.
-func (s *Server) Work() Work {
-	return Work{
+// StatementCounts returns the statements counted so far.
+func (s *Server) StatementCounts() StatementCounts {
+	return StatementCounts{
 		PrimaryReads: s.work.primaryReads.Load(),
 		ReplicaReads: s.work.replicaReads.Load(),
 		Others:       s.work.others.Load(),
@@ -42,7 +42,7 @@
 
 // Statements counts the statements that worked in a slot so far.
 func (s *Server) Statements() int64 {
-	return s.Work().Total()
+	return s.StatementCounts().Total()
 }
 
 // count adds one statement that takes a slot.
@@ -52,7 +52,7 @@
 		s.work.others.Add(1)
 		return
 	}
-	if l, _ := s.store.Leads(); l {
+	if l, _ := s.store.IsPrimary(); l {
 		s.work.primaryReads.Add(1)
 		return
 	}
--- a/internal/standin/streamer/gathering.go
+++ b/internal/standin/streamer/gathering.go
@@ -27,7 +27,7 @@
 func (g *gathering) run() {
 	defer close(g.done)
 	g.changed = g.store.Changed()
-	r, err := g.store.Feed(g.term, g.from, batch)
+	r, err := g.store.ReadRecords(g.term, g.from, batch)
 	if err != nil {
 		g.err = err
 		return
--- a/internal/standin/streamer/puller.go
+++ b/internal/standin/streamer/puller.go
@@ -34,15 +34,15 @@
 func (p *Puller) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		c := p.Store.Changed()
-		l, t := p.Store.Leader()
-		if l == (replicator.Leader{}) {
+		l, t := p.Store.FollowedPrimary()
+		if l == (replicator.Primary{}) {
 			select {
 			case <-c:
 			case <-ctx.Done():
 			}
 			continue
 		}
-		if p.Faults.Connected(ctx) != nil {
+		if p.Faults.WaitConnected(ctx) != nil {
 			return
 		}
 		s := &stream{puller: p, leader: l, term: t, wake: make(chan struct{}, 1), ended: make(chan struct{})}
@@ -55,7 +55,7 @@
 // stream is one connection to one primary under one term.
 type stream struct {
 	puller *Puller
-	leader replicator.Leader
+	leader replicator.Primary
 	term   marker.Term
 	front  *pgproto3.Frontend
 	ear    *ear
@@ -125,8 +125,8 @@
 func (s *stream) loopWatch(ctx context.Context, stop context.CancelFunc) {
 	for {
 		c := s.puller.Store.Changed()
-		l, t := s.puller.Store.Leader()
-		if l != (replicator.Leader{}) && (l != s.leader || t != s.term) {
+		l, t := s.puller.Store.FollowedPrimary()
+		if l != (replicator.Primary{}) && (l != s.leader || t != s.term) {
 			stop()
 			return
 		}
@@ -149,12 +149,12 @@
 		if err != nil {
 			return err
 		}
-		if err := s.puller.Faults.Wait(ctx); err != nil {
+		if err := s.puller.Faults.WaitUnpaused(ctx); err != nil {
 			return err
 		}
-		l, t := s.puller.Store.Leader()
+		l, t := s.puller.Store.FollowedPrimary()
 		if l != s.leader || t != s.term || f.Term != s.term {
-			return errors.Annotatef(replicator.ErrTerm, "stream under %d ends at %d, reported %v", s.term, t, s.tell(t))
+			return errors.Annotatef(replicator.ErrTermRefused, "stream under %d ends at %d, reported %v", s.term, t, s.tell(t))
 		}
 		g, _ := s.puller.Faults.Get()
 		if g.Isolated {
@@ -173,7 +173,7 @@
 	if f.Paused || f.Isolated {
 		return
 	}
-	s.puller.Store.Heard(s.term, time.Now())
+	s.puller.Store.NoteContact(s.term, time.Now())
 }
 
 // take queues what f brings, records only once they are whole. They are decoded
@@ -237,7 +237,7 @@
 				return
 			}
 		}
-		if s.puller.Faults.Lagged(ctx, e.came) != nil || s.puller.Faults.Running(ctx) != nil {
+		if s.puller.Faults.WaitReplicationLag(ctx, e.came) != nil || s.puller.Faults.WaitReplicating(ctx) != nil {
 			return
 		}
 		if err := s.apply(e); err != nil {
--- a/internal/standin/streamer/sender.go
+++ b/internal/standin/streamer/sender.go
@@ -60,17 +60,17 @@
 // open refuses a replica under another term, or sends the position where the logs part.
 func (s *Sender) open(ctx context.Context, h hello) error {
 	s.Store.LearnTerm(h.Term, time.Now())
-	leads, t := s.Store.Leads()
+	leads, t := s.Store.IsPrimary()
 	if !leads || h.Term != t {
-		return errors.Annotatef(replicator.ErrTerm, "replica %s under %d, %s under %d leads %t", h.Name, h.Term, s.Store.Name, t, leads)
+		return errors.Annotatef(replicator.ErrTermRefused, "replica %s under %d, %s under %d leads %t", h.Name, h.Term, s.Store.Name, t, leads)
 	}
 	s.term = t
-	s.position = replicator.Common(h.History, s.Store.History())
+	s.position = replicator.CommonPosition(h.History, s.Store.History())
 	return s.send(ctx, frame{Term: t, First: true, Common: s.position})
 }
 
 func (s *Sender) send(ctx context.Context, f frame) error {
-	if err := s.Faults.Wait(ctx); err != nil {
+	if err := s.Faults.WaitUnpaused(ctx); err != nil {
 		return err
 	}
 	b, err := encode(f)
