--- a/internal/bench/runner/fault.go
+++ b/internal/bench/runner/fault.go
@@ -131,7 +131,7 @@
 		return i.restartAll(ctx)
 	case definer.Leaving:
 		p, _ := i.primary()
-		p.SetLeaving(true)
+		p.ReportLeaving(true)
 		i.watch(&leavingServer{server: p, since: i.run.since(), before: -1})
 	case definer.OperatorsRace:
 		return i.race(ctx)
--- a/internal/bench/runner/runner_test.go
+++ b/internal/bench/runner/runner_test.go
@@ -74,8 +74,8 @@
 // turn alternates between servers.
 var turn atomic.Int64
 
-func leader(s *responder.Server) replicator.Primary {
-	return replicator.Primary{Name: s.Name, Address: s.Addr()}
+func leader(s *responder.Server) replicator.PrimaryServer {
+	return replicator.PrimaryServer{Name: s.Name, Address: s.Addr()}
 }
 
 func first(g *grouper.Group) *responder.Server { return g.Servers[0] }
--- a/internal/command/runner/standin.go
+++ b/internal/command/runner/standin.go
@@ -104,18 +104,18 @@
 }
 
 // leader reads the primary to follow.
-func (s *standInBackend) leader() (replicator.Primary, error) {
+func (s *standInBackend) leader() (replicator.PrimaryServer, error) {
 	if s.Follow == "" {
-		return replicator.Primary{}, nil
+		return replicator.PrimaryServer{}, nil
 	}
 	n, a, ok := strings.Cut(s.Follow, "=")
 	if !ok || n == "" || a == "" {
-		return replicator.Primary{}, errors.Annotatef(ErrUsage, "--follow %q: expected NAME=ADDRESS", s.Follow)
+		return replicator.PrimaryServer{}, errors.Annotatef(ErrUsage, "--follow %q: expected NAME=ADDRESS", s.Follow)
 	}
 	if s.Primary {
-		return replicator.Primary{}, errors.Annotate(ErrUsage, "--primary and --follow exclude each other")
+		return replicator.PrimaryServer{}, errors.Annotate(ErrUsage, "--primary and --follow exclude each other")
 	}
-	return replicator.Primary{Name: n, Address: a}, nil
+	return replicator.PrimaryServer{Name: n, Address: a}, nil
 }
 
 func (s *standInBackend) example() string {
--- a/internal/group/driver/driver_test.go
+++ b/internal/group/driver/driver_test.go
@@ -373,7 +373,7 @@
 	if err := c.Exec(r.ctx, "BEGIN; INSERT INTO line VALUES (-1)").Close(); err != nil {
 		t.Fatal(err)
 	}
-	now.SetLeaving(true)
+	now.ReportLeaving(true)
 	for !r.drivers[0].HandingOver() || !r.drivers[1].HandingOver() {
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/standin/executor/control.go
+++ b/internal/standin/executor/control.go
@@ -54,7 +54,7 @@
 }
 
 func callFollow(s *replicator.Store, a []any, now time.Time) (controller.Status, error) {
-	l := replicator.Primary{Name: a[1].(string), Address: a[2].(string)}
+	l := replicator.PrimaryServer{Name: a[1].(string), Address: a[2].(string)}
 	return s.Follow(marker.Term(a[0].(int64)), l, now)
 }
 
--- a/internal/standin/grouper/grouper.go
+++ b/internal/standin/grouper/grouper.go
@@ -47,7 +47,7 @@
 		s.SystemIdentifier = id
 		if i > 0 {
 			f := g.Servers[0]
-			s.Following = replicator.Primary{Name: f.Name, Address: f.Addr()}
+			s.Following = replicator.PrimaryServer{Name: f.Name, Address: f.Addr()}
 		}
 		w.Go(func() error { return s.Run(ctx) })
 		select {
--- a/internal/standin/replicator/following.go
+++ b/internal/standin/replicator/following.go
@@ -14,20 +14,20 @@
 // which its primary sent all the time, and entry hosts would replace it.
 type following struct {
 	mutex  sync.Mutex
-	leader Primary
+	leader PrimaryServer
 	term   marker.Term
 	heard  time.Time
 }
 
 // set notes whom the store follows, under which accepted term.
-func (f *following) set(l Primary, t marker.Term) {
+func (f *following) set(l PrimaryServer, t marker.Term) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.leader = l
 	f.term = t
 }
 
-func (f *following) get() (Primary, marker.Term) {
+func (f *following) get() (PrimaryServer, marker.Term) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.leader, f.term
--- a/internal/standin/replicator/replicator.go
+++ b/internal/standin/replicator/replicator.go
@@ -23,8 +23,8 @@
 	ErrDiverged = errors.ConstError("records do not continue the log")
 )
 
-// Primary names the primary that a replica follows.
-type Primary struct {
+// PrimaryServer names the primary that a replica follows.
+type PrimaryServer struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 }
@@ -40,7 +40,7 @@
 	ready     bool
 	role      controller.Role
 	term      marker.Term
-	leader    Primary
+	leader    PrimaryServer
 	leaving   bool
 	epoch     uint64
 	log       []Record
@@ -158,7 +158,7 @@
 // lead makes the server primary of its term and writes the term-start record.
 func (s *Store) lead() {
 	s.role = controller.RolePrimary
-	s.leader = Primary{}
+	s.leader = PrimaryServer{}
 	s.following.set(s.leader, s.term)
 	s.epoch++
 	s.write(nil)
@@ -183,7 +183,7 @@
 		s.role = controller.RoleFenced
 		s.following.reset(now)
 	}
-	s.leader = Primary{}
+	s.leader = PrimaryServer{}
 	s.following.set(s.leader, s.term)
 	s.announce()
 }
@@ -204,7 +204,7 @@
 	if t == s.term && s.role == controller.RolePrimary {
 		return s.status(now), nil
 	}
-	if t != s.term || s.leader != (Primary{}) {
+	if t != s.term || s.leader != (PrimaryServer{}) {
 		return s.status(now), errors.Annotatef(ErrTermRefused, "promote to %d on %s at %d following %q", t, s.Name, s.term, s.leader.Name)
 	}
 	s.lead()
@@ -212,7 +212,7 @@
 }
 
 // Follow makes the server a replica of l under term t. A primary of t itself refuses.
-func (s *Store) Follow(t marker.Term, l Primary, now time.Time) (controller.Status, error) {
+func (s *Store) Follow(t marker.Term, l PrimaryServer, now time.Time) (controller.Status, error) {
 	s.hold()
 	defer s.mutex.Unlock()
 	if t < s.term || (t == s.term && s.role == controller.RolePrimary) {
@@ -237,7 +237,7 @@
 
 // FollowedPrimary returns the primary that the server follows, with the term, empty if none.
 // It doesn't wait for changes in progress.
-func (s *Store) FollowedPrimary() (Primary, marker.Term) {
+func (s *Store) FollowedPrimary() (PrimaryServer, marker.Term) {
 	return s.following.get()
 }
 
--- a/internal/standin/replicator/replicator_test.go
+++ b/internal/standin/replicator/replicator_test.go
@@ -56,7 +56,7 @@
 	}
 	m.stores[0].Start(1)
 	for _, s := range m.stores[1:] {
-		if _, err := s.Follow(1, Primary{Name: "0"}, time.Now()); err != nil {
+		if _, err := s.Follow(1, PrimaryServer{Name: "0"}, time.Now()); err != nil {
 			panic(err)
 		}
 	}
@@ -90,7 +90,7 @@
 		return m.promote(e.Server, e.Other)
 	case "follow":
 		if p := m.primary(); p != nil && p != s {
-			_, _ = s.Follow(p.term, Primary{Name: p.Name}, time.Now())
+			_, _ = s.Follow(p.term, PrimaryServer{Name: p.Name}, time.Now())
 		}
 	}
 	return nil
@@ -110,7 +110,7 @@
 // replicate carries one record to s from the primary that it follows.
 func (m *model) replicate(s *Store) error {
 	l, t := s.FollowedPrimary()
-	if l == (Primary{}) {
+	if l == (PrimaryServer{}) {
 		return nil
 	}
 	p := m.stores[l.Name[0]-'0']
@@ -183,7 +183,7 @@
 			if s == p {
 				continue
 			}
-			if _, err := s.Follow(p.term, Primary{Name: p.Name}, time.Now()); err != nil {
+			if _, err := s.Follow(p.term, PrimaryServer{Name: p.Name}, time.Now()); err != nil {
 				t.Fatal(err)
 			}
 			for s.Last() != p.Last() {
@@ -217,13 +217,13 @@
 func TestOldTermIsRefused(t *testing.T) {
 	s := &Store{Name: "a"}
 	now := time.Now()
-	if _, err := s.Follow(3, Primary{Name: "b"}, now); err != nil {
+	if _, err := s.Follow(3, PrimaryServer{Name: "b"}, now); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Append(2, []Record{{Mark: marker.Mark{Term: 2, Position: 1}}}); !errors.Is(err, ErrTermRefused) {
 		t.Error(err)
 	}
-	if _, err := s.Follow(2, Primary{Name: "c"}, now); !errors.Is(err, ErrTermRefused) {
+	if _, err := s.Follow(2, PrimaryServer{Name: "c"}, now); !errors.Is(err, ErrTermRefused) {
 		t.Error(err)
 	}
 	if _, err := s.RaiseTerm(3, now); !errors.Is(err, ErrTermRefused) {
@@ -243,7 +243,7 @@
 func TestPrimaryIsHeardWhileARecordIsApplied(t *testing.T) {
 	s := &Store{Name: "db-2"}
 	now := time.Now()
-	if _, err := s.Follow(1, Primary{Name: "db-1"}, now); err != nil {
+	if _, err := s.Follow(1, PrimaryServer{Name: "db-1"}, now); err != nil {
 		t.Fatal(err)
 	}
 	s.mutex.Lock()
--- a/internal/standin/responder/faults.go
+++ b/internal/standin/responder/faults.go
@@ -57,8 +57,8 @@
 	s.faults.Change(func(f *injector.Settings) { f.Isolated = on })
 }
 
-// SetLeaving says in the server's status that it will stop soon, or not any more.
-func (s *Server) SetLeaving(on bool) {
+// ReportLeaving says in the server's status that it will stop soon, or not any more.
+func (s *Server) ReportLeaving(on bool) {
 	s.Store().SetLeaving(on)
 }
 
@@ -137,7 +137,7 @@
 	set(f.ReplicationStopped, s.StopReplication)
 	set(f.Paused, s.Pause)
 	set(f.Isolated, s.Isolate)
-	set(f.Leaving, s.SetLeaving)
+	set(f.Leaving, s.ReportLeaving)
 	set(f.Crashed, s.setCrashed)
 	if c := f.CommitFailure; c != nil {
 		s.FailCommit(injector.CommitFailure{Code: c.SQLState, Committed: c.Committed})
--- a/internal/standin/responder/responder.go
+++ b/internal/standin/responder/responder.go
@@ -41,7 +41,7 @@
 	// Primary starts an empty server as the primary of term 1.
 	Primary bool
 	// Following is the primary that an empty server follows under term 1, if set.
-	Following replicator.Primary
+	Following replicator.PrimaryServer
 	// Dial opens connections to peers, plain TCP if nil.
 	Dial streamer.Dial
 	// AdminAddress serves faults and dumps over HTTP, nowhere if empty.
@@ -132,7 +132,7 @@
 	s.setAddress(p.address)
 	if s.Primary {
 		s.store.Start(1)
-	} else if s.Following != (replicator.Primary{}) {
+	} else if s.Following != (replicator.PrimaryServer{}) {
 		if _, err := s.store.Follow(1, s.Following, time.Now()); err != nil {
 			return err
 		}
--- a/internal/standin/streamer/puller.go
+++ b/internal/standin/streamer/puller.go
@@ -35,7 +35,7 @@
 	for ctx.Err() == nil {
 		c := p.Store.Changed()
 		l, t := p.Store.FollowedPrimary()
-		if l == (replicator.Primary{}) {
+		if l == (replicator.PrimaryServer{}) {
 			select {
 			case <-c:
 			case <-ctx.Done():
@@ -55,7 +55,7 @@
 // stream is one connection to one primary under one term.
 type stream struct {
 	puller *Puller
-	leader replicator.Primary
+	leader replicator.PrimaryServer
 	term   marker.Term
 	front  *pgproto3.Frontend
 	ear    *ear
@@ -126,7 +126,7 @@
 	for {
 		c := s.puller.Store.Changed()
 		l, t := s.puller.Store.FollowedPrimary()
-		if l != (replicator.Primary{}) && (l != s.leader || t != s.term) {
+		if l != (replicator.PrimaryServer{}) && (l != s.leader || t != s.term) {
 			stop()
 			return
 		}
--- a/internal/standin/streamer/streamer_test.go
+++ b/internal/standin/streamer/streamer_test.go
@@ -67,7 +67,7 @@
 	t.Helper()
 	g := &group{primary: primary{context: ctx, store: &replicator.Store{Name: "db-1"}}, replica: &replicator.Store{Name: "db-2"}}
 	g.primary.store.Start(1)
-	if _, err := g.replica.Follow(1, replicator.Primary{Name: "db-1"}, time.Now()); err != nil {
+	if _, err := g.replica.Follow(1, replicator.PrimaryServer{Name: "db-1"}, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	p := &streamer.Puller{Store: g.replica, Faults: &g.faults, Dial: g.primary.dial}
