--- a/internal/command/runner/standin.go
+++ b/internal/command/runner/standin.go
@@ -73,15 +73,15 @@
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	b := &responder.Server{
-		Name:         s.Name,
-		Address:      s.Address,
-		AdminAddress: s.AdminAddress,
-		Slots:        s.Slots,
-		Connections:  s.Connections,
-		ConnectTime:  s.ConnectTime,
-		ServiceTime:  s.ServiceTime,
-		Primary:      s.Primary,
-		Following:    l,
+		Name:               s.Name,
+		Address:            s.Address,
+		AdminAddress:       s.AdminAddress,
+		Slots:              s.Slots,
+		MaximumConnections: s.Connections,
+		ConnectTime:        s.ConnectTime,
+		ServiceTime:        s.ServiceTime,
+		Primary:            s.Primary,
+		Following:          l,
 	}
 	if s.PasswordEnvironment != "" {
 		b.Password = os.Getenv(s.PasswordEnvironment)
@@ -105,18 +105,18 @@
 }
 
 // parseFollow returns the primary to follow according to --follow, the zero value if it isn't set.
-func (s *standInBackend) parseFollow() (replicator.Leader, error) {
+func (s *standInBackend) parseFollow() (replicator.PrimaryServer, error) {
 	if s.Follow == "" {
-		return replicator.Leader{}, nil
+		return replicator.PrimaryServer{}, nil
 	}
 	n, a, ok := strings.Cut(s.Follow, "=")
 	if !ok || n == "" || a == "" {
-		return replicator.Leader{}, errors.Annotatef(ErrUsage, "--follow %q: expected NAME=ADDRESS", s.Follow)
+		return replicator.PrimaryServer{}, errors.Annotatef(ErrUsage, "--follow %q: expected NAME=ADDRESS", s.Follow)
 	}
 	if s.Primary {
-		return replicator.Leader{}, errors.Annotate(ErrUsage, "--primary and --follow exclude each other")
+		return replicator.PrimaryServer{}, errors.Annotate(ErrUsage, "--primary and --follow exclude each other")
 	}
-	return replicator.Leader{Name: n, Address: a}, nil
+	return replicator.PrimaryServer{Name: n, Address: a}, nil
 }
 
 func (s *standInBackend) example() string {
