--- a/internal/standin/executor/copies.go
+++ b/internal/standin/executor/copies.go
@@ -11,8 +11,8 @@
 
 // CopyIn takes the data of a COPY FROM STDIN.
 type CopyIn struct {
-	// Columns is the number of columns of a line.
-	Columns int
+	// ColumnCount is the number of columns of a line.
+	ColumnCount int
 
 	insertion *insertion
 	rest      []byte
@@ -50,7 +50,7 @@
 	}
 	c := s.tableScope(d, nil)
 	i := &insertion{session: s, transaction: t, definition: d, columns: n, scope: c, returning: &returning{scope: c}}
-	return &Result{CopyIn: &CopyIn{Columns: len(n), insertion: i}}, nil
+	return &Result{CopyIn: &CopyIn{ColumnCount: len(n), insertion: i}}, nil
 }
 
 // copyTargets turns COPY's names into an INSERT's column list.
@@ -103,8 +103,8 @@
 		return nil
 	}
 	f := strings.Split(l, "\t")
-	if len(f) != c.Columns {
-		return failure("22P04", "COPY line has %d columns, expected %d", len(f), c.Columns)
+	if len(f) != c.ColumnCount {
+		return failure("22P04", "COPY line has %d columns, expected %d", len(f), c.ColumnCount)
 	}
 	v := make([]any, len(f))
 	for i, t := range f {
--- a/internal/standin/executor/describe.go
+++ b/internal/standin/executor/describe.go
@@ -6,14 +6,14 @@
 )
 
 // Describe works out the types of a statement's parameters and result.
-func (s *Session) Describe(n *pgquery.Node, given []uint32) (*Prepared, error) {
+func (s *Session) Describe(n *pgquery.Node, given []uint32) (*PreparedStatement, error) {
 	p, err := s.describe(n, given)
 	return p, Translate(err)
 }
 
-func (s *Session) describe(n *pgquery.Node, given []uint32) (*Prepared, error) {
+func (s *Session) describe(n *pgquery.Node, given []uint32) (*PreparedStatement, error) {
 	if n == nil {
-		return &Prepared{}, nil
+		return &PreparedStatement{}, nil
 	}
 	c := s.scope(nil)
 	c.types = append([]uint32(nil), given...)
@@ -31,7 +31,7 @@
 	case *pgquery.Node_VariableShowStmt:
 		k = []Column{{Name: x.VariableShowStmt.Name, Type: pgtype.TextOID}}
 	case *pgquery.Node_ExecuteStmt:
-		if p, ok := s.Prepared[x.ExecuteStmt.Name]; ok {
+		if p, ok := s.PreparedStatements[x.ExecuteStmt.Name]; ok {
 			k = p.Columns
 		}
 	}
@@ -40,7 +40,7 @@
 			c.types[i] = pgtype.TextOID
 		}
 	}
-	return &Prepared{Node: n, Parameters: c.types, Columns: k}, err
+	return &PreparedStatement{Node: n, ParameterTypes: c.types, Columns: k}, err
 }
 
 func (s *Session) describeSelect(q *pgquery.SelectStmt, c *scope) ([]Column, error) {
--- a/internal/standin/executor/executor.go
+++ b/internal/standin/executor/executor.go
@@ -32,12 +32,12 @@
 	Notice string
 }
 
-// Prepared is one prepared statement.
-type Prepared struct {
+// PreparedStatement is one prepared statement.
+type PreparedStatement struct {
 	// Node is nil for an empty query.
 	Node *pgquery.Node
-	// Parameters are the types of the parameters.
-	Parameters []uint32
+	// ParameterTypes are the types of the parameters.
+	ParameterTypes []uint32
 	// Columns is nil for a statement that returns no rows.
 	Columns []Column
 }
@@ -51,23 +51,23 @@
 	Parser *Parser
 	// User and Database are those of the startup message.
 	User, Database string
-	// Process is the number in the session's cancel key.
-	Process uint32
-	// Committer commits a transaction, or rolls it back with an error.
-	Committer func(t *replicator.Transaction) (marker.Mark, error)
-	// Yield gives the slot back before a wait for a lock, Regain takes one after it.
-	Yield  func()
-	Regain func(ctx context.Context) error
+	// ProcessID is the number in the session's cancel key.
+	ProcessID uint32
+	// Commit commits a transaction, or rolls it back with an error.
+	Commit func(t *replicator.Transaction) (marker.Mark, error)
+	// ReleaseSlot gives the slot back before a wait for a lock, Regain takes one after it.
+	ReleaseSlot func()
+	AcquireSlot func(ctx context.Context) error
 	// Activity returns the rows of the list of sessions.
 	Activity func() [][]any
 	// Terminate ends the session with this process number, and reports whether there was one.
 	Terminate func(process uint32) bool
 	// Report tells the caller a changed parameter.
 	Report func(name, value string)
-	// Settings are the present ones; Startup those that RESET goes back to.
-	Settings, Startup map[string]string
-	// Prepared are the prepared statements by name.
-	Prepared map[string]*Prepared
+	// Settings are the present ones; StartupSettings those that RESET goes back to.
+	Settings, StartupSettings map[string]string
+	// PreparedStatements are the prepared statements by name.
+	PreparedStatements map[string]*PreparedStatement
 
 	context     context.Context
 	transaction *replicator.Transaction
@@ -207,7 +207,7 @@
 	if s.explicit || s.transaction == nil {
 		return nil
 	}
-	m, err := s.Committer(s.transaction)
+	m, err := s.Commit(s.transaction)
 	s.committed = m
 	s.end()
 	return Translate(err)
@@ -245,12 +245,12 @@
 	if err != nil || o == nil {
 		return err
 	}
-	s.Yield()
+	s.ReleaseSlot()
 	err = t.Lock(ctx, name)
 	if err != nil {
 		return err
 	}
-	return s.Regain(ctx)
+	return s.AcquireSlot(ctx)
 }
 
 // scope returns a scope without a row.
--- a/internal/standin/executor/functions.go
+++ b/internal/standin/executor/functions.go
@@ -124,7 +124,7 @@
 	return "PostgreSQL " + ServerVersion + " (cuminwick stand-in)", nil
 }
 
-func callProcess(s *scope, _ []any) (any, error)  { return int64(s.session.Process), nil }
+func callProcess(s *scope, _ []any) (any, error)  { return int64(s.session.ProcessID), nil }
 func callDatabase(s *scope, _ []any) (any, error) { return s.session.Database, nil }
 
 func callTerminate(s *scope, a []any) (any, error) {
--- a/internal/standin/executor/prepared.go
+++ b/internal/standin/executor/prepared.go
@@ -12,14 +12,14 @@
 			return nil, failure("25001", "DISCARD ALL cannot run inside a transaction block")
 		}
 		s.Reset()
-		clear(s.Prepared)
+		clear(s.PreparedStatements)
 		return &Result{Tag: "DISCARD ALL"}, nil
 	}
 	return &Result{Tag: "DISCARD"}, nil
 }
 
 func (s *Session) prepare(p *pgquery.PrepareStmt) (*Result, error) {
-	if _, ok := s.Prepared[p.Name]; ok {
+	if _, ok := s.PreparedStatements[p.Name]; ok {
 		return nil, failure(codeDuplicatePrepared, "prepared statement %q already exists", p.Name)
 	}
 	var t []uint32
@@ -34,16 +34,16 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Prepared[p.Name] = d
+	s.PreparedStatements[p.Name] = d
 	return &Result{Tag: "PREPARE"}, nil
 }
 
 func (s *Session) execute(ctx context.Context, e *pgquery.ExecuteStmt) (*Result, error) {
-	p, ok := s.Prepared[e.Name]
+	p, ok := s.PreparedStatements[e.Name]
 	if !ok || p.Node == nil {
 		return nil, failure(codeInvalidStatement, "prepared statement %q does not exist", e.Name)
 	}
-	if len(e.Params) != len(p.Parameters) {
+	if len(e.Params) != len(p.ParameterTypes) {
 		return nil, failure(codeSyntaxError, "wrong number of parameters for prepared statement %q", e.Name)
 	}
 	c := s.scope(nil)
@@ -53,7 +53,7 @@
 		if err != nil {
 			return nil, err
 		}
-		v, err = Coerce(p.Parameters[i], v)
+		v, err = Coerce(p.ParameterTypes[i], v)
 		if err != nil {
 			return nil, err
 		}
@@ -64,12 +64,12 @@
 
 func (s *Session) deallocate(d *pgquery.DeallocateStmt) (*Result, error) {
 	if d.Isall {
-		clear(s.Prepared)
+		clear(s.PreparedStatements)
 		return &Result{Tag: "DEALLOCATE ALL"}, nil
 	}
-	if _, ok := s.Prepared[d.Name]; !ok {
+	if _, ok := s.PreparedStatements[d.Name]; !ok {
 		return nil, failure(codeInvalidStatement, "prepared statement %q does not exist", d.Name)
 	}
-	delete(s.Prepared, d.Name)
+	delete(s.PreparedStatements, d.Name)
 	return &Result{Tag: "DEALLOCATE"}, nil
 }
--- a/internal/standin/executor/settings.go
+++ b/internal/standin/executor/settings.go
@@ -15,7 +15,7 @@
 		s.Reset()
 		return &Result{Tag: "RESET"}, nil
 	case pgquery.VariableSetKind_VAR_RESET, pgquery.VariableSetKind_VAR_SET_DEFAULT:
-		s.change(v.Name, s.Startup[CanonicalSetting(v.Name)], v.IsLocal)
+		s.change(v.Name, s.StartupSettings[CanonicalSetting(v.Name)], v.IsLocal)
 		if v.Kind == pgquery.VariableSetKind_VAR_RESET {
 			return &Result{Tag: "RESET"}, nil
 		}
@@ -150,11 +150,11 @@
 // Reset puts all settings back to those of the startup.
 func (s *Session) Reset() {
 	for n := range s.Settings {
-		if _, ok := s.Startup[n]; !ok {
+		if _, ok := s.StartupSettings[n]; !ok {
 			delete(s.Settings, n)
 		}
 	}
-	for n, v := range maps.All(s.Startup) {
+	for n, v := range maps.All(s.StartupSettings) {
 		if s.Settings[n] != v {
 			s.assign(n, v)
 		}
--- a/internal/standin/executor/utility.go
+++ b/internal/standin/executor/utility.go
@@ -56,7 +56,7 @@
 	if s.failed {
 		return s.rollback()
 	}
-	m, err := s.Committer(s.transaction)
+	m, err := s.Commit(s.transaction)
 	s.committed = m
 	if err == nil {
 		s.undo = nil
--- a/internal/standin/responder/connection.go
+++ b/internal/standin/responder/connection.go
@@ -87,7 +87,7 @@
 	c.server.sessions.add(c)
 	defer c.server.sessions.remove(c)
 	defer c.session.Close()
-	c.session.Process = c.process
+	c.session.ProcessID = c.process
 	if err := c.greet(); err != nil {
 		return err
 	}
@@ -145,19 +145,19 @@
 		d = p["user"]
 	}
 	c.session = &executor.Session{
-		Store:     &c.server.store,
-		Parser:    &c.server.parser,
-		User:      p["user"],
-		Database:  d,
-		Committer: c.commit,
-		Yield:     c.yield,
-		Regain:    c.regain,
-		Report:    c.report,
-		Activity:  c.server.sessions.activity,
-		Terminate: c.server.sessions.terminate,
-		Settings:  startSettings(p),
-		Startup:   startSettings(p),
-		Prepared:  map[string]*executor.Prepared{},
+		Store:              &c.server.store,
+		Parser:             &c.server.parser,
+		User:               p["user"],
+		Database:           d,
+		Commit:             c.commit,
+		ReleaseSlot:        c.yield,
+		AcquireSlot:        c.regain,
+		Report:             c.report,
+		Activity:           c.server.sessions.activity,
+		Terminate:          c.server.sessions.terminate,
+		Settings:           startSettings(p),
+		StartupSettings:    startSettings(p),
+		PreparedStatements: map[string]*executor.PreparedStatement{},
 	}
 }
 
--- a/internal/standin/responder/extended.go
+++ b/internal/standin/responder/extended.go
@@ -18,7 +18,7 @@
 
 // parse keeps a prepared statement.
 func (c *connection) parse(m *pgproto3.Parse) error {
-	if _, ok := c.session.Prepared[m.Name]; ok && m.Name != "" {
+	if _, ok := c.session.PreparedStatements[m.Name]; ok && m.Name != "" {
 		return refusal("42P05", "prepared statement \""+m.Name+"\" already exists")
 	}
 	l, err := c.server.parser.Parse(m.Query)
@@ -36,13 +36,13 @@
 	if err != nil {
 		return err
 	}
-	c.session.Prepared[m.Name] = p
+	c.session.PreparedStatements[m.Name] = p
 	c.backend.Send(&pgproto3.ParseComplete{})
 	return nil
 }
 
-func (c *connection) prepared(name string) (*executor.Prepared, error) {
-	p, ok := c.session.Prepared[name]
+func (c *connection) prepared(name string) (*executor.PreparedStatement, error) {
+	p, ok := c.session.PreparedStatements[name]
 	if !ok {
 		return nil, refusal("26000", "prepared statement \""+name+"\" does not exist")
 	}
@@ -66,12 +66,12 @@
 	if _, ok := c.portals[m.DestinationPortal]; ok && m.DestinationPortal != "" {
 		return refusal("42P03", "portal \""+m.DestinationPortal+"\" already exists")
 	}
-	if len(m.Parameters) != len(s.Parameters) {
+	if len(m.Parameters) != len(s.ParameterTypes) {
 		return refusal("08P01", "bind message supplies a wrong number of parameters")
 	}
 	p := &portal{prepared: s, formats: slices.Clone(m.ResultFormatCodes)}
 	for i, b := range m.Parameters {
-		v, err := executor.Decode(c.types, s.Parameters[i], formatOf(m.ParameterFormatCodes, i), b)
+		v, err := executor.Decode(c.types, s.ParameterTypes[i], formatOf(m.ParameterFormatCodes, i), b)
 		if err != nil {
 			return err
 		}
@@ -89,7 +89,7 @@
 		if err != nil {
 			return err
 		}
-		c.backend.Send(&pgproto3.ParameterDescription{ParameterOIDs: s.Parameters})
+		c.backend.Send(&pgproto3.ParameterDescription{ParameterOIDs: s.ParameterTypes})
 		c.sendDescription(s, nil)
 		return nil
 	}
@@ -101,7 +101,7 @@
 	return nil
 }
 
-func (c *connection) sendDescription(s *executor.Prepared, formats []int16) {
+func (c *connection) sendDescription(s *executor.PreparedStatement, formats []int16) {
 	if s.Columns == nil {
 		c.backend.Send(&pgproto3.NoData{})
 		return
@@ -220,7 +220,7 @@
 
 // copyIn takes the caller's data until it says that it is done.
 func (c *connection) copyIn(ctx context.Context, r *executor.Result) error {
-	c.backend.Send(&pgproto3.CopyInResponse{ColumnFormatCodes: make([]uint16, r.CopyIn.Columns)})
+	c.backend.Send(&pgproto3.CopyInResponse{ColumnFormatCodes: make([]uint16, r.CopyIn.ColumnCount)})
 	if err := c.flush(ctx); err != nil {
 		return err
 	}
@@ -254,7 +254,7 @@
 // close drops a prepared statement or a portal.
 func (c *connection) close(m *pgproto3.Close) error {
 	if m.ObjectType == 'S' {
-		delete(c.session.Prepared, m.Name)
+		delete(c.session.PreparedStatements, m.Name)
 	} else {
 		delete(c.portals, m.Name)
 	}
--- a/internal/standin/responder/messages.go
+++ b/internal/standin/responder/messages.go
@@ -14,7 +14,7 @@
 
 // portal is a bound statement and, once it runs, the rest of its rows.
 type portal struct {
-	prepared *executor.Prepared
+	prepared *executor.PreparedStatement
 	params   []any
 	formats  []int16
 	result   *executor.Result
@@ -179,7 +179,7 @@
 	if err != nil {
 		return err
 	}
-	p := &portal{prepared: &executor.Prepared{Node: n, Columns: r.Columns}, result: r}
+	p := &portal{prepared: &executor.PreparedStatement{Node: n, Columns: r.Columns}, result: r}
 	if r.Columns != nil && !r.CopyOut {
 		c.backend.Send(describeRows(r.Columns, nil))
 	}
