--- a/internal/bench/checker/checker.go
+++ b/internal/bench/checker/checker.go
@@ -84,7 +84,7 @@
 	}
 	var b strings.Builder
 	for _, r := range c.sessions[session] {
-		fmt.Fprintf(&b, "%s %s number=%d value=%d %s %s %q %v-%v at %s\n", r.Name, r.Kind, r.Number, r.Value, r.Outcome, r.Code, r.Tag, r.Start, r.End, r.EntryHost)
+		fmt.Fprintf(&b, "%s %s number=%d value=%d %s %s %q %v-%v at %s\n", r.Name, r.Kind, r.Number, r.Value, r.Outcome, r.Code, r.AcknowledgedTag, r.Start, r.End, r.EntryHost)
 	}
 	c.verdict.Sessions = append(c.verdict.Sessions, b.String())
 }
@@ -168,8 +168,8 @@
 // checkAcknowledged finds a write that was acknowledged and isn't there.
 func (c *check) checkAcknowledged(r *Request, held int) {
 	v := &c.verdict.Violations
-	if !strings.HasPrefix(r.Tag, writeTag) {
-		c.found(&v.WrongAnswers, "%s %s was acknowledged as %q", r.Kind, r.Name, r.Tag)
+	if !strings.HasPrefix(r.AcknowledgedTag, writeTag) {
+		c.found(&v.WrongAnswers, "%s %s was acknowledged as %q", r.Kind, r.Name, r.AcknowledgedTag)
 	}
 	lost := held < parts(r.Kind)
 	if r.Kind != Note && c.history.Groups[r.Group].Registers[r.Session] < r.Number {
@@ -179,7 +179,7 @@
 		return
 	}
 	c.found(&v.LostWrites, "%s %s of %d was acknowledged as %q from %v to %v by %s and isn't there, the register has %d",
-		r.Kind, r.Name, r.Number, r.Tag, r.Start, r.End, r.EntryHost, c.history.Groups[r.Group].Registers[r.Session])
+		r.Kind, r.Name, r.Number, r.AcknowledgedTag, r.Start, r.End, r.EntryHost, c.history.Groups[r.Group].Registers[r.Session])
 	if c.dropped[r.Name] {
 		c.found(&v.SupersededAcknowledgements, "%s was acknowledged and its record dropped", r.Name)
 	}
@@ -202,10 +202,10 @@
 func (c *check) checkSettled(r *Request, held int) {
 	v := &c.verdict.Violations
 	switch {
-	case r.Settled == Ran && held < parts(r.Kind):
-		c.found(&v.LostWrites, "the outcome of key %s is %s, and it isn't there", r.Name, r.Settled)
-	case r.Settled == NotRun && held > 0:
-		c.found(&v.FalseNotRun, "the outcome of key %s is %s, and it is there", r.Name, r.Settled)
+	case r.KeyOutcome == Ran && held < parts(r.Kind):
+		c.found(&v.LostWrites, "the outcome of key %s is %s, and it isn't there", r.Name, r.KeyOutcome)
+	case r.KeyOutcome == NotRun && held > 0:
+		c.found(&v.FalseNotRun, "the outcome of key %s is %s, and it is there", r.Name, r.KeyOutcome)
 	}
 }
 
@@ -242,7 +242,7 @@
 	for i := range c.history.Requests {
 		r := &c.history.Requests[i]
 		for _, s := range c.history.Stops {
-			if r.Lost && r.EntryHost == s.EntryHost && r.Start < s.To && r.End >= s.From {
+			if r.ConnectionLost && r.EntryHost == s.EntryHost && r.Start < s.To && r.End >= s.From {
 				c.found(&c.verdict.Violations.CutOffRequests, "%s was cut off at %v by the stop of %s", r.Name, r.End, s.EntryHost)
 			}
 		}
--- a/internal/bench/checker/checker_test.go
+++ b/internal/bench/checker/checker_test.go
@@ -13,14 +13,14 @@
 func whole() *History {
 	return &History{
 		Requests: []Request{
-			{Name: "a", Session: "s", Group: "g", Kind: Note, Start: 1 * ms, End: 2 * ms, Outcome: Ran, Tag: "INSERT 0 1", EntryHost: "h1"},
-			{Name: "b", Session: "s", Group: "g", Kind: Booking, Number: 1, Start: 3 * ms, End: 4 * ms, Outcome: Ran, Tag: "INSERT 0 1", EntryHost: "h1"},
-			{Name: "c", Session: "s", Group: "g", Kind: Save, Number: 2, Start: 5 * ms, End: 6 * ms, Outcome: Ran, Tag: "INSERT 0 1", EntryHost: "h2"},
-			{Name: "d", Session: "s", Group: "g", Kind: Read, Start: 7 * ms, End: 8 * ms, Outcome: Ran, Value: 2, Names: []string{"d"}, Rows: 1, EntryHost: "h1"},
+			{Name: "a", Session: "s", Group: "g", Kind: Note, Start: 1 * ms, End: 2 * ms, Outcome: Ran, AcknowledgedTag: "INSERT 0 1", EntryHost: "h1"},
+			{Name: "b", Session: "s", Group: "g", Kind: Booking, Number: 1, Start: 3 * ms, End: 4 * ms, Outcome: Ran, AcknowledgedTag: "INSERT 0 1", EntryHost: "h1"},
+			{Name: "c", Session: "s", Group: "g", Kind: Save, Number: 2, Start: 5 * ms, End: 6 * ms, Outcome: Ran, AcknowledgedTag: "INSERT 0 1", EntryHost: "h2"},
+			{Name: "d", Session: "s", Group: "g", Kind: Read, Start: 7 * ms, End: 8 * ms, Outcome: Ran, Value: 2, RowNames: []string{"d"}, Rows: 1, EntryHost: "h1"},
 			{Name: "e", Session: "s", Group: "g", Kind: Save, Number: 3, Start: 9 * ms, End: 10 * ms, Outcome: Cancelled, EntryHost: "h1"},
-			{Name: "f", Session: "t", Group: "g", Kind: Review, Of: "s", Age: 20 * ms, Start: 30 * ms, End: 31 * ms, Outcome: Ran, Value: 2, Names: []string{"f"}, EntryHost: "h1"},
+			{Name: "f", Session: "t", Group: "g", Kind: Review, ReviewedSession: "s", MaximumAge: 20 * ms, Start: 30 * ms, End: 31 * ms, Outcome: Ran, Value: 2, RowNames: []string{"f"}, EntryHost: "h1"},
 			{Name: "i", Session: "t", Group: "g", Kind: Note, Start: 32 * ms, End: 33 * ms, Outcome: NotRun, EntryHost: "h1"},
-			{Name: "j", Session: "t", Group: "g", Kind: Report, Start: 34 * ms, End: 35 * ms, Outcome: Ran, Names: []string{"j"}, Rows: 5, ExpectedRows: 5, EntryHost: "h1"},
+			{Name: "j", Session: "t", Group: "g", Kind: Report, Start: 34 * ms, End: 35 * ms, Outcome: Ran, RowNames: []string{"j"}, Rows: 5, ExpectedRows: 5, EntryHost: "h1"},
 			{Name: "k", Session: "t", Group: "g", Kind: Note, Start: 36 * ms, End: 37 * ms, Outcome: Unknown, EntryHost: "h1"},
 		},
 		Groups: map[string]State{"g": {
@@ -34,7 +34,7 @@
 			Dropped: []Transaction{{Entries: []Entry{{"k", 1}}}},
 		}},
 		Stops: []Stop{{EntryHost: "h1", From: 100 * ms, To: 200 * ms}},
-		Revisions: []Revision{
+		ObservedRevisions: []ObservedRevision{
 			{"h1", 1 * ms, 1, "first"}, {"h2", 1 * ms, 1, "first"},
 			{"h1", 5 * ms, 3, "third"}, {"h2", 5 * ms, 1, "first"},
 			{"h1", 9 * ms, 3, "third"}, {"h2", 9 * ms, 3, "third"},
@@ -110,19 +110,19 @@
 		},
 		"a cancelled save was read and then overwritten": {
 			func(h *History, _ *State) {
-				h.Requests = append(h.Requests, Request{Name: "x", Session: "s", Group: "g", Kind: Read, Start: 11 * ms, End: 12 * ms, Outcome: Ran, Value: 3, Names: []string{"x"}})
+				h.Requests = append(h.Requests, Request{Name: "x", Session: "s", Group: "g", Kind: Read, Start: 11 * ms, End: 12 * ms, Outcome: Ran, Value: 3, RowNames: []string{"x"}})
 			},
 			Violations{FalseNotRun: 1},
 		},
 		"a key is said not to have run and its note is there": {
 			func(h *History, s *State) {
-				h.request("k").Settled = NotRun
+				h.request("k").KeyOutcome = NotRun
 				s.Entries = append(s.Entries, Entry{"k", 1})
 			},
 			Violations{FalseNotRun: 1},
 		},
 		"a key is said to have run and its note isn't there": {
-			func(h *History, _ *State) { h.request("k").Settled = Ran },
+			func(h *History, _ *State) { h.request("k").KeyOutcome = Ran },
 			Violations{LostWrites: 1},
 		},
 		"two requests in one transaction": {
@@ -134,7 +134,7 @@
 			Violations{MixedTransactions: 1},
 		},
 		"another request's answer": {
-			func(h *History, _ *State) { h.request("d").Names = []string{"j"} },
+			func(h *History, _ *State) { h.request("d").RowNames = []string{"j"} },
 			Violations{WrongAnswers: 1},
 		},
 		"part of an answer": {
@@ -142,7 +142,7 @@
 			Violations{WrongAnswers: 1},
 		},
 		"a write is acknowledged with another command's tag": {
-			func(h *History, _ *State) { h.request("a").Tag = "SELECT 1" },
+			func(h *History, _ *State) { h.request("a").AcknowledgedTag = "SELECT 1" },
 			Violations{WrongAnswers: 1},
 		},
 		"a value nobody wrote": {
@@ -152,19 +152,19 @@
 		"a planned stop cuts off a request": {
 			func(h *History, _ *State) {
 				r := h.request("k")
-				r.Start, r.End, r.Lost = 90*ms, 150*ms, true
+				r.Start, r.End, r.ConnectionLost = 90*ms, 150*ms, true
 			},
 			Violations{CutOffRequests: 1},
 		},
 		"a configuration goes back": {
 			func(h *History, _ *State) {
 				h.Applies = nil
-				h.Revisions = append(h.Revisions, Revision{"h1", 10 * ms, 1, "first"}, Revision{"h1", 11 * ms, 3, "third"})
+				h.ObservedRevisions = append(h.ObservedRevisions, ObservedRevision{"h1", 10 * ms, 1, "first"}, ObservedRevision{"h1", 11 * ms, 3, "third"})
 			},
 			Violations{ConfigurationReversions: 1},
 		},
 		"one revision has two contents": {
-			func(h *History, _ *State) { h.Revisions[3] = Revision{"h2", 5 * ms, 1, "fifth"} },
+			func(h *History, _ *State) { h.ObservedRevisions[3] = ObservedRevision{"h2", 5 * ms, 1, "fifth"} },
 			// The first one's operator was told that it is in force, too.
 			Violations{ConfigurationReversions: 2},
 		},
@@ -173,20 +173,20 @@
 			Violations{ConfigurationReversions: 1},
 		},
 		"a configuration in force isn't everywhere at the end": {
-			func(h *History, _ *State) { h.Revisions[5] = Revision{"h2", 9 * ms, 1, "first"} },
+			func(h *History, _ *State) { h.ObservedRevisions[5] = ObservedRevision{"h2", 9 * ms, 1, "first"} },
 			// It is also a revision that only half of the hosts have.
 			Violations{ConfigurationReversions: 2},
 		},
 		"a configuration that stays isn't everywhere at the end": {
 			func(h *History, _ *State) {
 				h.Applies[2].Outcome = ApplyAccepted
-				h.Revisions = h.Revisions[:4]
-				h.Revisions[2] = Revision{"h1", 5 * ms, 1, "first"}
+				h.ObservedRevisions = h.ObservedRevisions[:4]
+				h.ObservedRevisions[2] = ObservedRevision{"h1", 5 * ms, 1, "first"}
 			},
 			Violations{ConfigurationReversions: 2},
 		},
 		"an abandoned configuration is half in force": {
-			func(h *History, _ *State) { h.Revisions[5] = Revision{"h2", 9 * ms, 5, "fifth"} },
+			func(h *History, _ *State) { h.ObservedRevisions[5] = ObservedRevision{"h2", 9 * ms, 5, "fifth"} },
 			Violations{ConfigurationReversions: 1},
 		},
 		"a configuration is in force under another's number": {
@@ -195,19 +195,19 @@
 			Violations{ConfigurationReversions: 2},
 		},
 		"a withdrawn configuration is in force": {
-			func(h *History, _ *State) { h.Revisions[2] = Revision{"h1", 5 * ms, 2, "second"} },
+			func(h *History, _ *State) { h.ObservedRevisions[2] = ObservedRevision{"h1", 5 * ms, 2, "second"} },
 			Violations{ConfigurationReversions: 1},
 		},
 		"a withdrawn revision is in force, whoever brought it": {
 			func(h *History, _ *State) {
-				h.Revisions[2] = Revision{"h1", 5 * ms, 2, "fifth"}
+				h.ObservedRevisions[2] = ObservedRevision{"h1", 5 * ms, 2, "fifth"}
 				h.Applies[1].Digest = ""
 			},
 			Violations{ConfigurationReversions: 1},
 		},
 		"a configuration that conflicted is in force": {
 			func(h *History, _ *State) {
-				h.Revisions[2] = Revision{"h1", 5 * ms, 2, "fourth"}
+				h.ObservedRevisions[2] = ObservedRevision{"h1", 5 * ms, 2, "fourth"}
 				h.Applies[1].Revision = 0
 			},
 			Violations{ConfigurationReversions: 1},
--- a/internal/bench/checker/configuration.go
+++ b/internal/bench/checker/configuration.go
@@ -9,14 +9,14 @@
 type configurations struct {
 	check *check
 	// sights are in order of time.
-	sights []Revision
+	sights []ObservedRevision
 }
 
 // checkConfigurations finds configurations that went back, were in force in part,
 // or weren't what their operators were told.
 func (c *check) checkConfigurations() {
-	l := slices.Clone(c.history.Revisions)
-	slices.SortStableFunc(l, func(a, b Revision) int { return cmp.Compare(a.At, b.At) })
+	l := slices.Clone(c.history.ObservedRevisions)
+	slices.SortStableFunc(l, func(a, b ObservedRevision) int { return cmp.Compare(a.At, b.At) })
 	x := &configurations{check: c, sights: l}
 	x.checkOrder()
 	x.checkContents()
@@ -45,7 +45,7 @@
 // checkContents finds revisions of which entry hosts have different contents, and
 // contents that no operator has applied, such as parts of two files.
 func (x *configurations) checkContents() {
-	first := map[uint64]Revision{}
+	first := map[uint64]ObservedRevision{}
 	for _, r := range x.sights {
 		f, ok := first[r.Revision]
 		if !ok {
@@ -59,7 +59,7 @@
 	}
 }
 
-func (x *configurations) checkOrigin(r Revision) {
+func (x *configurations) checkOrigin(r ObservedRevision) {
 	l := x.check.history.Applies
 	if len(l) > 0 && !slices.ContainsFunc(l, func(a Apply) bool { return a.Digest == r.Digest }) {
 		x.found("revision %d at %s is %s, which nobody applied", r.Revision, r.EntryHost, r.Digest)
@@ -93,7 +93,7 @@
 }
 
 // contradicts reports whether what an operator was told can't be true if r was seen.
-func (x *configurations) contradicts(r Revision, a *Apply) bool {
+func (x *configurations) contradicts(r ObservedRevision, a *Apply) bool {
 	mine := a.Revision != 0 && r.Revision == a.Revision
 	same := a.Digest != "" && r.Digest == a.Digest
 	end := r.At == x.sights[len(x.sights)-1].At
--- a/internal/bench/checker/history.go
+++ b/internal/bench/checker/history.go
@@ -54,31 +54,31 @@
 	Kind    Kind
 	// Number grows along a session's writes; it is the value of a save.
 	Number int64
-	// Of is the session whose register a review reads.
-	Of string
-	// Age is how stale a review may be.
-	Age        time.Duration
+	// ReviewedSession is the session whose register a review reads.
+	ReviewedSession string
+	// MaximumAge is how stale a review may be.
+	MaximumAge time.Duration
 	EntryHost  string
 	Start, End time.Duration
 	Outcome    Outcome
 	// Code is the SQLSTATE of an error, empty if none.
 	Code string
-	// Lost says that the connection ended while the request was in progress.
-	Lost bool
+	// ConnectionLost says that the connection ended while the request was in progress.
+	ConnectionLost bool
 	// Value is what a read or review returned, zero if there was no row.
 	Value int64
-	// Names are the distinct names that the answer bore, Rows how many rows it had.
-	Names []string
-	Rows  int
-	// Tag is the command tag of a write that was acknowledged.
-	Tag string
+	// RowNames are the distinct names that the answer bore, Rows how many rows it had.
+	RowNames []string
+	Rows     int
+	// AcknowledgedTag is the command tag of a write that was acknowledged.
+	AcknowledgedTag string
 	// ExpectedRows is how many rows a whole report has.
 	ExpectedRows int
 	// Keyed says that the request's name is its idempotency key.
 	Keyed bool
-	// Settled is what the outcome of the key was said to be after the load: Ran or
+	// KeyOutcome is what the outcome of the key was said to be after the load: Ran or
 	// NotRun, empty if nobody asked or the answer was open.
-	Settled Outcome
+	KeyOutcome Outcome
 }
 
 // Entry is one row of the entries table: one part of a note or booking.
@@ -112,8 +112,8 @@
 	From, To  time.Duration
 }
 
-// Revision is one sight of the configuration that an entry host has in force.
-type Revision struct {
+// ObservedRevision is one sight of the configuration that an entry host has in force.
+type ObservedRevision struct {
 	EntryHost string
 	At        time.Duration
 	Revision  uint64
@@ -151,10 +151,10 @@
 
 // History is all that one run brought.
 type History struct {
-	Requests  []Request
-	Groups    map[string]State
-	Stops     []Stop
-	Revisions []Revision
+	Requests          []Request
+	Groups            map[string]State
+	Stops             []Stop
+	ObservedRevisions []ObservedRevision
 	// Applies are the changes of the configuration, the one before the load included.
 	Applies []Apply
 	// WorkOnLeaving counts statements that leaving backend servers got after the grace time.
--- a/internal/bench/checker/reads.go
+++ b/internal/bench/checker/reads.go
@@ -43,7 +43,7 @@
 // checkAnswer finds answers that belong to another request, or aren't whole.
 func (c *check) checkAnswer(r *Request) {
 	v := &c.verdict.Violations
-	for _, n := range r.Names {
+	for _, n := range r.RowNames {
 		if n != r.Name {
 			c.found(&v.WrongAnswers, "%s got the answer of %s from %s", r.Name, n, r.EntryHost)
 			return
@@ -70,10 +70,10 @@
 
 // checkAge finds a review that misses a save acknowledged longer ago than its age.
 func (c *check) checkAge(r *Request) {
-	for _, w := range c.sessions[r.Of] {
-		if (w.Kind == Save || w.Kind == Booking) && w.Outcome == Ran && w.End < r.Start-r.Age && w.Number > r.Value {
+	for _, w := range c.sessions[r.ReviewedSession] {
+		if (w.Kind == Save || w.Kind == Booking) && w.Outcome == Ran && w.End < r.Start-r.MaximumAge && w.Number > r.Value {
 			c.found(&c.verdict.Violations.TooStaleReads, "%s read %d of session %s, which was told %d at %v, more than %v before %v",
-				r.Name, r.Value, r.Of, w.Number, w.End, r.Age, r.Start)
+				r.Name, r.Value, r.ReviewedSession, w.Number, w.End, r.MaximumAge, r.Start)
 			return
 		}
 	}
--- a/internal/bench/definer/definer.go
+++ b/internal/bench/definer/definer.go
@@ -108,23 +108,23 @@
 
 // Load is what callers do.
 type Load struct {
-	// Rate is the number of requests a second over all groups, no limit if zero.
-	Rate float64
+	// RequestsPerSecond is the number of requests a second over all groups, no limit if zero.
+	RequestsPerSecond float64
 	// Callers is how many sessions are open at a time.
 	Callers int
 	// RequestsPerSession is how many requests a session makes before it ends.
 	RequestsPerSession int
 	// CancelShare of the requests are cancelled, at a random moment up to CancelWithin.
-	CancelShare  float64
-	CancelWithin time.Duration
-	// LeaveShare of the cancels just drop the connection.
-	LeaveShare float64
-	// RoamShare of the requests are preceded by a move to another entry host.
-	RoamShare float64
+	CancelShare        float64
+	MaximumCancelDelay time.Duration
+	// DisconnectShare of the cancels just drop the connection.
+	DisconnectShare float64
+	// SwitchHostShare of the requests are preceded by a move to another entry host.
+	SwitchHostShare float64
 	// Mix weighs the kinds of request, in the order of checker's kinds.
 	Notes, Saves, Bookings, Reads, Reviews, Reports int
-	// ReviewAge is how stale a review may be, by the routing rule for its tag.
-	ReviewAge time.Duration
+	// MaximumReviewAge is how stale a review may be, by the routing rule for its tag.
+	MaximumReviewAge time.Duration
 	// ServiceTime is what a statement takes in its slot.
 	ServiceTime time.Duration
 }
@@ -139,16 +139,16 @@
 		Callers:            48,
 		RequestsPerSession: 8,
 		CancelShare:        0.8,
-		CancelWithin:       50 * time.Millisecond,
-		LeaveShare:         0.05,
-		RoamShare:          0.1,
+		MaximumCancelDelay: 50 * time.Millisecond,
+		DisconnectShare:    0.05,
+		SwitchHostShare:    0.1,
 		Notes:              6,
 		Saves:              8,
 		Bookings:           4,
 		Reads:              30,
 		Reviews:            45,
 		Reports:            7,
-		ReviewAge:          5 * time.Second,
+		MaximumReviewAge:   5 * time.Second,
 		ServiceTime:        10 * time.Millisecond,
 	}
 }
--- a/internal/bench/definer/definer_test.go
+++ b/internal/bench/definer/definer_test.go
@@ -13,7 +13,7 @@
 	n := len(mixable)
 	for i := range n * (n - 1) {
 		s := Scenario{Mixed: true}
-		s.Draw(uint64(i))
+		s.DrawFaults(uint64(i))
 		if s.Faults[0] == s.Faults[1] {
 			t.Errorf("seed %d draws %s twice", i, s.Faults[0])
 		}
@@ -27,9 +27,9 @@
 // The race is taken back last, so that operators meet what is left of the other fault.
 func TestRacedDrawsOneFaultBesideTheRace(t *testing.T) {
 	seen := map[Fault]bool{}
-	for i := range Raceable() {
-		s := Scenario{Raced: true}
-		s.Draw(i)
+	for i := range RaceFaultCount() {
+		s := Scenario{RaceWithFault: true}
+		s.DrawFaults(i)
 		if len(s.Faults) != 2 || s.Faults[0] == OperatorsRace || s.Faults[1] != OperatorsRace {
 			t.Errorf("seed %d draws %v", i, s.Faults)
 		}
@@ -80,7 +80,7 @@
 			}
 			l := e.scenario.Load(&d)
 			full := d.Capacity(l.ServiceTime) * float64(len(d.Groups))
-			got := 100 * l.Rate * l.StatementsPerRequest() / full
+			got := 100 * l.RequestsPerSecond * l.StatementsPerRequest() / full
 			if math.Abs(got-e.want) > 0.001 || math.Abs(e.scenario.LoadPercent()-e.want) > 0.001 {
 				t.Errorf("load of %f %%, said to be %f %%, want %f %%", got, e.scenario.LoadPercent(), e.want)
 			}
--- a/internal/bench/definer/scenario.go
+++ b/internal/bench/definer/scenario.go
@@ -55,13 +55,13 @@
 	Faults      []Fault
 	// Utilisation is the load against the slots' capacity, 0 for none given.
 	Utilisation float64
-	// Followed has entry hosts follow the configuration in the platform; in other
+	// FollowConfiguration has entry hosts follow the configuration in the platform; in other
 	// scenarios it is fixed.
-	Followed bool
+	FollowConfiguration bool
 	// Mixed draws two faults by the seed.
 	Mixed bool
-	// Raced draws a fault by the seed and has operators race meanwhile.
-	Raced bool
+	// RaceWithFault draws a fault by the seed and has operators race meanwhile.
+	RaceWithFault bool
 	// Overhead compares point reads directly with those through one entry host.
 	Overhead bool
 }
@@ -86,8 +86,8 @@
 		{Name: "entry-host-killed", Description: "an entry host ends without warning", Faults: []Fault{EntryHostKilled}},
 		{Name: "rolling-restart", Description: "all entry hosts stop as planned, one after the other", Faults: []Fault{RollingRestart}},
 		{Name: "leaving", Description: "a primary is marked as leaving", Faults: []Fault{Leaving}},
-		{Name: "apply-race", Description: "operators apply competing changes, answers are lost, one operator ends midway", Faults: []Fault{OperatorsRace}, Followed: true},
-		{Name: "apply-race-faults", Description: "as apply-race, during another fault drawn by the seed; takes 48 s, as leases run out", Raced: true, Followed: true},
+		{Name: "apply-race", Description: "operators apply competing changes, answers are lost, one operator ends midway", Faults: []Fault{OperatorsRace}, FollowConfiguration: true},
+		{Name: "apply-race-faults", Description: "as apply-race, during another fault drawn by the seed; takes 48 s, as leases run out", RaceWithFault: true, FollowConfiguration: true},
 		{Name: "mixed", Description: "two faults at once, drawn by the seed", Mixed: true},
 	}
 }
@@ -103,18 +103,18 @@
 	EntryHostCutOff, EntryHostKilled, EntryHostSilent, ZoneCut, RegionCut, PlatformSlow, PlatformFlapping, PrimaryCrash,
 }
 
-// Raceable is how many faults a race is run during. Seeds that differ by a multiple
+// RaceFaultCount is how many faults a race is run during. Seeds that differ by a multiple
 // of it draw the same one.
-func Raceable() uint64 {
+func RaceFaultCount() uint64 {
 	return uint64(len(raceable))
 }
 
-// Draw picks the faults of a mixed or raced scenario by the seed.
-func (s *Scenario) Draw(seed uint64) {
-	if s.Raced {
+// DrawFaults picks the faults of a mixed or raced scenario by the seed.
+func (s *Scenario) DrawFaults(seed uint64) {
+	if s.RaceWithFault {
 		// The race is set last and so taken back last: operators go on while the
 		// other fault ends.
-		s.Faults = []Fault{raceable[seed%Raceable()], OperatorsRace}
+		s.Faults = []Fault{raceable[seed%RaceFaultCount()], OperatorsRace}
 	}
 	if s.Mixed {
 		s.drawPair(seed)
@@ -155,8 +155,8 @@
 	u := s.utilisation()
 	// busy is how long a request keeps a caller busy, generously.
 	const busy = 150 * time.Millisecond
-	l.Rate = u * d.Capacity(l.ServiceTime) * float64(len(d.Groups)) / l.StatementsPerRequest()
-	l.Callers = max(l.Callers, int(l.Rate*busy.Seconds()))
+	l.RequestsPerSecond = u * d.Capacity(l.ServiceTime) * float64(len(d.Groups)) / l.StatementsPerRequest()
+	l.Callers = max(l.Callers, int(l.RequestsPerSecond*busy.Seconds()))
 	return l
 }
 
--- a/internal/bench/disturber/disturber.go
+++ b/internal/bench/disturber/disturber.go
@@ -74,8 +74,8 @@
 	n.mutex.Unlock()
 }
 
-// Locate says where the address is.
-func (n *Network) Locate(address string, p Place) {
+// SetPlace says where the address is.
+func (n *Network) SetPlace(address string, p Place) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.places[address] = p
@@ -108,8 +108,8 @@
 	return x.DialContext(ctx, network, p.listener.Addr().String())
 }
 
-// Proxy returns the address by which a process in the place reaches the given one.
-func (n *Network) Proxy(from Place, address string) (string, error) {
+// ProxyAddress returns the address by which a process in the place reaches the given one.
+func (n *Network) ProxyAddress(from Place, address string) (string, error) {
 	p, err := n.proxy(route{from: from, address: address})
 	if err != nil {
 		return "", err
@@ -198,9 +198,9 @@
 	return on, n.changed
 }
 
-// Cross returns when a call from one place has reached another, which a
+// Traverse returns when a call from one place has reached another, which a
 // partition holds up until it ends or ctx does.
-func (n *Network) Cross(ctx context.Context, p Path) error {
+func (n *Network) Traverse(ctx context.Context, p Path) error {
 	for {
 		on, c := n.state(p)
 		if !on {
--- a/internal/bench/disturber/disturber_test.go
+++ b/internal/bench/disturber/disturber_test.go
@@ -43,7 +43,7 @@
 	n := &Network{Latency: func(Path) time.Duration { return time.Millisecond }, BytesPerSecond: 4 << 20}
 	n.Open(t.Context())
 	a := echo(t)
-	n.Locate(a, there)
+	n.SetPlace(a, there)
 	return n, a
 }
 
@@ -173,14 +173,14 @@
 		path  Path
 		until Isolation
 	}{
-		"to a backend server": {Path{From: host, To: there}, Joined},
-		"back":                {Path{From: there, To: host}, Joined},
-		"to its neighbour":    {Path{From: host, To: here}, Joined},
-		"from a caller":       {Path{From: callers, To: host}, ButForCallers},
-		"its neighbour's":     {Path{From: here, To: there}, Whole},
-		"to itself":           {Path{From: host, To: host}, Whole},
+		"to a backend server": {Path{From: host, To: there}, NotIsolated},
+		"back":                {Path{From: there, To: host}, NotIsolated},
+		"to its neighbour":    {Path{From: host, To: here}, NotIsolated},
+		"from a caller":       {Path{From: callers, To: host}, IsolatedExceptCallers},
+		"its neighbour's":     {Path{From: here, To: there}, FullyIsolated},
+		"to itself":           {Path{From: host, To: host}, FullyIsolated},
 	} {
-		for i := Joined; i <= Whole; i++ {
+		for i := NotIsolated; i <= FullyIsolated; i++ {
 			n.Isolate("entry-a", i)
 			if on, _ := n.state(c.path); on != (i > c.until) {
 				t.Errorf("%s, isolation %d: cut is %t", name, i, on)
@@ -192,7 +192,7 @@
 	if _, err := n.Dialer(host)(x, "tcp", a); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("dialled while isolated: %v", err)
 	}
-	n.Isolate("entry-a", Joined)
+	n.Isolate("entry-a", NotIsolated)
 	d, err := n.Dialer(host)(t.Context(), "tcp", a)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/bench/disturber/isolation.go
+++ b/internal/bench/disturber/isolation.go
@@ -5,13 +5,13 @@
 
 // Isolations.
 const (
-	// Joined is not at all.
-	Joined Isolation = iota
-	// ButForCallers is from everything except its callers, who go on sending to it.
-	ButForCallers
-	// Whole is from everything, as the others see a host that is paused: what it
+	// NotIsolated is not at all.
+	NotIsolated Isolation = iota
+	// IsolatedExceptCallers is from everything except its callers, who go on sending to it.
+	IsolatedExceptCallers
+	// FullyIsolated is from everything, as the others see a host that is paused: what it
 	// was sent over TCP arrives late.
-	Whole
+	FullyIsolated
 )
 
 // Isolate cuts one entry host off, or joins it again. Nothing passes meanwhile, as
@@ -29,9 +29,9 @@
 		return false
 	}
 	switch n.isolated[a.EntryHost] {
-	case Whole:
+	case FullyIsolated:
 		return true
-	case ButForCallers:
+	case IsolatedExceptCallers:
 		return !b.outside()
 	default:
 		return false
--- a/internal/bench/disturber/packet.go
+++ b/internal/bench/disturber/packet.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, errors.Annotatef(err, "listen for datagrams at %s", a)
 	}
-	l.network.Locate(c.LocalAddr().String(), l.at)
+	l.network.SetPlace(c.LocalAddr().String(), l.at)
 	ctx, stop := context.WithCancel(l.network.context)
 	return &packetConn{PacketConn: c, socket: c, network: l.network, from: l.at, context: ctx, stop: stop, paths: map[Place]chan datagram{}}, nil
 }
--- a/internal/bench/integrator/deployment_test.go
+++ b/internal/bench/integrator/deployment_test.go
@@ -73,8 +73,8 @@
 			first = a
 		}
 		d.backends = append(d.backends, p)
-		d.network.Locate(a, disturber.Place{AvailabilityZone: z})
-		x, err := d.network.Proxy(disturber.Place{AvailabilityZone: "hosts"}, a)
+		d.network.SetPlace(a, disturber.Place{AvailabilityZone: z})
+		x, err := d.network.ProxyAddress(disturber.Place{AvailabilityZone: "hosts"}, a)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/bench/leaser/leaser.go
+++ b/internal/bench/leaser/leaser.go
@@ -21,8 +21,8 @@
 
 // Times of a lease.
 const (
-	// DefaultLease is how long a lease lasts after its renewal was begun.
-	DefaultLease = 10 * time.Second
+	// DefaultTTL is how long a lease lasts after its renewal was begun.
+	DefaultTTL = 10 * time.Second
 	// renewals is how many renewals a lease allows for.
 	renewals = 3
 	// lookPause is the time between two looks at the clock.
@@ -46,9 +46,9 @@
 	Platform accessor.Platform
 	Group    string
 	Servers  []Server
-	// Lease is how long a lease lasts, DefaultLease if unset.
-	Lease time.Duration
-	Log   log.Interface
+	// TTL is how long a lease lasts, DefaultLease if unset.
+	TTL time.Duration
+	Log log.Interface
 
 	version accessor.Version
 	// renewed is when the call began by which the lease was renewed last.
@@ -58,8 +58,8 @@
 
 // Run keeps the lease until ctx ends.
 func (l *Leaser) Run(ctx context.Context) error {
-	if l.Lease == 0 {
-		l.Lease = DefaultLease
+	if l.TTL == 0 {
+		l.TTL = DefaultTTL
 	}
 	l.renewed = time.Now()
 	for scheduler.Pause(ctx, lookPause) == nil {
@@ -72,10 +72,10 @@
 func (l *Leaser) step(ctx context.Context, now time.Time) {
 	var err error
 	switch {
-	case now.Sub(l.renewed) >= l.Lease:
+	case now.Sub(l.renewed) >= l.TTL:
 		err = l.promote(ctx, now)
 	case !now.Before(l.next):
-		l.next = now.Add(l.Lease / renewals)
+		l.next = now.Add(l.TTL / renewals)
 		err = l.renew(ctx, now)
 	}
 	if err != nil {
--- a/internal/bench/leaser/leaser_test.go
+++ b/internal/bench/leaser/leaser_test.go
@@ -126,7 +126,7 @@
 		g.a.setDown(true)
 		pass(time.Minute)
 		d := g.c.promoted().Sub(lost)
-		if d > DefaultLease+lookPause || d < DefaultLease-DefaultLease/renewals-lookPause {
+		if d > DefaultTTL+lookPause || d < DefaultTTL-DefaultTTL/renewals-lookPause {
 			t.Errorf("promoted after %v", d)
 		}
 		b, _ := g.b.Status(t.Context())
@@ -144,7 +144,7 @@
 		defer g.stop()
 		pass(time.Minute)
 		g.a.setDown(true)
-		pass(DefaultLease / 2)
+		pass(DefaultTTL / 2)
 		g.a.setDown(false)
 		pass(time.Minute)
 		if !g.c.promoted().IsZero() {
--- a/internal/bench/loader/loader.go
+++ b/internal/bench/loader/loader.go
@@ -110,8 +110,8 @@
 // Run makes requests until ctx ends. What is in progress then is finished.
 func (l *Loader) Run(ctx context.Context) {
 	l.limiter = rate.NewLimiter(rate.Inf, 1)
-	if l.Load.Rate > 0 {
-		l.limiter = rate.NewLimiter(rate.Limit(l.Load.Rate), max(1, l.Load.Callers/4))
+	if l.Load.RequestsPerSecond > 0 {
+		l.limiter = rate.NewLimiter(rate.Limit(l.Load.RequestsPerSecond), max(1, l.Load.Callers/4))
 	}
 	var w sync.WaitGroup
 	for i := range l.Load.Callers {
--- a/internal/bench/loader/loader_test.go
+++ b/internal/bench/loader/loader_test.go
@@ -31,7 +31,7 @@
 	})
 	<-s.Ready()
 	l := &Loader{
-		Load:   definer.Load{Bookings: 1, CancelShare: 1, LeaveShare: 1, CancelWithin: time.Millisecond, RequestsPerSession: 1},
+		Load:   definer.Load{Bookings: 1, CancelShare: 1, DisconnectShare: 1, MaximumCancelDelay: time.Millisecond, RequestsPerSession: 1},
 		Groups: []string{"g"},
 		Hosts:  func() []Host { return []Host{{Name: "a", Address: s.Addr()}} },
 		Dial:   new(net.Dialer).DialContext,
--- a/internal/bench/loader/outcome.go
+++ b/internal/bench/loader/outcome.go
@@ -29,7 +29,7 @@
 func (c *session) conclude(r *checker.Request, err error, gaveUp bool) {
 	r.Outcome, r.Code = classify(err)
 	var p *pgconn.PgError
-	r.Lost = err != nil && !errors.As(err, &p) && !errors.Is(err, errRolledBack) && !gaveUp
+	r.ConnectionLost = err != nil && !errors.As(err, &p) && !errors.Is(err, errRolledBack) && !gaveUp
 }
 
 // classify turns a request's error into its outcome and SQLSTATE.
@@ -82,9 +82,9 @@
 		return nil
 	}
 	k := &canceller{done: make(chan struct{})}
-	d := time.Duration(c.random.Int64N(int64(m.CancelWithin)))
+	d := time.Duration(c.random.Int64N(int64(m.MaximumCancelDelay)))
 	n := c.conn
-	if c.random.Float64() < m.LeaveShare {
+	if c.random.Float64() < m.DisconnectShare {
 		k.timer = time.AfterFunc(d, func() { k.leave(leave) })
 	} else {
 		k.timer = time.AfterFunc(d, func() { k.cancel(n) })
--- a/internal/bench/loader/perform.go
+++ b/internal/bench/loader/perform.go
@@ -33,9 +33,9 @@
 	case checker.Read:
 		return c.read(ctx, r, readRegister, c.name)
 	case checker.Review:
-		r.Of = c.other()
-		r.Age = c.loader.Load.ReviewAge
-		return c.read(ctx, r, reviewRegister, r.Of)
+		r.ReviewedSession = c.other()
+		r.MaximumAge = c.loader.Load.MaximumReviewAge
+		return c.read(ctx, r, reviewRegister, r.ReviewedSession)
 	default:
 		r.ExpectedRows = reportRows
 		return c.read(ctx, r, report)
@@ -54,7 +54,7 @@
 // write runs a statement and keeps its command tag.
 func (c *session) write(ctx context.Context, r *checker.Request, sql string, args ...string) error {
 	x := c.conn.ExecParams(ctx, sql, values(args), nil, nil, nil).Read()
-	r.Tag = x.CommandTag.String()
+	r.AcknowledgedTag = x.CommandTag.String()
 	return x.Err
 }
 
@@ -75,8 +75,8 @@
 	x := c.conn.ExecParams(ctx, sql, values(append([]string{r.Name}, args...)), nil, nil, nil).Read()
 	for _, w := range x.Rows {
 		r.Rows++
-		if n := string(w[0]); len(r.Names) == 0 || r.Names[len(r.Names)-1] != n {
-			r.Names = append(r.Names, n)
+		if n := string(w[0]); len(r.RowNames) == 0 || r.RowNames[len(r.RowNames)-1] != n {
+			r.RowNames = append(r.RowNames, n)
 		}
 		if r.Kind != checker.Report {
 			v, err := strconv.ParseInt(string(w[1]), 10, 64)
--- a/internal/bench/loader/session.go
+++ b/internal/bench/loader/session.go
@@ -41,7 +41,7 @@
 		if c.loader.limiter.Wait(ctx) != nil {
 			return
 		}
-		if c.conn != nil && c.random.Float64() < c.loader.Load.RoamShare {
+		if c.conn != nil && c.random.Float64() < c.loader.Load.SwitchHostShare {
 			c.leave()
 		}
 		if !c.arrive(ctx) {
--- a/internal/bench/reporter/reporter.go
+++ b/internal/bench/reporter/reporter.go
@@ -171,8 +171,8 @@
 
 func (r *Result) countOutcome(q *checker.Request) {
 	o := q.Outcome
-	if o == checker.Unknown && q.Settled != "" {
-		o = q.Settled
+	if o == checker.Unknown && q.KeyOutcome != "" {
+		o = q.KeyOutcome
 		r.SettledByKey[unknownCause(q)]++
 	}
 	switch o {
@@ -192,7 +192,7 @@
 func unknownCause(q *checker.Request) string {
 	end := "told"
 	switch {
-	case q.Lost:
+	case q.ConnectionLost:
 		end = codeLost
 	case q.Code == "":
 		end = codeLeft
@@ -211,7 +211,7 @@
 	switch {
 	case q.Code != "":
 		r.Codes[q.Code]++
-	case q.Lost:
+	case q.ConnectionLost:
 		r.Codes[codeLost]++
 	case q.Outcome != checker.Ran:
 		r.Codes[codeLeft]++
--- a/internal/bench/reporter/reporter_test.go
+++ b/internal/bench/reporter/reporter_test.go
@@ -21,7 +21,7 @@
 		{Name: "a", Kind: checker.Note, Start: 0, End: 10 * time.Millisecond, Outcome: checker.Ran},
 		{Name: "b", Kind: checker.Read, Start: 10 * time.Millisecond, End: 30 * time.Millisecond, Outcome: checker.Ran},
 		{Name: "c", Kind: checker.Save, Start: 300 * time.Millisecond, End: 310 * time.Millisecond, Outcome: checker.Cancelled, Code: "57014"},
-		{Name: "d", Kind: checker.Save, Start: 300 * time.Millisecond, End: 320 * time.Millisecond, Outcome: checker.Unknown, Lost: true},
+		{Name: "d", Kind: checker.Save, Start: 300 * time.Millisecond, End: 320 * time.Millisecond, Outcome: checker.Unknown, ConnectionLost: true},
 		{Name: "e", Kind: checker.Save, Start: 300 * time.Millisecond, End: 320 * time.Millisecond, Outcome: checker.NotRun, Code: "53300"},
 	}
 	r := &Result{
@@ -99,10 +99,10 @@
 		{Kind: checker.Read, Outcome: checker.Unknown},
 		{Kind: checker.Save, Outcome: checker.Unknown},
 		{Kind: checker.Save, Outcome: checker.Unknown, Code: "40003"},
-		{Kind: checker.Note, Outcome: checker.Unknown, Lost: true, Keyed: true},
-		{Kind: checker.Note, Outcome: checker.Unknown, Code: "40003", Keyed: true, Settled: checker.NotRun},
-		{Kind: checker.Note, Outcome: checker.Unknown, Keyed: true, Settled: checker.Ran},
-		{Kind: checker.Note, Outcome: checker.Cancelled, Code: "57014", Keyed: true, Settled: checker.NotRun},
+		{Kind: checker.Note, Outcome: checker.Unknown, ConnectionLost: true, Keyed: true},
+		{Kind: checker.Note, Outcome: checker.Unknown, Code: "40003", Keyed: true, KeyOutcome: checker.NotRun},
+		{Kind: checker.Note, Outcome: checker.Unknown, Keyed: true, KeyOutcome: checker.Ran},
+		{Kind: checker.Note, Outcome: checker.Cancelled, Code: "57014", Keyed: true, KeyOutcome: checker.NotRun},
 	}
 	var r Result
 	if err := r.Summarise(l); err != nil {
--- a/internal/bench/runner/asker.go
+++ b/internal/bench/runner/asker.go
@@ -32,7 +32,7 @@
 func (r *Run) askOne(q *checker.Request) {
 	o, err := r.System.Outcome(context.Background(), q.Group, q.Name)
 	if err == nil {
-		q.Settled = o
+		q.KeyOutcome = o
 	}
 }
 
--- a/internal/bench/runner/baseline_test.go
+++ b/internal/bench/runner/baseline_test.go
@@ -35,7 +35,7 @@
 	// Twice as long as other runs, so that a starved machine finds some, too.
 	r.Duration *= 2
 	l := &r.Load
-	l.RoamShare, l.CancelShare = 1, 0
+	l.SwitchHostShare, l.CancelShare = 1, 0
 	l.Reviews, l.Saves = 0, l.Reads
 	o, err := r.Measure(t.Context())
 	if err != nil {
--- a/internal/bench/runner/bench.go
+++ b/internal/bench/runner/bench.go
@@ -51,7 +51,7 @@
 	if !ok {
 		return nil, errors.Annotatef(ErrUnknown, "deployment %q", b.Deployment)
 	}
-	s.Draw(b.Seed)
+	s.DrawFaults(b.Seed)
 	if b.LoadPercent > 0 {
 		s.SetLoadPercent(b.LoadPercent)
 	}
@@ -63,7 +63,7 @@
 		Policy:     p,
 		Seed:       b.Seed,
 		Duration:   b.Duration,
-		System:     &Deployed{Deployment: d, Load: l, Policy: p, Followed: s.Followed, Lines: b.Lines, Log: b.Log},
+		System:     &Deployed{Deployment: d, Load: l, Policy: p, Followed: s.FollowConfiguration, Lines: b.Lines, Log: b.Log},
 		User:       callersUser,
 		Progress:   b.Progress,
 	}
--- a/internal/bench/runner/deployed.go
+++ b/internal/bench/runner/deployed.go
@@ -114,7 +114,7 @@
 		RoutingRules: []declarer.RoutingRule{{
 			Name:       "reviews",
 			Match:      declarer.Match{Tag: definer.ReviewTag},
-			MaximumAge: d.Load.ReviewAge,
+			MaximumAge: d.Load.MaximumReviewAge,
 		}},
 		Platform:   d.store,
 		Source:     d.source,
@@ -145,7 +145,7 @@
 }
 
 func (d *Deployed) locateHost(h *host.Host) {
-	d.network.Locate(h.Address(), disturber.Place{
+	d.network.SetPlace(h.Address(), disturber.Place{
 		AvailabilityZone: h.Settings.AvailabilityZone,
 		Region:           h.Settings.Region,
 		EntryHost:        h.Settings.HostName,
@@ -261,13 +261,13 @@
 }
 
 // Revisions implements System.
-func (d *Deployed) Revisions() []checker.Revision {
+func (d *Deployed) Revisions() []checker.ObservedRevision {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	var l []checker.Revision
+	var l []checker.ObservedRevision
 	for _, h := range d.deployment.Hosts {
 		if r := h.Director().Runtime(); r != nil && !d.absent[h.Settings.HostName] {
-			l = append(l, checker.Revision{EntryHost: h.Settings.HostName, Revision: r.Revision, Digest: racer.Digest(decided(r))})
+			l = append(l, checker.ObservedRevision{EntryHost: h.Settings.HostName, Revision: r.Revision, Digest: racer.Digest(decided(r))})
 		}
 	}
 	return l
--- a/internal/bench/runner/deployed_test.go
+++ b/internal/bench/runner/deployed_test.go
@@ -27,9 +27,9 @@
 	if !ok {
 		t.Fatalf("no policy %s", policy)
 	}
-	s.Draw(1)
+	s.DrawFaults(1)
 	l := s.Load(&d)
-	x := &Deployed{Deployment: d, Load: l, Policy: p, Followed: s.Followed, Log: quiet()}
+	x := &Deployed{Deployment: d, Load: l, Policy: p, Followed: s.FollowConfiguration, Log: quiet()}
 	return &Run{Scenario: s, Deployment: d, Load: l, Policy: p, System: x, User: callersUser, Seed: 1, Duration: 3 * time.Second}, x
 }
 
--- a/internal/bench/runner/distant.go
+++ b/internal/bench/runner/distant.go
@@ -38,12 +38,12 @@
 	if d.deployed.isKilled(d.path.From.EntryHost) {
 		return none, errors.Annotatef(errKilled, "call platform from %s", d.path.From.EntryHost)
 	}
-	if err := d.network.Cross(ctx, d.path); err != nil {
+	if err := d.network.Traverse(ctx, d.path); err != nil {
 		return none, errors.Annotate(err, "reach platform")
 	}
 	v, err := f()
 	back := disturber.Path{From: d.path.To, To: d.path.From}
-	if e := d.network.Cross(ctx, back); e != nil {
+	if e := d.network.Traverse(ctx, back); e != nil {
 		return none, errors.Annotate(e, "await platform's answer")
 	}
 	return v, err
--- a/internal/bench/runner/fault.go
+++ b/internal/bench/runner/fault.go
@@ -136,9 +136,9 @@
 	case definer.OperatorsRace:
 		return i.race(ctx)
 	case definer.EntryHostCutOff:
-		i.isolate(disturber.ButForCallers)
+		i.isolate(disturber.IsolatedExceptCallers)
 	case definer.EntryHostSilent:
-		i.isolate(disturber.Whole)
+		i.isolate(disturber.FullyIsolated)
 	case definer.PlatformSlow:
 		i.system.SetPlatformLatency(slowPlatform)
 		i.later(func() { i.system.SetPlatformLatency(0) })
--- a/internal/bench/runner/isolation.go
+++ b/internal/bench/runner/isolation.go
@@ -11,12 +11,12 @@
 // isolate cuts off one entry host, which the seed picks.
 func (i *injection) isolate(how disturber.Isolation) {
 	l := i.system.Hosts()
-	h := l[i.run.Seed/definer.Raceable()%uint64(len(l))].Name
+	h := l[i.run.Seed/definer.RaceFaultCount()%uint64(len(l))].Name
 	w := i.system.Network()
 	i.note(h + " is cut off")
 	w.Isolate(h, how)
-	i.later(func() { w.Isolate(h, disturber.Joined) })
-	if how == disturber.Whole {
+	i.later(func() { w.Isolate(h, disturber.NotIsolated) })
+	if how == disturber.FullyIsolated {
 		// The balancer notices at once, as it does with a host that is killed.
 		i.system.Balance(h, false)
 		i.later(func() { i.system.Balance(h, true) })
--- a/internal/bench/runner/plumbing.go
+++ b/internal/bench/runner/plumbing.go
@@ -37,7 +37,7 @@
 func (d *Deployed) dialer(from deployer.Place) deployer.Dial {
 	for _, g := range d.deployment.Standins {
 		for i, s := range g.Servers {
-			d.network.Locate(s.Addr(), d.Deployment.Places[i])
+			d.network.SetPlace(s.Addr(), d.Deployment.Places[i])
 		}
 	}
 	return deployer.Dial(d.network.Dialer(disturber.Place(from)))
@@ -101,6 +101,6 @@
 // open finds the peer's place by the last letter of its name, which counts the places.
 func (p *peerDialer) open(ctx context.Context, name, address string) (net.Conn, error) {
 	i := int(name[len(name)-1] - 'a')
-	p.deployed.network.Locate(address, p.deployed.Deployment.Places[i])
+	p.deployed.network.SetPlace(address, p.deployed.Deployment.Places[i])
 	return p.dial(ctx, "tcp", address)
 }
--- a/internal/bench/runner/runner.go
+++ b/internal/bench/runner/runner.go
@@ -47,7 +47,7 @@
 	loader    *loader.Loader
 	injection *injection
 	samples   []reporter.Sample
-	revisions []checker.Revision
+	revisions []checker.ObservedRevision
 
 	mutex  sync.Mutex
 	failed error
@@ -245,7 +245,7 @@
 // agreed reports whether all entry hosts have the same revision in force.
 func (r *Run) agreed() bool {
 	l := r.System.Revisions()
-	return !slices.ContainsFunc(l, func(v checker.Revision) bool { return v.Revision != l[0].Revision })
+	return !slices.ContainsFunc(l, func(v checker.ObservedRevision) bool { return v.Revision != l[0].Revision })
 }
 
 // judge lets the checker compare what callers saw with what the groups hold.
@@ -253,12 +253,12 @@
 	l := r.loader.Requests()
 	r.ask(l)
 	h := &checker.History{
-		Requests:      l,
-		Groups:        map[string]checker.State{},
-		Stops:         r.injection.stops,
-		Revisions:     r.revisions,
-		Applies:       r.injection.applies,
-		WorkOnLeaving: r.injection.workOnLeaving(),
+		Requests:          l,
+		Groups:            map[string]checker.State{},
+		Stops:             r.injection.stops,
+		ObservedRevisions: r.revisions,
+		Applies:           r.injection.applies,
+		WorkOnLeaving:     r.injection.workOnLeaving(),
 	}
 	for n, g := range r.System.Groups() {
 		h.Groups[n] = stateOf(g)
--- a/internal/bench/runner/runner_test.go
+++ b/internal/bench/runner/runner_test.go
@@ -63,7 +63,7 @@
 func (d *direct) Replace(context.Context, string) error { return errors.NotSupportedf("replace") }
 func (d *direct) SetPlatformDown(bool)                  {}
 func (d *direct) SetPlatformLatency(time.Duration)      {}
-func (d *direct) Revisions() []checker.Revision         { return nil }
+func (d *direct) Revisions() []checker.ObservedRevision { return nil }
 func (d *direct) Operators() *racer.Racer               { return nil }
 func (d *direct) Outcome(context.Context, string, string) (checker.Outcome, error) {
 	return "", errors.NotSupportedf("outcome")
@@ -84,8 +84,8 @@
 func measure(t *testing.T, d *direct, s definer.Scenario, during func(n int)) *reporter.Result {
 	t.Helper()
 	l := definer.StandardLoad()
-	l.Callers, l.Rate = 16, 0
-	l.CancelWithin = 4 * time.Millisecond
+	l.Callers, l.RequestsPerSecond = 16, 0
+	l.MaximumCancelDelay = 4 * time.Millisecond
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	r := &Run{
--- a/internal/bench/runner/system.go
+++ b/internal/bench/runner/system.go
@@ -37,7 +37,7 @@
 	SetPlatformLatency(l time.Duration)
 	// Revisions are the configurations in force, one for each entry host that
 	// callers are sent to; At is left out.
-	Revisions() []checker.Revision
+	Revisions() []checker.ObservedRevision
 	// Operators are those who race to change the configuration, nil where it is fixed.
 	Operators() *racer.Racer
 	// Outcome says what became of the request with an idempotency key, as cuminwick
--- a/internal/group/driver/driver_test.go
+++ b/internal/group/driver/driver_test.go
@@ -63,7 +63,7 @@
 		s := &responder.Server{Name: fmt.Sprintf("db-%d", i+1), Address: "127.0.0.1:0", ConnectTime: p.ConnectTime}
 		s.Dial = func(ctx context.Context, name, a string) (net.Conn, error) {
 			// A replica dials when it starts, before the group is ready.
-			r.network.Locate(a, at[name])
+			r.network.SetPlace(a, at[name])
 			return d(ctx, "tcp", a)
 		}
 		r.group.Servers = append(r.group.Servers, s)
@@ -79,7 +79,7 @@
 	}
 	g := declarer.DatabaseGroup{Name: "kalkul"}
 	for i, s := range r.group.Servers {
-		r.network.Locate(s.Addr(), p.Places[i])
+		r.network.SetPlace(s.Addr(), p.Places[i])
 		g.BackendServers = append(g.BackendServers, declarer.BackendServer{Name: s.Name, Address: s.Addr()})
 	}
 	for i := range hosts {
--- a/internal/soak/runner/deployment_test.go
+++ b/internal/soak/runner/deployment_test.go
@@ -243,15 +243,15 @@
 	ip := d.prefix + fmt.Sprint(i+1)
 	h.Address, h.readiness, h.peers = ip+":7001", ip+":7002", ip+":7101"
 	h.place = disturber.Place{AvailabilityZone: h.Name, Region: "one", EntryHost: h.Name}
-	d.network.Locate(h.peers, h.place)
+	d.network.SetPlace(h.peers, h.place)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	d.network.Locate(l.Addr().String(), disturber.Place{AvailabilityZone: "store", Region: "one"})
+	d.network.SetPlace(l.Addr().String(), disturber.Place{AvailabilityZone: "store", Region: "one"})
 	s := &http.Server{Handler: storekeeper.View{Store: d.store, Address: (&way{network: d.network, from: h.place}).to}, ReadHeaderTimeout: time.Minute}
 	go (&service{server: s, listener: l}).run()
-	store, err := d.network.Proxy(h.place, l.Addr().String())
+	store, err := d.network.ProxyAddress(h.place, l.Addr().String())
 	if err != nil {
 		return err
 	}
@@ -275,7 +275,7 @@
 	if !strings.HasSuffix(address, ":7101") {
 		return address
 	}
-	if a, err := w.network.Proxy(w.from, address); err == nil {
+	if a, err := w.network.ProxyAddress(w.from, address); err == nil {
 		return a
 	}
 	return address
--- a/internal/soak/runner/faults_test.go
+++ b/internal/soak/runner/faults_test.go
@@ -90,9 +90,9 @@
 		time.Sleep(x.fault.For)
 		h.signal(syscall.SIGCONT)
 	case planner.KindIsolate:
-		n.Isolate(h.Name, disturber.ButForCallers)
+		n.Isolate(h.Name, disturber.IsolatedExceptCallers)
 		time.Sleep(x.fault.For)
-		n.Isolate(h.Name, disturber.Joined)
+		n.Isolate(h.Name, disturber.NotIsolated)
 	case planner.KindSilence:
 		n.Silence(h.Name, "store")
 		for _, o := range x.trouble.deployment.hosts {
