--- a/internal/host/deployer/ahead_test.go
+++ b/internal/host/deployer/ahead_test.go
@@ -9,45 +9,46 @@
 	"github.com/cuminwick/cuminwick/internal/host/deployer"
 )
 
-// A replica stops taking over writes just after its entry host has last asked
-// it. A read that runs there ahead of its read index lacks the latest line; were
-// it shown, a reviewer without a mark would miss what was acknowledged before.
-// It is run again elsewhere, and the reviewer notices nothing.
+// Guards against stale results of speculative reads. A replica stops replicating right after its
+// entry host has polled it. A read that runs there ahead of its read index lacks the latest row,
+// which a session without a mark must see because it was acknowledged before. The host must discard
+// the result and run the read again elsewhere, without an error for the caller.
 func TestReplicaFallsBehindReadAhead(t *testing.T) {
 	tests := []struct {
 		name string
 		pad  int
 	}{
 		{"short answer", 1},
-		// The answer is longer than what an entry host collects before it writes.
+		// The result is longer than what an entry host buffers before it writes to the caller.
 		{"long answer", 40 << 10},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := &aheadReader{t: t, d: start(t), pad: tt.pad}
+			r := &speculativeReader{t: t, d: start(t), pad: tt.pad}
 			r.run()
 		})
 	}
 }
 
-// aheadReader writes at one entry host and reads at another.
-type aheadReader struct {
+// speculativeReader writes through one entry host and reads through another.
+type speculativeReader struct {
 	t       *testing.T
 	d       *deployer.Deployment
 	pad     int
 	written int
 }
 
-func (r *aheadReader) run() {
+func (r *speculativeReader) run() {
 	w := connect(r.t, r.d, 0, "")
 	exec(r.t, w, "CREATE TABLE t (id bigint PRIMARY KEY, pad text)")
 	s := r.d.Standins["db"].Servers
 	const repeats, rounds = 2, 200
-	for i := 0; total(r.t, r.d, `cuminwick_retries_total{result="allowed"}`) < repeats; i++ {
+	for i := 0; sumMetric(r.t, r.d, `cuminwick_retries_total{result="allowed"}`) < repeats; i++ {
 		if i == rounds {
-			r.t.Fatalf("fewer than %d reads were run again in %d rounds, the test shows nothing", repeats, rounds)
+			r.t.Fatalf("fewer than %d reads were run again in %d rounds, so the test checked nothing", repeats, rounds)
 		}
-		// The host learns that the replica has caught up, then it falls behind.
+		// The read lets the host observe that the replica has caught up. Then the replica falls
+		// behind.
 		r.read()
 		s[1].StopReplication(true)
 		r.write(w)
@@ -59,16 +60,16 @@
 	}
 }
 
-func (r *aheadReader) write(c *pgx.Conn) {
+func (r *speculativeReader) write(c *pgx.Conn) {
 	r.written++
 	if _, err := c.Exec(r.t.Context(), "INSERT INTO t (id, pad) VALUES ($1, repeat('x', $2))", r.written, r.pad); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-// read reads all lines in a session of its own. Simple queries are used, as the
-// Parse before an extended one would have the host ask all servers.
-func (r *aheadReader) read() {
+// read reads all rows in a new session. It uses simple queries, as the Parse message before an
+// extended query would make the host poll all servers.
+func (r *speculativeReader) read() {
 	c, err := pgx.Connect(r.t.Context(), "postgres://caller@"+r.d.Hosts[1].Address()+"/db?sslmode=disable&default_query_exec_mode=simple_protocol")
 	if err != nil {
 		r.t.Fatal(err)
@@ -83,6 +84,6 @@
 		n++
 	}
 	if l.Err() != nil || n != r.written {
-		r.t.Fatalf("a read shows %d of %d acknowledged lines, %v", n, r.written, l.Err())
+		r.t.Fatalf("a read returned %d of %d acknowledged rows, %v", n, r.written, l.Err())
 	}
 }
--- a/internal/host/deployer/capacity_bench_test.go
+++ b/internal/host/deployer/capacity_bench_test.go
@@ -14,23 +14,22 @@
 	"github.com/cuminwick/cuminwick/internal/host/deployer"
 )
 
-// parkedCallers is how many callers an entry host holds at the coming size:
-// 7.2 million before 2,600 hosts, rounded up.
-const parkedCallers = 2800
-
-// BenchmarkParkedCallers opens callers at one entry host, each of which has
-// made one request or none, and reports the memory in use for one of them. The
-// callers' own ends are in it too; they hold a socket and neither a buffer nor
-// a goroutine.
-func BenchmarkParkedCallers(b *testing.B) {
+// idleCallers is the number of callers that an entry host holds at the planned size: 7.2 million in
+// front of 2,600 hosts, rounded up.
+const idleCallers = 2800
+
+// BenchmarkIdleCallers opens callers at one entry host, each of which has made one request or none,
+// and reports the memory in use per caller. It includes the callers' side of the connections, which
+// holds a socket but neither a buffer nor a goroutine.
+func BenchmarkIdleCallers(b *testing.B) {
 	for n, requests := range map[string]int{"fresh": 0, "after-a-read": 1} {
 		b.Run(n, func(b *testing.B) {
-			d := startShared(b, 1, func(d *deployer.Deployment) { d.MaximumHosts = 1 })
+			d := startDeployment(b, 1, func(d *deployer.Deployment) { d.MaximumHosts = 1 })
 			var s usage
 			for b.Loop() {
-				s.add(parked(b, d.Hosts[0].Address(), requests))
+				s.add(measureCallers(b, d.Hosts[0].Address(), requests))
 			}
-			per := float64(b.N) * parkedCallers
+			per := float64(b.N) * idleCallers
 			b.ReportMetric(float64(s.heap)/per, "heap-B/caller")
 			b.ReportMetric(float64(s.stack)/per, "stack-B/caller")
 			b.ReportMetric(float64(s.goroutines)/per, "goroutines/caller")
@@ -38,26 +37,28 @@
 	}
 }
 
-// parked returns what callers at an entry host take, and hangs them up.
-func parked(b *testing.B, address string, requests int) usage {
-	before := take()
-	l := make([]net.Conn, parkedCallers)
+// measureCallers returns what the connections of idleCallers callers at an entry host use, and
+// closes them.
+func measureCallers(b *testing.B, address string, requests int) usage {
+	before := currentUsage()
+	l := make([]net.Conn, idleCallers)
 	for i := range l {
-		l[i] = enter(b, address)
+		l[i] = connectWithoutDriver(b, address)
 		for range requests {
-			askOnce(b, l[i])
+			readOnce(b, l[i])
 		}
 	}
-	u := take().since(before)
+	u := currentUsage().since(before)
 	for _, c := range l {
 		c.Close()
 	}
-	until(b, "callers to be gone", func() bool { return runtime.NumGoroutine() <= before.goroutines+parkedCallers/100 })
+	waitFor(b, "callers to disconnect", func() bool { return runtime.NumGoroutine() <= before.goroutines+idleCallers/100 })
 	return u
 }
 
-// enter connects as a caller without a driver, whose memory would count.
-func enter(b *testing.B, address string) net.Conn {
+// connectWithoutDriver connects as a caller. It uses no driver, whose memory would be included in
+// the measurement.
+func connectWithoutDriver(b *testing.B, address string) net.Conn {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		b.Fatal(err)
@@ -72,8 +73,8 @@
 	return c
 }
 
-// askOnce makes one read.
-func askOnce(b *testing.B, c net.Conn) {
+// readOnce makes one read.
+func readOnce(b *testing.B, c net.Conn) {
 	const text = "SELECT 1\x00"
 	m := binary.BigEndian.AppendUint32([]byte{'Q'}, uint32(4+len(text)))
 	if _, err := c.Write(append(m, text...)); err != nil {
@@ -102,28 +103,29 @@
 	}
 }
 
-// idleTime is how long a deployment is watched at rest.
-const idleTime = time.Second
+// idleInterval is the time for which an idle deployment is measured in one operation, and the
+// warm-up before.
+const idleInterval = time.Second
 
-// BenchmarkIdleGroups watches one or three entry hosts before groups without
-// callers. The difference between three hosts and one, halved, is what a host
-// costs; the rest is the stand-ins. An operation is a second at rest.
+// BenchmarkIdleGroups measures one or three entry hosts in front of groups without callers. Half of
+// the difference between three hosts and one is the cost of a host; the rest is the cost of the
+// stand-ins. An operation is one idle second.
 func BenchmarkIdleGroups(b *testing.B) {
 	for _, h := range []int{1, 3} {
 		for _, g := range []int{1, 10, 50} {
 			b.Run(fmt.Sprintf("hosts=%d/groups=%d", h, g), func(b *testing.B) {
-				d := startShared(b, 1, func(d *deployer.Deployment) {
+				d := startDeployment(b, 1, func(d *deployer.Deployment) {
 					d.MaximumHosts = h
-					d.Groups = names(g)
+					d.Groups = groupNames(g)
 				})
-				rest(b, d)
+				measureIdleGroups(b, d)
 			})
 		}
 	}
 }
 
-// names returns the names of n groups.
-func names(n int) []string {
+// groupNames returns the names of n groups.
+func groupNames(n int) []string {
 	l := make([]string, n)
 	for i := range l {
 		l[i] = fmt.Sprintf("db%d", i)
@@ -131,16 +133,16 @@
 	return l
 }
 
-// rest reports what the process spends a second at rest.
-func rest(b *testing.B, d *deployer.Deployment) {
-	time.Sleep(idleTime) // the first polls and connections aren't what is measured
-	before, sent := take(), sentBytes(d)
+// measureIdleGroups reports what the process uses per second and group while there are no callers.
+func measureIdleGroups(b *testing.B, d *deployer.Deployment) {
+	time.Sleep(idleInterval) // excludes the first polls and connections
+	before, sent := currentUsage(), sentBytes(d)
 	start := time.Now()
 	for b.Loop() {
-		time.Sleep(idleTime)
+		time.Sleep(idleInterval)
 	}
 	t := time.Since(start).Seconds()
-	after := take()
+	after := currentUsage()
 	g := float64(len(d.Groups))
 	b.ReportMetric(float64((after.processor-before.processor).Microseconds())/t/g, "processor-us/s/group")
 	b.ReportMetric(float64(sentBytes(d)-sent)/t/g, "sent-B/s/group")
@@ -149,7 +151,7 @@
 	b.ReportMetric(float64(after.goroutines)/g, "goroutines/group")
 }
 
-// sentBytes returns what all hosts have sent to others.
+// sentBytes returns the number of bytes that all hosts have sent to other hosts.
 func sentBytes(d *deployer.Deployment) uint64 {
 	var n uint64
 	for _, h := range d.Hosts {
@@ -158,15 +160,15 @@
 	return n
 }
 
-// usage is what the process holds and has spent.
+// usage is the memory and goroutines in use by the process and the processor time that it has used.
 type usage struct {
 	heap, stack int64
 	goroutines  int
 	processor   time.Duration
 }
 
-// take collects garbage and returns what remains in use.
-func take() usage {
+// currentUsage returns the usage of the process after garbage collection.
+func currentUsage() usage {
 	var r syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &r)
 	runtime.GC()
@@ -197,46 +199,46 @@
 	u.processor += o.processor
 }
 
-// BenchmarkStatus asks for a backend server's status at the entry host that
-// owns its pool and at one that asks the owner, as each driver does ten times a
-// second for each server. The processor's time is that of all ends together.
+// BenchmarkStatus requests a backend server's status at the entry host that owns its pool and at
+// one that forwards the request to the owner, as each driver does ten times a second for each
+// server. The processor time is that of the whole process, with all hosts and stand-ins.
 func BenchmarkStatus(b *testing.B) {
-	d := startShared(b, 1, nil)
-	own, away := owner(b, d)
-	for n, i := range map[string]int{"owner": own, "through-owner": away} {
+	d := startDeployment(b, 1, nil)
+	owner, forwarder := poolOwner(b, d)
+	for n, i := range map[string]int{"owner": owner, "through-owner": forwarder} {
 		c := d.Hosts[i].Director().Runtime().Groups["db"].Driver.(*switcher.Switcher).Driver().Controls[primary(b, d)]
 		b.Run(n, func(b *testing.B) {
-			before := take()
-			measure(b, d.Hosts[i], func() {
+			before := currentUsage()
+			measureTraffic(b, d.Hosts[i], func() {
 				if _, err := c.Status(b.Context()); err != nil {
 					b.Fatal(err)
 				}
 			})
-			u := take().since(before)
+			u := currentUsage().since(before)
 			b.ReportMetric(float64(u.processor.Microseconds())/float64(b.N), "processor-us/op")
 		})
 	}
 }
 
-// BenchmarkBusyGroup has one caller write without a pause at an entry host that
-// doesn't own the primary's pool. Its commits are waited for by statuses back
-// to back. The processor's time is that of all hosts, stand-ins and the caller.
+// BenchmarkBusyGroup writes without a pause through one caller at an entry host that does not own
+// the primary's pool. Hosts poll statuses back to back to confirm its commits. The processor time
+// is the sum of all hosts, stand-ins and the caller.
 func BenchmarkBusyGroup(b *testing.B) {
-	d := startShared(b, 1, nil)
-	_, away := owner(b, d)
-	c := dial(b, d)[away*callersPerHost]
+	d := startDeployment(b, 1, nil)
+	_, forwarder := poolOwner(b, d)
+	c := connectAll(b, d)[forwarder*callersPerHost]
 	if _, err := c.Exec(b.Context(), "CREATE TABLE t (id bigint PRIMARY KEY)"); err != nil {
 		b.Fatal(err)
 	}
-	before := take()
+	before := currentUsage()
 	n := 0
-	measure(b, d.Hosts[away], func() {
+	measureTraffic(b, d.Hosts[forwarder], func() {
 		if _, err := c.Exec(b.Context(), "INSERT INTO t (id) VALUES ($1)", n); err != nil {
 			b.Fatal(err)
 		}
 		n++
 	})
-	u := take().since(before)
+	u := currentUsage().since(before)
 	b.ReportMetric(float64(u.processor.Microseconds())/float64(b.N), "processor-us/op")
 	b.ReportMetric(100*u.processor.Seconds()/b.Elapsed().Seconds(), "%core")
 }
--- a/internal/host/deployer/change_test.go
+++ b/internal/host/deployer/change_test.go
@@ -11,7 +11,7 @@
 	"github.com/cuminwick/cuminwick/internal/host/deployer"
 )
 
-// writer saves lines at one entry host until stop is closed.
+// writer inserts rows through one entry host until stop is closed.
 type writer struct {
 	conn  *pgx.Conn
 	host  int
@@ -33,10 +33,11 @@
 	}
 }
 
-// Operators change the connections of a group's servers while staff save lines.
-// Each entry host then serves the group anew, and whatever waited for the word of
-// the part that served it before would wait until its time-out, and be told that
-// the outcome isn't known, though the line is saved.
+// Guards against commits that time out when a group is reconfigured. Operators change the
+// connections of a group's servers while callers insert rows. Each entry host then replaces the
+// components that serve the group. A commit that still waited for confirmation by the former ones
+// would wait until its timeout, and its outcome would be reported as unknown although the row is
+// saved.
 func TestServersChangeWhileWritesWait(t *testing.T) {
 	d := start(t, func(d *deployer.Deployment) {
 		d.Source = nil
@@ -68,10 +69,10 @@
 		<-w.done
 		saved += w.saved
 		if w.err != nil {
-			t.Errorf("writer %d after %d lines: %v, %s", w.host, w.saved, w.err, detail(w.err))
+			t.Errorf("writer %d after %d rows: %v, %s", w.host, w.saved, w.err, detail(w.err))
 		}
 	}
 	if n := query[int64](t, c, "SELECT count(*) FROM t"); n != int64(saved) {
-		t.Errorf("%d lines, %d saved", n, saved)
+		t.Errorf("%d rows in the table, %d saved", n, saved)
 	}
 }
--- a/internal/host/deployer/commit_test.go
+++ b/internal/host/deployer/commit_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// The replicas hear nothing of a primary that still accepts writes. Whatever way
-// a commit is put, its caller may not be told that the line is saved: if the
-// primary is lost now, the line is gone.
+// Guards against acknowledged writes that are lost in a failover. The replicas receive nothing from
+// a primary that still accepts writes. However a commit is sent, its caller must not be told that
+// the row is saved: if the primary were lost now, the row would be lost too.
 func TestNoCommitIsAcknowledgedByThePrimaryAlone(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -19,8 +19,8 @@
 		{name: "transaction", texts: []string{"BEGIN", "INSERT INTO t (id) VALUES (1)", "COMMIT"}},
 		{name: "transaction that ends with its first text", texts: []string{"BEGIN", "INSERT INTO t (id) VALUES (1); COMMIT"}},
 		{name: "transaction in one text", texts: []string{"BEGIN; INSERT INTO t (id) VALUES (1); COMMIT"}},
-		{name: "error behind the commit", texts: []string{"BEGIN; INSERT INTO t (id) VALUES (1); COMMIT; SELECT * FROM nowhere"}},
-		{name: "error behind the commit of a transaction begun before", texts: []string{"BEGIN", "INSERT INTO t (id) VALUES (1); COMMIT; SELECT * FROM nowhere"}},
+		{name: "error after the commit", texts: []string{"BEGIN; INSERT INTO t (id) VALUES (1); COMMIT; SELECT * FROM nowhere"}},
+		{name: "error after the commit of a transaction begun before", texts: []string{"BEGIN", "INSERT INTO t (id) VALUES (1); COMMIT; SELECT * FROM nowhere"}},
 		{name: "with a key", texts: []string{"/* key=one */ INSERT INTO t (id) VALUES (1)"}},
 	}
 	d := start(t)
--- a/internal/host/deployer/configuration.go
+++ b/internal/host/deployer/configuration.go
@@ -16,15 +16,16 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// ErrNotInForce says that a file was not put in force.
+// ErrNotInForce is returned by Apply if a configuration file was not put in force.
 const ErrNotInForce = errors.ConstError("configuration not in force")
 
-// operator is the name under which a deployment applies files.
-const operator = "deployer"
+// operatorName is the name under which a deployment applies configuration files.
+const operatorName = "deployer"
 
-// Apply puts f in force on all entry hosts, as an operator does.
+// Apply publishes f through the platform, as an operator does, and returns once it is in force on
+// all entry hosts. It returns ErrNotInForce, annotated with outcome and reason, if it is not.
 func (d *Deployment) Apply(ctx context.Context, f file.File) (applier.Result, error) {
-	o := &publisher.Operator{Platform: d.Platform, Name: operator}
+	o := &publisher.Operator{Platform: d.Platform, Name: operatorName}
 	r, err := o.Apply(ctx, f, publisher.Options{})
 	if err != nil {
 		return r, errors.Annotate(err, "apply configuration")
@@ -35,15 +36,15 @@
 	return r, nil
 }
 
-// source returns where a host gets the configuration from: the platform,
-// unless the deployment was given another way.
+// source returns the configuration source of a host: what Deployment.Source makes if it is set,
+// and a follower of the platform otherwise.
 func (d *Deployment) source(name string, p Place, c *scheduler.Scheduler) runner.Source {
 	if d.Source != nil {
 		return d.Source(name, d.File)
 	}
 	return &follower.Host{
 		Name:             name,
-		Incarnation:      strconv.FormatInt(d.starts.Add(1), 10),
+		Incarnation:      strconv.FormatInt(d.incarnations.Add(1), 10),
 		AvailabilityZone: p.AvailabilityZone,
 		Platform:         d.platform(p),
 		Random:           rand.Float64,
@@ -53,7 +54,7 @@
 	}
 }
 
-// platform returns the platform as seen from a place.
+// platform returns the platform that entry hosts in a place use.
 func (d *Deployment) platform(at Place) accessor.Platform {
 	if d.PlatformAt != nil {
 		return d.PlatformAt(at)
--- a/internal/host/deployer/deployer.go
+++ b/internal/host/deployer/deployer.go
@@ -27,109 +27,122 @@
 	"github.com/cuminwick/cuminwick/internal/standin/streamer"
 )
 
-// controlTimeout bounds one control call, so that a connection gone silent is
-// replaced before its server is taken for lost.
+// controlTimeout bounds one control call, so that a silent connection is replaced before its server
+// is considered lost.
 const controlTimeout = 300 * time.Millisecond
 
-// anyPort lets the system choose a loopback port.
-const anyPort = "127.0.0.1:0"
+// anyLoopbackPort lets the operating system choose a port.
+const anyLoopbackPort = "127.0.0.1:0"
 
 // Place is an availability zone with its region.
 type Place struct {
 	AvailabilityZone string
 	Region           string
-	// EntryHost is whose place it is, empty for all others in the zone.
+	// EntryHost is the name of the entry host in this place, empty for a backend server's place.
 	EntryHost string
 }
 
 // Dial opens a TCP connection from one place to a backend server.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Deployment is entry hosts before one or more database groups. The exported
-// fields are set before Start.
+// Deployment runs entry hosts in front of one or more database groups. The exported fields are set
+// before Start, except those that Start sets.
 type Deployment struct {
-	// Places are where entry hosts and backend servers stand.
+	// Places are the availability zones in which entry hosts and backend servers run.
 	Places []Place
 	// HostsPerPlace is the number of entry hosts in each place.
 	HostsPerPlace int
-	// MaximumHosts bounds the number of entry hosts, no bound if zero.
+	// MaximumHosts bounds the number of entry hosts; zero means no bound.
 	MaximumHosts int
-	// Groups are the names of the database groups, each with a backend server
-	// in every place.
-	Groups  []string
+	// Groups are the names of the database groups, each with a backend server in every place.
+	Groups []string
+	// Service is the service of all database groups.
 	Service string
-	// Server is the pattern of every backend server.
+	// Server holds the properties of every backend server.
 	Server ServerTemplate
-	// RoutingRules and Limits go into the configuration.
+	// RoutingRules and Limits are copied into the configuration file.
 	RoutingRules []file.RoutingRule
 	Limits       file.Limits
-	Platform     accessor.Platform
-	// PlatformAt, if set, makes the platform as seen from a place.
+	// Platform is the platform of all hosts unless PlatformAt is set.
+	Platform accessor.Platform
+	// PlatformAt, if set, returns the platform that entry hosts in a place use, for instance one with
+	// latency.
 	PlatformAt func(at Place) accessor.Platform
-	// Source makes the configuration source of a host; without it the file is
-	// applied to the platform, and hosts follow that.
-	Source     func(host string, f *file.File) runner.Source
-	Marks      server.Marks
+	// Source, if set, makes the configuration source of a host. If nil, Start applies the file
+	// through the platform and hosts follow the platform.
+	Source func(host string, f *file.File) runner.Source
+	// Marks signs and verifies the session marks of all hosts.
+	Marks server.Marks
+	// LogEncoder writes the decision log of all hosts, nil for none.
 	LogEncoder *encoder.Encoder
-	Log        log.Interface
-	// Dial, if set, makes the dialer from a place, for instance one that adds
+	// Log is the logger of all hosts.
+	Log log.Interface
+	// Dial, if set, makes the dialer from a place to backend servers, for instance one that adds
 	// latency.
 	Dial func(from Place) Dial
-	// ControlDial, if set, makes the dialer of control connections, Dial's otherwise.
+	// ControlDial, if set, makes the dialer of control connections. If nil, they use Dial.
 	ControlDial func(from Place) Dial
-	// PrimaryReads sends all reads to primaries, as a baseline to measure against.
+	// PrimaryReads sends all reads to primaries, as a baseline for measurements.
 	PrimaryReads bool
-	// ListenPacket, if set, makes what opens a place's UDP sockets for peers.
+	// ListenPacket, if set, makes the function that opens the UDP sockets for peers in a place.
 	ListenPacket func(at Place) func(a *net.UDPAddr) (net.PacketConn, error)
-	// PeerDial, if set, makes the dialer by which a backend server in a place
-	// replicates from another.
+	// PeerDial, if set, makes the dialer by which a backend server in a place replicates from
+	// another.
 	PeerDial func(from Place) streamer.Dial
 
-	// CallerLimits, if set, changes what entry hosts allow their callers.
+	// CallerLimits, if set, changes the limits that entry hosts apply to callers.
 	CallerLimits func(l *declarer.Limits)
 	// Driver holds the thresholds of failover, driver.Defaults if zero.
 	Driver driver.Settings
-	// MinimumPeerTimeout is the least time that pool owners are given, see runner.Host.
+	// MinimumPeerTimeout is the least time that an entry host allows another one to accept a
+	// connection and a request, see runner.Host.
 	MinimumPeerTimeout time.Duration
-	// ServingHosts is the setting of that name, the default if zero.
+	// ServingHosts is the setting Peers.ServingHosts, the default if zero.
 	ServingHosts int
-	// Standalone keeps entry hosts from knowing of each other.
+	// Standalone runs each entry host without connections to the others.
 	Standalone bool
-	// Gossip has entry hosts find each other by heartbeats, each with the one
-	// before it as seed, in place of Roster.
+	// Gossip makes entry hosts discover each other by heartbeats instead of Roster, each with all
+	// hosts started before it as seeds.
 	Gossip bool
-	// Members, if set, makes what a host sees of the Roster, for instance
-	// without a way to some host.
+	// Members, if set, makes a host's view of Roster, for instance one in which some host cannot be
+	// reached.
 	Members func(host string, r *runner.Roster) runner.Members
 
-	// Hosts and Standins are filled in by Start.
-	Hosts    []*runner.Host
+	// Hosts are the entry hosts, set by Start.
+	Hosts []*runner.Host
+	// Standins are the stand-ins of the backend servers by database group, set by Start.
 	Standins map[string]*grouper.Group
-	File     *file.File
-	// Roster is the list of members that all hosts have.
+	// File is the configuration file with all database groups, set by Start.
+	File *file.File
+	// Roster is the list of members that all hosts share, set by Start.
 	Roster *runner.Roster
 
 	authority *certifier.Authority
-	ends      []*end
-	work      *errgroup.Group
-	stop      context.CancelFunc
-	// starts counts the hosts that were made, so that a restarted one isn't taken
-	// for the one before.
-	starts atomic.Int64
-	// context is that of Start, for hosts that are replaced later.
+	// runs holds the current run of each of Hosts.
+	runs  []*hostRun
+	tasks *errgroup.Group
+	stop  context.CancelFunc
+	// incarnations counts the hosts that were created, so that a restarted host has another
+	// incarnation than its predecessor.
+	incarnations atomic.Int64
+	// context is the context of tasks, for hosts that Restart starts.
 	context context.Context
 }
 
-// ServerTemplate is what all backend servers have in common.
+// ServerTemplate holds the properties that all backend servers share.
 type ServerTemplate struct {
-	Slots       int
+	// Slots is the number of statements that a server runs at a time.
+	Slots int
+	// Connections is the number of connections that a server accepts.
 	Connections int
+	// ConnectTime is the time that a new connection takes.
 	ConnectTime time.Duration
+	// ServiceTime is the time that a statement takes in its slot.
 	ServiceTime time.Duration
 }
 
-// Start starts everything and returns when callers can connect. After an error
-// nothing runs any more.
+// Start starts backend servers and entry hosts and returns when callers can connect. If it returns
+// an error, everything has been stopped.
 func (d *Deployment) Start(ctx context.Context) error {
 	err := d.start(ctx)
 	if err != nil {
@@ -141,7 +154,7 @@
 func (d *Deployment) start(ctx context.Context) error {
 	x, stop := context.WithCancel(ctx)
 	d.stop = stop
-	d.work, x = errgroup.WithContext(x)
+	d.tasks, x = errgroup.WithContext(x)
 	d.context = x
 	d.Standins = make(map[string]*grouper.Group)
 	d.Roster = new(runner.Roster)
@@ -171,13 +184,13 @@
 			}
 		}
 	}
-	return d.await(x)
+	return d.awaitHosts(x)
 }
 
-// Stop ends everything at once and waits for it.
+// Stop stops all entry hosts and backend servers without draining and waits until they have stopped.
 func (d *Deployment) Stop() error {
 	d.stop()
-	err := d.work.Wait()
+	err := d.tasks.Wait()
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
@@ -189,7 +202,7 @@
 	for i, p := range d.Places {
 		s := &responder.Server{
 			Name:        name + "-" + string(rune('a'+i)),
-			Address:     anyPort,
+			Address:     anyLoopbackPort,
 			Slots:       d.Server.Slots,
 			Connections: d.Server.Connections,
 			ConnectTime: d.Server.ConnectTime,
@@ -201,17 +214,18 @@
 		g.Servers = append(g.Servers, s)
 	}
 	d.Standins[name] = g
-	d.work.Go(func() error { return g.Run(ctx) })
+	d.tasks.Go(func() error { return g.Run(ctx) })
 	select {
 	case <-g.Ready():
 	case <-ctx.Done():
 		return errors.Annotatef(ctx.Err(), "start database group %s", name)
 	}
-	d.declare(name, g)
+	d.declareGroup(name, g)
 	return nil
 }
 
-func (d *Deployment) declare(name string, g *grouper.Group) {
+// declareGroup adds a database group and its backend servers to File.
+func (d *Deployment) declareGroup(name string, g *grouper.Group) {
 	c := file.DatabaseGroup{Name: name, Service: d.Service}
 	for i, s := range g.Servers {
 		c.BackendServers = append(c.BackendServers, file.BackendServer{
@@ -226,15 +240,15 @@
 	d.File.DatabaseGroups = append(d.File.DatabaseGroups, c)
 }
 
-// startHost starts one more entry host.
+// startHost starts an entry host and adds it to Hosts.
 func (d *Deployment) startHost(ctx context.Context, p Place) error {
 	h := d.newHost("entry-"+string(rune('a'+len(d.Hosts))), p)
-	e, err := d.launch(ctx, h)
+	r, err := d.launch(ctx, h)
 	if err != nil {
 		return err
 	}
 	d.Hosts = append(d.Hosts, h)
-	d.ends = append(d.ends, e)
+	d.runs = append(d.runs, r)
 	return nil
 }
 
@@ -276,8 +290,8 @@
 	return h
 }
 
-// await returns when each host sees a confirmed primary in each group.
-func (d *Deployment) await(ctx context.Context) error {
+// awaitHosts returns when each host has a confirmed primary in each group.
+func (d *Deployment) awaitHosts(ctx context.Context) error {
 	for _, h := range d.Hosts {
 		if err := awaitHost(ctx, h); err != nil {
 			return err
@@ -286,14 +300,14 @@
 	return nil
 }
 
-// A host that is started on a busy machine, with its certificates and connections
-// still to be made, may see no majority for longer than callers would be kept
-// waiting for one, so that is no reason to give up.
+// awaitHost returns when h has a confirmed primary in each group. A host that starts on a busy
+// machine first makes certificates and connections, and may have no majority for longer than callers
+// wait for one. So driver.ErrNoMajority does not end the wait.
 func awaitHost(ctx context.Context, h *runner.Host) error {
-	ctx, stop := context.WithTimeout(ctx, startPatience)
+	ctx, stop := context.WithTimeout(ctx, startTimeout)
 	defer stop()
 	for h.Director().Runtime() == nil {
-		if err := scheduler.Pause(ctx, startPause); err != nil {
+		if err := scheduler.Pause(ctx, startPollInterval); err != nil {
 			return errors.Annotate(err, "await entry host")
 		}
 	}
@@ -305,8 +319,8 @@
 	return nil
 }
 
-// awaitPrimary asks the group's present driver each time: a change of the group's
-// servers while the host starts stops the driver from before.
+// awaitPrimary returns when h has a confirmed primary in the group. It looks up the group's driver on
+// each attempt, as a change of the group's servers stops the driver and starts another.
 func awaitPrimary(ctx context.Context, h *runner.Host, group string) error {
 	for {
 		g, ok := h.Director().Runtime().Groups[group]
@@ -317,17 +331,17 @@
 		if !errors.Is(err, driver.ErrNoMajority) && !errors.Is(err, driver.ErrStopped) {
 			return err
 		}
-		if err := scheduler.Pause(ctx, startPause); err != nil {
+		if err := scheduler.Pause(ctx, startPollInterval); err != nil {
 			return err
 		}
 	}
 }
 
-// startPatience only ends the wait for a host that would never be ready.
-const startPatience = time.Minute
+// startTimeout bounds the wait for a host that never becomes ready.
+const startTimeout = time.Minute
 
-// startPause is the time between two looks at a host that starts.
-const startPause = 5 * time.Millisecond
+// startPollInterval is the time between two checks of a host that is starting.
+const startPollInterval = 5 * time.Millisecond
 
 func settings(name string, p Place) declarer.Settings {
 	s := declarer.Settings{
@@ -336,9 +350,9 @@
 		AvailabilityZone: p.AvailabilityZone,
 		DeploymentID:     "loopback",
 	}
-	s.Callers.Address = anyPort
-	s.Administration.Address = anyPort
-	s.Peers.Address = anyPort
+	s.Callers.Address = anyLoopbackPort
+	s.Administration.Address = anyLoopbackPort
+	s.Peers.Address = anyLoopbackPort
 	s.Backend.User = "cuminwick"
 	s.Limits = declarer.Limits{
 		CallerConnections: 4000,
--- a/internal/host/deployer/deployer_test.go
+++ b/internal/host/deployer/deployer_test.go
@@ -15,19 +15,19 @@
 	"github.com/cuminwick/cuminwick/internal/host/deployer"
 )
 
-// start runs three entry hosts before one group of three backend servers.
+// start runs three entry hosts in front of one group of three backend servers.
 func start(t *testing.T, change ...func(*deployer.Deployment)) *deployer.Deployment {
 	t.Helper()
-	return startShared(t, 1, func(d *deployer.Deployment) {
+	return startDeployment(t, 1, func(d *deployer.Deployment) {
 		for _, c := range change {
 			c(d)
 		}
 	})
 }
 
-// patient returns thresholds under which a machine that is busy with other
-// tests isn't taken for a lost primary. Tests of failover use the defaults.
-func patient() driver.Settings {
+// lenientDriverSettings returns thresholds under which a machine that is busy with other tests is
+// not mistaken for a lost primary. Tests of failover use the defaults.
+func lenientDriverSettings() driver.Settings {
 	s := driver.Defaults()
 	s.Observer.SuspicionTimeout = 10 * time.Second
 	s.Observer.RefusalTimeout = 10 * time.Second
@@ -38,8 +38,8 @@
 	return s
 }
 
-// failover makes a deployment replace its primary as quickly as by default.
-func failover(d *deployer.Deployment) {
+// defaultFailover makes a deployment use the default thresholds of failover.
+func defaultFailover(d *deployer.Deployment) {
 	d.Driver = driver.Defaults()
 }
 
@@ -142,7 +142,7 @@
 		}
 	})
 	t.Run("empty text", func(t *testing.T) { exec(t, c, "") })
-	t.Run("session setting follows", func(t *testing.T) {
+	t.Run("session setting applies on each backend connection", func(t *testing.T) {
 		exec(t, c, "SET search_path TO a, b")
 		for range 5 {
 			exec(t, c, "UPDATE t SET v = 'x' WHERE id = 1")
@@ -155,7 +155,8 @@
 			t.Error("another session sees the setting")
 		}
 		exec(t, c, "DISCARD ALL")
-		// The driver's own cache of prepared statements isn't told of DISCARD ALL.
+		// The simple protocol is used, as DISCARD ALL leaves the cache of prepared statements of
+		// pgx.
 		if v := query[string](t, c, "SHOW search_path", pgx.QueryExecModeSimpleProtocol); v == "a, b" {
 			t.Error("DISCARD ALL left the setting")
 		}
@@ -196,9 +197,10 @@
 	}
 }
 
-// A statement of a transaction is refused before it reaches a backend server.
-// The caller takes its transaction for failed and goes on with the next; were
-// the first still open, the second COMMIT would save what was given up.
+// Guards against a transaction that stays open after a refusal. A statement in a transaction is
+// refused before it reaches a backend server. The caller assumes that its transaction has failed
+// and begins another one; if the first were still open, the COMMIT of the second would save the
+// writes of the first.
 func TestRefusalAbortsTransaction(t *testing.T) {
 	d := start(t)
 	c := connect(t, d, 0, "")
@@ -229,7 +231,7 @@
 		done := make(chan struct{})
 		var w sync.WaitGroup
 		w.Go(func() {
-			// A cancel request that comes before the statement does nothing.
+			// A cancel request that arrives before the statement has no effect.
 			for !closed(done) {
 				_ = c.PgConn().CancelRequest(t.Context())
 			}
@@ -283,28 +285,28 @@
 	}
 }
 
-// A primary crashes while a session goes on working. The caller notices a
-// longer write, or one whose outcome nobody can tell because its answer was on
-// the way; nothing that it was told is false afterwards.
+// Guards against false outcomes across a failover. A primary crashes while a session goes on
+// writing. A write may take longer, or have an unknown outcome because its response was lost, but
+// acknowledged writes must be there afterwards.
 func TestPrimaryCrash(t *testing.T) {
-	d := start(t, failover)
+	d := start(t, defaultFailover)
 	c := connect(t, d, 0, "")
 	exec(t, c, "CREATE TABLE t (id bigint PRIMARY KEY)")
-	told := make(map[int64]string)
+	codes := make(map[int64]string)
 	for i := range int64(20) {
 		if i == 10 {
 			d.Standins["db"].Servers[0].Crash()
 		}
 		_, err := c.Exec(t.Context(), "INSERT INTO t (id) VALUES ($1)", i)
-		told[i] = code(err)
+		codes[i] = code(err)
 		if err != nil && code(err) != "40003" {
 			t.Fatalf("write %d: %v", i, err)
 		}
 	}
-	if told[19] != "" {
-		t.Errorf("last write after the crash: SQLSTATE %s", told[19])
+	if codes[19] != "" {
+		t.Errorf("last write after the crash: SQLSTATE %s", codes[19])
 	}
-	for i, e := range told {
+	for i, e := range codes {
 		n := query[int64](t, c, "SELECT count(*) FROM t WHERE id = $1", i)
 		if e == "" && n != 1 {
 			t.Errorf("write %d was acknowledged and is there %d times", i, n)
--- a/internal/host/deployer/distant_bench_test.go
+++ b/internal/host/deployer/distant_bench_test.go
@@ -13,9 +13,9 @@
 	"github.com/cuminwick/cuminwick/internal/host/deployer"
 )
 
-// distant has datagrams between entry hosts take the time that they take between
-// zones and regions; the paths to backend servers stay short.
-func distant(t testing.TB) func(d *deployer.Deployment) {
+// withPeerLatency delays datagrams between entry hosts by the latency between their zones and
+// regions. Connections to backend servers are not delayed.
+func withPeerLatency(t testing.TB) func(d *deployer.Deployment) {
 	n := &disturber.Network{Latency: func(p disturber.Path) time.Duration {
 		switch {
 		case p.From.AvailabilityZone == p.To.AvailabilityZone:
@@ -35,15 +35,15 @@
 	}
 }
 
-// BenchmarkDistantWrites has 8 callers of each entry host that forwards insert
-// lines, 10 ms each, at a primary with two slots: 5 ms a line at best.
+// BenchmarkDistantWrites inserts rows through 8 callers of each forwarding host. The primary has
+// two slots and takes 10 ms a row, so 5 ms a row is the best possible result.
 func BenchmarkDistantWrites(b *testing.B) {
-	d := startShared(b, 1, distant(b))
-	own, _ := owner(b, d)
+	d := startDeployment(b, 1, withPeerLatency(b))
+	owner, _ := poolOwner(b, d)
 	var l []*pgx.Conn
 	for i := range d.Hosts {
 		for range 8 {
-			if i != own {
+			if i != owner {
 				l = append(l, connect(b, d, i, ""))
 			}
 		}
@@ -54,18 +54,18 @@
 		"in transaction": {"BEGIN", "INSERT INTO t (id) VALUES ($1)", "COMMIT"},
 	} {
 		b.Run(kind, func(b *testing.B) {
-			before := opened(d)
-			insert(b, l, q)
-			b.ReportMetric(float64(opened(d)-before), "opened")
+			before := maximumOpened(d)
+			runInserts(b, l, q)
+			b.ReportMetric(float64(maximumOpened(d)-before), "opened")
 		})
 	}
 }
 
-// inserted numbers the lines of all runs.
-var inserted atomic.Int64
+// lastInsertedID is the ID of the row inserted last, over all runs.
+var lastInsertedID atomic.Int64
 
-// insert makes b.N requests over the callers' connections.
-func insert(b *testing.B, l []*pgx.Conn, texts []string) {
+// runInserts makes b.N requests, each of all texts, over the callers' connections.
+func runInserts(b *testing.B, l []*pgx.Conn, texts []string) {
 	var made atomic.Int64
 	var w sync.WaitGroup
 	b.ResetTimer()
@@ -75,7 +75,7 @@
 				for _, q := range texts {
 					var a []any
 					if q != "BEGIN" && q != "COMMIT" {
-						a = append(a, inserted.Add(1))
+						a = append(a, lastInsertedID.Add(1))
 					}
 					if _, err := c.Exec(b.Context(), q, a...); err != nil {
 						b.Error(err)
--- a/internal/host/deployer/drivers_test.go
+++ b/internal/host/deployer/drivers_test.go
@@ -15,12 +15,12 @@
 	"github.com/cuminwick/cuminwick/internal/settings/declarer"
 )
 
-// lib/pq speaks the protocol in its own way: it parses each statement under a
-// name, and copies through a statement. A host that only suited pgx would show
-// here.
+// Guards against a host that only works with pgx. lib/pq uses the protocol in another way: it
+// parses each statement under a name, and runs COPY through a prepared statement.
 func TestSecondDriver(t *testing.T) {
 	d := start(t, func(d *deployer.Deployment) {
-		// A cancel request that is lost must not be taken for one that works late.
+		// Without the long timeout, a lost cancel request would look like one that took effect
+		// late.
 		d.CallerLimits = func(l *declarer.Limits) { l.RequestTimeout = time.Hour }
 	})
 	b, err := sql.Open("postgres", "postgres://caller@"+d.Hosts[0].Address()+"/db?sslmode=disable")
@@ -96,8 +96,8 @@
 			_, err := b.ExecContext(x, "SELECT pg_sleep(600)")
 			done <- err
 		}()
-		// The driver sends one cancel request, which does nothing if it comes
-		// before the statement.
+		// The driver sends one cancel request, which has no effect if it arrives before the
+		// statement.
 		for reads() == before {
 			runtime.Gosched()
 		}
--- a/internal/host/deployer/expire_test.go
+++ b/internal/host/deployer/expire_test.go
@@ -8,9 +8,9 @@
 	"github.com/cuminwick/cuminwick/internal/outcome/inquirer"
 )
 
-// Keys are forgotten after their time, and the clock of the host that forgets
-// them may have jumped. Were they forgotten early, a booking that is sent again
-// would run a second time.
+// Guards against idempotency keys that expire early, after which a write that is sent again would
+// run a second time. The clock of the host that expires keys may have jumped; it must detect the
+// skew and delete nothing.
 func TestExpire(t *testing.T) {
 	d := start(t)
 	c := connect(t, d, 0, "")
@@ -26,12 +26,12 @@
 		t.Error(err)
 	}
 	if n := count(); n != kept || kept == 0 {
-		t.Errorf("%d rows before their time, want %d", n, kept)
+		t.Errorf("%d rows before they expire, want %d", n, kept)
 	}
 	if err := x.Expire(t.Context(), "db", time.Now(), -time.Minute); err != nil {
 		t.Error(err)
 	}
 	if n := count(); n != 0 {
-		t.Errorf("%d rows after their time", n)
+		t.Errorf("%d rows after they have expired", n)
 	}
 }
--- a/internal/host/deployer/failover_test.go
+++ b/internal/host/deployer/failover_test.go
@@ -10,10 +10,11 @@
 	"github.com/cuminwick/cuminwick/internal/standin/injector"
 )
 
-// A backend server answers a COMMIT with a code by which it doesn't know itself
-// whether the transaction lasts, and either may be true. A costing officer whose
-// line is told as saved must find it, once; one that is told as not run may book
-// it again, so it must never come. With a key the outcome is settled, not open.
+// Guards against false outcomes of a commit that a backend server reports as unknown. The server
+// responds to a COMMIT with an SQLSTATE after which the transaction may or may not have been
+// committed. A write that is reported as saved must be there once; one that is reported as not run
+// may be sent again by the caller, so it must not be there. With an idempotency key the host must
+// determine the outcome.
 func TestServerCallsCommitOpen(t *testing.T) {
 	d := start(t)
 	c := connect(t, d, 0, "")
@@ -25,7 +26,7 @@
 			for _, form := range [][]string{{"%s"}, {"BEGIN", "%s", "COMMIT"}} {
 				id++
 				t.Run(fmt.Sprintf("%s lasts=%t key=%t statements=%d", f.Code, f.Lasts, keyed, len(form)), func(t *testing.T) {
-					failCommit(t, connect(t, d, id%3, ""), id, form, keyed, d.Standins["db"].Servers[0].FailCommit, f)
+					writeWithFailingCommit(t, connect(t, d, id%3, ""), id, form, keyed, d.Standins["db"].Servers[0].FailCommit, f)
 					n := query[int64](t, c, "SELECT count(*) FROM t WHERE id = $1", id)
 					if !keyed && (n == 1) != f.Lasts {
 						t.Errorf("a write without key is there %d times", n)
@@ -36,8 +37,9 @@
 	}
 }
 
-// failCommit writes row id while its commit fails, and checks what is told.
-func failCommit(t *testing.T, c *pgx.Conn, id int, form []string, keyed bool, set func(injector.CommitFailure), f injector.CommitFailure) {
+// writeWithFailingCommit inserts row id while the commit fails, and checks what the caller
+// receives.
+func writeWithFailingCommit(t *testing.T, c *pgx.Conn, id int, form []string, keyed bool, set func(injector.CommitFailure), f injector.CommitFailure) {
 	t.Helper()
 	if keyed {
 		exec(t, c, fmt.Sprintf("SET cuminwick.idempotency_key = 'open-%d'", id))
@@ -51,15 +53,15 @@
 	set(injector.CommitFailure{})
 	if !keyed {
 		if code(err) != f.Code {
-			t.Errorf("told %v, want the server's own word", err)
+			t.Errorf("caller received %v, want the server's SQLSTATE", err)
 		}
 		return
 	}
 	if strings.Contains(detail(err), "outcome=unknown") || f.Lasts && err != nil {
-		t.Errorf("told %v, detail %q", err, detail(err))
+		t.Errorf("caller received %v, detail %q", err, detail(err))
 	}
 	n := query[int64](t, c, fmt.Sprintf("SELECT count(*) FROM t WHERE id = %d", id))
 	if (n == 1) != (err == nil) {
-		t.Errorf("told %v, and the row is there %d times", err, n)
+		t.Errorf("caller received %v, and the row is there %d times", err, n)
 	}
 }
--- a/internal/host/deployer/identity.go
+++ b/internal/host/deployer/identity.go
@@ -12,11 +12,12 @@
 	"github.com/cuminwick/cuminwick/internal/pool/assigner"
 )
 
-// certificateValidity outlasts any deployment on loopback.
+// certificateValidity is longer than any deployment on loopback runs.
 const certificateValidity = 24 * time.Hour
 
-// secure gives h what it needs to talk to the other hosts.
-func (d *Deployment) secure(h *runner.Host) error {
+// configurePeers sets the certificate and the member list by which h communicates with the other
+// hosts.
+func (d *Deployment) configurePeers(h *runner.Host) error {
 	if d.Standalone {
 		return nil
 	}
@@ -27,7 +28,7 @@
 	i := &identity{certificate: c, authority: d.authority.Pool()}
 	h.Securer = &securer.Securer{Certificate: i.Certificate, Authority: i.Authority}
 	if d.Gossip {
-		d.gossip(h)
+		d.enableGossip(h)
 		return nil
 	}
 	h.Members = d.Roster
@@ -37,28 +38,29 @@
 	return nil
 }
 
-// gossip has h find the others, from any that runs already.
-func (d *Deployment) gossip(h *runner.Host) {
+// enableGossip makes h discover the other hosts by heartbeats, with all hosts that run already as
+// seeds.
+func (d *Deployment) enableGossip(h *runner.Host) {
 	h.Gossip = true
 	for _, o := range d.Hosts {
 		h.Settings.Peers.Seeds = append(h.Settings.Peers.Seeds, o.PeerAddress())
 	}
 }
 
-// identity is what a securer asks for.
+// identity holds the certificate of one entry host and the authority that signs those of all.
 type identity struct {
 	certificate tls.Certificate
 	authority   *x509.CertPool
 }
 
-// Certificate returns the host's certificate.
+// Certificate returns the host's certificate with its key.
 func (i *identity) Certificate() *tls.Certificate { return &i.certificate }
 
-// Authority returns who may sign certificates of entry hosts.
+// Authority returns the authorities that may sign certificates of entry hosts.
 func (i *identity) Authority() *x509.CertPool { return i.authority }
 
-// enlist tells all hosts of h.
-func (d *Deployment) enlist(h *runner.Host) {
+// register adds h to Roster.
+func (d *Deployment) register(h *runner.Host) {
 	if d.Standalone {
 		return
 	}
--- a/internal/host/deployer/isolation_test.go
+++ b/internal/host/deployer/isolation_test.go
@@ -11,21 +11,21 @@
 	"github.com/cuminwick/cuminwick/internal/host/deployer"
 )
 
-var errCut = errors.New("network partition")
+var errPartitioned = errors.New("network partition")
 
-// partition cuts one availability zone off from the backend servers of others.
+// partition cuts one availability zone off from the backend servers of the other zones.
 type partition struct {
-	mu    sync.Mutex
-	cut   bool
-	local string
-	conns map[net.Conn]string
+	mu     sync.Mutex
+	active bool
+	local  string
+	conns  map[net.Conn]string
 }
 
 func (p *partition) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cut && address != p.local {
-		return nil, errCut
+	if p.active && address != p.local {
+		return nil, errPartitioned
 	}
 	c, err := new(net.Dialer).DialContext(ctx, network, address)
 	if err == nil {
@@ -34,10 +34,10 @@
 	return c, err
 }
 
-func (p *partition) begin(local string) {
+func (p *partition) cutOff(local string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cut, p.local = true, local
+	p.active, p.local = true, local
 	for c, a := range p.conns {
 		if a != local {
 			c.Close()
@@ -45,14 +45,14 @@
 	}
 }
 
-// An availability zone is cut off from all the others. Its advisers still open
-// their case files where the session's own writes are known to be in them; a
-// session of which nothing is known can't be told from one that has just written
-// elsewhere, and is refused, as are writes, with the truth that nothing ran.
+// Guards against stale reads and false outcomes in an isolated zone, which is cut off from all
+// others. A session whose marks the local replica covers may still read there. A session without a
+// mark may have written elsewhere, so its reads are refused, and so are all writes, with the
+// outcome not-run.
 func TestCutOffZone(t *testing.T) {
 	p := &partition{conns: make(map[net.Conn]string)}
-	d := start(t, failover, func(d *deployer.Deployment) {
-		// The zone's entry host reaches no other either.
+	d := start(t, defaultFailover, func(d *deployer.Deployment) {
+		// The zone's entry host cannot reach the other entry hosts either.
 		d.Standalone = true
 		d.Dial = func(from deployer.Place) deployer.Dial {
 			if from.AvailabilityZone == "c" {
@@ -65,16 +65,16 @@
 	exec(t, c, "CREATE TABLE t (id bigint PRIMARY KEY)")
 	exec(t, c, "INSERT INTO t (id) VALUES (1)")
 	for query[int64](t, c, "SELECT count(*) FROM t") != 1 {
-		t.Fatal("own write missing")
+		t.Fatal("the session's own write is missing")
 	}
 	s := d.Standins["db"].Servers
 	for !s[2].Store().Last().Covers(s[0].Store().Last()) {
 		if t.Context().Err() != nil {
-			t.Fatal("replica doesn't catch up")
+			t.Fatal("the replica did not catch up")
 		}
 	}
 	n := connect(t, d, 2, "")
-	p.begin(s[2].Addr())
+	p.cutOff(s[2].Addr())
 	if v := query[int64](t, c, "SELECT count(*) FROM t"); v != 1 {
 		t.Errorf("session with a mark sees %d rows, want 1", v)
 	}
--- a/internal/host/deployer/lifecycle.go
+++ b/internal/host/deployer/lifecycle.go
@@ -9,99 +9,105 @@
 	"github.com/cuminwick/cuminwick/internal/host/runner"
 )
 
-// end is one run of an entry host: how it is ended, and how it has ended.
-type end struct {
-	host  *runner.Host
-	ctx   context.Context
+// hostRun is one run of an entry host, from its start until it has stopped.
+type hostRun struct {
+	host *runner.Host
+	ctx  context.Context
+	// drain is closed to drain the host.
 	drain chan struct{}
-	kill  context.CancelFunc
-	done  chan struct{}
-	err   error
-	// planned says that Drain or Kill ended the host, whose error then goes to
-	// whoever asked and doesn't end the deployment.
-	planned bool
+	// kill cancels ctx.
+	kill context.CancelFunc
+	// done is closed when the host has stopped; err is then set.
+	done chan struct{}
+	err  error
+	// stopRequested is set by Drain and Kill. The host's error is then returned by AwaitStopped and
+	// does not end the deployment.
+	stopRequested bool
 }
 
-// launch runs a host.
-func (d *Deployment) launch(ctx context.Context, h *runner.Host) (*end, error) {
-	if err := d.secure(h); err != nil {
+// launch opens the listeners of a host, adds it to Roster and runs it in the background.
+func (d *Deployment) launch(ctx context.Context, h *runner.Host) (*hostRun, error) {
+	if err := d.configurePeers(h); err != nil {
 		return nil, err
 	}
 	if err := h.Listen(); err != nil {
 		return nil, errors.Annotatef(err, "start entry host %s", h.Settings.HostName)
 	}
-	d.enlist(h)
+	d.register(h)
 	x, kill := context.WithCancel(ctx)
-	e := &end{host: h, ctx: x, drain: make(chan struct{}), kill: kill, done: make(chan struct{})}
-	d.work.Go(e.run)
-	return e, nil
+	r := &hostRun{host: h, ctx: x, drain: make(chan struct{}), kill: kill, done: make(chan struct{})}
+	d.tasks.Go(r.run)
+	return r, nil
 }
 
-func (e *end) run() error {
-	e.err = e.host.Run(e.ctx, e.drain)
-	close(e.done)
-	if e.planned {
+func (r *hostRun) run() error {
+	r.err = r.host.Run(r.ctx, r.drain)
+	close(r.done)
+	if r.stopRequested {
 		return nil
 	}
-	return e.err
+	return r.err
 }
 
-// Drain lets host i stop as planned.
+// Drain starts draining host i, which then stops. It does not wait, see AwaitStopped.
 func (d *Deployment) Drain(i int) {
-	d.ends[i].planned = true
+	d.runs[i].stopRequested = true
 	d.Roster.Leave(d.Hosts[i].Settings.HostName)
-	close(d.ends[i].drain)
+	close(d.runs[i].drain)
 }
 
-// lossDetection is how long the other hosts hold a killed one for live.
-const lossDetection = time.Second
+// lossDetectionDelay is the time until the other hosts detect that a host was killed.
+const lossDetectionDelay = time.Second
 
-// Kill ends host i at once, whatever it is doing, and without a word to the
-// other hosts, which learn of it from Roster a little later.
+// Kill stops host i at once, without draining and without notifying the other hosts. It is removed
+// from Roster after lossDetectionDelay.
 func (d *Deployment) Kill(i int) {
-	d.ends[i].planned = true
+	d.runs[i].stopRequested = true
 	h := d.Hosts[i]
-	l := &loss{roster: d.Roster, name: h.Settings.HostName, address: h.PeerAddress()}
+	l := &delayedRemoval{roster: d.Roster, name: h.Settings.HostName, address: h.PeerAddress()}
 	h.ClosePeerSocket()
-	time.AfterFunc(lossDetection, l.run)
-	d.ends[i].kill()
+	time.AfterFunc(lossDetectionDelay, l.run)
+	d.runs[i].kill()
 }
 
-// loss takes a killed host out of the roster, unless it was started anew.
-type loss struct {
+// delayedRemoval removes a killed host from the roster unless it was restarted, with another address,
+// in the meantime.
+type delayedRemoval struct {
 	roster  *runner.Roster
 	name    string
 	address string
 }
 
-func (l *loss) run() {
+func (l *delayedRemoval) run() {
 	l.roster.RemoveAt(l.name, l.address)
 }
 
-// AwaitStopped returns when host i has stopped, with an error if it cut off callers.
+// AwaitStopped returns when host i has stopped, with an error if callers were disconnected before
+// they had finished.
 func (d *Deployment) AwaitStopped(ctx context.Context, i int) error {
 	select {
-	case <-d.ends[i].done:
-		return d.ends[i].err
+	case <-d.runs[i].done:
+		return d.runs[i].err
 	case <-ctx.Done():
 		return errors.Annotate(ctx.Err(), "await end of entry host")
 	}
 }
 
-// Restart starts host i anew, after it has ended, and returns it when callers
-// can connect. The caller puts it into Hosts, which others may read meanwhile.
+// Restart waits until host i has stopped, starts another one with its name and place, and returns it
+// when callers can connect. It does not write to Hosts, which other goroutines may read in the
+// meantime; the caller replaces the entry.
 func (d *Deployment) Restart(ctx context.Context, i int) (*runner.Host, error) {
 	select {
-	case <-d.ends[i].done:
+	case <-d.runs[i].done:
 	case <-ctx.Done():
 		return nil, errors.Annotate(ctx.Err(), "await end of entry host")
 	}
 	o := d.Hosts[i].Settings
 	h := d.newHost(o.HostName, Place{AvailabilityZone: o.AvailabilityZone, Region: o.Region})
-	e, err := d.launch(d.context, h)
+	r, err := d.launch(d.context, h)
 	if err != nil {
 		return nil, err
 	}
-	d.ends[i] = e
+	d.runs[i] = r
 	return h, awaitHost(ctx, h)
 }
--- a/internal/host/deployer/lines_bench_test.go
+++ b/internal/host/deployer/lines_bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/cuminwick/cuminwick/internal/log/encoder"
 )
 
-// BenchmarkLogLines compares requests without log lines with those of which
-// each decision is written to a file.
+// BenchmarkLogLines compares requests without a decision log with requests for each of which a log
+// line is written to a file.
 func BenchmarkLogLines(b *testing.B) {
 	b.Run("none", func(b *testing.B) { benchmarkLines(b, nil) })
 	b.Run("file", func(b *testing.B) {
@@ -38,19 +38,19 @@
 }
 
 func benchmarkLines(b *testing.B, e *encoder.Encoder) {
-	d := startShared(b, 1, func(d *deployer.Deployment) {
+	d := startDeployment(b, 1, func(d *deployer.Deployment) {
 		d.Server = deployer.ServerTemplate{Slots: 16, Connections: 32}
 		d.LogEncoder = e
 		if e != nil {
 			d.Log = &log.Logger{Handler: e, Level: log.InfoLevel}
 		}
 	})
-	c := dial(b, d)
+	c := connectAll(b, d)
 	if _, err := c[0].Exec(b.Context(), "CREATE TABLE t (id bigint PRIMARY KEY)"); err != nil {
 		b.Fatal(err)
 	}
 	b.ResetTimer()
-	l := load(b, c, int64(b.N))
+	l := runRequests(b, c, int64(b.N))
 	b.StopTimer()
 	if len(l) > 0 {
 		b.Fatalf("%d requests failed, first: %v", len(l), l[0])
--- a/internal/host/deployer/log_bench_test.go
+++ b/internal/host/deployer/log_bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/cuminwick/cuminwick/internal/log/encoder"
 )
 
-// BenchmarkDecisionLog reads through one entry host without log lines for its
-// routing decisions, with one for each request, and with one in a hundred.
+// BenchmarkDecisionLog reads through one entry host without a log of its routing decisions, with a
+// log line for each request, and with one for each hundredth.
 func BenchmarkDecisionLog(b *testing.B) {
 	for _, x := range []struct {
 		name   string
@@ -26,7 +26,7 @@
 		{name: "file-one-in-100", sample: 100, output: logFile},
 	} {
 		b.Run(x.name, func(b *testing.B) {
-			d := startShared(b, 1, func(d *deployer.Deployment) {
+			d := startDeployment(b, 1, func(d *deployer.Deployment) {
 				d.Standalone = true
 				d.Server = deployer.ServerTemplate{Slots: 64, Connections: 200}
 				if x.output == nil {
--- a/internal/host/deployer/loss_test.go
+++ b/internal/host/deployer/loss_test.go
@@ -13,45 +13,45 @@
 )
 
 const (
-	// lostEvery is how many segments arrive for each one that is lost: 5%.
-	lostEvery = 20
-	// retransmission is TCP's shortest time until it sends a lost segment again.
-	retransmission = 200 * time.Millisecond
+	// segmentsPerLoss is the number of segments of which one is lost, which makes 5%.
+	segmentsPerLoss = 20
+	// retransmissionDelay is the shortest time after which TCP retransmits a lost segment.
+	retransmissionDelay = 200 * time.Millisecond
 )
 
-// lossy counts the segments of all connections.
-type lossy struct {
+// lossyNetwork counts the segments of all connections, and delays some.
+type lossyNetwork struct {
 	reads atomic.Int64
 }
 
-func (l *lossy) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (l *lossyNetwork) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	c, err := new(net.Dialer).DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	return &lossyConn{Conn: c, lossy: l}, nil
+	return &lossyConn{Conn: c, network: l}, nil
 }
 
-// lossyConn delivers late what was lost, and all behind it, as TCP does.
+// lossyConn delays a lost segment and everything after it until the retransmission, as TCP does.
 type lossyConn struct {
 	net.Conn
-	lossy *lossy
+	network *lossyNetwork
 }
 
 func (c *lossyConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if c.lossy.reads.Add(1)%lostEvery == 0 {
-		_ = scheduler.Pause(context.Background(), retransmission)
+	if c.network.reads.Add(1)%segmentsPerLoss == 0 {
+		_ = scheduler.Pause(context.Background(), retransmissionDelay)
 	}
 	return n, err
 }
 
-// One segment in twenty between entry hosts and backend servers is lost, for
-// pooled and control connections alike, and TCP sends it again 200 ms later.
-// Polls run into their time limit meanwhile, and answers come late. A costing
-// officer waits a little longer; each line is booked once, and she sees it.
+// Guards against lost or doubled writes under packet loss. One segment in twenty between entry
+// hosts and backend servers is lost, on pooled and control connections, and TCP retransmits it
+// after 200 ms. Polls time out in the meantime, and responses are late. Each write must take effect
+// once, and its session must see it.
 func TestSegmentsAreLost(t *testing.T) {
-	l := &lossy{}
+	l := &lossyNetwork{}
 	d := start(t, func(d *deployer.Deployment) {
 		d.Dial = func(deployer.Place) deployer.Dial { return l.dial }
 	})
@@ -66,7 +66,7 @@
 			t.Fatalf("after %d writes the session sees %d", i+1, n)
 		}
 	}
-	if l.reads.Load()-before < lostEvery {
-		t.Error("nothing was lost")
+	if l.reads.Load()-before < segmentsPerLoss {
+		t.Error("no segment was lost")
 	}
 }
--- a/internal/host/deployer/members_test.go
+++ b/internal/host/deployer/members_test.go
@@ -9,15 +9,15 @@
 	"github.com/cuminwick/cuminwick/internal/member/declarer"
 )
 
-// startGossiping runs two entry hosts in each zone, which find each other.
-func startGossiping(t *testing.T) *deployer.Deployment {
+// startWithGossip runs two entry hosts in each zone, which discover each other by heartbeats.
+func startWithGossip(t *testing.T) *deployer.Deployment {
 	t.Helper()
-	d := startShared(t, 2, func(d *deployer.Deployment) { d.Gossip = true })
+	d := startDeployment(t, 2, func(d *deployer.Deployment) { d.Gossip = true })
 	for _, h := range d.Hosts {
 		awaitLive(t, h, len(d.Hosts))
 	}
 	p := primary(t, d)
-	until(t, "the hosts to agree on the pool's owner", func() bool {
+	waitFor(t, "the hosts to agree on the pool's owner", func() bool {
 		o := d.Hosts[0].PoolOwner("db", p)
 		return o != "" && !slices.ContainsFunc(d.Hosts, func(h *runner.Host) bool { return h.PoolOwner("db", p) != o })
 	})
@@ -36,11 +36,11 @@
 
 func awaitLive(t *testing.T, h *runner.Host, n int) {
 	t.Helper()
-	until(t, "members at "+h.Settings.HostName, func() bool { return liveMembers(h) == n })
+	waitFor(t, "members at "+h.Settings.HostName, func() bool { return liveMembers(h) == n })
 }
 
-// awaitLiveBeside waits for all hosts but one to see the rest.
-func awaitLiveBeside(t *testing.T, d *deployer.Deployment, gone int) {
+// awaitLiveExcept waits until all hosts except one list each other, and only each other, as live.
+func awaitLiveExcept(t *testing.T, d *deployer.Deployment, gone int) {
 	t.Helper()
 	for i, h := range d.Hosts {
 		if i != gone {
@@ -49,40 +49,42 @@
 	}
 }
 
-// The entry host that owns the primary's pool loses power. Nobody tells the
-// others; they find out, agree on its successor, and callers elsewhere go on.
-func TestOwnerDiesAmongGossipingHosts(t *testing.T) {
-	d := startGossiping(t)
-	own, away := owner(t, d)
-	c := connect(t, d, away, "")
+// Guards against a pool without an owner after a crash. The entry host that owns the primary's pool
+// is killed without notice. The others must detect it and agree on its successor, and callers of
+// other hosts continue.
+func TestOwnerKilledWithGossip(t *testing.T) {
+	d := startWithGossip(t)
+	owner, forwarder := poolOwner(t, d)
+	c := connect(t, d, forwarder, "")
 	exec(t, c, "CREATE TABLE t (id bigint PRIMARY KEY)")
-	dead := d.Hosts[own].Settings.HostName
+	dead := d.Hosts[owner].Settings.HostName
 	p := primary(t, d)
-	d.Kill(own)
+	d.Kill(owner)
 	exec(t, c, "INSERT INTO t (id) VALUES (1)")
-	awaitLiveBeside(t, d, own)
+	awaitLiveExcept(t, d, owner)
 	exec(t, c, "INSERT INTO t (id) VALUES (2)")
 	if n := query[int64](t, c, "SELECT count(*) FROM t"); n != 2 {
 		t.Errorf("%d rows after two writes", n)
 	}
-	if o := d.Hosts[away].PoolOwner("db", p); o == dead || o == "" {
+	if o := d.Hosts[forwarder].PoolOwner("db", p); o == dead || o == "" {
 		t.Errorf("the pool is owned by %q", o)
 	}
 }
 
-// An operator stops the entry host that owns the primary's pool. The others
-// must learn of it from the host itself, and no caller elsewhere notices.
-func TestOwnerLeavesGossipingHosts(t *testing.T) {
-	d := startGossiping(t)
-	own, away := owner(t, d)
-	c := connect(t, d, away, "")
+// Guards against errors during a planned stop. An operator drains the entry host that owns the
+// primary's pool. The host itself must notify the others, and callers of other hosts must get no
+// error.
+func TestOwnerDrainedWithGossip(t *testing.T) {
+	d := startWithGossip(t)
+	owner, forwarder := poolOwner(t, d)
+	c := connect(t, d, forwarder, "")
 	exec(t, c, "CREATE TABLE t (id bigint PRIMARY KEY)")
-	d.Drain(own)
+	d.Drain(owner)
 	for i := range 50 {
 		exec(t, c, "INSERT INTO t (id) VALUES ($1)", i)
 	}
-	awaitLiveBeside(t, d, own)
-	if err := d.AwaitStopped(t.Context(), own); err != nil {
+	awaitLiveExcept(t, d, owner)
+	if err := d.AwaitStopped(t.Context(), owner); err != nil {
 		t.Errorf("drain: %v", err)
 	}
 }
--- a/internal/host/deployer/metrics_test.go
+++ b/internal/host/deployer/metrics_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// An operator is called at night and looks at the metrics. One that is listed on
-// the page and never counts would tell that all is well.
-func TestMetricsCountWhatCallersDo(t *testing.T) {
-	d := start(t, failover)
+// Guards against metrics that are documented but never updated, with which an operator would miss a
+// fault.
+func TestMetricsCountCallerRequests(t *testing.T) {
+	d := start(t, defaultFailover)
 	c := connect(t, d, 0, "")
 	exec(t, c, "CREATE TABLE t (id bigint PRIMARY KEY)")
 	exec(t, c, "INSERT INTO t (id) VALUES (1)")
 	if _, err := c.Exec(t.Context(), "SELECT nonsense FROM t"); err == nil {
-		t.Error("an unknown column was read")
+		t.Error("a read of an unknown column succeeded")
 	}
 	if err := c.PgConn().CancelRequest(t.Context()); err != nil {
 		t.Error(err)
 	}
 	d.Standins["db"].Servers[0].Crash()
-	// The first one may have been on its way to the primary, and is told as unknown.
+	// The first write may have been in progress at the primary, so its outcome may be unknown.
 	for n := 2; ; n++ {
 		_, err := c.Exec(t.Context(), "INSERT INTO t (id) VALUES ($1)", n)
 		if err == nil {
@@ -42,9 +42,9 @@
 		`cuminwick_routing_decisions_total`,
 		`cuminwick_status_polls_total{cause="rest"}`,
 	} {
-		for total(t, d, m) == 0 {
+		for sumMetric(t, d, m) == 0 {
 			if t.Context().Err() != nil {
-				t.Fatalf("%s counts nothing", m)
+				t.Fatalf("%s stays zero", m)
 			}
 			time.Sleep(time.Millisecond)
 		}
--- a/internal/host/deployer/pipeline_test.go
+++ b/internal/host/deployer/pipeline_test.go
@@ -6,8 +6,9 @@
 	"github.com/jackc/pgx/v5/pgconn"
 )
 
-// A statement fails to parse, for instance because its table isn't there yet,
-// and the driver prepares it again under the same name once it is.
+// Guards against statement names that stay in use after a failed Parse. A statement fails to parse,
+// for instance because its table does not exist yet, and the driver prepares it again under the
+// same name once the table exists.
 func TestPrepareAgainAfterError(t *testing.T) {
 	d := start(t)
 	c := connect(t, d, 0, "")
@@ -24,9 +25,9 @@
 	exec(t, c, "mine", 1)
 }
 
-// A driver sends statements in a pipeline, asks for the answers so far, and
-// sends more although one has failed. Servers skip to the end of the pipeline;
-// a proxy that waits for answers to what is skipped would hang.
+// Guards against a hang after an error in a pipeline. A driver sends statements in a pipeline,
+// requests the results so far, and sends more although one has failed. Servers skip all messages up
+// to the end of the pipeline; a proxy that waited for responses to skipped messages would hang.
 func TestPipelineAfterError(t *testing.T) {
 	d := start(t)
 	c := connect(t, d, 0, "")
--- a/internal/host/deployer/pools_bench_test.go
+++ b/internal/host/deployer/pools_bench_test.go
@@ -15,37 +15,38 @@
 	"github.com/cuminwick/cuminwick/internal/wire/batcher"
 )
 
-// BenchmarkRead makes one read at a time, over a lease of its own, which a release
-// or the answer ends, or over one that goes on, at the entry host that owns the pool and at one that forwards.
+// BenchmarkRead makes one read at a time, at the entry host that owns the pool and at a forwarding
+// host: with a lease for each read that is ended by a release, with one that is ended by the
+// response, and within one lease for all reads.
 func BenchmarkRead(b *testing.B) {
-	d := startShared(b, 3, nil)
-	own, away := owner(b, d)
-	for n, i := range map[string]int{"local": own, "forwarded": away} {
+	d := startDeployment(b, 3, nil)
+	owner, forwarder := poolOwner(b, d)
+	for n, i := range map[string]int{"local": owner, "forwarded": forwarder} {
 		l := d.Hosts[i].Director().Runtime().Groups["db"].Lessors[primary(b, d)]
 		b.Run("lease/"+n, func(b *testing.B) {
-			measure(b, d.Hosts[i], func() {
-				e := lend(b, l)
-				read(b, e, false)
+			measureTraffic(b, d.Hosts[i], func() {
+				e := takeLease(b, l)
+				exchangeRead(b, e, false)
 				e.Release(lessor.Return{Clean: true})
 			})
 		})
 		b.Run("returned/"+n, func(b *testing.B) {
-			measure(b, d.Hosts[i], func() {
-				e := lend(b, l)
-				read(b, e, true)
+			measureTraffic(b, d.Hosts[i], func() {
+				e := takeLease(b, l)
+				exchangeRead(b, e, true)
 				e.Release(lessor.Return{Clean: true})
 			})
 		})
 		b.Run("exchange/"+n, func(b *testing.B) {
-			e := lend(b, l)
-			measure(b, d.Hosts[i], func() { read(b, e, false) })
+			e := takeLease(b, l)
+			measureTraffic(b, d.Hosts[i], func() { exchangeRead(b, e, false) })
 			e.Release(lessor.Return{Clean: true})
 		})
 	}
 }
 
-// measure counts the peer traffic of each call too.
-func measure(b *testing.B, h *runner.Host, f func()) {
+// measureTraffic benchmarks f and reports the peer traffic of h per call.
+func measureTraffic(b *testing.B, h *runner.Host, f func()) {
 	f()
 	t := h.PeerTraffic()
 	for b.Loop() {
@@ -56,7 +57,7 @@
 	b.ReportMetric(float64(u.Received-t.Received)/float64(b.N), "received-B/op")
 }
 
-func lend(b *testing.B, l lessor.Lessor) lessor.Lease {
+func takeLease(b *testing.B, l lessor.Lessor) lessor.Lease {
 	e, err := l.Lease(b.Context(), lessor.Demand{})
 	if err != nil {
 		b.Fatal(err)
@@ -64,46 +65,46 @@
 	return e
 }
 
-func read(b *testing.B, e lessor.Lease, giveBack bool) {
+func exchangeRead(b *testing.B, e lessor.Lease, returnIfIdle bool) {
 	var q batcher.Batch
 	q.AddQuery(batcher.Pass, "SELECT 1")
-	r, err := e.Exchange(b.Context(), lessor.Exchange{Batch: &q, Output: drop{}, ReturnIfIdle: giveBack})
+	r, err := e.Exchange(b.Context(), lessor.Exchange{Batch: &q, Output: discardOutput{}, ReturnIfIdle: returnIfIdle})
 	if err != nil || r.Status != 'I' {
 		b.Fatal(r, err)
 	}
 }
 
-type drop struct{}
+type discardOutput struct{}
 
-func (drop) Frame(byte, []byte, bool, bool) error { return nil }
+func (discardOutput) Frame(byte, []byte, bool, bool) error { return nil }
 
-// BenchmarkConnections has 36 callers read and write through 9 entry hosts and
-// counts the connections that each backend server accepted since its start,
-// control included, and the requests that were refused.
+// BenchmarkConnections reads and writes through 36 callers at 9 entry hosts. It reports the
+// connections, control connections included, that the backend server with the most has accepted
+// since its start, and the share of requests that were refused.
 func BenchmarkConnections(b *testing.B) {
 	for n, alone := range map[string]bool{"shared": false, "alone": true} {
 		b.Run(n, func(b *testing.B) {
-			d := startShared(b, 3, func(d *deployer.Deployment) {
+			d := startDeployment(b, 3, func(d *deployer.Deployment) {
 				d.Standalone = alone
 				d.Server.ServiceTime = 2 * time.Millisecond
 			})
-			c := dial(b, d)
+			c := connectAll(b, d)
 			if _, err := c[0].Exec(b.Context(), "CREATE TABLE t (id bigint PRIMARY KEY)"); err != nil {
 				b.Fatal(err)
 			}
-			before := opened(d)
+			before := maximumOpened(d)
 			b.ResetTimer()
-			failed := load(b, c, int64(b.N))
+			failed := runRequests(b, c, int64(b.N))
 			b.ReportMetric(float64(before), "opened-at-start/server")
-			b.ReportMetric(float64(opened(d)), "opened/server")
-			b.ReportMetric(float64(held(d)), "held/server")
+			b.ReportMetric(float64(maximumOpened(d)), "opened/server")
+			b.ReportMetric(float64(maximumHeld(d)), "held/server")
 			b.ReportMetric(float64(len(failed))/float64(b.N), "errors/op")
 		})
 	}
 }
 
-// opened returns how many connections the server with the most has accepted.
-func opened(d *deployer.Deployment) int64 {
+// maximumOpened returns how many connections the backend server with the most has accepted.
+func maximumOpened(d *deployer.Deployment) int64 {
 	var most int64
 	for _, s := range d.Standins["db"].Servers {
 		most = max(most, s.Opened())
@@ -111,9 +112,9 @@
 	return most
 }
 
-// held returns how many connections for requests all hosts together hold to
-// the server with the most, as far as hosts that share pools tell.
-func held(d *deployer.Deployment) int {
+// maximumHeld returns how many connections for requests all hosts together have to the backend
+// server with the most, as far as the hosts that share pools report them.
+func maximumHeld(d *deployer.Deployment) int {
 	most := 0
 	for _, s := range d.Standins["db"].Servers {
 		n := 0
@@ -127,8 +128,8 @@
 
 const callersPerHost = 4
 
-// load makes n requests over the callers' connections and returns the errors.
-func load(b testing.TB, c []*pgx.Conn, n int64) []error {
+// runRequests makes n requests over the callers' connections and returns the errors.
+func runRequests(b testing.TB, c []*pgx.Conn, n int64) []error {
 	var next atomic.Int64
 	var m sync.Mutex
 	var failed []error
@@ -148,7 +149,7 @@
 	return failed
 }
 
-func dial(b testing.TB, d *deployer.Deployment) []*pgx.Conn {
+func connectAll(b testing.TB, d *deployer.Deployment) []*pgx.Conn {
 	var l []*pgx.Conn
 	for _, h := range d.Hosts {
 		for range callersPerHost {
@@ -163,7 +164,7 @@
 	return l
 }
 
-// request writes once in five times and reads otherwise.
+// request makes request n: each fifth is a write, the others are reads.
 func request(b testing.TB, c *pgx.Conn, n int64) error {
 	if n%5 == 0 {
 		_, err := c.Exec(b.Context(), "INSERT INTO t (id) VALUES ($1)", n)
--- a/internal/host/deployer/pools_test.go
+++ b/internal/host/deployer/pools_test.go
@@ -28,9 +28,9 @@
 	"github.com/cuminwick/cuminwick/internal/wire/batcher"
 )
 
-// startShared runs n entry hosts in each zone before one group of three
-// backend servers, with changes to the deployment made by set.
-func startShared(t testing.TB, n int, set func(d *deployer.Deployment)) *deployer.Deployment {
+// startDeployment runs n entry hosts in each zone in front of one group of three backend servers.
+// set, if not nil, changes the deployment before it starts.
+func startDeployment(t testing.TB, n int, set func(d *deployer.Deployment)) *deployer.Deployment {
 	t.Helper()
 	d := &deployer.Deployment{
 		Places: []deployer.Place{
@@ -45,7 +45,7 @@
 		Platform:      new(storekeeper.Store),
 		Source:        func(_ string, f *file.File) runner.Source { return runner.FixedSource{Revision: 1, File: f} },
 		Marks:         &signer.Signer{Deployment: "test", Keys: []signer.Key{{ID: 1, Secret: []byte("0123456789abcdef")}}},
-		Driver:        patient(),
+		Driver:        lenientDriverSettings(),
 		Log:           &log.Logger{Handler: discard.New(), Level: log.InfoLevel},
 	}
 	if set != nil {
@@ -62,7 +62,7 @@
 	return d
 }
 
-// primary returns the name of the primary as the first entry host sees it.
+// primary returns the name of the primary that the first entry host has confirmed.
 func primary(t testing.TB, d *deployer.Deployment) string {
 	t.Helper()
 	v, err := d.Hosts[0].Director().Runtime().Groups["db"].Driver.WaitPrimary(t.Context())
@@ -72,45 +72,44 @@
 	return v.Primary
 }
 
-// owner returns the number of the host that owns the primary's pool, and of
-// one that forwards to it. A host that has just started names no owner until it has
-// ranked the members.
-func owner(t testing.TB, d *deployer.Deployment) (own, away int) {
+// poolOwner returns the index of the host that owns the primary's pool and that of a forwarding
+// host. It waits, as a host that has just started reports no owner until it has ranked the members.
+func poolOwner(t testing.TB, d *deployer.Deployment) (owner, forwarder int) {
 	t.Helper()
 	p := primary(t, d)
 	last := d.Hosts[len(d.Hosts)-1]
-	until(t, "an owner of the pool", func() bool { return last.PoolOwner("db", p) != "" })
+	waitFor(t, "an owner of the pool", func() bool { return last.PoolOwner("db", p) != "" })
 	name := last.PoolOwner("db", p)
-	own, away = -1, -1
+	owner, forwarder = -1, -1
 	for i, h := range d.Hosts {
 		if name == h.Settings.HostName {
-			own = i
+			owner = i
 		} else {
-			away = i
+			forwarder = i
 		}
 	}
-	if own < 0 || away < 0 {
-		t.Fatalf("no owner and other host for %s", p)
+	if owner < 0 || forwarder < 0 {
+		t.Fatalf("no owner or no forwarding host for %s", p)
 	}
-	return own, away
+	return owner, forwarder
 }
 
-// until waits for a condition.
-func until(t testing.TB, what string, holds func() bool) {
+// waitFor returns once holds returns true, and fails the test if it ends before.
+func waitFor(t testing.TB, what string, holds func() bool) {
 	t.Helper()
 	for !holds() {
 		select {
 		case <-t.Context().Done():
-			t.Fatalf("waited for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
 }
 
 func TestForwardedStatements(t *testing.T) {
-	d := startShared(t, 1, nil)
-	own, away := owner(t, d)
-	c := connect(t, d, away, "")
+	d := startDeployment(t, 1, nil)
+	owner, forwarder := poolOwner(t, d)
+	c := connect(t, d, forwarder, "")
 	exec(t, c, "CREATE TABLE t (id bigint PRIMARY KEY, v text)")
 	t.Run("extended", func(t *testing.T) {
 		for i := range 20 {
@@ -120,7 +119,7 @@
 			t.Errorf("count = %d, want 20", n)
 		}
 	})
-	t.Run("copy above the stream's window", func(t *testing.T) {
+	t.Run("copy larger than the stream's window", func(t *testing.T) {
 		var b bytes.Buffer
 		for i := range 5000 {
 			fmt.Fprintf(&b, "%d\t%s\n", 1000+i, strings.Repeat("y", 800))
@@ -130,8 +129,8 @@
 			t.Fatalf("copy in: %v %v", g, err)
 		}
 	})
-	t.Run("copy that the caller fails", func(t *testing.T) {
-		r := io.MultiReader(strings.NewReader("900000\tz\n"), failing{})
+	t.Run("copy that the caller aborts", func(t *testing.T) {
+		r := io.MultiReader(strings.NewReader("900000\tz\n"), failingReader{})
 		if _, err := c.PgConn().CopyFrom(t.Context(), r, "COPY t (id, v) FROM STDIN"); err == nil {
 			t.Fatal("failed copy was accepted")
 		}
@@ -168,19 +167,19 @@
 			t.Errorf("count = %d, want 5", n)
 		}
 	})
-	if n := d.Hosts[away].PoolConnections("db", primary(t, d)); n != 0 {
-		t.Errorf("the host that forwards holds %d connections to the primary", n)
+	if n := d.Hosts[forwarder].PoolConnections("db", primary(t, d)); n != 0 {
+		t.Errorf("the forwarding host holds %d connections to the primary", n)
 	}
-	if n := d.Hosts[own].PoolConnections("db", primary(t, d)); n == 0 {
+	if n := d.Hosts[owner].PoolConnections("db", primary(t, d)); n == 0 {
 		t.Error("the owner holds no connection to the primary")
 	}
 }
 
-type failing struct{}
+type failingReader struct{}
 
-func (failing) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (failingReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// cancelAt sends c's cancel key to another entry host.
+// cancelAt sends a cancel request with c's key to host i.
 func cancelAt(t *testing.T, d *deployer.Deployment, i int, c *pgx.Conn) {
 	t.Helper()
 	n, err := net.Dial("tcp", d.Hosts[i].Address())
@@ -197,18 +196,18 @@
 	io.Copy(io.Discard, n)
 }
 
-// A balancer hands the cancel request to any entry host, not to the one that
-// holds the session. Without forwarding the statement would run on, and the
-// caller who pressed cancel would wait.
+// Guards against cancel requests that have no effect. A load balancer may send a cancel request to
+// another entry host than the one that has the session. That host must forward it, or the statement
+// would run on and the caller would wait.
 func TestCancelAtAnotherHost(t *testing.T) {
-	d := startShared(t, 1, nil)
+	d := startDeployment(t, 1, nil)
 	for i := range d.Hosts {
 		t.Run(d.Hosts[i].Settings.HostName, func(t *testing.T) {
 			c := connect(t, d, i, "")
 			done := make(chan struct{})
 			var w sync.WaitGroup
 			w.Go(func() {
-				// A cancel request that comes before the statement does nothing.
+				// A cancel request that arrives before the statement has no effect.
 				for !closed(done) {
 					cancelAt(t, d, (i+1)%len(d.Hosts), c)
 				}
@@ -226,17 +225,17 @@
 	}
 }
 
-// The entry host that owns the pool dies while a caller of another host is in
-// a transaction. The caller must learn that nothing of it lasts, and can do it
-// again over the owner's successor.
+// Guards against a lost transaction that goes unreported. The entry host that owns the pool is
+// killed while a caller of another host is in a transaction. The caller must get an error, nothing
+// of the transaction may be saved, and the session must be able to continue through the next owner.
 func TestOwnerKilledInTransaction(t *testing.T) {
-	d := startShared(t, 2, nil)
-	own, away := owner(t, d)
-	c := connect(t, d, away, "")
+	d := startDeployment(t, 2, nil)
+	owner, forwarder := poolOwner(t, d)
+	c := connect(t, d, forwarder, "")
 	exec(t, c, "CREATE TABLE t (id bigint PRIMARY KEY)")
 	exec(t, c, "BEGIN")
 	exec(t, c, "INSERT INTO t (id) VALUES (1)")
-	d.Kill(own)
+	d.Kill(owner)
 	if _, err := c.Exec(t.Context(), "INSERT INTO t (id) VALUES (2)"); code(err) != "08006" {
 		t.Fatalf("statement in the lost transaction: %v", err)
 	}
@@ -247,13 +246,13 @@
 	exec(t, c, "INSERT INTO t (id) VALUES (3)")
 }
 
-// The owner dies after it passed a COMMIT on and before its answer came back.
-// Nobody can tell from the outside whether it ran; a caller who was told that
-// it did not would book twice.
+// Guards against a wrong outcome of a COMMIT. The owner is killed after it has passed the COMMIT on
+// and before its response. The forwarding host cannot determine whether it ran; a caller that was
+// told it did not would repeat the transaction and write twice.
 func TestOwnerKilledBeforeAnswerToCommit(t *testing.T) {
-	d := startShared(t, 2, nil)
-	own, away := owner(t, d)
-	c := connect(t, d, away, "")
+	d := startDeployment(t, 2, nil)
+	owner, forwarder := poolOwner(t, d)
+	c := connect(t, d, forwarder, "")
 	exec(t, c, "CREATE TABLE t (id bigint PRIMARY KEY)")
 	exec(t, c, "BEGIN")
 	exec(t, c, "INSERT INTO t (id) VALUES (1)")
@@ -266,86 +265,87 @@
 	var err error
 	var w sync.WaitGroup
 	w.Go(func() { _, err = c.Exec(t.Context(), "COMMIT") })
-	d.Kill(own)
+	d.Kill(owner)
 	w.Wait()
 	if code(err) != "40003" {
 		t.Fatalf("COMMIT: %v", err)
 	}
 	if !strings.Contains(err.Error(), "known") {
-		t.Errorf("message %q doesn't say that the outcome isn't known", err)
+		t.Errorf("message %q does not say that the outcome is not known", err)
 	}
 }
 
-// The owner of a pool is stopped as planned under load, and comes back. No
-// request may fail, and the pool moves with its owner.
+// Guards against errors during a planned change of ownership. The owner of a pool is drained under
+// load and restarted. No request may fail, and the pool must move to the next owner and back.
 func TestOwnershipMoves(t *testing.T) {
-	d := startShared(t, 2, nil)
-	own, away := owner(t, d)
+	d := startDeployment(t, 2, nil)
+	owner, forwarder := poolOwner(t, d)
 	p := primary(t, d)
-	c := connect(t, d, away, "")
+	c := connect(t, d, forwarder, "")
 	exec(t, c, "CREATE TABLE t (id bigint PRIMARY KEY)")
-	was := d.Hosts[own].Settings.HostName
+	former := d.Hosts[owner].Settings.HostName
 	work := func(i int) { exec(t, c, "INSERT INTO t (id) VALUES ($1)", i) }
 	n := 0
 	for ; n < 50; n++ {
 		work(n)
 	}
-	d.Drain(own)
-	for d.Hosts[away].PoolOwner("db", p) == was || n < 100 {
+	d.Drain(owner)
+	for d.Hosts[forwarder].PoolOwner("db", p) == former || n < 100 {
 		work(n)
 		n++
 	}
-	if err := d.AwaitStopped(t.Context(), own); err != nil {
+	if err := d.AwaitStopped(t.Context(), owner); err != nil {
 		t.Fatal(err)
 	}
 	next := -1
 	for i, h := range d.Hosts {
-		if h.Settings.HostName == d.Hosts[away].PoolOwner("db", p) {
+		if h.Settings.HostName == d.Hosts[forwarder].PoolOwner("db", p) {
 			next = i
 		}
 	}
-	until(t, "connections of the next owner", func() bool { work(n); n++; return d.Hosts[next].PoolConnections("db", p) > 0 })
-	h, err := d.Restart(t.Context(), own)
+	waitFor(t, "connections of the next owner", func() bool { work(n); n++; return d.Hosts[next].PoolConnections("db", p) > 0 })
+	h, err := d.Restart(t.Context(), owner)
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the pool to move back", func() bool { work(n); n++; return h.PoolConnections("db", p) > 0 })
-	until(t, "idle connections of the former owner to close", func() bool { return d.Hosts[next].PoolConnections("db", p) == 0 })
+	waitFor(t, "the pool to move back", func() bool { work(n); n++; return h.PoolConnections("db", p) > 0 })
+	waitFor(t, "idle connections of the former owner to close", func() bool { return d.Hosts[next].PoolConnections("db", p) == 0 })
 	if m := query[int64](t, c, "SELECT count(*) FROM t"); m != int64(n) {
 		t.Errorf("count = %d, want %d", m, n)
 	}
 }
 
-// cut shows all hosts as live and leads to some of them nowhere.
-type cut struct {
+// cutOffRoster lists all hosts as live, but locates the peers of one host, and that host for its
+// peers, at deadAddress.
+type cutOffRoster struct {
 	*runner.Roster
-	from, host, nowhere string
+	from, host, deadAddress string
 }
 
-func (c cut) Locate(h string) (string, bool) {
+func (c cutOffRoster) Locate(h string) (string, bool) {
 	if c.from == c.host || h == c.host {
-		return c.nowhere, true
+		return c.deadAddress, true
 	}
 	return c.Roster.Locate(h)
 }
 
-// An entry host loses its way to all others, while it still reaches the
-// backend servers. Its callers may notice the first request's delay; refusing
-// them would waste what the host can serve.
+// Guards against refusals by a host that could serve. An entry host cannot reach any other, but it
+// still reaches the backend servers. The first request of its callers may be delayed, but none may
+// be refused.
 func TestHostCutOffFromOwner(t *testing.T) {
 	s, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	d := startShared(t, 1, func(d *deployer.Deployment) {
+	d := startDeployment(t, 1, func(d *deployer.Deployment) {
 		d.Members = func(h string, r *runner.Roster) runner.Members {
-			return cut{Roster: r, from: h, host: "entry-c", nowhere: s.LocalAddr().String()}
+			return cutOffRoster{Roster: r, from: h, host: "entry-c", deadAddress: s.LocalAddr().String()}
 		}
 	})
 	p := primary(t, d)
 	if d.Hosts[2].PoolOwner("db", p) == "entry-c" {
-		t.Fatal("the host that is cut off owns the primary's pool")
+		t.Fatal("the isolated host owns the primary's pool")
 	}
 	c := connect(t, d, 2, "")
 	exec(t, c, "CREATE TABLE t (id bigint PRIMARY KEY)")
@@ -357,42 +357,43 @@
 	if n := query[int64](t, c, "SELECT count(*) FROM t"); n != 20 {
 		t.Errorf("count = %d, want 20", n)
 	}
-	// An idle one is closed soon, so the last look alone may find none.
+	// Idle connections are soon closed, so the count after the last write may be zero.
 	if most != 1 {
 		t.Errorf("at most %d connections to the primary at a time, want 1", most)
 	}
 }
 
-// Many callers of one entry host share the stream connection to the owner,
-// most of them cancel, and the owner dies on the way. An answer that came to
-// another caller would show one customer's data to another.
+// Guards against responses that reach the wrong caller, which would disclose data of one customer
+// to another. Many callers of one entry host share the stream connection to the owner, most of them
+// cancel requests, and the owner is killed in the middle.
 func TestAnswersStayWithTheirCallers(t *testing.T) {
-	d := startShared(t, 2, nil)
-	own, away := owner(t, d)
+	d := startDeployment(t, 2, nil)
+	owner, forwarder := poolOwner(t, d)
 	const callers, requests = 16, 60
 	var w sync.WaitGroup
 	half := make(chan struct{}, callers)
 	for i := range callers {
-		c := connect(t, d, away, "")
+		c := connect(t, d, forwarder, "")
 		r := rand.New(rand.NewPCG(1, uint64(i)))
 		w.Go(func() {
 			for j := range requests {
 				if j == requests/2 {
 					half <- struct{}{}
 				}
-				ask(t, c, r, fmt.Sprintf("%d-%d", i, j))
+				requestOrCancel(t, c, r, fmt.Sprintf("%d-%d", i, j))
 			}
 		})
 	}
 	for range callers {
 		<-half
 	}
-	d.Kill(own)
+	d.Kill(owner)
 	w.Wait()
 }
 
-// ask makes one request that only its own answer fits, and may cancel it.
-func ask(t *testing.T, c *pgx.Conn, r *rand.Rand, want string) {
+// requestOrCancel makes a request whose result contains want, cancels about half of all requests,
+// and checks that the rows received belong to the request.
+func requestOrCancel(t *testing.T, c *pgx.Conn, r *rand.Rand, want string) {
 	q := c.PgConn().Exec(t.Context(), "BEGIN; SELECT repeat('"+want+" ', 3000); COMMIT")
 	if r.IntN(2) == 0 {
 		x, stop := context.WithTimeout(t.Context(), time.Duration(r.IntN(3))*time.Millisecond)
@@ -403,7 +404,7 @@
 	for q.NextResult() {
 		for q.ResultReader().NextRow() {
 			if v := string(q.ResultReader().Values()[0]); v != strings.Repeat(want+" ", 3000) {
-				t.Errorf("answer %.20q of %d bytes to %q", v, len(v), want)
+				t.Errorf("row %.20q of %d bytes in the result of %q", v, len(v), want)
 			}
 		}
 	}
@@ -416,19 +417,20 @@
 	}
 }
 
-// Nine entry hosts borrow for 36 callers from backend servers that accept 16
-// connections. If each host kept a pool of its own, servers would refuse
-// connections, and callers would get errors while the servers are idle.
+// Guards against too many backend connections. Nine entry hosts lease connections for 36 callers
+// from backend servers that accept 16 connections each. If each host had its own pool, the servers
+// would refuse connections, and callers would get errors while the servers are idle.
 func TestConnectionsOfNineHostsStayWithinLimit(t *testing.T) {
-	d := startShared(t, 3, func(d *deployer.Deployment) {
+	d := startDeployment(t, 3, func(d *deployer.Deployment) {
 		d.Server.ServiceTime = time.Millisecond
-		// No host is gone here; one that is short of processors mustn't pass for it.
+		// All hosts keep running, and one that gets little processor time must not be considered
+		// lost.
 		d.MinimumPeerTimeout = time.Minute
 	})
 	var w sync.WaitGroup
 	for _, h := range d.Hosts {
 		for range callersPerHost {
-			w.Go(func() { borrow(t, h, 12) })
+			w.Go(func() { leaseAndRead(t, h, 12) })
 		}
 	}
 	w.Wait()
@@ -443,9 +445,9 @@
 	}
 }
 
-// borrow reads n times from each backend server through h, with a lease for
-// reads and one as writes get it.
-func borrow(t *testing.T, h *runner.Host, n int) {
+// leaseAndRead reads n times from each backend server through h, in turn with a lease for writes
+// and one for reads.
+func leaseAndRead(t *testing.T, h *runner.Host, n int) {
 	for i := range n {
 		for s, l := range h.Director().Runtime().Groups["db"].Lessors {
 			e, err := l.Lease(t.Context(), lessor.Demand{Write: i%2 == 0})
@@ -455,7 +457,7 @@
 			}
 			var q batcher.Batch
 			q.AddQuery(batcher.Pass, "SELECT 1")
-			r, err := e.Exchange(t.Context(), lessor.Exchange{Batch: &q, Output: drop{}})
+			r, err := e.Exchange(t.Context(), lessor.Exchange{Batch: &q, Output: discardOutput{}})
 			if err != nil || r.Code != "" {
 				t.Errorf("exchange with %s: %+v, %v", s, r, err)
 			}
--- a/internal/host/deployer/queued_test.go
+++ b/internal/host/deployer/queued_test.go
@@ -13,12 +13,12 @@
 	"github.com/cuminwick/cuminwick/internal/limit/gate"
 )
 
-// knownOwner waits until the hosts have heard of each other and returns what owner
-// does.
-func knownOwner(t *testing.T, d *deployer.Deployment) (own, away int) {
+// agreedPoolOwner waits until all hosts report the same pool owner, and returns what poolOwner
+// returns.
+func agreedPoolOwner(t *testing.T, d *deployer.Deployment) (owner, forwarder int) {
 	t.Helper()
 	p := primary(t, d)
-	until(t, "pool owner", func() bool {
+	waitFor(t, "pool owner", func() bool {
 		n := d.Hosts[0].PoolOwner("db", p)
 		for _, h := range d.Hosts {
 			if n == "" || h.PoolOwner("db", p) != n {
@@ -27,20 +27,20 @@
 		}
 		return true
 	})
-	return owner(t, d)
+	return poolOwner(t, d)
 }
 
-// sleepers are more than the slots that a server with two is ever given, see
-// watch.resize.
-const sleepers = 5
+// slotHolders is more than the number of requests admitted at a time to a server with two slots. To
+// cover round trips, an entry host admits up to twice as many requests as the server has slots.
+const slotHolders = 5
 
-// occupy has callers of host i hold the slots of the primary until they are
-// cancelled or their host dies.
-func occupy(t *testing.T, d *deployer.Deployment, i int) (release func()) {
+// occupySlots occupies the primary's slots with callers of host i, until release is called or the
+// host is killed.
+func occupySlots(t *testing.T, d *deployer.Deployment, i int) (release func()) {
 	t.Helper()
 	exec(t, connect(t, d, i, ""), "CREATE TABLE held (id bigint PRIMARY KEY)")
 	var l []*pgx.Conn
-	for j := range sleepers {
+	for j := range slotHolders {
 		c := connect(t, d, i, "")
 		exec(t, c, "BEGIN")
 		exec(t, c, "INSERT INTO held (id) VALUES ($1)", j)
@@ -51,42 +51,43 @@
 	for _, c := range l {
 		w.Go(func() { c.Exec(ctx, "SELECT pg_sleep(600)") })
 	}
-	inQueue(t, d, i, 0)
+	awaitQueued(t, d, i, 0)
 	return func() {
 		stop()
 		w.Wait()
 	}
 }
 
-// inQueue waits until n requests are at host i besides the sleepers, behind which
-// they come.
-func inQueue(t *testing.T, d *deployer.Deployment, i, n int) {
+// awaitQueued waits until n requests are running or queued at host i in addition to those of
+// occupySlots.
+func awaitQueued(t *testing.T, d *deployer.Deployment, i, n int) {
 	t.Helper()
-	until(t, "requests in queue", func() bool {
-		l := queue(t, d, i)
-		return l.Running+l.Waiting == sleepers+n
+	waitFor(t, "requests in queue", func() bool {
+		l := queueLoad(t, d, i)
+		return l.Running+l.Waiting == slotHolders+n
 	})
 }
 
-// queue returns the primary's queue at host i, which owns its pool.
-func queue(t *testing.T, d *deployer.Deployment, i int) gate.Load {
+// queueLoad returns the load of the primary's queue at host i, which owns its pool.
+func queueLoad(t *testing.T, d *deployer.Deployment, i int) gate.Load {
 	t.Helper()
 	l := d.Hosts[i].Director().Runtime().Groups["db"].Lessors[primary(t, d)]
 	return l.(interface{ Load() gate.Load }).Load()
 }
 
-// The owner dies with writes in its queue, some of which have their batch there
-// already. A caller who is told that a write didn't run repeats it: had it run, the
-// line would be booked twice. A write with a key is settled without the caller.
+// Guards against writes that are reported as not run but take effect. The owner is killed with
+// writes in its queue, some of which have their batch there already. A caller that is told that a
+// write did not run repeats it; if it had run, it would take effect twice. The outcome of a write
+// with an idempotency key must be determined without the caller.
 func TestOwnerKilledWithQueuedWrites(t *testing.T) {
-	for name, pause := range map[string]time.Duration{"as they come": 0, "called up": 100 * time.Millisecond} {
+	for name, pause := range map[string]time.Duration{"owner killed at once": 0, "owner killed after 100 ms": 100 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
-			d := startShared(t, 2, nil)
-			own, away := knownOwner(t, d)
-			c := []*pgx.Conn{connect(t, d, away, ""), connect(t, d, away, ""), connect(t, d, away, "")}
+			d := startDeployment(t, 2, nil)
+			owner, forwarder := agreedPoolOwner(t, d)
+			c := []*pgx.Conn{connect(t, d, forwarder, ""), connect(t, d, forwarder, ""), connect(t, d, forwarder, "")}
 			exec(t, c[0], "CREATE TABLE t (id bigint PRIMARY KEY, n bigint)")
 			exec(t, c[0], "/* key=zero */ INSERT INTO t (id, n) VALUES (1, 0), (2, 0), (3, 0)")
-			release := occupy(t, d, own)
+			release := occupySlots(t, d, owner)
 			errs := make([]error, len(c))
 			var w sync.WaitGroup
 			for i, q := range []string{
@@ -96,9 +97,9 @@
 			} {
 				w.Go(func() { _, errs[i] = c[i].Exec(t.Context(), q) })
 			}
-			inQueue(t, d, own, len(c))
+			awaitQueued(t, d, owner, len(c))
 			time.Sleep(pause)
-			d.Kill(own)
+			d.Kill(owner)
 			release()
 			w.Wait()
 			for i, err := range errs {
@@ -110,7 +111,7 @@
 				case err != nil && code(err) != "40003" && n != 0:
 					t.Errorf("write %d ran %d times: %v", i, n, err)
 				case n > 1:
-					t.Errorf("write %d doubled", i)
+					t.Errorf("write %d took effect %d times", i, n)
 				case i == 1 && err != nil:
 					t.Errorf("write with key: %v", err)
 				}
@@ -119,23 +120,24 @@
 	}
 }
 
-// A caller cancels a write that waits at the owner with its batch beside it. It is
-// told that nothing ran, and nothing may run later, when the slots are free.
+// Guards against a cancelled write that runs later. A caller cancels a write that is queued at the
+// owner together with its batch. It is told that nothing ran, so nothing may run when slots become
+// free.
 func TestCancelledInOwnersQueue(t *testing.T) {
-	d := startShared(t, 1, nil)
-	own, away := knownOwner(t, d)
-	c := connect(t, d, away, "")
+	d := startDeployment(t, 1, nil)
+	owner, forwarder := agreedPoolOwner(t, d)
+	c := connect(t, d, forwarder, "")
 	exec(t, c, "CREATE TABLE t (id bigint PRIMARY KEY)")
 	exec(t, c, "/* key=zero */ INSERT INTO t (id) VALUES (0)")
-	release := occupy(t, d, own)
+	release := occupySlots(t, d, owner)
 	for _, q := range []string{"INSERT INTO t (id) VALUES (1)", "/* key=two */ INSERT INTO t (id) VALUES (2)", "BEGIN; INSERT INTO t (id) VALUES (3); COMMIT"} {
 		for _, pause := range []time.Duration{0, 50 * time.Millisecond} {
 			var err error
 			var w sync.WaitGroup
 			w.Go(func() { _, err = c.Exec(t.Context(), q) })
-			inQueue(t, d, own, 1)
+			awaitQueued(t, d, owner, 1)
 			time.Sleep(pause)
-			cancelAt(t, d, own, c)
+			cancelAt(t, d, owner, c)
 			w.Wait()
 			if code(err) != "57014" || !strings.HasPrefix(detail(err), "outcome=not-run") {
 				t.Errorf("%s: %v, %s", q, err, detail(err))
@@ -144,17 +146,18 @@
 	}
 	release()
 	if n := query[int64](t, c, "SELECT count(*) FROM t"); n != 1 {
-		t.Errorf("%d lines, want 1", n)
+		t.Errorf("%d rows, want 1", n)
 	}
 }
 
-// Requests after which the connection goes back with the answer come between ones
-// that change settings, fail, or leave a transaction open. A session that meets
-// another's setting reads the wrong schema or books under the wrong name.
-func TestConnectionsGoBackAsTheyCame(t *testing.T) {
-	d := startShared(t, 1, func(d *deployer.Deployment) { d.Server.Slots = 1 })
-	_, away := knownOwner(t, d)
-	a, b := connect(t, d, away, ""), connect(t, d, away, "")
+// Guards against session settings that leak to another session. Requests whose connection is
+// returned with the response run between requests that change settings, fail, or leave a
+// transaction open. A session with another session's settings would read the wrong schema or write
+// under the wrong name.
+func TestReturnedConnectionsAreReset(t *testing.T) {
+	d := startDeployment(t, 1, func(d *deployer.Deployment) { d.Server.Slots = 1 })
+	_, forwarder := agreedPoolOwner(t, d)
+	a, b := connect(t, d, forwarder, ""), connect(t, d, forwarder, "")
 	exec(t, a, "CREATE TABLE t (id bigint PRIMARY KEY)")
 	exec(t, a, "SET statement_timeout = '12340ms'")
 	for i := range 20 {
@@ -163,7 +166,7 @@
 		exec(t, a, "SET statement_timeout = '43210ms'")
 		exec(t, a, []string{"COMMIT", "ROLLBACK"}[i%2])
 		if _, err := b.Exec(t.Context(), "INSERT INTO t (id) VALUES ($1)", i); code(err) != "23505" {
-			t.Fatalf("second line %d: %v", i, err)
+			t.Fatalf("second insert of row %d: %v", i, err)
 		}
 		if v := query[string](t, b, "SHOW statement_timeout"); v == "12340ms" || v == "43210ms" {
 			t.Fatalf("statement_timeout of the other session: %s", v)
--- a/internal/host/deployer/reads_bench_test.go
+++ b/internal/host/deployer/reads_bench_test.go
@@ -17,24 +17,23 @@
 )
 
 const (
-	// pointRead is the statement that callers have prepared.
+	// pointRead is the statement that callers prepare.
 	pointRead = "SELECT v FROM point WHERE id = $1"
-	points    = 1000
+	pointRows = 1000
 )
 
-// BenchmarkPointReads makes point reads directly at a backend server and through
-// one entry host before three, by one caller and by 32. The difference of the
-// processor time for a read is what the host costs. Unlike reads a second, it
-// hardly depends on what else runs on the machine.
+// BenchmarkPointReads makes point reads directly at a backend server and through one entry host in
+// front of three, with one caller and with 32. The difference in processor time per read is the
+// cost of the host. Unlike reads per second, it hardly depends on the load of the machine.
 func BenchmarkPointReads(b *testing.B) {
-	d := startShared(b, 1, func(d *deployer.Deployment) {
+	d := startDeployment(b, 1, func(d *deployer.Deployment) {
 		d.MaximumHosts = 1
 		near := deployer.Place{AvailabilityZone: "a", Region: "one"}
 		d.Places = []deployer.Place{near, near, near}
 		d.Server = deployer.ServerTemplate{Slots: 64, Connections: 128}
 	})
 	host := d.Hosts[0].Address()
-	c := open(b, host)
+	c := openConn(b, host)
 	fillPoints(b, c)
 	for _, n := range []int{1, 32} {
 		b.Run(fmt.Sprintf("direct/callers=%d", n), func(b *testing.B) {
@@ -46,7 +45,7 @@
 	}
 }
 
-func open(b *testing.B, address string) *pgconn.PgConn {
+func openConn(b *testing.B, address string) *pgconn.PgConn {
 	c, err := pgconn.Connect(b.Context(), "postgres://caller@"+address+"/db?sslmode=disable")
 	if err != nil {
 		b.Fatal(err)
@@ -58,7 +57,7 @@
 func fillPoints(b *testing.B, c *pgconn.PgConn) {
 	for _, q := range []string{
 		"CREATE TABLE point (id bigint PRIMARY KEY, v bigint)",
-		"INSERT INTO point SELECT g, g FROM generate_series(1, " + strconv.Itoa(points) + ") g",
+		"INSERT INTO point SELECT g, g FROM generate_series(1, " + strconv.Itoa(pointRows) + ") g",
 	} {
 		if _, err := c.Exec(b.Context(), q).ReadAll(); err != nil {
 			b.Fatal(err)
@@ -66,11 +65,11 @@
 	}
 }
 
-// readPoints makes b.N reads by n callers and reports what one of them took.
+// readPoints makes b.N reads with n callers and reports the cost of one read.
 func readPoints(b *testing.B, d *deployer.Deployment, address string, n int) {
 	l := make([]*pgconn.PgConn, n)
 	for i := range l {
-		l[i] = open(b, address)
+		l[i] = openConn(b, address)
 		if _, err := l[i].Prepare(b.Context(), "point", pointRead, nil); err != nil {
 			b.Fatal(err)
 		}
@@ -79,7 +78,7 @@
 	var w sync.WaitGroup
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	polls, used := polled(d), rusage()
+	polls, used := startedPolls(d), rusage()
 	b.ResetTimer()
 	for i := range l {
 		w.Go(func() {
@@ -100,12 +99,12 @@
 	b.ReportMetric(float64(u.Nvcsw-used.Nvcsw)/per, "switches/read")
 	b.ReportMetric(float64(after.Mallocs-before.Mallocs)/per, "allocs/read")
 	b.ReportMetric(float64(after.TotalAlloc-before.TotalAlloc)/per, "B/read")
-	b.ReportMetric(float64(polled(d)-polls)/per, "polls/read")
+	b.ReportMetric(float64(startedPolls(d)-polls)/per, "polls/read")
 	b.ReportMetric(per/b.Elapsed().Seconds(), "reads/s")
 }
 
 func readPoint(ctx context.Context, c *pgconn.PgConn, n int64) error {
-	k := strconv.FormatInt(n%points+1, 10)
+	k := strconv.FormatInt(n%pointRows+1, 10)
 	r := c.ExecPrepared(ctx, "point", [][]byte{[]byte(k)}, nil, nil).Read()
 	if r.Err != nil {
 		return r.Err
@@ -116,21 +115,21 @@
 	return nil
 }
 
-// rusage returns what the process has spent. Its voluntary switches are the times
-// that a thread went to sleep, which costs most where few requests run.
+// rusage returns the resource usage of the process. The voluntary context switches count how often
+// a thread went to sleep, which is the largest cost when few requests run.
 func rusage() syscall.Rusage {
 	var r syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &r)
 	return r
 }
 
-// processorTime is the time in nanoseconds.
+// processorTime returns the user and system time in nanoseconds.
 func processorTime(r syscall.Rusage) int64 {
 	return r.Utime.Nano() + r.Stime.Nano()
 }
 
-// polled returns how many polls of backend servers the first host has begun.
-func polled(d *deployer.Deployment) uint64 {
+// startedPolls returns how many polls of backend servers the first host has started.
+func startedPolls(d *deployer.Deployment) uint64 {
 	var n uint64
 	p := &d.Hosts[0].Director().Runtime().Groups["db"].Driver.(*switcher.Switcher).Driver().Polls
 	for i := range p {
--- a/internal/host/deployer/refusal_test.go
+++ b/internal/host/deployer/refusal_test.go
@@ -14,14 +14,15 @@
 	"github.com/cuminwick/cuminwick/internal/host/deployer"
 )
 
-// waiting returns how many requests wait for backend servers at all entry hosts.
-func waiting(t *testing.T, d *deployer.Deployment) float64 {
+// queuedRequests returns how many requests are queued for backend servers at all entry hosts.
+func queuedRequests(t *testing.T, d *deployer.Deployment) float64 {
 	t.Helper()
-	return total(t, d, "cuminwick_queued_requests{")
+	return sumMetric(t, d, "cuminwick_queued_requests{")
 }
 
-// total sums up the metrics that begin with prefix over all entry hosts.
-func total(t *testing.T, d *deployer.Deployment, prefix string) float64 {
+// sumMetric returns the sum of all metrics whose name and labels begin with prefix over all entry
+// hosts.
+func sumMetric(t *testing.T, d *deployer.Deployment, prefix string) float64 {
 	t.Helper()
 	n := 0.0
 	for _, h := range d.Hosts {
@@ -45,22 +46,23 @@
 	return n
 }
 
-// All slots of the primary are taken when a caller sends its COMMIT, and it
-// cancels while it waits. It is told that nothing ran. If the transaction stayed
-// open, its next statements would be part of it: they would show the row that
-// didn't run, and what they write would be lost with the connection.
+// Guards against a transaction that stays open after a cancelled COMMIT. All slots of the primary
+// are in use when a caller sends its COMMIT, which it cancels while it is queued. The caller is
+// told that nothing ran. If the transaction stayed open, the next statements would be part of it:
+// they would see the row that was not saved, and their writes would be lost with the connection.
 func TestCommitRefusedEndsTransaction(t *testing.T) {
 	d := start(t)
 	c := connect(t, d, 0, "")
 	exec(t, c, "CREATE TABLE t (id bigint PRIMARY KEY)")
 	exec(t, c, "BEGIN")
 	exec(t, c, "INSERT INTO t (id) VALUES (1)")
-	// Up to twice as many requests as slots may be on the way, see watch.resize.
-	const sleepers = 5
+	// An entry host admits up to twice as many requests as the server has slots, to cover round
+	// trips.
+	const slotHolders = 5
 	done := make(chan struct{})
 	var w sync.WaitGroup
 	var l []*pgx.Conn
-	for range sleepers {
+	for range slotHolders {
 		s := connect(t, d, 0, "")
 		exec(t, s, "BEGIN")
 		exec(t, s, "SELECT count(*) FROM t")
@@ -79,7 +81,7 @@
 			}
 		})
 	}
-	for waiting(t, d) == 0 {
+	for queuedRequests(t, d) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	answered := make(chan struct{})
@@ -99,7 +101,7 @@
 		t.Errorf("transaction status %q after the COMMIT", s)
 	}
 	if n := query[int64](t, c, "SELECT count(*) FROM t"); n != 0 {
-		t.Errorf("session sees %d rows that didn't run", n)
+		t.Errorf("session sees %d rows whose insert was not run", n)
 	}
 	exec(t, c, "INSERT INTO t (id) VALUES (2)")
 	if n := query[int64](t, connect(t, d, 1, ""), "SELECT count(*) FROM t"); n != 1 {
--- a/internal/host/deployer/serving_bench_test.go
+++ b/internal/host/deployer/serving_bench_test.go
@@ -15,59 +15,59 @@
 	"github.com/cuminwick/cuminwick/internal/host/runner"
 )
 
-// groupsServed is how many groups the hosts of BenchmarkServing have.
+// groupsServed is the number of idle groups in BenchmarkServing.
 const groupsServed = 10
 
-// BenchmarkServing watches deployments of which some hosts serve each group and the
-// others follow: at rest, with an idle caller, and with one that works. With four
-// hosts in each zone and four of them serving, each host polls each server. An
-// operation is a second; figures are per second and host.
+// BenchmarkServing measures deployments in which some hosts serve each group and the others follow:
+// without callers, with mostly idle callers, and with busy ones. If as many hosts serve as each
+// zone has, every host polls every server. An operation is one second; results are per second and
+// host.
 func BenchmarkServing(b *testing.B) {
 	for _, c := range []struct{ each, serving int }{{3, 3}, {3, 2}, {3, 1}, {6, 2}, {8, 4}, {8, 2}} {
 		for _, pause := range []time.Duration{0, 200 * time.Millisecond, 20 * time.Millisecond} {
 			b.Run(fmt.Sprintf("hosts=%d/serving=%d/pause=%v", 3*c.each, 3*c.serving, pause), func(b *testing.B) {
-				d := startShared(b, c.each, func(d *deployer.Deployment) {
+				d := startDeployment(b, c.each, func(d *deployer.Deployment) {
 					d.ServingHosts = c.serving
-					d.Groups = append(names(groupsServed), "db")
+					d.Groups = append(groupNames(groupsServed), "db")
 				})
 				if c.serving < c.each {
 					awaitParts(b, d, 3*c.serving)
 				}
-				observe(b, d, pause)
+				measureServing(b, d, pause)
 			})
 		}
 	}
 }
 
-// observe reports what each host does a second while each has a caller of one group
-// that pauses between two requests, or none.
-func observe(b *testing.B, d *deployer.Deployment, pause time.Duration) {
+// measureServing reports the cost of each host per second. Each host has a caller of one group that
+// pauses between requests, or no caller if pause is zero.
+func measureServing(b *testing.B, d *deployer.Deployment, pause time.Duration) {
 	end := make(chan struct{})
 	var w sync.WaitGroup
 	if pause > 0 {
 		for i := range d.Hosts {
-			l := &pacedCaller{c: connect(b, d, i, ""), pause: pause, end: end, first: int64(i) << 32}
+			l := &pacedCaller{c: connect(b, d, i, ""), pause: pause, stop: end, firstID: int64(i) << 32}
 			if i == 0 {
 				exec(b, l.c, "CREATE TABLE t (id bigint PRIMARY KEY)")
 			}
 			w.Go(func() { l.run(b) })
 		}
 	}
-	time.Sleep(idleTime) // the first polls and connections aren't what is measured
-	before, bytes, asked := take(), peerBytes(d), allPolls(d)
+	time.Sleep(idleInterval) // excludes the first polls and connections
+	before, bytes, asked := currentUsage(), peerBytes(d), totalPolls(d)
 	start := time.Now()
 	for b.Loop() {
-		time.Sleep(idleTime)
+		time.Sleep(idleInterval)
 	}
 	n := time.Since(start).Seconds() * float64(len(d.Hosts))
-	b.ReportMetric(float64((take().processor-before.processor).Microseconds())/n, "processor-us/s/host")
+	b.ReportMetric(float64((currentUsage().processor-before.processor).Microseconds())/n, "processor-us/s/host")
 	b.ReportMetric(float64(peerBytes(d)-bytes)/n, "both-ways-B/s/host")
-	b.ReportMetric(float64(allPolls(d)-asked)/n, "polls/s/host")
+	b.ReportMetric(float64(totalPolls(d)-asked)/n, "polls/s/host")
 	close(end)
 	w.Wait()
 }
 
-// peerBytes returns what all hosts have sent to others and received.
+// peerBytes returns the number of bytes that all hosts have sent to and received from other hosts.
 func peerBytes(d *deployer.Deployment) uint64 {
 	var n uint64
 	for _, h := range d.Hosts {
@@ -77,7 +77,7 @@
 	return n
 }
 
-func allPolls(d *deployer.Deployment) uint64 {
+func totalPolls(d *deployer.Deployment) uint64 {
 	var n uint64
 	for _, h := range d.Hosts {
 		n += polls(h)
@@ -85,21 +85,21 @@
 	return n
 }
 
-// pacedCaller reads, and writes each tenth time.
+// pacedCaller makes requests with a pause after each; each tenth is a write, the others are reads.
 type pacedCaller struct {
-	c     *pgx.Conn
-	pause time.Duration
-	first int64
-	end   chan struct{}
+	c       *pgx.Conn
+	pause   time.Duration
+	firstID int64
+	stop    chan struct{}
 }
 
 func (p *pacedCaller) run(b *testing.B) {
-	for n := int64(0); !closed(p.end); n++ {
+	for n := int64(0); !closed(p.stop); n++ {
 		var err error
 		if n%10 == 0 {
-			_, err = p.c.Exec(b.Context(), "INSERT INTO t (id) VALUES ($1)", p.first+n)
+			_, err = p.c.Exec(b.Context(), "INSERT INTO t (id) VALUES ($1)", p.firstID+n)
 		} else {
-			_, err = p.c.Exec(b.Context(), "SELECT count(*) FROM t WHERE id = $1", p.first)
+			_, err = p.c.Exec(b.Context(), "SELECT count(*) FROM t WHERE id = $1", p.firstID)
 		}
 		if err != nil {
 			b.Error(err)
@@ -109,27 +109,27 @@
 	}
 }
 
-// BenchmarkGapAtFollower has callers at all hosts write while the primary's server
-// crashes, and reports for how long the caller of a host that follows got no write
-// through. With as many serving hosts as there are, all hosts serve.
-func BenchmarkGapAtFollower(b *testing.B) {
+// BenchmarkWriteGapAtFollower crashes the primary's server while a caller of a following host
+// writes, and reports for how long no write succeeded. If as many hosts serve as there are, the
+// caller is at a serving host.
+func BenchmarkWriteGapAtFollower(b *testing.B) {
 	for _, serving := range []int{3, 2, 1} {
 		b.Run(fmt.Sprintf("hosts=9/serving=%d", 3*serving), func(b *testing.B) {
-			d := startShared(b, 3, func(d *deployer.Deployment) {
-				failover(d)
+			d := startDeployment(b, 3, func(d *deployer.Deployment) {
+				defaultFailover(d)
 				d.ServingHosts = serving
 			})
 			if serving < 3 {
 				awaitParts(b, d, 3*serving)
 			}
-			following, all := beside(b, d)
+			following, all := hostsInReplicaZone(b, d)
 			i := append(following, all...)[0]
 			c := connect(b, d, i, "")
 			exec(b, c, "CREATE TABLE t (id bigint PRIMARY KEY)")
 			var gaps []time.Duration
 			id := 0
 			for b.Loop() {
-				gaps = append(gaps, lose(b, d, c, &id))
+				gaps = append(gaps, measureWriteGap(b, d, c, &id))
 			}
 			slices.Sort(gaps)
 			b.ReportMetric(gaps[len(gaps)/2].Seconds(), "median-s")
@@ -138,9 +138,9 @@
 	}
 }
 
-// lose crashes the primary, returns the longest time between two writes that went
-// through, and brings the server back.
-func lose(b *testing.B, d *deployer.Deployment, c *pgx.Conn, id *int) time.Duration {
+// measureWriteGap crashes the primary, returns the longest time between two successful writes, and
+// restarts the server.
+func measureWriteGap(b *testing.B, d *deployer.Deployment, c *pgx.Conn, id *int) time.Duration {
 	write := func() {
 		*id++
 		for {
@@ -173,25 +173,24 @@
 	return worst
 }
 
-// BenchmarkIdleFollowers watches groups without callers that one host in each zone
-// serves. The difference between nine hosts and three is what six hosts cost that
-// would follow, their part in finding each other included.
+// BenchmarkIdleFollowers measures groups without callers that one host in each zone serves. The
+// difference between nine hosts and three is the cost of six following hosts, including membership.
 func BenchmarkIdleFollowers(b *testing.B) {
 	for _, each := range []int{1, 3} {
 		for _, n := range []int{1, 40} {
 			b.Run(fmt.Sprintf("hosts=%d/groups=%d", 3*each, n), func(b *testing.B) {
-				d := startShared(b, each, func(d *deployer.Deployment) {
+				d := startDeployment(b, each, func(d *deployer.Deployment) {
 					d.ServingHosts = 1
-					d.Groups = append(names(n-1), "db")
+					d.Groups = append(groupNames(n-1), "db")
 				})
-				until(b, "the hosts' parts in all groups", func() bool {
+				waitFor(b, "the hosts' parts in all groups", func() bool {
 					return !slices.ContainsFunc(d.Hosts, func(h *runner.Host) bool {
 						return slices.ContainsFunc(d.Groups, func(g string) bool {
 							return h.Part(g) == switcher.PartStandingIn || h.Part(g) == switcher.PartFollowing
 						})
 					})
 				})
-				rest(b, d)
+				measureIdleGroups(b, d)
 			})
 		}
 	}
--- a/internal/host/deployer/session_test.go
+++ b/internal/host/deployer/session_test.go
@@ -17,36 +17,36 @@
 	"github.com/cuminwick/cuminwick/internal/host/deployer"
 )
 
-// roamer is one session that moves between entry hosts with each step.
-type roamer struct {
-	t     *testing.T
-	d     *deployer.Deployment
-	id    int64
-	draw  *rand.Rand
-	conns []*pgx.Conn
-	steps *atomic.Int64
+// roamingSession is a session that moves to a random entry host with each step.
+type roamingSession struct {
+	t      *testing.T
+	d      *deployer.Deployment
+	id     int64
+	random *rand.Rand
+	conns  []*pgx.Conn
+	steps  *atomic.Int64
 
-	token   string
+	mark    string
 	written int64
 	seen    int64
 }
 
-const roamerSteps = 60
+const stepsPerSession = 60
 
-func (r *roamer) run() {
-	for range roamerSteps {
+func (r *roamingSession) run() {
+	for range stepsPerSession {
 		r.step()
 		r.steps.Add(1)
 	}
 }
 
-func (r *roamer) step() {
-	i := r.draw.IntN(len(r.conns))
-	switch r.draw.IntN(5) {
+func (r *roamingSession) step() {
+	i := r.random.IntN(len(r.conns))
+	switch r.random.IntN(5) {
 	case 0, 1:
 		r.write(r.conns[i])
 	case 2:
-		// A session that has lost its mark is treated as if it had seen everything.
+		// For a session without a mark, reads must return all acknowledged writes.
 		c, err := pgx.Connect(r.t.Context(), "postgres://caller@"+r.d.Hosts[i].Address()+"/db?sslmode=disable")
 		if err != nil {
 			r.t.Error(err)
@@ -55,31 +55,31 @@
 		r.read(c, "without mark")
 		c.Close(context.Background())
 	default:
-		r.bring(r.conns[i])
+		r.presentMark(r.conns[i])
 		r.read(r.conns[i], "with mark")
 	}
 }
 
-func (r *roamer) write(c *pgx.Conn) {
-	r.bring(c)
+func (r *roamingSession) write(c *pgx.Conn) {
+	r.presentMark(c)
 	if _, err := c.Exec(r.t.Context(), "INSERT INTO t (id, v) VALUES ($1, $2)", r.id*1000+r.written+1, fmt.Sprint("s", r.id)); err != nil {
 		r.t.Errorf("session %d: write: %v", r.id, err)
 		return
 	}
 	r.written++
-	r.token = c.PgConn().ParameterStatus("cuminwick.mark")
+	r.mark = c.PgConn().ParameterStatus("cuminwick.mark")
 }
 
-func (r *roamer) bring(c *pgx.Conn) {
-	if r.token == "" {
+func (r *roamingSession) presentMark(c *pgx.Conn) {
+	if r.mark == "" {
 		return
 	}
-	if _, err := c.Exec(r.t.Context(), "SET cuminwick.mark = '"+r.token+"'"); err != nil {
-		r.t.Errorf("session %d: bring mark: %v", r.id, err)
+	if _, err := c.Exec(r.t.Context(), "SET cuminwick.mark = '"+r.mark+"'"); err != nil {
+		r.t.Errorf("session %d: set mark: %v", r.id, err)
 	}
 }
 
-func (r *roamer) read(c *pgx.Conn, how string) {
+func (r *roamingSession) read(c *pgx.Conn, how string) {
 	var own, all int64
 	if err := c.QueryRow(r.t.Context(), "SELECT count(*) FROM t WHERE v = $1", fmt.Sprint("s", r.id)).Scan(&own); err != nil {
 		r.t.Errorf("session %d: read: %v", r.id, err)
@@ -96,32 +96,32 @@
 		r.t.Errorf("session %d %s: sees %d rows after %d", r.id, how, all, r.seen)
 	}
 	r.seen = all
-	r.token = c.PgConn().ParameterStatus("cuminwick.mark")
+	r.mark = c.PgConn().ParameterStatus("cuminwick.mark")
 }
 
-// Sessions roam between entry hosts with each statement, some without their
-// mark, while replicas lag, stop, crash and come back. A costing officer would
-// miss a line that was saved, or see a budget go back to an older version.
+// Guards against stale reads. Sessions move between entry hosts with each statement, some without
+// their mark, while replicas lag, stop, crash and recover. A session must see all its own writes,
+// and the rows that it has seen must not disappear.
 func TestRoamingSessions(t *testing.T) {
-	roam(t, start(t))
+	runRoamingSessions(t, start(t))
 }
 
-// roam has sessions move between all entry hosts while replicas fail.
-func roam(t *testing.T, d *deployer.Deployment) {
+// runRoamingSessions moves sessions between all entry hosts while replicas fail.
+func runRoamingSessions(t *testing.T, d *deployer.Deployment) {
 	t.Helper()
 	exec(t, connect(t, d, 0, ""), "CREATE TABLE t (id bigint PRIMARY KEY, v text)")
 	var steps atomic.Int64
 	var w sync.WaitGroup
 	const sessions = 6
 	for i := range int64(sessions) {
-		r := &roamer{t: t, d: d, id: i + 1, draw: rand.New(rand.NewPCG(1, uint64(i))), steps: &steps}
+		r := &roamingSession{t: t, d: d, id: i + 1, random: rand.New(rand.NewPCG(1, uint64(i))), steps: &steps}
 		for h := range d.Hosts {
 			r.conns = append(r.conns, connect(t, d, h, ""))
 		}
 		w.Go(r.run)
 	}
 	s := d.Standins["db"].Servers
-	// One replica at a time is out of action, as no write is acknowledged with two.
+	// Only one replica at a time fails, as no write is acknowledged while two are failed.
 	faults := []func(){
 		func() { s[1].SetReplicationLag(50 * time.Millisecond) },
 		func() { s[2].StopReplication(true) },
@@ -133,7 +133,7 @@
 		func() { s[1].SetReplicationLag(0) },
 	}
 	for i, f := range faults {
-		for steps.Load() < int64((i+1)*sessions*roamerSteps/(len(faults)+1)) && !t.Failed() {
+		for steps.Load() < int64((i+1)*sessions*stepsPerSession/(len(faults)+1)) && !t.Failed() {
 			time.Sleep(time.Millisecond)
 		}
 		f()
@@ -141,14 +141,15 @@
 	w.Wait()
 }
 
-// Most callers cancel before their request ends. One that was told "not run"
-// sends its line again; if it had run after all, the budget has the line twice.
+// Guards against false outcomes of cancelled requests. Most callers cancel before their request
+// ends. A caller that is told "not run" repeats its write; if the first had run after all, the
+// write would take effect twice.
 func TestCancelledRequestsTellTheTruth(t *testing.T) {
 	d := start(t, func(d *deployer.Deployment) { d.Server.ServiceTime = 2 * time.Millisecond })
 	exec(t, connect(t, d, 0, ""), "CREATE TABLE t (id bigint PRIMARY KEY)")
 	const workers, requests = 9, 60
 	var mu sync.Mutex
-	told := make(map[int64]string)
+	outcomes := make(map[int64]string)
 	var w sync.WaitGroup
 	for i := range int64(workers) {
 		c := connect(t, d, int(i)%len(d.Hosts), "")
@@ -158,7 +159,7 @@
 				id := i*1000 + n
 				o := insertCancelled(t, c, id, draw)
 				mu.Lock()
-				told[id] = o
+				outcomes[id] = o
 				mu.Unlock()
 			}
 		})
@@ -177,10 +178,10 @@
 		there[id] = true
 	}
 	count := make(map[string]int)
-	for id, o := range told {
+	for id, o := range outcomes {
 		count[o]++
 		if o == "ran" && !there[id] || o == "not-run" && there[id] {
-			t.Errorf("request %d was told %s, there is %t", id, o, there[id])
+			t.Errorf("request %d was reported as %s, the row is there: %t", id, o, there[id])
 		}
 	}
 	if count["ran"] == 0 || count["not-run"] == 0 {
@@ -189,8 +190,8 @@
 	t.Logf("outcomes %v", count)
 }
 
-// insertCancelled inserts id, cancels four of five such requests at a random
-// moment, and returns what the caller was told.
+// insertCancelled inserts id, cancels four of five such requests at a random moment, and returns
+// the outcome that the caller received.
 func insertCancelled(t *testing.T, c *pgx.Conn, id int64, draw *rand.Rand) string {
 	var w sync.WaitGroup
 	if draw.IntN(5) > 0 {
@@ -230,8 +231,8 @@
 	return ""
 }
 
-// More callers come than the slots and the queue hold. The surplus must be told
-// so, with a hint, instead of waiting for a turn that comes too late.
+// Guards against requests that wait in a full queue until it is too late. There are more callers
+// than the slots and the queue hold. The surplus must be refused with a hint.
 func TestFullQueueRefuses(t *testing.T) {
 	d := start(t, func(d *deployer.Deployment) {
 		d.Server.ServiceTime = 50 * time.Millisecond
@@ -244,7 +245,8 @@
 	for i := range int64(callers) {
 		c := connect(t, d, 0, "")
 		w.Go(func() {
-			// The first refusal ends it for all, so that the queue stays full until then.
+			// All callers continue until the first refusal, so that the queue stays full until
+			// then.
 			for n := int64(0); refused.Load() == 0; n++ {
 				_, err := c.Exec(t.Context(), "INSERT INTO t (id) VALUES ($1)", i*1000+n)
 				if err == nil {
@@ -261,6 +263,6 @@
 	}
 	w.Wait()
 	if n := query[int64](t, connect(t, d, 1, ""), "SELECT count(*) FROM t"); n != ran.Load() {
-		t.Errorf("%d rows, %d requests were told that they ran", n, ran.Load())
+		t.Errorf("%d rows, %d requests were reported as ran", n, ran.Load())
 	}
 }
