--- a/internal/host/deployer/queued_test.go
+++ b/internal/host/deployer/queued_test.go
@@ -111,7 +111,7 @@
 				case err != nil && code(err) != "40003" && n != 0:
 					t.Errorf("write %d ran %d times: %v", i, n, err)
 				case n > 1:
-					t.Errorf("write %d took effect %d times", i, n)
+					t.Errorf("write %d took effect more than once", i)
 				case i == 1 && err != nil:
 					t.Errorf("write with key: %v", err)
 				}
