--- a/internal/host/deployer/serving_test.go
+++ b/internal/host/deployer/serving_test.go
@@ -238,8 +238,9 @@
 }
 
 // Guards against refusals by a host that reaches the backend servers but none of the hosts that
-// serve the group. It must run a driver of its own, stop it when a serving host is reachable again,
-// and callers must get no error during either change.
+// serve the group. If it only followed, its callers would be refused for as long as that lasts. It
+// must run a driver of its own, stop it when a serving host is reachable again, and callers must
+// get no error during either change.
 func TestNoServingHostAnswers(t *testing.T) {
 	s, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
--- a/internal/host/deployer/settle_test.go
+++ b/internal/host/deployer/settle_test.go
@@ -11,9 +11,10 @@
 
 // Guards against contradictory outcomes of a cancelled request with an idempotency key. A firewall
 // drops the connections to the backend servers while the request is in progress, and the caller
-// cancels while the host determines the outcome. The host must not report "unknown", as it can
-// query the database group soon after. The outcome reported to the caller, the rows and the
-// recorded outcome of the key must agree.
+// cancels while the host determines the outcome. The host must not report "unknown", after which
+// the caller would have to query the outcome of the key, as the host itself can query the database
+// group soon after. The outcome reported to the caller, the rows and the recorded outcome of the
+// key must agree.
 func TestCancelWhileKeySettles(t *testing.T) {
 	const update = "UPDATE t SET n = n + 1 WHERE id = 1"
 	for name, c := range map[string]struct {
