--- a/internal/bench/checker/checker.go
+++ b/internal/bench/checker/checker.go
@@ -7,35 +7,46 @@
 	"strings"
 )
 
-// Violations counts the broken promises; every one must be zero.
+// Violations counts the broken guarantees of a run by kind. A correct run has only zeros.
 type Violations struct {
-	LostWrites                 int64 `json:"lost-writes"`
-	DoubledWrites              int64 `json:"doubled-writes"`
-	ReadYourWrites             int64 `json:"read-your-writes"`
-	FalseNotRun                int64 `json:"false-not-run"`
+	// LostWrites are writes that were acknowledged and are missing at the end.
+	LostWrites int64 `json:"lost-writes"`
+	// DoubledWrites are writes that took effect more than once.
+	DoubledWrites int64 `json:"doubled-writes"`
+	// ReadYourWrites are reads older than what their session had written or read before.
+	ReadYourWrites int64 `json:"read-your-writes"`
+	// FalseNotRun are writes that were reported not to have run and took effect.
+	FalseNotRun int64 `json:"false-not-run"`
+	// SupersededAcknowledgements are lost writes that a superseded primary acknowledged.
 	SupersededAcknowledgements int64 `json:"superseded-acknowledgements"`
-	MixedTransactions          int64 `json:"mixed-transactions"`
-	WrongAnswers               int64 `json:"wrong-answers"`
-	CutOffRequests             int64 `json:"cut-off-requests"`
-	ConfigurationReversions    int64 `json:"configuration-reversions"`
-	WorkOnLeaving              int64 `json:"work-on-leaving"`
-	// TooStaleReads are reviews older than the age that they allow.
+	// MixedTransactions are transactions with more than one request, and partial bookings.
+	MixedTransactions int64 `json:"mixed-transactions"`
+	// WrongAnswers are answers of another request, incomplete ones, and values never written.
+	WrongAnswers int64 `json:"wrong-answers"`
+	// CutOffRequests lost their connection by the planned stop of an entry host.
+	CutOffRequests int64 `json:"cut-off-requests"`
+	// ConfigurationReversions are observed revisions that contradict each other or the
+	// outcomes reported to operators, among them returns to a lower revision.
+	ConfigurationReversions int64 `json:"configuration-reversions"`
+	// WorkOnLeaving are statements that leaving backend servers received after the grace time.
+	WorkOnLeaving int64 `json:"work-on-leaving"`
+	// TooStaleReads are reviews older than their maximum age.
 	TooStaleReads int64 `json:"too-stale-reads"`
 }
 
-// Total is the sum of all counts.
+// Total returns the sum of all counts.
 func (v Violations) Total() int64 {
 	return v.LostWrites + v.DoubledWrites + v.ReadYourWrites + v.FalseNotRun + v.SupersededAcknowledgements +
 		v.MixedTransactions + v.WrongAnswers + v.CutOffRequests + v.ConfigurationReversions + v.WorkOnLeaving +
 		v.TooStaleReads
 }
 
-// Verdict is the counts with an example of each kind, for whoever looks for the cause.
+// Verdict holds the counts of violations, and examples that help to find the cause.
 type Verdict struct {
 	Violations Violations
 	// Examples describe the first few violations.
 	Examples []string
-	// Sessions tell all requests of the first few sessions that were wronged.
+	// Sessions list all requests of the first few sessions with violations, one entry per session.
 	Sessions []string
 }
 
@@ -45,7 +56,7 @@
 	maximumSessions = 3
 )
 
-// Check finds every violation in a history.
+// Check returns all violations in a history.
 func Check(h *History) Verdict {
 	c := &check{history: h}
 	c.index()
@@ -58,27 +69,28 @@
 	return c.verdict
 }
 
-// check is one run of the checker.
+// check holds the state of one call of Check.
 type check struct {
 	history *History
 	verdict Verdict
-	// held counts a request's entries by part, in its group's final state.
-	held map[string]map[int64]int
-	// dropped names the requests in dropped records.
-	dropped map[string]bool
-	// sessions are each session's requests by start.
+	// entryCounts holds the number of entries in the final state, by request and part.
+	entryCounts map[string]map[int64]int
+	// droppedRequests holds the names of the requests in dropped records.
+	droppedRequests map[string]bool
+	// sessions holds the requests of each session, ordered by start.
 	sessions map[string][]*Request
 }
 
-func (c *check) found(count *int64, format string, args ...any) {
+// addViolation increments a count and keeps the description if there is room for examples.
+func (c *check) addViolation(count *int64, format string, args ...any) {
 	*count++
 	if len(c.verdict.Examples) < maximumExamples {
 		c.verdict.Examples = append(c.verdict.Examples, fmt.Sprintf(format, args...))
 	}
 }
 
-// tell adds a session's whole story to the verdict.
-func (c *check) tell(session string) {
+// addSession adds all requests of a session to the verdict, up to maximumSessions sessions.
+func (c *check) addSession(session string) {
 	if len(c.verdict.Sessions) >= maximumSessions {
 		return
 	}
@@ -89,16 +101,17 @@
 	c.verdict.Sessions = append(c.verdict.Sessions, b.String())
 }
 
+// index fills in the lookup tables from the history.
 func (c *check) index() {
-	c.held = map[string]map[int64]int{}
-	c.dropped = map[string]bool{}
+	c.entryCounts = map[string]map[int64]int{}
+	c.droppedRequests = map[string]bool{}
 	c.sessions = map[string][]*Request{}
 	for _, s := range c.history.Groups {
 		for _, e := range s.Entries {
-			c.hold(e)
+			c.countEntry(e)
 		}
 		for _, t := range s.Dropped {
-			c.drop(t)
+			c.markDropped(t)
 		}
 	}
 	for i := range c.history.Requests {
@@ -110,24 +123,26 @@
 	}
 }
 
-func (c *check) hold(e Entry) {
-	if c.held[e.Request] == nil {
-		c.held[e.Request] = map[int64]int{}
+// countEntry counts an entry of the final state.
+func (c *check) countEntry(e Entry) {
+	if c.entryCounts[e.Request] == nil {
+		c.entryCounts[e.Request] = map[int64]int{}
 	}
-	c.held[e.Request][e.Part]++
+	c.entryCounts[e.Request][e.Part]++
 }
 
-func (c *check) drop(t Transaction) {
+// markDropped records the requests in a dropped transaction.
+func (c *check) markDropped(t Transaction) {
 	for _, e := range t.Entries {
-		c.dropped[e.Request] = true
+		c.droppedRequests[e.Request] = true
 	}
 	for _, n := range t.Saves {
-		c.dropped[n] = true
+		c.droppedRequests[n] = true
 	}
 }
 
-// parts is how many entries a request of the kind inserts.
-func parts(k Kind) int {
+// insertedEntries returns how many entries a request of the kind inserts.
+func insertedEntries(k Kind) int {
 	switch k {
 	case Note:
 		return 1
@@ -138,7 +153,7 @@
 	}
 }
 
-// checkWrites compares each write's outcome with the final state.
+// checkWrites compares the outcome of each write with the final state.
 func (c *check) checkWrites() {
 	v := &c.verdict.Violations
 	for i := range c.history.Requests {
@@ -146,13 +161,13 @@
 		if !r.Kind.Writes() {
 			continue
 		}
-		h := c.held[r.Name]
+		h := c.entryCounts[r.Name]
 		for p, n := range h {
 			if n > 1 {
-				c.found(&v.DoubledWrites, "%s part %d is there %d times", r.Name, p, n)
+				c.addViolation(&v.DoubledWrites, "%s part %d is there %d times", r.Name, p, n)
 			}
 		}
-		c.checkSettled(r, len(h))
+		c.checkKeyOutcome(r, len(h))
 		switch r.Outcome {
 		case Ran:
 			c.checkAcknowledged(r, len(h))
@@ -162,72 +177,75 @@
 	}
 }
 
-// writeTag begins the command tag of every write.
+// writeTag is the prefix of the command tag of every write.
 const writeTag = "INSERT 0 "
 
-// checkAcknowledged finds a write that was acknowledged and isn't there.
-func (c *check) checkAcknowledged(r *Request, held int) {
+// checkAcknowledged detects that an acknowledged write is missing in the final state.
+func (c *check) checkAcknowledged(r *Request, entries int) {
 	v := &c.verdict.Violations
 	if !strings.HasPrefix(r.AcknowledgedTag, writeTag) {
-		c.found(&v.WrongAnswers, "%s %s was acknowledged as %q", r.Kind, r.Name, r.AcknowledgedTag)
+		c.addViolation(&v.WrongAnswers, "%s %s was acknowledged as %q", r.Kind, r.Name, r.AcknowledgedTag)
 	}
-	lost := held < parts(r.Kind)
+	lost := entries < insertedEntries(r.Kind)
 	if r.Kind != Note && c.history.Groups[r.Group].Registers[r.Session] < r.Number {
 		lost = true
 	}
 	if !lost {
 		return
 	}
-	c.found(&v.LostWrites, "%s %s of %d was acknowledged as %q from %v to %v by %s and isn't there, the register has %d",
+	c.addViolation(&v.LostWrites, "%s %s of %d was acknowledged as %q from %v to %v by %s and isn't there, the register has %d",
 		r.Kind, r.Name, r.Number, r.AcknowledgedTag, r.Start, r.End, r.EntryHost, c.history.Groups[r.Group].Registers[r.Session])
-	if c.dropped[r.Name] {
-		c.found(&v.SupersededAcknowledgements, "%s was acknowledged and its record dropped", r.Name)
+	if c.droppedRequests[r.Name] {
+		c.addViolation(&v.SupersededAcknowledgements, "%s was acknowledged and its record dropped", r.Name)
 	}
 }
 
-// checkNotRun finds a write that was said not to have run and is there.
-func (c *check) checkNotRun(r *Request, held int) {
+// checkNotRun detects that a write reported not to have run is in the final state.
+func (c *check) checkNotRun(r *Request, entries int) {
 	v := &c.verdict.Violations
-	there := held > 0
+	present := entries > 0
 	if r.Kind == Save && c.history.Groups[r.Group].Registers[r.Session] == r.Number {
-		there = true
+		present = true
 	}
-	if there {
-		c.found(&v.FalseNotRun, "%s %s was said to be %s at %v by %s and is there", r.Kind, r.Name, r.Outcome, r.End, r.EntryHost)
+	if present {
+		c.addViolation(&v.FalseNotRun, "%s %s was said to be %s at %v by %s and is there", r.Kind, r.Name, r.Outcome, r.End, r.EntryHost)
 	}
 }
 
-// checkSettled finds an outcome of a key that the final state contradicts. With what
-// the caller was told, which is compared with the same state, it must then agree, too.
-func (c *check) checkSettled(r *Request, held int) {
+// checkKeyOutcome detects that the final state contradicts the outcome of an idempotency
+// key. The outcome that the caller received is compared with the same state, so that the
+// two outcomes also agree with each other if neither contradicts it.
+func (c *check) checkKeyOutcome(r *Request, entries int) {
 	v := &c.verdict.Violations
 	switch {
-	case r.KeyOutcome == Ran && held < parts(r.Kind):
-		c.found(&v.LostWrites, "the outcome of key %s is %s, and it isn't there", r.Name, r.KeyOutcome)
-	case r.KeyOutcome == NotRun && held > 0:
-		c.found(&v.FalseNotRun, "the outcome of key %s is %s, and it is there", r.Name, r.KeyOutcome)
+	case r.KeyOutcome == Ran && entries < insertedEntries(r.Kind):
+		c.addViolation(&v.LostWrites, "the outcome of key %s is %s, and it isn't there", r.Name, r.KeyOutcome)
+	case r.KeyOutcome == NotRun && entries > 0:
+		c.addViolation(&v.FalseNotRun, "the outcome of key %s is %s, and it is there", r.Name, r.KeyOutcome)
 	}
 }
 
-// checkTransactions finds records that bear more than one request, and halves of bookings.
+// checkTransactions finds log records with more than one request, and bookings of which only
+// one entry exists.
 func (c *check) checkTransactions() {
 	v := &c.verdict.Violations
 	for g, s := range c.history.Groups {
 		for _, t := range append(slices.Clone(s.Log), s.Dropped...) {
-			if n := names(t); len(n) > 1 {
-				c.found(&v.MixedTransactions, "a transaction of %s bears %v", g, n)
+			if n := requestNames(t); len(n) > 1 {
+				c.addViolation(&v.MixedTransactions, "a transaction of %s bears %v", g, n)
 			}
 		}
 	}
 	for i := range c.history.Requests {
 		r := &c.history.Requests[i]
-		if r.Kind == Booking && len(c.held[r.Name]) == 1 {
-			c.found(&v.MixedTransactions, "half of %s is there", r.Name)
+		if r.Kind == Booking && len(c.entryCounts[r.Name]) == 1 {
+			c.addViolation(&v.MixedTransactions, "half of %s is there", r.Name)
 		}
 	}
 }
 
-func names(t Transaction) []string {
+// requestNames returns the distinct names of the requests in a transaction, sorted.
+func requestNames(t Transaction) []string {
 	var n []string
 	for _, e := range t.Entries {
 		n = append(n, e.Request)
@@ -237,13 +255,13 @@
 	return slices.Compact(n)
 }
 
-// checkStops finds requests that a planned stop cut off.
+// checkStops finds requests that lost their connection during a planned stop of their entry host.
 func (c *check) checkStops() {
 	for i := range c.history.Requests {
 		r := &c.history.Requests[i]
 		for _, s := range c.history.Stops {
 			if r.ConnectionLost && r.EntryHost == s.EntryHost && r.Start < s.To && r.End >= s.From {
-				c.found(&c.verdict.Violations.CutOffRequests, "%s was cut off at %v by the stop of %s", r.Name, r.End, s.EntryHost)
+				c.addViolation(&c.verdict.Violations.CutOffRequests, "%s was cut off at %v by the stop of %s", r.Name, r.End, s.EntryHost)
 			}
 		}
 	}
--- a/internal/bench/checker/checker_test.go
+++ b/internal/bench/checker/checker_test.go
@@ -9,8 +9,8 @@
 
 const ms = time.Millisecond
 
-// whole is a history without a violation that touches every rule.
-func whole() *History {
+// validHistory returns a history without a violation that covers every rule.
+func validHistory() *History {
 	return &History{
 		Requests: []Request{
 			{Name: "a", Session: "s", Group: "g", Kind: Note, Start: 1 * ms, End: 2 * ms, Outcome: Ran, AcknowledgedTag: "INSERT 0 1", EntryHost: "h1"},
@@ -50,13 +50,13 @@
 	}
 }
 
-func TestWholeHistory(t *testing.T) {
-	if v := Check(whole()); v.Violations.Total() != 0 {
+func TestValidHistory(t *testing.T) {
+	if v := Check(validHistory()); v.Violations.Total() != 0 {
 		t.Error(v)
 	}
 }
 
-// request returns the request so named.
+// request returns the request with the given name.
 func (h *History) request(name string) *Request {
 	for i := range h.Requests {
 		if h.Requests[i].Name == name {
@@ -66,18 +66,18 @@
 	panic(name)
 }
 
-// Each case breaks one promise in an otherwise whole history; the checker must
-// count that one and no other, or no run would prove anything.
+// Guards against a checker that misses a violation or counts another one, after which a run
+// without violations would prove nothing. Each case breaks one guarantee in a valid history.
 func TestEachViolationIsFound(t *testing.T) {
 	for name, c := range map[string]struct {
-		breaks func(h *History, s *State)
-		want   Violations
+		corrupt func(h *History, s *State)
+		want    Violations
 	}{
-		"a note is gone": {
+		"a note is missing": {
 			func(_ *History, s *State) { s.Entries = s.Entries[1:] },
 			Violations{LostWrites: 1},
 		},
-		"a save is gone": {
+		"a save is missing": {
 			func(h *History, s *State) { s.Registers["s"] = 1; h.request("f").Start = 20 * ms },
 			Violations{LostWrites: 1},
 		},
@@ -88,23 +88,23 @@
 			},
 			Violations{LostWrites: 1, SupersededAcknowledgements: 1},
 		},
-		"a note is there twice": {
+		"a note exists twice": {
 			func(_ *History, s *State) { s.Entries = append(s.Entries, Entry{"a", 1}) },
 			Violations{DoubledWrites: 1},
 		},
-		"a note of unknown outcome is there twice": {
+		"a note of unknown outcome exists twice": {
 			func(_ *History, s *State) { s.Entries = append(s.Entries, Entry{"k", 1}, Entry{"k", 1}) },
 			Violations{DoubledWrites: 1},
 		},
-		"a session reads older than it wrote": {
+		"a session reads an older value than it wrote": {
 			func(h *History, _ *State) { h.request("d").Value = 1 },
 			Violations{ReadYourWrites: 1},
 		},
-		"a refused note is there": {
+		"a refused note exists": {
 			func(_ *History, s *State) { s.Entries = append(s.Entries, Entry{"i", 1}) },
 			Violations{FalseNotRun: 1},
 		},
-		"a cancelled save is there": {
+		"a cancelled save took effect": {
 			func(_ *History, s *State) { s.Registers["s"] = 3 },
 			Violations{FalseNotRun: 1},
 		},
@@ -114,14 +114,14 @@
 			},
 			Violations{FalseNotRun: 1},
 		},
-		"a key is said not to have run and its note is there": {
+		"the outcome of a key is not-run and its note exists": {
 			func(h *History, s *State) {
 				h.request("k").KeyOutcome = NotRun
 				s.Entries = append(s.Entries, Entry{"k", 1})
 			},
 			Violations{FalseNotRun: 1},
 		},
-		"a key is said to have run and its note isn't there": {
+		"the outcome of a key is ran and its note is missing": {
 			func(h *History, _ *State) { h.request("k").KeyOutcome = Ran },
 			Violations{LostWrites: 1},
 		},
@@ -137,7 +137,7 @@
 			func(h *History, _ *State) { h.request("d").RowNames = []string{"j"} },
 			Violations{WrongAnswers: 1},
 		},
-		"part of an answer": {
+		"an incomplete answer": {
 			func(h *History, _ *State) { h.request("j").Rows = 4 },
 			Violations{WrongAnswers: 1},
 		},
@@ -145,18 +145,18 @@
 			func(h *History, _ *State) { h.request("a").AcknowledgedTag = "SELECT 1" },
 			Violations{WrongAnswers: 1},
 		},
-		"a value nobody wrote": {
+		"a value that was never written": {
 			func(h *History, _ *State) { h.request("d").Value = 9 },
 			Violations{WrongAnswers: 1},
 		},
-		"a planned stop cuts off a request": {
+		"a request loses its connection by a planned stop": {
 			func(h *History, _ *State) {
 				r := h.request("k")
 				r.Start, r.End, r.ConnectionLost = 90*ms, 150*ms, true
 			},
 			Violations{CutOffRequests: 1},
 		},
-		"a configuration goes back": {
+		"an entry host returns to a lower revision": {
 			func(h *History, _ *State) {
 				h.Applies = nil
 				h.ObservedRevisions = append(h.ObservedRevisions, ObservedRevision{"h1", 10 * ms, 1, "first"}, ObservedRevision{"h1", 11 * ms, 3, "third"})
@@ -165,19 +165,19 @@
 		},
 		"one revision has two contents": {
 			func(h *History, _ *State) { h.ObservedRevisions[3] = ObservedRevision{"h2", 5 * ms, 1, "fifth"} },
-			// The first one's operator was told that it is in force, too.
+			// The operator of the first one was also told that it is in force.
 			Violations{ConfigurationReversions: 2},
 		},
-		"a content that nobody applied": {
+		"a content that no operator applied": {
 			func(h *History, _ *State) { h.Applies[0].Digest = "" },
 			Violations{ConfigurationReversions: 1},
 		},
-		"a configuration in force isn't everywhere at the end": {
+		"a configuration in force is not everywhere at the end": {
 			func(h *History, _ *State) { h.ObservedRevisions[5] = ObservedRevision{"h2", 9 * ms, 1, "first"} },
-			// It is also a revision that only half of the hosts have.
+			// Only half of the hosts have the revision, which counts as well.
 			Violations{ConfigurationReversions: 2},
 		},
-		"a configuration that stays isn't everywhere at the end": {
+		"an accepted configuration is not everywhere at the end": {
 			func(h *History, _ *State) {
 				h.Applies[2].Outcome = ApplyAccepted
 				h.ObservedRevisions = h.ObservedRevisions[:4]
@@ -185,7 +185,7 @@
 			},
 			Violations{ConfigurationReversions: 2},
 		},
-		"an abandoned configuration is half in force": {
+		"an abandoned configuration is in force at half of the hosts": {
 			func(h *History, _ *State) { h.ObservedRevisions[5] = ObservedRevision{"h2", 9 * ms, 5, "fifth"} },
 			Violations{ConfigurationReversions: 1},
 		},
@@ -198,37 +198,37 @@
 			func(h *History, _ *State) { h.ObservedRevisions[2] = ObservedRevision{"h1", 5 * ms, 2, "second"} },
 			Violations{ConfigurationReversions: 1},
 		},
-		"a withdrawn revision is in force, whoever brought it": {
+		"a withdrawn revision is in force, whichever operator supplied it": {
 			func(h *History, _ *State) {
 				h.ObservedRevisions[2] = ObservedRevision{"h1", 5 * ms, 2, "fifth"}
 				h.Applies[1].Digest = ""
 			},
 			Violations{ConfigurationReversions: 1},
 		},
-		"a configuration that conflicted is in force": {
+		"a conflicting configuration is in force": {
 			func(h *History, _ *State) {
 				h.ObservedRevisions[2] = ObservedRevision{"h1", 5 * ms, 2, "fourth"}
 				h.Applies[1].Revision = 0
 			},
 			Violations{ConfigurationReversions: 1},
 		},
-		"two changes from one revision": {
+		"two changes of one revision": {
 			func(h *History, _ *State) { h.Applies[4].Base, h.Applies[4].Outcome = 1, ApplyInForce },
 			Violations{ConfigurationReversions: 1},
 		},
-		"work on a leaving server": {
+		"a leaving server receives statements": {
 			func(h *History, _ *State) { h.WorkOnLeaving = 1 },
 			Violations{WorkOnLeaving: 1},
 		},
-		"a review older than its age": {
+		"a review older than its maximum age": {
 			func(h *History, _ *State) { h.request("f").Value = 1 },
 			Violations{TooStaleReads: 1},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := whole()
+			h := validHistory()
 			s := h.Groups["g"]
-			c.breaks(h, &s)
+			c.corrupt(h, &s)
 			h.Groups["g"] = s
 			v := Check(h)
 			if d := cmp.Diff(c.want, v.Violations); d != "" {
--- a/internal/bench/checker/history.go
+++ b/internal/bench/checker/history.go
@@ -1,27 +1,27 @@
-// Package checker compares what callers were told with what a database group holds at the end.
+// Package checker compares the answers that callers received with the final state of the database groups.
 //
-// It knows nothing of the proxy: its input is plain records of requests and
-// dumps, so that a fault in the proxy's code can't hide itself here.
+// It shares no code with the proxy. Its input is plain records of requests and dumps of the
+// servers, so that a fault in the proxy's code cannot hide itself here.
 package checker
 
 import "time"
 
-// Kind is what a request does.
+// Kind is the kind of a request.
 type Kind string
 
-// Kinds of request.
+// Kinds of requests.
 const (
 	// Note inserts one entry.
 	Note Kind = "note"
-	// Save raises the session's register to the request's number.
+	// Save sets the register of the session to the number of the request.
 	Save Kind = "save"
-	// Booking inserts two entries and saves, in one transaction.
+	// Booking inserts two entries and sets the register, in one transaction.
 	Booking Kind = "booking"
-	// Read reads the own session's register.
+	// Read reads the register of its own session.
 	Read Kind = "read"
-	// Review reads another session's register, which may be stale up to an age.
+	// Review reads the register of another session; the value may be stale up to a maximum age.
 	Review Kind = "review"
-	// Report reads a fixed number of rows that all bear the request's name.
+	// Report reads a fixed number of rows that all contain the name of the request.
 	Report Kind = "report"
 )
 
@@ -30,79 +30,79 @@
 	return k == Note || k == Save || k == Booking
 }
 
-// Outcome is what a caller was told of a request.
+// Outcome is the outcome of a request as its caller received it.
 type Outcome string
 
 // Outcomes.
 const (
-	// Ran is a whole answer without an error.
+	// Ran is a complete answer without an error.
 	Ran Outcome = "ran"
-	// NotRun is an answer that says that nothing took effect.
+	// NotRun is an error that guarantees that nothing took effect.
 	NotRun Outcome = "not-run"
-	// Unknown is an answer that leaves it open, or a lost connection.
+	// Unknown is an error after which the request may have taken effect, or a lost connection.
 	Unknown Outcome = "unknown"
-	// Cancelled is an answer that the caller's cancel ended the request with no effect.
+	// Cancelled is an error that says that the request was cancelled by its caller and had no effect.
 	Cancelled Outcome = "cancelled"
 )
 
-// Request is one request and what its caller saw. Times count from the run's start.
+// Request is one request and its outcome as seen by the caller. Times count from the start of the run.
 type Request struct {
 	// Name is unique in the run.
 	Name    string
 	Session string
 	Group   string
 	Kind    Kind
-	// Number grows along a session's writes; it is the value of a save.
+	// Number increases with the writes of a session; a save or booking writes it to the register.
 	Number int64
 	// ReviewedSession is the session whose register a review reads.
 	ReviewedSession string
-	// MaximumAge is how stale a review may be.
+	// MaximumAge bounds how stale the answer of a review may be.
 	MaximumAge time.Duration
 	EntryHost  string
 	Start, End time.Duration
 	Outcome    Outcome
-	// Code is the SQLSTATE of an error, empty if none.
+	// Code is the SQLSTATE of an error, empty without an error.
 	Code string
-	// ConnectionLost says that the connection ended while the request was in progress.
+	// ConnectionLost is set if the connection ended while the request was in progress.
 	ConnectionLost bool
-	// Value is what a read or review returned, zero if there was no row.
+	// Value is the number that a read or review returned, zero if there was no row.
 	Value int64
-	// RowNames are the distinct names that the answer bore, Rows how many rows it had.
+	// RowNames are the distinct request names in the rows of the answer, Rows the number of rows.
 	RowNames []string
 	Rows     int
 	// AcknowledgedTag is the command tag of a write that was acknowledged.
 	AcknowledgedTag string
-	// ExpectedRows is how many rows a whole report has.
+	// ExpectedRows is how many rows a complete report has.
 	ExpectedRows int
-	// Keyed says that the request's name is its idempotency key.
+	// Keyed is set if the name of the request was sent as its idempotency key.
 	Keyed bool
-	// KeyOutcome is what the outcome of the key was said to be after the load: Ran or
-	// NotRun, empty if nobody asked or the answer was open.
+	// KeyOutcome is the outcome of the idempotency key, queried after the load: Ran or NotRun,
+	// empty if it was not queried or is not known.
 	KeyOutcome Outcome
 }
 
-// Entry is one row of the entries table: one part of a note or booking.
+// Entry is one row of the entries table, which is one part of a note or booking.
 type Entry struct {
 	Request string
 	Part    int64
 }
 
-// Transaction is what one log record wrote: the names of the requests that it bears.
+// Transaction is the content of one log record, by the names of the requests that wrote it.
 type Transaction struct {
 	Entries []Entry
-	// Saves are the requests named in register rows.
+	// Saves are the names of the requests in register rows.
 	Saves []string
 }
 
-// State is what one database group holds at the end.
+// State is the final state of one database group.
 type State struct {
 	// Entries are the rows of the primary's entries table.
 	Entries []Entry
-	// Registers are the sessions' saved numbers.
+	// Registers holds the saved numbers by session.
 	Registers map[string]int64
-	// Log is the primary's log.
+	// Log holds the records of the primary's log.
 	Log []Transaction
-	// Dropped are records that servers threw away when a later primary's log went another way.
+	// Dropped are records that servers discarded because the log of a later primary diverged.
 	Dropped []Transaction
 }
 
@@ -112,51 +112,52 @@
 	From, To  time.Duration
 }
 
-// ObservedRevision is one sight of the configuration that an entry host has in force.
+// ObservedRevision is the configuration that an entry host had in force at one moment.
 type ObservedRevision struct {
 	EntryHost string
 	At        time.Duration
 	Revision  uint64
-	// Digest stands for the configuration's content.
+	// Digest identifies the content of the configuration.
 	Digest string
 }
 
-// ApplyOutcome is what an operator was told of a configuration.
+// ApplyOutcome is the outcome of an apply as its operator received it.
 type ApplyOutcome string
 
 // Outcomes of an apply.
 const (
-	// ApplyInForce says that every entry host decides by the configuration.
+	// ApplyInForce means that every entry host uses the configuration.
 	ApplyInForce ApplyOutcome = "in-force"
-	// ApplyAccepted says that it stays, and that some entry hosts don't decide by it yet.
+	// ApplyAccepted means that the configuration is stored for good, and that some entry hosts do
+	// not use it yet.
 	ApplyAccepted ApplyOutcome = "accepted"
-	// ApplyRefused says that it was never in force and never will be.
+	// ApplyRefused means that the configuration was never in force and never will be.
 	ApplyRefused ApplyOutcome = "refused"
-	// ApplyUnknown is an operator that ended before it was told.
+	// ApplyUnknown means that the operator's process ended before it received an outcome.
 	ApplyUnknown ApplyOutcome = "unknown"
 )
 
-// Apply is one operator's change of the configuration and what the operator was told.
+// Apply is a change of the configuration by an operator, and the outcome that the operator received.
 type Apply struct {
 	Operator string
-	// Base is the revision that the configuration was edited from, zero if none was named.
+	// Base is the revision that the configuration was edited from, zero if not given.
 	Base uint64
-	// Digest stands for the content that was to come into force, empty if the operator didn't bring it.
+	// Digest identifies the new content, empty if the operator did not supply the content.
 	Digest string
-	// Revision is the number that the change got, zero if it got none.
+	// Revision is the number assigned to the change, zero if none was assigned.
 	Revision uint64
 	Outcome  ApplyOutcome
 	From, To time.Duration
 }
 
-// History is all that one run brought.
+// History holds all records of one run.
 type History struct {
 	Requests          []Request
 	Groups            map[string]State
 	Stops             []Stop
 	ObservedRevisions []ObservedRevision
-	// Applies are the changes of the configuration, the one before the load included.
+	// Applies are the changes of the configuration, including the one before the load.
 	Applies []Apply
-	// WorkOnLeaving counts statements that leaving backend servers got after the grace time.
+	// WorkOnLeaving counts statements that leaving backend servers received after the grace time.
 	WorkOnLeaving int64
 }
