--- a/internal/bench/disturber/disturber_test.go
+++ b/internal/bench/disturber/disturber_test.go
@@ -11,12 +11,12 @@
 )
 
 var (
-	here  = Place{AvailabilityZone: "ost-wien", Region: "ost"}
-	there = Place{AvailabilityZone: "west-ibk", Region: "west"}
+	clientPlace = Place{AvailabilityZone: "ost-wien", Region: "ost"}
+	serverPlace = Place{AvailabilityZone: "west-ibk", Region: "west"}
 )
 
-// echo starts a server that sends back what it gets.
-func echo(t *testing.T) string {
+// startEchoServer starts a server that sends back what it receives and returns its address.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,15 +38,17 @@
 	return l.Addr().String()
 }
 
-func network(t *testing.T) (*Network, string) {
+// newNetwork returns a network with an echo server at serverPlace, and the address of the server.
+func newNetwork(t *testing.T) (*Network, string) {
 	t.Helper()
 	n := &Network{Latency: func(Path) time.Duration { return time.Millisecond }, BytesPerSecond: 4 << 20}
 	n.Open(t.Context())
-	a := echo(t)
-	n.SetPlace(a, there)
+	a := startEchoServer(t)
+	n.SetPlace(a, serverPlace)
 	return n, a
 }
 
+// exchange sends bytes on a connection and checks that they come back.
 func exchange(t *testing.T, c net.Conn) {
 	t.Helper()
 	b := make([]byte, 5)
@@ -58,9 +60,10 @@
 	}
 }
 
+// dial connects to the address from clientPlace.
 func dial(t *testing.T, n *Network, a string) net.Conn {
 	t.Helper()
-	c, err := n.Dialer(here)(t.Context(), "tcp", a)
+	c, err := n.Dialer(clientPlace)(t.Context(), "tcp", a)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,33 +72,33 @@
 }
 
 func TestCountsRegionBytes(t *testing.T) {
-	n, a := network(t)
+	n, a := newNetwork(t)
 	exchange(t, dial(t, n, a))
 	if b := n.LinkBytes(); b != 10 {
 		t.Errorf("%d bytes between regions", b)
 	}
 }
 
-// A partition lets nothing through; afterwards open connections go on, because
-// TCP sends again what was lost.
+// Guards against a partition that lets a dial through or breaks open connections. These continue
+// afterwards, because TCP retransmits what was lost.
 func TestCut(t *testing.T) {
-	n, a := network(t)
+	n, a := newNetwork(t)
 	c := dial(t, n, a)
 	exchange(t, c)
 	n.Cut("ost-wien", "west-ibk", true)
 	x, stop := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer stop()
-	if _, err := n.Dialer(here)(x, "tcp", a); !errors.Is(err, context.DeadlineExceeded) {
+	if _, err := n.Dialer(clientPlace)(x, "tcp", a); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("dialled through a partition: %v", err)
 	}
 	n.Cut("ost-wien", "west-ibk", false)
 	exchange(t, c)
 }
 
-// Something between the ends loses track of a connection: neither end notices,
-// nothing arrives any more, and a new connection works.
+// Guards against a silenced connection that reports an error or delivers data. Both ends stay
+// open, as when a middlebox has lost the state of the connection, and a new connection works.
 func TestSilence(t *testing.T) {
-	n, a := network(t)
+	n, a := newNetwork(t)
 	c := dial(t, n, a)
 	exchange(t, c)
 	if s := n.Silence("west-ibk", "ost-wien"); s != 1 {
@@ -116,7 +119,8 @@
 	return errors.As(err, &e) && e.Timeout()
 }
 
-// Many connections share one slow line: each byte waits for those before it.
+// Guards against connections that get the full bandwidth of a shared link each: every byte waits
+// for those before it.
 func TestLinkIsShared(t *testing.T) {
 	l := &Link{BytesPerSecond: 1000}
 	t0 := time.Unix(0, 0)
@@ -127,20 +131,21 @@
 		}
 	}
 	if d := l.Reserve(500, t0.Add(time.Minute)).Sub(t0); d != time.Minute+time.Second/2 {
-		t.Errorf("an idle line delays %v", d)
+		t.Errorf("after an idle minute the chunk leaves after %v", d)
 	}
 }
 
-// Datagrams are lost in a partition and arrive again afterwards.
+// Guards against datagrams that pass a partition, or are delivered after it instead of
+// lost. Datagrams sent after it arrive.
 func TestDatagrams(t *testing.T) {
-	n, _ := network(t)
+	n, _ := newNetwork(t)
 	loopback := &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}
-	a, err := n.Listener(here)(loopback)
+	a, err := n.Listener(clientPlace)(loopback)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer a.Close()
-	b, err := n.Listener(there)(loopback)
+	b, err := n.Listener(serverPlace)(loopback)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -163,26 +168,27 @@
 	}
 }
 
-// One entry host is cut off while its neighbour in the zone isn't. Callers may
-// still reach it, and then it must not pass for one that everybody reaches.
+// Guards against an isolation that also cuts off the neighbour in the host's zone, or that leaves
+// a path of the host open. Where callers can still reach the host, all its other paths must be cut,
+// so that it differs from a host that everything reaches.
 func TestIsolate(t *testing.T) {
-	n, a := network(t)
-	host := Place{AvailabilityZone: here.AvailabilityZone, Region: here.Region, EntryHost: "entry-a"}
+	n, a := newNetwork(t)
+	host := Place{AvailabilityZone: clientPlace.AvailabilityZone, Region: clientPlace.Region, EntryHost: "entry-a"}
 	callers := Place{AvailabilityZone: "callers"}
 	for name, c := range map[string]struct {
-		path  Path
-		until Isolation
+		path    Path
+		maximum Isolation
 	}{
-		"to a backend server": {Path{From: host, To: there}, NotIsolated},
-		"back":                {Path{From: there, To: host}, NotIsolated},
-		"to its neighbour":    {Path{From: host, To: here}, NotIsolated},
+		"to a backend server": {Path{From: host, To: serverPlace}, NotIsolated},
+		"back":                {Path{From: serverPlace, To: host}, NotIsolated},
+		"to its neighbour":    {Path{From: host, To: clientPlace}, NotIsolated},
 		"from a caller":       {Path{From: callers, To: host}, IsolatedExceptCallers},
-		"its neighbour's":     {Path{From: here, To: there}, FullyIsolated},
+		"from its neighbour":  {Path{From: clientPlace, To: serverPlace}, FullyIsolated},
 		"to itself":           {Path{From: host, To: host}, FullyIsolated},
 	} {
 		for i := NotIsolated; i <= FullyIsolated; i++ {
 			n.Isolate("entry-a", i)
-			if on, _ := n.state(c.path); on != (i > c.until) {
+			if on, _ := n.cutState(c.path); on != (i > c.maximum) {
 				t.Errorf("%s, isolation %d: cut is %t", name, i, on)
 			}
 		}
--- a/internal/bench/disturber/isolation.go
+++ b/internal/bench/disturber/isolation.go
@@ -1,44 +1,44 @@
 package disturber
 
-// Isolation is how far one entry host is cut off by itself.
+// Isolation is how far a single entry host is cut off.
 type Isolation int
 
 // Isolations.
 const (
-	// NotIsolated is not at all.
+	// NotIsolated cuts the host off from nothing.
 	NotIsolated Isolation = iota
-	// IsolatedExceptCallers is from everything except its callers, who go on sending to it.
+	// IsolatedExceptCallers cuts the host off from everything except its callers, who continue to
+	// send to it.
 	IsolatedExceptCallers
-	// FullyIsolated is from everything, as the others see a host that is paused: what it
-	// was sent over TCP arrives late.
+	// FullyIsolated cuts the host off from everything. To the others it looks like a paused host:
+	// data sent to it over TCP arrives late.
 	FullyIsolated
 )
 
-// Isolate cuts one entry host off, or joins it again. Nothing passes meanwhile, as
-// with Cut.
+// Isolate sets how far one entry host is cut off. Nothing passes on its cut paths, as with Cut.
 func (n *Network) Isolate(host string, i Isolation) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.isolated[host] = i
-	n.tell()
+	n.isolations[host] = i
+	n.notifyChange()
 }
 
-// apart reports whether a is an entry host that is cut off from b; the caller holds the mutex.
-func (n *Network) apart(a, b Place) bool {
+// isolatedFrom reports whether a is an entry host that is cut off from b. The mutex must be held.
+func (n *Network) isolatedFrom(a, b Place) bool {
 	if a.EntryHost == "" || a.EntryHost == b.EntryHost {
 		return false
 	}
-	switch n.isolated[a.EntryHost] {
+	switch n.isolations[a.EntryHost] {
 	case FullyIsolated:
 		return true
 	case IsolatedExceptCallers:
-		return !b.outside()
+		return !b.isCaller()
 	default:
 		return false
 	}
 }
 
-// outside reports whether the place is that of callers, who are in no region.
-func (p Place) outside() bool {
+// isCaller reports whether the place is that of callers, which has no region.
+func (p Place) isCaller() bool {
 	return p.Region == ""
 }
--- a/internal/bench/disturber/link.go
+++ b/internal/bench/disturber/link.go
@@ -6,17 +6,19 @@
 	"time"
 )
 
-// Link is one direction of a line with limited bandwidth that many connections share.
+// Link is one direction of a link with limited bandwidth that many connections share.
 type Link struct {
-	// BytesPerSecond is the bandwidth, no limit if zero.
+	// BytesPerSecond is the bandwidth; zero is no limit.
 	BytesPerSecond int64
 
 	mutex sync.Mutex
-	free  time.Time
-	bytes atomic.Int64
+	// freeAt is when the last reserved byte has been sent.
+	freeAt time.Time
+	bytes  atomic.Int64
 }
 
-// Reserve books n bytes from now on and returns when the last of them has left.
+// Reserve queues n bytes at the time now, behind those reserved before, and returns when the last
+// of them has been sent.
 func (l *Link) Reserve(n int, now time.Time) time.Time {
 	l.bytes.Add(int64(n))
 	if l.BytesPerSecond <= 0 {
@@ -24,14 +26,14 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.free.Before(now) {
-		l.free = now
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(int64(n) * int64(time.Second) / l.BytesPerSecond))
-	return l.free
+	l.freeAt = l.freeAt.Add(time.Duration(int64(n) * int64(time.Second) / l.BytesPerSecond))
+	return l.freeAt
 }
 
-// Bytes is how many bytes went over the link.
+// Bytes returns how many bytes have been reserved so far.
 func (l *Link) Bytes() int64 {
 	return l.bytes.Load()
 }
--- a/internal/bench/disturber/packet.go
+++ b/internal/bench/disturber/packet.go
@@ -11,16 +11,18 @@
 	"github.com/cuminwick/cuminwick/internal/clock/scheduler"
 )
 
-// packets is how many datagrams wait on one path; more are dropped, as a router does.
-const packets = 4096
+// pathQueueLength is the number of datagrams that can be queued for one path. Further ones are
+// dropped, as by a router.
+const pathQueueLength = 4096
 
-// Listener returns the function by which a part in the place opens UDP sockets.
-// What it sends takes the paths of the network; what is sent to it takes them at the sender.
+// Listener returns the function with which a component at the place opens UDP sockets. Latency,
+// bandwidth and faults apply to sent datagrams; for received ones they apply at the sender.
 func (n *Network) Listener(at Place) func(a *net.UDPAddr) (net.PacketConn, error) {
 	l := &packetListener{network: n, at: at}
 	return l.listen
 }
 
+// packetListener opens UDP sockets at one place.
 type packetListener struct {
 	network *Network
 	at      Place
@@ -36,14 +38,15 @@
 	return &packetConn{PacketConn: c, socket: c, network: l.network, from: l.at, context: ctx, stop: stop, paths: map[Place]chan datagram{}}, nil
 }
 
-// datagram is one packet on its way.
+// datagram is a queued packet.
 type datagram struct {
-	bytes []byte
-	to    net.Addr
-	due   time.Time
+	bytes  []byte
+	to     net.Addr
+	sendAt time.Time
 }
 
-// packetConn is a UDP socket whose datagrams take the paths of the network.
+// packetConn is a UDP socket that sends its datagrams with the latency, bandwidth and faults of
+// the network.
 type packetConn struct {
 	net.PacketConn
 	socket  *net.UDPConn
@@ -56,12 +59,12 @@
 	paths map[Place]chan datagram
 }
 
-// WriteTo implements net.PacketConn. What a partition or a full path drops
-// counts as sent, as with any datagram.
+// WriteTo implements net.PacketConn. Datagrams dropped by a partition or a full queue count as
+// sent, because UDP does not report loss.
 func (c *packetConn) WriteTo(b []byte, to net.Addr) (int, error) {
 	t := c.network.place(to.String())
 	p := Path{From: c.from, To: t}
-	if cut, _ := c.network.state(p); cut {
+	if cut, _ := c.network.cutState(p); cut {
 		return len(b), nil
 	}
 	d := c.network.Latency(p)
@@ -74,19 +77,19 @@
 		now = k.Reserve(len(b), now)
 	}
 	select {
-	case c.path(t) <- datagram{bytes: append([]byte(nil), b...), to: to, due: now.Add(d)}:
+	case c.path(t) <- datagram{bytes: append([]byte(nil), b...), to: to, sendAt: now.Add(d)}:
 	default:
 	}
 	return len(b), nil
 }
 
-// path returns the queue towards a place.
+// path returns the queue of the path to a place and starts it if there is none.
 func (c *packetConn) path(to Place) chan datagram {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	q, ok := c.paths[to]
 	if !ok {
-		q = make(chan datagram, packets)
+		q = make(chan datagram, pathQueueLength)
 		c.paths[to] = q
 		go c.loopSend(q)
 	}
@@ -98,10 +101,10 @@
 	for {
 		select {
 		case d := <-q:
-			if scheduler.Pause(c.context, time.Until(d.due)) != nil {
+			if scheduler.Pause(c.context, time.Until(d.sendAt)) != nil {
 				return
 			}
-			// A datagram that can't be sent is lost, as any may be.
+			// An error is ignored because UDP does not guarantee delivery.
 			_, _ = c.PacketConn.WriteTo(d.bytes, d.to)
 		case <-c.context.Done():
 			return
@@ -109,12 +112,12 @@
 	}
 }
 
-// SetReadBuffer sets the size of the socket's receive buffer, as QUIC wishes.
+// SetReadBuffer sets the size of the socket's receive buffer; the QUIC implementation calls it.
 func (c *packetConn) SetReadBuffer(n int) error {
 	return c.socket.SetReadBuffer(n)
 }
 
-// SetWriteBuffer sets the size of the socket's send buffer, as QUIC wishes.
+// SetWriteBuffer sets the size of the socket's send buffer; the QUIC implementation calls it.
 func (c *packetConn) SetWriteBuffer(n int) error {
 	return c.socket.SetWriteBuffer(n)
 }
@@ -125,14 +128,14 @@
 	return c.PacketConn.Close()
 }
 
-// place returns where an address is, the zero place if unknown.
+// place returns the place of an address, the zero Place if unknown.
 func (n *Network) place(address string) Place {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.places[address]
 }
 
-// linkOf returns the region link on a path, nil where there is none.
+// linkOf returns the link between the regions of a path, nil if there is none.
 func (n *Network) linkOf(p Path) *Link {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/bench/disturber/proxy.go
+++ b/internal/bench/disturber/proxy.go
@@ -11,29 +11,29 @@
 	"github.com/cuminwick/cuminwick/internal/clock/scheduler"
 )
 
-// Sizes of a flow's buffer.
+// Sizes of the buffer of one direction of a connection.
 const (
-	chunkBytes = 16 << 10
-	chunks     = 64
+	chunkBytes  = 16 << 10
+	queueLength = 64
 )
 
-// proxy carries the connections from one place to one address.
+// proxy forwards the connections from one place to one address.
 type proxy struct {
-	network     *Network
-	route       route
-	to          Place
-	listener    net.Listener
-	there, back time.Duration
-	up, down    *Link
+	network                *Network
+	route                  route
+	target                 Place
+	listener               net.Listener
+	latencyTo, latencyFrom time.Duration
+	linkTo, linkFrom       *Link
 
-	mutex sync.Mutex
-	flows map[*flow]bool
+	mutex       sync.Mutex
+	connections map[*connection]bool
 }
 
-// passable returns when the zones aren't parted.
-func (p *proxy) passable(ctx context.Context) error {
+// waitUncut waits until the route is not cut, and returns the error of ctx if that ends first.
+func (p *proxy) waitUncut(ctx context.Context) error {
 	for {
-		c, g := p.network.state(Path{From: p.route.from, To: p.to})
+		c, g := p.network.cutState(Path{From: p.route.from, To: p.target})
 		if !c {
 			return ctx.Err()
 		}
@@ -45,6 +45,7 @@
 	}
 }
 
+// run accepts connections until ctx ends.
 func (p *proxy) run(ctx context.Context) {
 	defer context.AfterFunc(ctx, func() { p.listener.Close() })()
 	for {
@@ -52,58 +53,58 @@
 		if err != nil {
 			return
 		}
-		f := &flow{proxy: p, near: c}
+		f := &connection{proxy: p, client: c}
 		go f.run(ctx)
 	}
 }
 
-func (p *proxy) add(f *flow) {
+func (p *proxy) add(f *connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.flows[f] = true
+	p.connections[f] = true
 }
 
-func (p *proxy) remove(f *flow) {
+func (p *proxy) remove(f *connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	delete(p.flows, f)
+	delete(p.connections, f)
 }
 
-// silence makes the open flows silent and returns how many there were.
-func (p *proxy) silence() int {
+// silenceConnections silences the open connections and returns how many there were.
+func (p *proxy) silenceConnections() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for f := range p.flows {
+	for f := range p.connections {
 		f.silent.Store(true)
 		if k := p.network.ServerKeepalive; k > 0 {
-			far := f.far
-			time.AfterFunc(k, func() { far.Close() })
+			server := f.server
+			time.AfterFunc(k, func() { server.Close() })
 		}
 	}
-	return len(p.flows)
+	return len(p.connections)
 }
 
-// flow is one proxied connection.
-type flow struct {
+// connection is one proxied connection.
+type connection struct {
 	proxy  *proxy
-	near   net.Conn
-	far    net.Conn
+	client net.Conn
+	server net.Conn
 	silent atomic.Bool
 }
 
-// run carries bytes both ways until both directions have ended.
-func (f *flow) run(ctx context.Context) {
-	defer f.near.Close()
-	if f.proxy.passable(ctx) != nil {
+// run connects to the address and forwards in both directions until both have ended.
+func (f *connection) run(ctx context.Context) {
+	defer f.client.Close()
+	if f.proxy.waitUncut(ctx) != nil {
 		return
 	}
 	var d net.Dialer
-	far, err := d.DialContext(ctx, "tcp", f.proxy.route.address)
+	server, err := d.DialContext(ctx, "tcp", f.proxy.route.address)
 	if err != nil {
 		return
 	}
-	defer far.Close()
-	f.far = far
+	defer server.Close()
+	f.server = server
 	f.proxy.add(f)
 	defer f.proxy.remove(f)
 	ctx, stop := context.WithCancel(ctx)
@@ -111,50 +112,50 @@
 	defer context.AfterFunc(ctx, func() { f.close() })()
 	var w sync.WaitGroup
 	w.Go(func() {
-		f.carry(ctx, &pump{flow: f, from: f.near, to: f.far, latency: f.proxy.there, link: f.proxy.up})
+		f.carry(ctx, &direction{connection: f, from: f.client, to: f.server, latency: f.proxy.latencyTo, link: f.proxy.linkTo})
 	})
 	w.Go(func() {
-		f.carry(ctx, &pump{flow: f, from: f.far, to: f.near, latency: f.proxy.back, link: f.proxy.down})
+		f.carry(ctx, &direction{connection: f, from: f.server, to: f.client, latency: f.proxy.latencyFrom, link: f.proxy.linkFrom})
 	})
 	w.Wait()
 }
 
-func (f *flow) close() {
-	f.near.Close()
-	f.far.Close()
+func (f *connection) close() {
+	f.client.Close()
+	f.server.Close()
 }
 
-// carry runs one direction and passes its end on.
-func (f *flow) carry(ctx context.Context, p *pump) {
-	p.queue = make(chan chunk, chunks)
+// carry forwards one direction until it ends.
+func (f *connection) carry(ctx context.Context, p *direction) {
+	p.queue = make(chan chunk, queueLength)
 	go p.loopRead(ctx)
 	p.loopWrite(ctx)
 }
 
-// chunk is some bytes and when they arrive.
+// chunk is a sequence of bytes with its time of arrival.
 type chunk struct {
-	bytes []byte
-	due   time.Time
+	bytes     []byte
+	arrivesAt time.Time
 }
 
-// pump is one direction of a flow.
-type pump struct {
-	flow    *flow
-	from    net.Conn
-	to      net.Conn
-	latency time.Duration
-	link    *Link
-	queue   chan chunk
+// direction is one direction of a connection.
+type direction struct {
+	connection *connection
+	from       net.Conn
+	to         net.Conn
+	latency    time.Duration
+	link       *Link
+	queue      chan chunk
 }
 
-// loopRead takes bytes as they come and works out when they arrive.
-func (p *pump) loopRead(ctx context.Context) {
+// loopRead reads bytes as they come and queues them with their time of arrival.
+func (p *direction) loopRead(ctx context.Context) {
 	defer close(p.queue)
 	b := make([]byte, chunkBytes)
 	for {
 		n, err := p.from.Read(b)
 		if n > 0 {
-			c := chunk{bytes: append([]byte(nil), b[:n]...), due: p.arrival(n, time.Now())}
+			c := chunk{bytes: append([]byte(nil), b[:n]...), arrivesAt: p.arrival(n, time.Now())}
 			select {
 			case p.queue <- c:
 			case <-ctx.Done():
@@ -167,44 +168,45 @@
 	}
 }
 
-func (p *pump) arrival(n int, now time.Time) time.Time {
+// arrival returns when n bytes sent at the time now arrive.
+func (p *direction) arrival(n int, now time.Time) time.Time {
 	if p.link != nil {
 		now = p.link.Reserve(n, now)
 	}
 	return now.Add(p.latency)
 }
 
-// loopWrite passes the bytes on when they are due. A silent flow swallows them,
-// and its end with them, as a middlebox does that has lost track of a connection.
-func (p *pump) loopWrite(ctx context.Context) {
+// loopWrite writes the bytes at their time of arrival. On a silenced connection it drops them and
+// does not pass on the end of the stream, as a middlebox does that has lost the state of a connection.
+func (p *direction) loopWrite(ctx context.Context) {
 	defer p.closeWrite(ctx)
 	for c := range p.queue {
-		if scheduler.Pause(ctx, time.Until(c.due)) != nil {
+		if scheduler.Pause(ctx, time.Until(c.arrivesAt)) != nil {
 			return
 		}
-		if p.flow.proxy.passable(ctx) != nil {
+		if p.connection.proxy.waitUncut(ctx) != nil {
 			return
 		}
-		if p.flow.silent.Load() {
+		if p.connection.silent.Load() {
 			continue
 		}
 		if _, err := p.to.Write(c.bytes); err != nil {
-			p.flow.close()
+			p.connection.close()
 			return
 		}
 	}
 }
 
-// closeWrite passes on the end of the direction.
-func (p *pump) closeWrite(ctx context.Context) {
-	if p.flow.silent.Load() {
+// closeWrite passes on the end of the stream, after the latency.
+func (p *direction) closeWrite(ctx context.Context) {
+	if p.connection.silent.Load() {
 		return
 	}
-	if scheduler.Pause(ctx, p.latency) != nil || p.flow.proxy.passable(ctx) != nil {
+	if scheduler.Pause(ctx, p.latency) != nil || p.connection.proxy.waitUncut(ctx) != nil {
 		return
 	}
 	if t, ok := p.to.(interface{ CloseWrite() error }); ok {
-		// The other end may be gone already, then there is nothing to pass on.
+		// An error means that the receiver has closed already, so nothing is left to pass on.
 		_ = t.CloseWrite()
 		return
 	}
