--- a/internal/bench/disturber/disturber.go
+++ b/internal/bench/disturber/disturber.go
@@ -100,7 +100,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := p.waitUncut(ctx); err != nil {
+	if err := p.waitReachable(ctx); err != nil {
 		return nil, errors.Annotatef(err, "dial %s from %s", address, d.from.AvailabilityZone)
 	}
 	if err := scheduler.Pause(ctx, p.latencyTo+p.latencyFrom); err != nil {
--- a/internal/bench/disturber/proxy.go
+++ b/internal/bench/disturber/proxy.go
@@ -11,10 +11,11 @@
 	"github.com/cuminwick/cuminwick/internal/clock/scheduler"
 )
 
-// Sizes of the buffer of one direction of a connection.
+// Bounds of the buffer of one direction of a connection: the size of a chunk and the number of
+// chunks queued.
 const (
-	chunkBytes  = 16 << 10
-	queueLength = 64
+	chunkBytes   = 16 << 10
+	queuedChunks = 64
 )
 
 // proxy forwards the connections from one place to one address.
@@ -30,8 +31,8 @@
 	connections map[*connection]bool
 }
 
-// waitUncut waits until the route is not cut, and returns the error of ctx if that ends first.
-func (p *proxy) waitUncut(ctx context.Context) error {
+// waitReachable waits until the route is not cut, and returns the error of ctx if that ends first.
+func (p *proxy) waitReachable(ctx context.Context) error {
 	for {
 		c, g := p.network.cutState(Path{From: p.route.from, To: p.target})
 		if !c {
@@ -95,7 +96,7 @@
 // run connects to the address and forwards in both directions until both have ended.
 func (f *connection) run(ctx context.Context) {
 	defer f.client.Close()
-	if f.proxy.waitUncut(ctx) != nil {
+	if f.proxy.waitReachable(ctx) != nil {
 		return
 	}
 	var d net.Dialer
@@ -127,7 +128,7 @@
 
 // carry forwards one direction until it ends.
 func (f *connection) carry(ctx context.Context, p *direction) {
-	p.queue = make(chan chunk, queueLength)
+	p.queue = make(chan chunk, queuedChunks)
 	go p.loopRead(ctx)
 	p.loopWrite(ctx)
 }
@@ -184,7 +185,7 @@
 		if scheduler.Pause(ctx, time.Until(c.arrivesAt)) != nil {
 			return
 		}
-		if p.connection.proxy.waitUncut(ctx) != nil {
+		if p.connection.proxy.waitReachable(ctx) != nil {
 			return
 		}
 		if p.connection.silent.Load() {
@@ -202,7 +203,7 @@
 	if p.connection.silent.Load() {
 		return
 	}
-	if scheduler.Pause(ctx, p.latency) != nil || p.connection.proxy.waitUncut(ctx) != nil {
+	if scheduler.Pause(ctx, p.latency) != nil || p.connection.proxy.waitReachable(ctx) != nil {
 		return
 	}
 	if t, ok := p.to.(interface{ CloseWrite() error }); ok {
