--- a/internal/bench/definer/definer.go
+++ b/internal/bench/definer/definer.go
@@ -1,4 +1,4 @@
-// Package definer holds the deployments, scenarios and policies as plain data.
+// Package definer defines the deployments, loads, scenarios and policies of the bench as plain data.
 package definer
 
 import (
@@ -7,33 +7,37 @@
 	"github.com/cuminwick/cuminwick/internal/bench/disturber"
 )
 
-// Deployment is one user's places and services, as the brief gives them.
+// Deployment describes the availability zones, latencies, database groups and entry hosts of one deployment.
 type Deployment struct {
 	Name string
-	// Places are the availability zones, in order of the groups' first primaries.
+	// Places are the availability zones, in the order in which they hold the first primaries of
+	// Groups.
 	Places []disturber.Place
-	// StoreRegion is where the platform's store stands.
+	// StoreRegion is the region of the platform's store.
 	StoreRegion string
-	// ZoneLatency, RegionLatency and CallerLatency are one-way.
+	// ZoneLatency, RegionLatency and CallerLatency are the one-way latencies between zones of a
+	// region, between regions, and between callers and entry hosts.
 	ZoneLatency, RegionLatency, CallerLatency time.Duration
-	// LinkBytesPerSecond is what two regions share, each way.
+	// LinkBytesPerSecond is the bandwidth between two regions, in each direction.
 	LinkBytesPerSecond int64
-	Service            string
-	// Groups are the database groups; each has a backend server in every place.
+	// Service is the service of all groups.
+	Service string
+	// Groups are the names of the database groups. Each has a backend server in every place.
 	Groups []string
-	// Slots, Connections and ConnectTime are those of each backend server.
+	// Slots, Connections and ConnectTime apply to each backend server. ConnectTime is how long it
+	// takes to open a connection.
 	Slots, Connections int
 	ConnectTime        time.Duration
 	// HostsPerPlace is the number of entry hosts in each availability zone.
 	HostsPerPlace int
-	// MaximumHosts bounds the number of entry hosts, no bound if zero.
+	// MaximumHosts bounds the number of entry hosts; zero is no bound.
 	MaximumHosts int
 }
 
-// megabit is a million bits in bytes.
-const megabit = 1_000_000 / 8
+// bytesPerMegabit is the number of bytes in a million bits.
+const bytesPerMegabit = 1_000_000 / 8
 
-// Deployments returns the two deployments of the brief.
+// Deployments returns the two reference deployments.
 func Deployments() []Deployment {
 	return []Deployment{
 		{
@@ -47,7 +51,7 @@
 			ZoneLatency:        time.Millisecond,
 			RegionLatency:      8 * time.Millisecond,
 			CallerLatency:      time.Millisecond,
-			LinkBytesPerSecond: 30 * megabit,
+			LinkBytesPerSecond: 30 * bytesPerMegabit,
 			Service:            "kalkul-db",
 			Groups:             []string{"kalkul-1", "kalkul-2", "kalkul-3"},
 			Slots:              2,
@@ -66,7 +70,7 @@
 			ZoneLatency:        1500 * time.Microsecond,
 			RegionLatency:      8 * time.Millisecond,
 			CallerLatency:      3 * time.Millisecond,
-			LinkBytesPerSecond: 30 * megabit,
+			LinkBytesPerSecond: 30 * bytesPerMegabit,
 			Service:            "helpline-records",
 			Groups:             []string{"records-1", "records-2", "records-3"},
 			Slots:              3,
@@ -77,15 +81,15 @@
 	}
 }
 
-// CallerZone is the zone name of callers, who stand at CallerLatency from every entry host.
+// CallerZone is the availability zone of callers, which have CallerLatency to every entry host.
 const CallerZone = "callers"
 
-// CallersPlace is where callers stand.
+// CallersPlace returns the place of callers, which has no region.
 func CallersPlace() disturber.Place {
 	return disturber.Place{AvailabilityZone: CallerZone}
 }
 
-// Latency returns the one-way latency between two places.
+// Latency returns the one-way latency of a path.
 func (d *Deployment) Latency(p disturber.Path) time.Duration {
 	a, b := p.From, p.To
 	switch {
@@ -100,40 +104,42 @@
 	}
 }
 
-// Capacity is how many statements a second one group's servers can work on
-// together, when each takes the given time.
+// Capacity returns how many statements per second the servers of one group can execute together
+// if each statement takes the given service time.
 func (d *Deployment) Capacity(service time.Duration) float64 {
 	return float64(d.Slots*len(d.Places)) / service.Seconds()
 }
 
-// Load is what callers do.
+// Load describes the requests of callers.
 type Load struct {
-	// RequestsPerSecond is the number of requests a second over all groups, no limit if zero.
+	// RequestsPerSecond is the request rate over all groups; zero is no limit.
 	RequestsPerSecond float64
-	// Callers is how many sessions are open at a time.
+	// Callers is the number of concurrent sessions.
 	Callers int
-	// RequestsPerSession is how many requests a session makes before it ends.
+	// RequestsPerSession is the number of requests that a session sends before it ends.
 	RequestsPerSession int
-	// CancelShare of the requests are cancelled, at a random moment up to CancelWithin.
+	// CancelShare is the share of requests that are cancelled, after a random delay of up to
+	// MaximumCancelDelay.
 	CancelShare        float64
 	MaximumCancelDelay time.Duration
-	// DisconnectShare of the cancels just drop the connection.
+	// DisconnectShare is the share of cancellations that only close the connection.
 	DisconnectShare float64
-	// SwitchHostShare of the requests are preceded by a move to another entry host.
+	// SwitchHostShare is the share of requests before which the session moves to another entry host.
 	SwitchHostShare float64
-	// Mix weighs the kinds of request, in the order of checker's kinds.
+	// Notes to Reports are the relative weights of the kinds of requests that checker.Kind defines.
 	Notes, Saves, Bookings, Reads, Reviews, Reports int
-	// MaximumReviewAge is how stale a review may be, by the routing rule for its tag.
+	// MaximumReviewAge bounds how stale the answer of a review may be. The routing rule for
+	// ReviewTag sets it.
 	MaximumReviewAge time.Duration
-	// ServiceTime is what a statement takes in its slot.
+	// ServiceTime is how long a statement occupies its slot.
 	ServiceTime time.Duration
 }
 
-// ReviewTag is the tag of reviews in the leading comment.
+// ReviewTag is the tag of reviews in the leading SQL comment.
 const ReviewTag = "review"
 
-// StandardLoad is many short sessions that read far more than they write and
-// cancel most of their requests.
+// StandardLoad returns a load of many short sessions that read far more than they write and cancel
+// most of their requests.
 func StandardLoad() Load {
 	return Load{
 		Callers:            48,
--- a/internal/bench/definer/definer_test.go
+++ b/internal/bench/definer/definer_test.go
@@ -8,9 +8,10 @@
 	"github.com/cuminwick/cuminwick/internal/bench/disturber"
 )
 
+// Guards against seeds that draw the same fault twice, and pairs that no seed draws.
 func TestMixedDrawsTwoFaults(t *testing.T) {
 	seen := map[[2]Fault]bool{}
-	n := len(mixable)
+	n := len(mixedFaults)
 	for i := range n * (n - 1) {
 		s := Scenario{Mixed: true}
 		s.DrawFaults(uint64(i))
@@ -24,8 +25,9 @@
 	}
 }
 
-// The race is taken back last, so that operators meet what is left of the other fault.
-func TestRacedDrawsOneFaultBesideTheRace(t *testing.T) {
+// Guards against a race that is removed before the other fault: it must be last, so that operators
+// also apply configurations while the system recovers from that fault.
+func TestRaceWithFaultDrawsOneMoreFault(t *testing.T) {
 	seen := map[Fault]bool{}
 	for i := range RaceFaultCount() {
 		s := Scenario{RaceWithFault: true}
@@ -35,8 +37,8 @@
 		}
 		seen[s.Faults[0]] = true
 	}
-	if len(seen) != len(raceable) {
-		t.Errorf("%d of %d faults are drawn", len(seen), len(raceable))
+	if len(seen) != len(raceFaults) {
+		t.Errorf("%d of %d faults are drawn", len(seen), len(raceFaults))
 	}
 }
 
@@ -69,10 +71,10 @@
 		set      float64
 		want     float64
 	}{
-		"not set":            {Scenario{}, 0, 40},
-		"set by scenario":    {Scenario{Utilisation: 1.3}, 0, 130},
-		"set by command":     {Scenario{}, 90, 90},
-		"command goes first": {Scenario{Utilisation: 0.5}, 130, 130},
+		"not set":                  {Scenario{}, 0, 40},
+		"set by scenario":          {Scenario{Utilisation: 1.3}, 0, 130},
+		"set by command":           {Scenario{}, 90, 90},
+		"command takes precedence": {Scenario{Utilisation: 0.5}, 130, 130},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if e.set > 0 {
@@ -82,7 +84,7 @@
 			full := d.Capacity(l.ServiceTime) * float64(len(d.Groups))
 			got := 100 * l.RequestsPerSecond * l.StatementsPerRequest() / full
 			if math.Abs(got-e.want) > 0.001 || math.Abs(e.scenario.LoadPercent()-e.want) > 0.001 {
-				t.Errorf("load of %f %%, said to be %f %%, want %f %%", got, e.scenario.LoadPercent(), e.want)
+				t.Errorf("load of %f %%, reported as %f %%, want %f %%", got, e.scenario.LoadPercent(), e.want)
 			}
 		})
 	}
--- a/internal/bench/definer/finder.go
+++ b/internal/bench/definer/finder.go
@@ -1,7 +1,8 @@
 package definer
 
-// Named is what can be asked for by name.
+// Named is an element that can be looked up by name.
 type Named interface {
+	// Label returns the name of the element.
 	Label() string
 }
 
@@ -14,13 +15,13 @@
 // Label implements Named.
 func (p Policy) Label() string { return p.Name }
 
-// Find returns the element so named.
+// Find returns the element with the given name, false if there is none.
 func Find[T Named](l []T, name string) (T, bool) {
 	for _, e := range l {
 		if e.Label() == name {
 			return e, true
 		}
 	}
-	var none T
-	return none, false
+	var zero T
+	return zero, false
 }
--- a/internal/bench/definer/policy.go
+++ b/internal/bench/definer/policy.go
@@ -1,24 +1,24 @@
 package definer
 
-// Policy is a way to set up the system under test: cuminwick, or a baseline.
+// Policy is a variant of the system under test: cuminwick, or a baseline to compare it with.
 type Policy struct {
 	Name string
-	// Description is one line for --list.
+	// Description is the line that --list prints.
 	Description string
-	// PrimaryReads sends all reads to primaries.
+	// PrimaryReads routes all reads to primaries.
 	PrimaryReads bool
-	// SplitPools lets each entry host open its own connections to every
-	// backend server, as if it knew of no other.
+	// SplitPools makes each entry host open its own connections to every backend server, as if
+	// there were no other entry hosts.
 	SplitPools bool
-	// StickySessions keeps what a session has seen at its entry host alone: reads
-	// may be of any age otherwise, and nothing is known of a session that moves.
+	// StickySessions keeps the mark of what a session has read or written only at its entry host.
+	// Reads may otherwise be of any age, and a session that moves to another entry host starts there with
+	// an empty mark.
 	StickySessions bool
-	// StoreLease promotes a server only once the primary's lease in the
-	// platform's store has lapsed.
+	// StoreLease promotes a server only once the primary's lease in the platform's store has expired.
 	StoreLease bool
 }
 
-// DefaultPolicy is cuminwick as it is.
+// DefaultPolicy is the name of the policy without changes to cuminwick.
 const DefaultPolicy = "cuminwick"
 
 // Policies returns all policies.
--- a/internal/bench/definer/scenario.go
+++ b/internal/bench/definer/scenario.go
@@ -2,74 +2,75 @@
 
 import "time"
 
-// Fault is what goes wrong in the middle of a scenario.
+// Fault is a fault that is injected in the middle of a scenario.
 type Fault string
 
-// Faults. Each is set at a third of the run and taken back at two thirds,
-// except for those that happen once.
+// Faults. Each is injected after a third of the run and removed after two thirds, except for those
+// that happen once.
 const (
-	// NoFault leaves everything as it is.
+	// NoFault injects nothing.
 	NoFault Fault = ""
-	// ReplicaLag holds one replica of each group 30 s behind.
+	// ReplicaLag keeps one replica of each group 30 s behind.
 	ReplicaLag Fault = "replica-lag"
-	// PrimaryCrash ends the first group's primary, which comes back later.
+	// PrimaryCrash ends the primary of the first group, which restarts later.
 	PrimaryCrash Fault = "primary-crash"
-	// PrimaryIsolated cuts the first group's primary off from its peers and
-	// most entry hosts; those in its own zone still reach it.
+	// PrimaryIsolated cuts the primary of the first group off from its peers and most entry hosts;
+	// those in its own zone still reach it.
 	PrimaryIsolated Fault = "primary-isolated"
-	// PrimaryPaused freezes the first group's primary.
+	// PrimaryPaused pauses the primary of the first group.
 	PrimaryPaused Fault = "primary-paused"
-	// PlatformDown stops the object service.
+	// PlatformDown stops the platform's object service.
 	PlatformDown Fault = "platform-down"
-	// ZoneCut parts one availability zone from all others and the platform.
+	// ZoneCut cuts one availability zone off from all others and the platform.
 	ZoneCut Fault = "zone-cut"
-	// RegionCut parts the two regions.
+	// RegionCut partitions the two regions from each other.
 	RegionCut Fault = "region-cut"
-	// SilentConnections makes all open connections between entry hosts and
-	// backend servers silent for good.
+	// SilentConnections permanently silences all open connections between entry hosts and backend
+	// servers: they stay open and deliver nothing.
 	SilentConnections Fault = "silent-connections"
 	// EntryHostKilled ends one entry host without warning.
 	EntryHostKilled Fault = "entry-host-killed"
-	// RollingRestart stops all entry hosts as planned, one after the other.
+	// RollingRestart performs a planned stop of all entry hosts, one after the other.
 	RollingRestart Fault = "rolling-restart"
-	// Leaving marks the first group's primary as leaving.
+	// Leaving marks the primary of the first group as leaving.
 	Leaving Fault = "leaving"
-	// OperatorsRace has operators apply competing changes until it is taken back.
+	// OperatorsRace makes operators apply competing configurations until it is removed.
 	OperatorsRace Fault = "operators-race"
-	// EntryHostCutOff cuts one entry host off from all but its callers.
+	// EntryHostCutOff cuts one entry host off from everything except its callers.
 	EntryHostCutOff Fault = "entry-host-cut-off"
-	// EntryHostSilent cuts one entry host off from all, callers included, as a
-	// pause does.
+	// EntryHostSilent cuts one entry host off from everything including its callers, as a pause of
+	// the host does.
 	EntryHostSilent Fault = "entry-host-silent"
-	// PlatformSlow has each call of the object service take longer.
+	// PlatformSlow delays each call of the object service.
 	PlatformSlow Fault = "platform-slow"
-	// PlatformFlapping stops the object service again and again.
+	// PlatformFlapping repeatedly stops and restarts the object service.
 	PlatformFlapping Fault = "platform-flapping"
 )
 
-// Scenario is one named run.
+// Scenario is one kind of run.
 type Scenario struct {
 	Name string
-	// Description is one line for --list.
+	// Description is the line that --list prints.
 	Description string
-	Faults      []Fault
-	// Utilisation is the load against the slots' capacity, 0 for none given.
+	// Faults are injected in this order and removed in the same order.
+	Faults []Fault
+	// Utilisation is the load as a fraction of the slots' capacity; zero is defaultUtilisation.
 	Utilisation float64
-	// FollowConfiguration has entry hosts follow the configuration in the platform; in other
-	// scenarios it is fixed.
+	// FollowConfiguration makes entry hosts follow the configuration in the platform; in other
+	// scenarios the configuration is fixed.
 	FollowConfiguration bool
-	// Mixed draws two faults by the seed.
+	// Mixed makes DrawFaults pick two faults by the seed.
 	Mixed bool
-	// RaceWithFault draws a fault by the seed and has operators race meanwhile.
+	// RaceWithFault makes DrawFaults pick a fault by the seed, with OperatorsRace at the same time.
 	RaceWithFault bool
-	// Overhead compares point reads directly with those through one entry host.
+	// Overhead compares direct point reads with point reads through one entry host.
 	Overhead bool
 }
 
-// defaultUtilisation is the load where a scenario is about something else.
+// defaultUtilisation is the load of scenarios that do not set one.
 const defaultUtilisation = 0.4
 
-// Scenarios returns all scenarios that can be run.
+// Scenarios returns all scenarios.
 func Scenarios() []Scenario {
 	return []Scenario{
 		{Name: "overhead", Description: "point reads directly and through one entry host, without latency", Overhead: true},
@@ -92,47 +93,48 @@
 	}
 }
 
-// mixable are the faults that mixed draws from.
-var mixable = []Fault{
+// mixedFaults are the faults from which a scenario with Mixed draws.
+var mixedFaults = []Fault{
 	ReplicaLag, PrimaryCrash, PrimaryIsolated, PrimaryPaused, PlatformDown, ZoneCut, RegionCut, SilentConnections,
 	EntryHostKilled,
 }
 
-// raceable are the faults that a race of operators is run during.
-var raceable = []Fault{
+// raceFaults are the faults from which a scenario with RaceWithFault draws.
+var raceFaults = []Fault{
 	EntryHostCutOff, EntryHostKilled, EntryHostSilent, ZoneCut, RegionCut, PlatformSlow, PlatformFlapping, PrimaryCrash,
 }
 
-// RaceFaultCount is how many faults a race is run during. Seeds that differ by a multiple
-// of it draw the same one.
+// RaceFaultCount returns the number of faults from which a scenario with RaceWithFault draws. Seeds
+// that differ by a multiple of it draw the same fault.
 func RaceFaultCount() uint64 {
-	return uint64(len(raceable))
+	return uint64(len(raceFaults))
 }
 
-// DrawFaults picks the faults of a mixed or raced scenario by the seed.
+// DrawFaults sets the faults by the seed if Mixed or RaceWithFault is set.
 func (s *Scenario) DrawFaults(seed uint64) {
 	if s.RaceWithFault {
-		// The race is set last and so taken back last: operators go on while the
-		// other fault ends.
-		s.Faults = []Fault{raceable[seed%RaceFaultCount()], OperatorsRace}
+		// The race is injected last and therefore removed last, so that operators continue while
+		// the other fault ends.
+		s.Faults = []Fault{raceFaults[seed%RaceFaultCount()], OperatorsRace}
 	}
 	if s.Mixed {
 		s.drawPair(seed)
 	}
 }
 
+// drawPair sets two different faults by the seed.
 func (s *Scenario) drawPair(seed uint64) {
-	n := uint64(len(mixable))
+	n := uint64(len(mixedFaults))
 	a := seed % n
-	// The second index differs from the first, and all pairs come up in turn.
+	// The second index differs from the first, and consecutive seeds go through all pairs.
 	b := (a + 1 + seed/n%(n-1)) % n
-	s.Faults = []Fault{mixable[a], mixable[b]}
+	s.Faults = []Fault{mixedFaults[a], mixedFaults[b]}
 }
 
-// percent turns shares into percent.
+// percent converts fractions into percent.
 const percent = 100
 
-// SetLoadPercent makes p percent of the slots' capacity the scenario's load.
+// SetLoadPercent sets the scenario's load to p percent of the slots' capacity.
 func (s *Scenario) SetLoadPercent(p float64) {
 	s.Utilisation = p / percent
 }
@@ -142,6 +144,7 @@
 	return percent * s.utilisation()
 }
 
+// utilisation returns the load as a fraction of the slots' capacity.
 func (s *Scenario) utilisation() float64 {
 	if s.Utilisation == 0 {
 		return defaultUtilisation
@@ -153,17 +156,17 @@
 func (s *Scenario) Load(d *Deployment) Load {
 	l := StandardLoad()
 	u := s.utilisation()
-	// busy is how long a request keeps a caller busy, generously.
-	const busy = 150 * time.Millisecond
+	// requestTime is an upper estimate of how long a request occupies a caller.
+	const requestTime = 150 * time.Millisecond
 	l.RequestsPerSecond = u * d.Capacity(l.ServiceTime) * float64(len(d.Groups)) / l.StatementsPerRequest()
-	l.Callers = max(l.Callers, int(l.RequestsPerSecond*busy.Seconds()))
+	l.Callers = max(l.Callers, int(l.RequestsPerSecond*requestTime.Seconds()))
 	return l
 }
 
-// StatementsPerRequest is how many statements that take a slot a request has on average.
+// StatementsPerRequest returns the average number of statements per request that occupy a slot.
 func (l *Load) StatementsPerRequest() float64 {
 	// A booking has three statements between BEGIN and COMMIT.
-	const booking = 3
+	const bookingStatements = 3
 	n := l.Notes + l.Saves + l.Bookings + l.Reads + l.Reviews + l.Reports
-	return float64(n+(booking-1)*l.Bookings) / float64(n)
+	return float64(n+(bookingStatements-1)*l.Bookings) / float64(n)
 }
