--- a/internal/bench/integrator/deployment_test.go
+++ b/internal/bench/integrator/deployment_test.go
@@ -18,7 +18,7 @@
 	"github.com/cuminwick/cuminwick/internal/peer/certifier"
 )
 
-// deployment is a platform, one group of three backend servers and entry hosts, each a process.
+// deployment is a platform, one group of three backend servers, and entry hosts, each as a process.
 type deployment struct {
 	directory string
 	platform  string
@@ -29,9 +29,11 @@
 	addresses []string
 }
 
+// zones are the availability zones, each with one backend server.
 var zones = []string{"a", "b", "c"}
 
-// deploy starts everything and applies a configuration.
+// deploy starts all processes of a deployment with the given number of entry hosts and applies a
+// configuration.
 func deploy(t *testing.T, hosts int) *deployment {
 	t.Helper()
 	d := &deployment{directory: t.TempDir()}
@@ -42,7 +44,7 @@
 		t.Fatal(err)
 	}
 	d.authority = a
-	d.platform = start(t, "stand-in", "platform", "--address", "127.0.0.1:0").word(t, "platform at ")
+	d.platform = start(t, "stand-in", "platform", "--address", "127.0.0.1:0").valueAfter(t, "platform at ")
 	f := d.configuration(t, d.startBackends(t))
 	for i := range hosts {
 		d.startHost(t, i)
@@ -55,22 +57,22 @@
 	return d
 }
 
-// startBackends starts the group and returns the proxied addresses.
+// startBackends starts the backend servers and returns the addresses of their proxies.
 func (d *deployment) startBackends(t *testing.T) []string {
 	t.Helper()
 	var l []string
-	first := ""
+	primary := ""
 	for i, z := range zones {
 		args := []string{"stand-in", "backend", "--name", "db-" + z, "--address", "127.0.0.1:0", "--password-environment", "BACKEND_PASSWORD"}
 		if i == 0 {
 			args = append(args, "--primary")
 		} else {
-			args = append(args, "--follow", "db-a="+first)
+			args = append(args, "--follow", "db-a="+primary)
 		}
 		p := start(t, args...)
-		a := p.word(t, "backend server db-"+z+" at ")
+		a := p.valueAfter(t, "backend server db-"+z+" at ")
 		if i == 0 {
-			first = a
+			primary = a
 		}
 		d.backends = append(d.backends, p)
 		d.network.SetPlace(a, disturber.Place{AvailabilityZone: z})
@@ -83,7 +85,7 @@
 	return l
 }
 
-// configuration writes the file to apply.
+// configuration writes the configuration file and returns its path.
 func (d *deployment) configuration(t *testing.T, backends []string) string {
 	t.Helper()
 	var b strings.Builder
@@ -91,10 +93,11 @@
 	for i, z := range zones {
 		fmt.Fprintf(&b, "      - {name: db-%s, address: %q, availability-zone: %s, region: one, slots: 2, connections: 16}\n", z, backends[i], z)
 	}
-	fmt.Fprintf(&b, "teams:\n  - name: team\n    database-groups: [notes]\n    roles:\n      - {name: anna, verifier: %q}\n", verifier(t, "vorne"))
+	fmt.Fprintf(&b, "teams:\n  - name: team\n    database-groups: [notes]\n    roles:\n      - {name: anna, verifier: %q}\n", scramVerifier(t, "vorne"))
 	return d.write(t, "configuration.yaml", b.String())
 }
 
+// write writes a file in the directory of the deployment and returns its path.
 func (d *deployment) write(t *testing.T, name, content string) string {
 	t.Helper()
 	f := filepath.Join(d.directory, name)
@@ -107,8 +110,8 @@
 	return f
 }
 
-// verifier returns a password's SCRAM verifier in PostgreSQL's form.
-func verifier(t *testing.T, password string) string {
+// scramVerifier returns the SCRAM verifier of a password in the format of PostgreSQL.
+func scramVerifier(t *testing.T, password string) string {
 	t.Helper()
 	c, err := scram.SHA256.NewClient("", password, "")
 	if err != nil {
@@ -123,7 +126,7 @@
 	return fmt.Sprintf("SCRAM-SHA-256$4096:%s$%s:%s", e([]byte(k.Salt)), e(s.StoredKey), e(s.ServerKey))
 }
 
-// startHost starts entry host i in its own zone.
+// startHost starts entry host i, in the zones in turn, and waits until it listens.
 func (d *deployment) startHost(t *testing.T, i int) {
 	t.Helper()
 	n := fmt.Sprintf("entry-%d", i)
@@ -151,7 +154,7 @@
 `, n, zones[i%len(zones)], a, freePort(t, "udp"), certifier.AuthorityFile, certifier.CertificateFile, certifier.KeyFile, d.platform))
 	d.hosts = append(d.hosts, start(t, "serve", "--settings", s))
 	d.addresses = append(d.addresses, a)
-	until(t, n+" listens", func() bool {
+	waitFor(t, n+" listens", func() bool {
 		x, err := net.Dial("tcp", a)
 		if err == nil {
 			x.Close()
@@ -160,15 +163,16 @@
 	})
 }
 
+// connect connects to an entry host as a caller.
 func (d *deployment) connect(ctx context.Context, host int) (*pgx.Conn, error) {
 	return pgx.Connect(ctx, "postgres://anna:vorne@"+d.addresses[host]+"/notes?sslmode=disable")
 }
 
-// must connects, and waits until the host serves.
-func (d *deployment) must(t *testing.T, host int) *pgx.Conn {
+// connectWhenServing waits until the entry host accepts a session and returns the connection.
+func (d *deployment) connectWhenServing(t *testing.T, host int) *pgx.Conn {
 	t.Helper()
 	var c *pgx.Conn
-	until(t, "host serves", func() bool {
+	waitFor(t, "host serves", func() bool {
 		var err error
 		c, err = d.connect(t.Context(), host)
 		return err == nil
@@ -177,6 +181,7 @@
 	return c
 }
 
+// execute runs a statement and fails the test on an error.
 func execute(t *testing.T, c *pgx.Conn, sql string, args ...any) {
 	t.Helper()
 	if _, err := c.Exec(t.Context(), sql, args...); err != nil {
@@ -184,6 +189,7 @@
 	}
 }
 
+// count returns the integer that a query selects.
 func count(t *testing.T, c *pgx.Conn, sql string) int {
 	t.Helper()
 	var n int
--- a/internal/bench/integrator/doc.go
+++ b/internal/bench/integrator/doc.go
@@ -1,2 +1,2 @@
-// Package integrator holds the integration tests that run cuminwick's subcommands as processes of their own, behind the disturber.
+// Package integrator holds the integration tests that run cuminwick's subcommands as separate processes, connected through the disturber.
 package integrator
--- a/internal/bench/integrator/process_test.go
+++ b/internal/bench/integrator/process_test.go
@@ -16,20 +16,21 @@
 	command "github.com/cuminwick/cuminwick/internal/command/runner"
 )
 
-// asCommand makes the test's binary act as cuminwick, so that no other binary is needed.
-const asCommand = "CUMINWICK_TEST_AS_COMMAND"
+// actAsCommand is the environment variable with which the test binary runs as cuminwick, so that no
+// other binary is needed.
+const actAsCommand = "CUMINWICK_TEST_AS_COMMAND"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asCommand) != "" {
+	if os.Getenv(actAsCommand) != "" {
 		os.Exit(command.Run(context.Background(), os.Args[1:]))
 	}
 	os.Exit(m.Run())
 }
 
-// patience only ends a test that would hang.
-const patience = time.Minute
+// hangTimeout ends a test that would otherwise hang.
+const hangTimeout = time.Minute
 
-// output collects what a process writes.
+// output collects the output of a process.
 type output struct {
 	mutex sync.Mutex
 	bytes bytes.Buffer
@@ -51,14 +52,17 @@
 type process struct {
 	command *exec.Cmd
 	output  *output
-	ended   chan struct{}
-	err     error
+	// ended is closed when the process has ended; err is set before.
+	ended chan struct{}
+	err   error
 }
 
+// start starts a subcommand that is killed at the end of the test. Its output is logged if the test
+// has failed.
 func start(t *testing.T, args ...string) *process {
 	t.Helper()
 	p := &process{command: exec.Command(os.Args[0], args...), output: &output{}, ended: make(chan struct{})}
-	p.command.Env = append(os.Environ(), asCommand+"=1", "BACKEND_PASSWORD=hinten")
+	p.command.Env = append(os.Environ(), actAsCommand+"=1", "BACKEND_PASSWORD=hinten")
 	p.command.Stdout, p.command.Stderr = p.output, p.output
 	if err := p.command.Start(); err != nil {
 		t.Fatal(err)
@@ -77,34 +81,37 @@
 	return p
 }
 
+// kill kills the process and waits for its end.
 func (p *process) kill() {
 	p.command.Process.Kill()
 	<-p.ended
 }
 
-// word waits for a line that begins with prefix and returns the word behind it.
-func (p *process) word(t *testing.T, prefix string) string {
+// valueAfter waits until the output contains prefix and returns what follows on the same line, up
+// to a comma.
+func (p *process) valueAfter(t *testing.T, prefix string) string {
 	t.Helper()
-	var w string
-	until(t, "output has "+prefix, func() bool {
+	var value string
+	waitFor(t, "output has "+prefix, func() bool {
 		_, r, ok := strings.Cut(p.output.String(), prefix)
-		w, _, _ = strings.Cut(strings.TrimSpace(strings.SplitN(r, "\n", 2)[0]), ",")
-		return ok && w != ""
+		value, _, _ = strings.Cut(strings.TrimSpace(strings.SplitN(r, "\n", 2)[0]), ",")
+		return ok && value != ""
 	})
-	return w
+	return value
 }
 
-func until(t *testing.T, what string, holds func() bool) {
+// waitFor waits until the condition holds and fails the test after hangTimeout.
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); {
+	for end := time.Now().Add(hangTimeout); !condition(); {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out after %v: %s", hangTimeout, what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// freePort returns a loopback address that nobody listens on at present.
+// freePort returns a loopback address on which nothing listens at present.
 func freePort(t *testing.T, network string) string {
 	t.Helper()
 	if network == "udp" {
@@ -123,12 +130,12 @@
 	return l.Addr().String()
 }
 
-// The primary's process is killed while a caller writes. Writes stop for a
-// moment; then another server takes over, every acknowledged note is there, and
-// a caller at the other entry host reads them.
+// Guards against acknowledged writes that are lost by a failover. The process of the primary is
+// killed while a caller writes. Writes continue at another server, and a caller at the other entry
+// host reads every acknowledged note.
 func TestPrimaryProcessIsKilled(t *testing.T) {
 	d := deploy(t, 2)
-	c := d.must(t, 0)
+	c := d.connectWhenServing(t, 0)
 	execute(t, c, "CREATE TABLE note (id int PRIMARY KEY)")
 	acknowledged := 0
 	for i := range 50 {
@@ -137,52 +144,52 @@
 	}
 	d.backends[0].kill()
 	next := 1000
-	until(t, "writes go on", func() bool {
+	waitFor(t, "writes continue", func() bool {
 		next++
 		if c.IsClosed() {
-			c = d.must(t, 0)
+			c = d.connectWhenServing(t, 0)
 		}
 		_, err := c.Exec(t.Context(), "INSERT INTO note VALUES ($1)", next)
 		return err == nil
 	})
 	acknowledged++
-	o := d.must(t, 1)
-	// Notes whose write failed may be there or not; the last one was acknowledged.
+	o := d.connectWhenServing(t, 1)
+	// Notes whose write failed may exist or not; the last one was acknowledged.
 	if n := count(t, o, fmt.Sprintf("SELECT count(*) FROM note WHERE id < 1000 OR id = %d", next)); n != acknowledged {
-		t.Errorf("%d of %d acknowledged notes are there", n, acknowledged)
+		t.Errorf("%d of %d acknowledged notes exist", n, acknowledged)
 	}
 }
 
-// All open connections to the primary go silent: no end is told. The caller's
-// next write must not hang until its deadline, since new connections work.
+// Guards against a write that hangs until its deadline on a silenced connection. All open
+// connections to the primary stay open and deliver nothing, while new connections work.
 func TestConnectionsGoSilent(t *testing.T) {
 	d := deploy(t, 1)
-	c := d.must(t, 0)
+	c := d.connectWhenServing(t, 0)
 	execute(t, c, "CREATE TABLE note (id int PRIMARY KEY)")
 	execute(t, c, "INSERT INTO note VALUES (1)")
 	if d.network.Silence("hosts", "a") == 0 {
 		t.Fatal("there was no connection to the primary")
 	}
 	n := 1
-	until(t, "writes go on", func() bool {
+	waitFor(t, "writes continue", func() bool {
 		n++
 		if c.IsClosed() {
-			c = d.must(t, 0)
+			c = d.connectWhenServing(t, 0)
 		}
 		_, err := c.Exec(t.Context(), "INSERT INTO note VALUES ($1)", n)
 		return err == nil
 	})
 	if k := count(t, c, fmt.Sprintf("SELECT count(*) FROM note WHERE id = 1 OR id = %d", n)); k != 2 {
-		t.Errorf("%d of 2 acknowledged notes are there", k)
+		t.Errorf("%d of 2 acknowledged notes exist", k)
 	}
 }
 
-// An entry host's process is killed in the middle of a transaction. Its caller
-// loses the connection; nothing of the transaction stays, and the row isn't
-// locked for the others.
+// Guards against a transaction that outlives its entry host. The process of the entry host is killed
+// in the middle of a transaction. The caller loses the connection, nothing of the transaction
+// remains, and the row is not locked for others.
 func TestEntryHostProcessIsKilled(t *testing.T) {
 	d := deploy(t, 2)
-	c, o := d.must(t, 0), d.must(t, 1)
+	c, o := d.connectWhenServing(t, 0), d.connectWhenServing(t, 1)
 	execute(t, c, "CREATE TABLE note (id int PRIMARY KEY, body text)")
 	execute(t, c, "INSERT INTO note VALUES (1, 'old')")
 	execute(t, c, "BEGIN")
@@ -190,22 +197,22 @@
 	d.hosts[0].kill()
 	execute(t, o, "UPDATE note SET body = body || '!' WHERE id = 1")
 	if n := count(t, o, "SELECT count(*) FROM note WHERE body = 'old!'"); n != 1 {
-		t.Error("the transaction of the killed entry host left something behind")
+		t.Error("the transaction of the killed entry host had an effect")
 	}
 }
 
-// An entry host gets SIGTERM while a caller is in the middle of a transaction.
-// The transaction ends as usual, and then the process does, with exit code 0.
+// Guards against a planned stop that cuts off a transaction. An entry host receives SIGTERM in the
+// middle of a transaction. The transaction commits, and then the process ends with exit code 0.
 func TestPlannedStopCutsNothingOff(t *testing.T) {
 	d := deploy(t, 2)
-	c, o := d.must(t, 0), d.must(t, 1)
+	c, o := d.connectWhenServing(t, 0), d.connectWhenServing(t, 1)
 	execute(t, c, "CREATE TABLE note (id int PRIMARY KEY)")
 	execute(t, c, "BEGIN")
 	execute(t, c, "INSERT INTO note VALUES (1)")
 	if err := d.hosts[0].command.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the host takes no more callers", func() bool {
+	waitFor(t, "the host refuses new callers", func() bool {
 		x, err := d.connect(t.Context(), 0)
 		if err == nil {
 			x.Close(t.Context())
@@ -219,6 +226,6 @@
 		t.Errorf("entry host ended with %v", d.hosts[0].err)
 	}
 	if n := count(t, o, "SELECT count(*) FROM note"); n != 2 {
-		t.Errorf("%d of 2 notes are there", n)
+		t.Errorf("%d of 2 notes exist", n)
 	}
 }
