--- a/internal/bench/disturber/proxy.go
+++ b/internal/bench/disturber/proxy.go
@@ -113,10 +113,10 @@
 	defer context.AfterFunc(ctx, func() { f.close() })()
 	var w sync.WaitGroup
 	w.Go(func() {
-		f.carry(ctx, &direction{connection: f, from: f.client, to: f.server, latency: f.proxy.latencyTo, link: f.proxy.linkTo})
+		f.forward(ctx, &direction{connection: f, from: f.client, to: f.server, latency: f.proxy.latencyTo, link: f.proxy.linkTo})
 	})
 	w.Go(func() {
-		f.carry(ctx, &direction{connection: f, from: f.server, to: f.client, latency: f.proxy.latencyFrom, link: f.proxy.linkFrom})
+		f.forward(ctx, &direction{connection: f, from: f.server, to: f.client, latency: f.proxy.latencyFrom, link: f.proxy.linkFrom})
 	})
 	w.Wait()
 }
@@ -126,8 +126,8 @@
 	f.server.Close()
 }
 
-// carry forwards one direction until it ends.
-func (f *connection) carry(ctx context.Context, p *direction) {
+// forward forwards one direction until it ends, and passes on its end.
+func (f *connection) forward(ctx context.Context, p *direction) {
 	p.queue = make(chan chunk, queuedChunks)
 	go p.loopRead(ctx)
 	p.loopWrite(ctx)
