--- a/internal/bench/integrator/process_test.go
+++ b/internal/bench/integrator/process_test.go
@@ -105,7 +105,7 @@
 	t.Helper()
 	for end := time.Now().Add(hangTimeout); !condition(); {
 		if time.Now().After(end) {
-			t.Fatalf("timed out after %v: %s", hangTimeout, what)
+			t.Fatalf("timed out: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
