--- a/internal/bench/loader/loader.go
+++ b/internal/bench/loader/loader.go
@@ -42,8 +42,8 @@
 	Token string
 	// Seed fixes what callers do; the moments stay those of the run.
 	Seed uint64
-	// Begun is the run's start.
-	Begun time.Time
+	// StartTime is the run's start.
+	StartTime time.Time
 
 	limiter  *rate.Limiter
 	mutex    sync.Mutex
@@ -79,7 +79,7 @@
 
 // since returns the time since the run's start.
 func (l *Loader) since() time.Duration {
-	return time.Since(l.Begun)
+	return time.Since(l.StartTime)
 }
 
 // tables are made in every group before the load begins.
--- a/internal/bench/loader/loader_test.go
+++ b/internal/bench/loader/loader_test.go
@@ -31,12 +31,12 @@
 	})
 	<-s.Ready()
 	l := &Loader{
-		Load:   definer.Load{Bookings: 1, CancelShare: 1, DisconnectShare: 1, MaximumCancelDelay: time.Millisecond, RequestsPerSession: 1},
-		Groups: []string{"g"},
-		Hosts:  func() []Host { return []Host{{Name: "a", Address: s.Addr()}} },
-		Dial:   new(net.Dialer).DialContext,
-		User:   "anna",
-		Begun:  time.Now(),
+		Load:      definer.Load{Bookings: 1, CancelShare: 1, DisconnectShare: 1, MaximumCancelDelay: time.Millisecond, RequestsPerSession: 1},
+		Groups:    []string{"g"},
+		Hosts:     func() []Host { return []Host{{Name: "a", Address: s.Addr()}} },
+		Dial:      new(net.Dialer).DialContext,
+		User:      "anna",
+		StartTime: time.Now(),
 	}
 	if err := l.Prepare(ctx); err != nil {
 		t.Fatal(err)
--- a/internal/bench/racer/racer.go
+++ b/internal/bench/racer/racer.go
@@ -52,8 +52,8 @@
 	File declarer.File
 	// Seed fixes what operators do; the moments stay those of the run.
 	Seed uint64
-	// Begun is the run's start.
-	Begun time.Time
+	// StartTime is the run's start.
+	StartTime time.Time
 
 	random  *rand.Rand
 	mutex   sync.Mutex
@@ -75,7 +75,7 @@
 
 // since returns the time since the run's start.
 func (r *Racer) since() time.Duration {
-	return time.Since(r.Begun)
+	return time.Since(r.StartTime)
 }
 
 // Run lets one round follow the other until ctx ends. The round in progress then
--- a/internal/bench/reporter/reporter.go
+++ b/internal/bench/reporter/reporter.go
@@ -79,7 +79,7 @@
 	// Series is the run by time, for the page.
 	Series []Interval `json:"-"`
 	// Faults are the moments at which something went wrong or was mended.
-	Faults []Moment `json:"faults"`
+	Faults []Event `json:"faults"`
 }
 
 // Applies counts the changes of the configuration by what their operators were told.
@@ -90,8 +90,8 @@
 	Unknown  int `json:"unknown"`
 }
 
-// Moment is a named time of the run.
-type Moment struct {
+// Event is a named time of the run.
+type Event struct {
 	At   time.Duration `json:"at-nanoseconds"`
 	Name string        `json:"name"`
 }
--- a/internal/bench/reporter/reporter_test.go
+++ b/internal/bench/reporter/reporter_test.go
@@ -35,7 +35,7 @@
 		ReplicaReadShare: 0.75,
 		Violations:       checker.Violations{LostWrites: 1},
 		Examples:         []string{"note a is gone"},
-		Faults:           []Moment{{At: 250 * time.Millisecond, Name: "primary-crash"}},
+		Faults:           []Event{{At: 250 * time.Millisecond, Name: "primary-crash"}},
 	}
 	r.CountApplies([]checker.Apply{{Outcome: checker.ApplyInForce}, {Outcome: checker.ApplyRefused}, {Outcome: checker.ApplyRefused}, {Outcome: checker.ApplyUnknown}})
 	if err := r.Summarise(l); err != nil {
--- a/internal/bench/runner/asker.go
+++ b/internal/bench/runner/asker.go
@@ -37,7 +37,7 @@
 }
 
 // Outcome implements System. Another host than the request's own is asked.
-func (d *Deployed) Outcome(ctx context.Context, group, key string) (checker.Outcome, error) {
+func (d *DeployedSystem) Outcome(ctx context.Context, group, key string) (checker.Outcome, error) {
 	d.mutex.Lock()
 	h := d.deployment.Hosts[len(key)%len(d.deployment.Hosts)]
 	d.mutex.Unlock()
--- a/internal/bench/runner/baseline.go
+++ b/internal/bench/runner/baseline.go
@@ -25,7 +25,7 @@
 )
 
 // followPolicy sets the deployment up as the policy says.
-func (d *Deployed) followPolicy() {
+func (d *DeployedSystem) followPolicy() {
 	d.deployment.PrimaryReads = d.Policy.PrimaryReads
 	if d.Policy.SplitPools {
 		d.deployment.Members = alone
@@ -55,7 +55,7 @@
 }
 
 // stick sets the deployment up for sticky sessions.
-func (d *Deployed) stick() {
+func (d *DeployedSystem) stick() {
 	d.deployment.Marks = sticky{}
 	d.deployment.RoutingRules = append(d.deployment.RoutingRules, declarer.RoutingRule{Name: stickyRule, MaximumAge: stickyAge})
 }
@@ -81,7 +81,7 @@
 }
 
 // lease starts a leaser for each group, beside the platform's store.
-func (d *Deployed) lease(ctx context.Context) {
+func (d *DeployedSystem) lease(ctx context.Context) {
 	ctx, d.leases.stop = context.WithCancel(ctx)
 	p := d.deployment.Places[0]
 	for _, g := range d.deployment.File.DatabaseGroups {
--- a/internal/bench/runner/bench.go
+++ b/internal/bench/runner/bench.go
@@ -12,8 +12,8 @@
 	"github.com/cuminwick/cuminwick/internal/log/encoder"
 )
 
-// ErrUnknown is the cause of an error about an unknown name.
-const ErrUnknown = errors.ConstError("unknown name")
+// ErrUnknownName is the cause of an error about an unknown name.
+const ErrUnknownName = errors.ConstError("unknown name")
 
 // Bench is one run as asked for on the command line.
 type Bench struct {
@@ -24,9 +24,9 @@
 	Duration   time.Duration
 	// LoadPercent is the load in percent of the slots' capacity, the scenario's own if zero.
 	LoadPercent float64
-	// Lines gets the decision lines of all entry hosts, nobody if nil.
-	Lines *encoder.Encoder
-	Log   log.Interface
+	// LogEncoder gets the decision lines of all entry hosts, nobody if nil.
+	LogEncoder *encoder.Encoder
+	Log        log.Interface
 	// Progress is told the time that has passed, if set.
 	Progress func(passed time.Duration, statements int)
 }
@@ -38,18 +38,18 @@
 func (b *Bench) Run(ctx context.Context) (*reporter.Result, error) {
 	s, ok := definer.Find(definer.Scenarios(), b.Scenario)
 	if !ok {
-		return nil, errors.Annotatef(ErrUnknown, "scenario %q", b.Scenario)
+		return nil, errors.Annotatef(ErrUnknownName, "scenario %q", b.Scenario)
 	}
 	p, ok := definer.Find(definer.Policies(), b.Policy)
 	if !ok {
-		return nil, errors.Annotatef(ErrUnknown, "policy %q", b.Policy)
+		return nil, errors.Annotatef(ErrUnknownName, "policy %q", b.Policy)
 	}
 	if s.Overhead {
 		return b.overhead(ctx)
 	}
 	d, ok := definer.Find(definer.Deployments(), b.Deployment)
 	if !ok {
-		return nil, errors.Annotatef(ErrUnknown, "deployment %q", b.Deployment)
+		return nil, errors.Annotatef(ErrUnknownName, "deployment %q", b.Deployment)
 	}
 	s.DrawFaults(b.Seed)
 	if b.LoadPercent > 0 {
@@ -63,7 +63,7 @@
 		Policy:     p,
 		Seed:       b.Seed,
 		Duration:   b.Duration,
-		System:     &Deployed{Deployment: d, Load: l, Policy: p, Followed: s.FollowConfiguration, Lines: b.Lines, Log: b.Log},
+		System:     &DeployedSystem{Deployment: d, Load: l, Policy: p, FollowConfiguration: s.FollowConfiguration, LogEncoder: b.LogEncoder, Log: b.Log},
 		User:       callersUser,
 		Progress:   b.Progress,
 	}
@@ -73,7 +73,7 @@
 func (b *Bench) overhead(ctx context.Context) (*reporter.Result, error) {
 	d := OverheadDeployment()
 	o := &Overhead{
-		System:   &Deployed{Deployment: d, Lines: b.Lines, Log: b.Log, Plain: true},
+		System:   &DeployedSystem{Deployment: d, LogEncoder: b.LogEncoder, Log: b.Log, WithoutDisturber: true},
 		Group:    d.Groups[0],
 		User:     callersUser,
 		Duration: b.Duration,
--- a/internal/bench/runner/deployed.go
+++ b/internal/bench/runner/deployed.go
@@ -26,20 +26,20 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// Deployed is cuminwick itself: entry hosts and stand-ins of one deployment in
+// DeployedSystem is cuminwick itself: entry hosts and stand-ins of one deployment in
 // this process, over real sockets through the disturber. The exported fields
 // are set before Start.
-type Deployed struct {
+type DeployedSystem struct {
 	Deployment definer.Deployment
 	Load       definer.Load
 	Policy     definer.Policy
-	// Lines gets the decision lines of all entry hosts, nobody if nil.
-	Lines *encoder.Encoder
-	Log   log.Interface
-	// Plain leaves the disturber out of connections to backend servers.
-	Plain bool
-	// Followed has entry hosts follow the configuration in the platform.
-	Followed bool
+	// LogEncoder gets the decision lines of all entry hosts, nobody if nil.
+	LogEncoder *encoder.Encoder
+	Log        log.Interface
+	// WithoutDisturber leaves the disturber out of connections to backend servers.
+	WithoutDisturber bool
+	// FollowConfiguration has entry hosts follow the configuration in the platform.
+	FollowConfiguration bool
 
 	deployment *deployer.Deployment
 	network    *disturber.Network
@@ -68,7 +68,7 @@
 const serverKeepalive = 3 * time.Second
 
 // Start implements System.
-func (d *Deployed) Start(ctx context.Context) error {
+func (d *DeployedSystem) Start(ctx context.Context) error {
 	ctx, d.stop = context.WithCancel(ctx)
 	d.absent = map[string]bool{}
 	d.unbalanced = map[string]bool{}
@@ -82,7 +82,7 @@
 	d.network.Open(ctx)
 	d.arrange()
 	d.followPolicy()
-	if !d.Plain {
+	if !d.WithoutDisturber {
 		d.disturb()
 	}
 	if err := d.deployment.Start(ctx); err != nil {
@@ -99,7 +99,7 @@
 }
 
 // arrange makes the deployment, without the disturber between its parts.
-func (d *Deployed) arrange() {
+func (d *DeployedSystem) arrange() {
 	d.deployment = &deployer.Deployment{
 		HostsPerPlace: d.Deployment.HostsPerPlace,
 		MaximumHosts:  d.Deployment.MaximumHosts,
@@ -119,10 +119,10 @@
 		Platform:   d.store,
 		Source:     d.source,
 		Marks:      &signer.Signer{Deployment: d.Deployment.Name, Keys: []signer.Key{{ID: 1, Secret: []byte(benchKey)}}},
-		LogEncoder: d.Lines,
+		LogEncoder: d.LogEncoder,
 		Log:        d.Log,
 	}
-	if !d.Followed && d.source == nil {
+	if !d.FollowConfiguration && d.source == nil {
 		d.deployment.Source = fixed
 	}
 	for _, p := range d.Deployment.Places {
@@ -131,7 +131,7 @@
 }
 
 // disturb puts the disturber between the parts.
-func (d *Deployed) disturb() {
+func (d *DeployedSystem) disturb() {
 	d.deployment.Dial = d.dialer
 	d.deployment.PeerDial = d.peerDialer
 	d.deployment.ControlDial = d.controlDialer
@@ -144,7 +144,7 @@
 	return host.FixedSource{Revision: 1, File: f}
 }
 
-func (d *Deployed) locateHost(h *host.Host) {
+func (d *DeployedSystem) locateHost(h *host.Host) {
 	d.network.SetPlace(h.Address(), disturber.Place{
 		AvailabilityZone: h.Settings.AvailabilityZone,
 		Region:           h.Settings.Region,
@@ -153,7 +153,7 @@
 }
 
 // Stop implements System.
-func (d *Deployed) Stop() error {
+func (d *DeployedSystem) Stop() error {
 	e := d.leases.end()
 	err := d.deployment.Stop()
 	d.stop()
@@ -164,7 +164,7 @@
 }
 
 // Hosts implements System.
-func (d *Deployed) Hosts() []loader.Host {
+func (d *DeployedSystem) Hosts() []loader.Host {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var l []loader.Host
@@ -177,16 +177,16 @@
 }
 
 // Groups implements System.
-func (d *Deployed) Groups() map[string]*grouper.Group {
+func (d *DeployedSystem) Groups() map[string]*grouper.Group {
 	return d.deployment.Standins
 }
 
 // Network implements System.
-func (d *Deployed) Network() *disturber.Network {
+func (d *DeployedSystem) Network() *disturber.Network {
 	return d.network
 }
 
-func (d *Deployed) find(name string) (int, error) {
+func (d *DeployedSystem) find(name string) (int, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	i := slices.IndexFunc(d.deployment.Hosts, func(h *host.Host) bool { return h.Settings.HostName == name })
@@ -196,14 +196,14 @@
 	return i, nil
 }
 
-func (d *Deployed) setAbsent(name string, on bool) {
+func (d *DeployedSystem) setAbsent(name string, on bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.absent[name] = on
 }
 
 // Kill implements System. The balancer notices at once.
-func (d *Deployed) Kill(name string) error {
+func (d *DeployedSystem) Kill(name string) error {
 	i, err := d.find(name)
 	if err != nil {
 		return err
@@ -215,7 +215,7 @@
 }
 
 // Drain implements System.
-func (d *Deployed) Drain(ctx context.Context, name string) error {
+func (d *DeployedSystem) Drain(ctx context.Context, name string) error {
 	i, err := d.find(name)
 	if err != nil {
 		return err
@@ -230,7 +230,7 @@
 }
 
 // Replace implements System.
-func (d *Deployed) Replace(ctx context.Context, name string) error {
+func (d *DeployedSystem) Replace(ctx context.Context, name string) error {
 	i, err := d.find(name)
 	if err != nil {
 		return err
@@ -251,17 +251,17 @@
 }
 
 // SetPlatformDown implements System.
-func (d *Deployed) SetPlatformDown(down bool) {
+func (d *DeployedSystem) SetPlatformDown(down bool) {
 	d.store.SetOutage(down)
 }
 
 // SetPlatformLatency implements System.
-func (d *Deployed) SetPlatformLatency(l time.Duration) {
+func (d *DeployedSystem) SetPlatformLatency(l time.Duration) {
 	d.store.SetLatency(l)
 }
 
 // Revisions implements System.
-func (d *Deployed) Revisions() []checker.ObservedRevision {
+func (d *DeployedSystem) Revisions() []checker.ObservedRevision {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var l []checker.ObservedRevision
@@ -286,8 +286,8 @@
 }
 
 // Operators implements System. The operators stand in all availability zones.
-func (d *Deployed) Operators() *racer.Racer {
-	if !d.Followed {
+func (d *DeployedSystem) Operators() *racer.Racer {
+	if !d.FollowConfiguration {
 		return nil
 	}
 	l := d.deployment.Places
@@ -299,12 +299,12 @@
 }
 
 // StoreCalls implements System.
-func (d *Deployed) StoreCalls() int64 {
+func (d *DeployedSystem) StoreCalls() int64 {
 	return int64(d.store.Calls().Total())
 }
 
 // ControlBytes implements System. It counts control connections to backend
 // servers; entry hosts exchange nothing else in this deployment.
-func (d *Deployed) ControlBytes() int64 {
+func (d *DeployedSystem) ControlBytes() int64 {
 	return d.control.Load()
 }
--- a/internal/bench/runner/deployed_test.go
+++ b/internal/bench/runner/deployed_test.go
@@ -16,7 +16,7 @@
 }
 
 // prepare makes a run of a scenario on kalkul-db, with the system that it runs on.
-func prepare(t *testing.T, scenario, policy string) (*Run, *Deployed) {
+func prepare(t *testing.T, scenario, policy string) (*Run, *DeployedSystem) {
 	t.Helper()
 	d := definer.Deployments()[0]
 	s, ok := definer.Find(definer.Scenarios(), scenario)
@@ -29,7 +29,7 @@
 	}
 	s.DrawFaults(1)
 	l := s.Load(&d)
-	x := &Deployed{Deployment: d, Load: l, Policy: p, Followed: s.FollowConfiguration, Log: quiet()}
+	x := &DeployedSystem{Deployment: d, Load: l, Policy: p, FollowConfiguration: s.FollowConfiguration, Log: quiet()}
 	return &Run{Scenario: s, Deployment: d, Load: l, Policy: p, System: x, User: callersUser, Seed: 1, Duration: 3 * time.Second}, x
 }
 
--- a/internal/bench/runner/distant.go
+++ b/internal/bench/runner/distant.go
@@ -13,7 +13,7 @@
 // distant is the platform as seen from one place: calls take the network's
 // latency and don't get through a partition, neither there nor back.
 type distant struct {
-	deployed *Deployed
+	deployed *DeployedSystem
 	store    accessor.Platform
 	network  *disturber.Network
 	path     disturber.Path
@@ -23,7 +23,7 @@
 
 // platformAt makes the platform as seen from a place. The store stands in the
 // first availability zone of its region.
-func (d *Deployed) platformAt(at deployer.Place) accessor.Platform {
+func (d *DeployedSystem) platformAt(at deployer.Place) accessor.Platform {
 	for _, p := range d.Deployment.Places {
 		if p.Region == d.Deployment.StoreRegion {
 			return &distant{deployed: d, store: d.store, network: d.network, path: disturber.Path{From: disturber.Place(at), To: p}}
@@ -54,13 +54,13 @@
 // does: operators then wait until its lease has run out.
 const errKilled = errors.ConstError("entry host killed")
 
-func (d *Deployed) setKilled(name string, on bool) {
+func (d *DeployedSystem) setKilled(name string, on bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.killed[name] = on
 }
 
-func (d *Deployed) isKilled(name string) bool {
+func (d *DeployedSystem) isKilled(name string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.killed[name]
--- a/internal/bench/runner/fault.go
+++ b/internal/bench/runner/fault.go
@@ -40,7 +40,7 @@
 	system System
 	// mended undoes what was done, in order.
 	mended  []func()
-	moments []reporter.Moment
+	moments []reporter.Event
 	stops   []checker.Stop
 	// leaving counts the work that leaving servers got, each against its count
 	// at the end of the grace time.
@@ -57,7 +57,7 @@
 }
 
 func (i *injection) note(name string) {
-	i.moments = append(i.moments, reporter.Moment{At: i.run.since(), Name: name})
+	i.moments = append(i.moments, reporter.Event{At: i.run.since(), Name: name})
 }
 
 // loop sets the scenario's faults at a third of the run and takes them back at two thirds.
@@ -251,7 +251,7 @@
 	if o == nil {
 		return errors.NotSupportedf("a race over a fixed configuration")
 	}
-	o.Seed, o.Begun = i.run.Seed, i.run.begun
+	o.Seed, o.StartTime = i.run.Seed, i.run.begun
 	x, stop := context.WithCancel(context.WithoutCancel(ctx))
 	g, x := errgroup.WithContext(x)
 	g.Go(func() error { return o.Run(x) })
--- a/internal/bench/runner/isolation.go
+++ b/internal/bench/runner/isolation.go
@@ -18,8 +18,8 @@
 	i.later(func() { w.Isolate(h, disturber.NotIsolated) })
 	if how == disturber.FullyIsolated {
 		// The balancer notices at once, as it does with a host that is killed.
-		i.system.Balance(h, false)
-		i.later(func() { i.system.Balance(h, true) })
+		i.system.SetBalanced(h, false)
+		i.later(func() { i.system.SetBalanced(h, true) })
 	}
 }
 
@@ -51,8 +51,8 @@
 	}
 }
 
-// Balance implements System.
-func (d *Deployed) Balance(host string, on bool) {
+// SetBalanced implements System.
+func (d *DeployedSystem) SetBalanced(host string, on bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.unbalanced[host] = !on
--- a/internal/bench/runner/overhead.go
+++ b/internal/bench/runner/overhead.go
@@ -26,7 +26,7 @@
 // Overhead measures point reads directly and through one entry host, in turns,
 // so that both meet the same machine.
 type Overhead struct {
-	System *Deployed
+	System *DeployedSystem
 	Group  string
 	User   string
 	// Duration is the time of the whole measurement.
--- a/internal/bench/runner/plumbing.go
+++ b/internal/bench/runner/plumbing.go
@@ -34,7 +34,7 @@
 }
 
 // dialer makes an entry host's dialer; all backend servers listen by then.
-func (d *Deployed) dialer(from deployer.Place) deployer.Dial {
+func (d *DeployedSystem) dialer(from deployer.Place) deployer.Dial {
 	for _, g := range d.deployment.Standins {
 		for i, s := range g.Servers {
 			d.network.SetPlace(s.Addr(), d.Deployment.Places[i])
@@ -44,18 +44,18 @@
 }
 
 // listener makes what opens an entry host's sockets for peers.
-func (d *Deployed) listener(at deployer.Place) func(*net.UDPAddr) (net.PacketConn, error) {
+func (d *DeployedSystem) listener(at deployer.Place) func(*net.UDPAddr) (net.PacketConn, error) {
 	return d.network.Listener(disturber.Place(at))
 }
 
 // controlDialer makes the dialer of an entry host's control connections, whose bytes are counted.
-func (d *Deployed) controlDialer(from deployer.Place) deployer.Dial {
+func (d *DeployedSystem) controlDialer(from deployer.Place) deployer.Dial {
 	c := &controlDialer{deployed: d, dial: d.dialer(from)}
 	return c.open
 }
 
 type controlDialer struct {
-	deployed *Deployed
+	deployed *DeployedSystem
 	dial     deployer.Dial
 }
 
@@ -88,13 +88,13 @@
 }
 
 // peerDialer makes a backend server's dialer to its peers.
-func (d *Deployed) peerDialer(from deployer.Place) streamer.Dial {
+func (d *DeployedSystem) peerDialer(from deployer.Place) streamer.Dial {
 	p := &peerDialer{deployed: d, dial: d.network.Dialer(disturber.Place(from))}
 	return p.open
 }
 
 type peerDialer struct {
-	deployed *Deployed
+	deployed *DeployedSystem
 	dial     func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
--- a/internal/bench/runner/runner.go
+++ b/internal/bench/runner/runner.go
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	r.begun = time.Now()
-	r.loader.Begun = r.begun
+	r.loader.StartTime = r.begun
 	r.injection = &injection{run: r, system: r.System}
 	before := r.count()
 	err := r.runLoad(ctx)
@@ -107,14 +107,14 @@
 
 func (r *Run) newLoader() *loader.Loader {
 	l := &loader.Loader{
-		Load:     r.Load,
-		Groups:   r.Deployment.Groups,
-		Hosts:    r.System.Hosts,
-		Dial:     r.System.Network().Dialer(callersPlace),
-		User:     r.User,
-		Password: r.Password,
-		Seed:     r.Seed,
-		Begun:    time.Now(),
+		Load:      r.Load,
+		Groups:    r.Deployment.Groups,
+		Hosts:     r.System.Hosts,
+		Dial:      r.System.Network().Dialer(callersPlace),
+		User:      r.User,
+		Password:  r.Password,
+		Seed:      r.Seed,
+		StartTime: time.Now(),
 	}
 	if r.Policy.StickySessions {
 		l.Token = stickyToken
--- a/internal/bench/runner/runner_test.go
+++ b/internal/bench/runner/runner_test.go
@@ -58,7 +58,7 @@
 }
 func (d *direct) Network() *disturber.Network           { return d.network }
 func (d *direct) Kill(string) error                     { return errors.NotSupportedf("kill") }
-func (d *direct) Balance(string, bool)                  {}
+func (d *direct) SetBalanced(string, bool)              {}
 func (d *direct) Drain(context.Context, string) error   { return errors.NotSupportedf("drain") }
 func (d *direct) Replace(context.Context, string) error { return errors.NotSupportedf("replace") }
 func (d *direct) SetPlatformDown(bool)                  {}
--- a/internal/bench/runner/system.go
+++ b/internal/bench/runner/system.go
@@ -25,8 +25,8 @@
 	Network() *disturber.Network
 	// Kill ends an entry host without warning.
 	Kill(host string) error
-	// Balance has the balancer send callers to an entry host or not.
-	Balance(host string, on bool)
+	// SetBalanced has the balancer send callers to an entry host or not.
+	SetBalanced(host string, on bool)
 	// Drain stops an entry host as planned and returns when it has ended.
 	Drain(ctx context.Context, host string) error
 	// Replace starts an entry host anew.
--- a/internal/command/runner/bench.go
+++ b/internal/command/runner/bench.go
@@ -77,7 +77,7 @@
 		m.Progress = b.progressPrinter(r.Errors)
 	}
 	v, err := b.measure(ctx, m)
-	if errors.Is(err, benchrunner.ErrUnknown) {
+	if errors.Is(err, benchrunner.ErrUnknownName) {
 		return errors.WithType(err, ErrUsage)
 	}
 	if err != nil {
