--- a/internal/standin/executor/aggregate.go
+++ b/internal/standin/executor/aggregate.go
@@ -6,10 +6,10 @@
 	pgquery "github.com/pganalyze/pg_query_go/v6"
 )
 
-// aggregates are the functions over groups of rows.
+// aggregates are the names of the supported aggregate functions.
 var aggregates = map[string]bool{"count": true, "sum": true, "max": true, "min": true}
 
-// aggregatesIn returns the aggregate calls in the targets.
+// aggregatesIn returns the aggregate calls in the target list.
 func aggregatesIn(t []target) []*pgquery.FuncCall {
 	var a []*pgquery.FuncCall
 	for i := range t {
@@ -37,26 +37,26 @@
 	return a
 }
 
-// group is the running result of one group of rows.
+// group holds the running aggregate results of one group of rows.
 type group struct {
-	first  []any
-	values []any
+	firstRow []any
+	results  []any
 }
 
-// grouped reads all rows and returns one row a group, ordered by the ORDER BY clause.
-func (s *scope) grouped(ctx context.Context, q *pgquery.SelectStmt, t []target, a []*pgquery.FuncCall, r rows) ([][]any, error) {
-	m, err := s.collect(ctx, q, t, a, r)
+// groupRows reads all rows and returns one row per group, sorted by the ORDER BY clause.
+func (s *scope) groupRows(ctx context.Context, q *pgquery.SelectStmt, t []target, a []*pgquery.FuncCall, r rowIterator) ([][]any, error) {
+	m, err := s.collectGroups(ctx, q, t, a, r)
 	if err != nil {
 		return nil, err
 	}
-	var l []entry
+	var l []sortEntry
 	for _, g := range m {
-		s.row = g.first
-		s.totals = map[*pgquery.FuncCall]any{}
+		s.row = g.firstRow
+		s.aggregateResults = map[*pgquery.FuncCall]any{}
 		for i, f := range a {
-			s.totals[f] = g.values[i]
+			s.aggregateResults[f] = g.results[i]
 		}
-		v, err := s.produce(t)
+		v, err := s.project(t)
 		if err != nil {
 			return nil, err
 		}
@@ -64,13 +64,13 @@
 		if err != nil {
 			return nil, err
 		}
-		l = append(l, entry{row: v, by: k})
+		l = append(l, sortEntry{row: v, keys: k})
 	}
-	return sorted(q, l)
+	return sortEntries(q, l)
 }
 
-// collect folds the rows into groups, in the order of their first rows.
-func (s *scope) collect(ctx context.Context, q *pgquery.SelectStmt, t []target, a []*pgquery.FuncCall, r rows) ([]*group, error) {
+// collectGroups aggregates the rows by group. Groups are in the order of their first rows.
+func (s *scope) collectGroups(ctx context.Context, q *pgquery.SelectStmt, t []target, a []*pgquery.FuncCall, r rowIterator) ([]*group, error) {
 	var l []*group
 	m := map[string]*group{}
 	if len(q.GroupClause) == 0 {
@@ -92,27 +92,27 @@
 			g = newGroup(a)
 			l, m[k] = append(l, g), g
 		}
-		if g.first == nil {
-			g.first = v
+		if g.firstRow == nil {
+			g.firstRow = v
 		}
-		if err := s.fold(g, a); err != nil {
+		if err := s.accumulate(g, a); err != nil {
 			return nil, err
 		}
 	}
 }
 
 func newGroup(a []*pgquery.FuncCall) *group {
-	g := &group{values: make([]any, len(a))}
+	g := &group{results: make([]any, len(a))}
 	for i, f := range a {
 		if lastName(f.Funcname) == "count" {
-			g.values[i] = int64(0)
+			g.results[i] = int64(0)
 		}
 	}
 	return g
 }
 
-// fold adds the scope's row to a group.
-func (s *scope) fold(g *group, a []*pgquery.FuncCall) error {
+// accumulate adds the scope's current row to the aggregate results of a group.
+func (s *scope) accumulate(g *group, a []*pgquery.FuncCall) error {
 	for i, f := range a {
 		var v any = true
 		if !f.AggStar {
@@ -125,16 +125,16 @@
 		if v == nil {
 			continue
 		}
-		n, err := foldValue(lastName(f.Funcname), g.values[i], v)
+		n, err := accumulateValue(lastName(f.Funcname), g.results[i], v)
 		if err != nil {
 			return err
 		}
-		g.values[i] = n
+		g.results[i] = n
 	}
 	return nil
 }
 
-func foldValue(name string, total, v any) (any, error) {
+func accumulateValue(name string, total, v any) (any, error) {
 	if name == "count" {
 		return total.(int64) + 1, nil
 	}
@@ -144,7 +144,7 @@
 	if name == "sum" {
 		return arithmetic("+", total, v)
 	}
-	n, err := compare(v, total)
+	n, err := compareValues(v, total)
 	if (name == "max" && n > 0) || (name == "min" && n < 0) {
 		return v, err
 	}
--- a/internal/standin/executor/codec.go
+++ b/internal/standin/executor/codec.go
@@ -8,7 +8,7 @@
 	"github.com/juju/errors"
 )
 
-// Encode returns a value in the given format, nil for null.
+// Encode encodes a value of type t in the given wire format. It returns nil for null.
 func Encode(m *pgtype.Map, t uint32, format int16, v any) ([]byte, error) {
 	if v == nil {
 		return nil, nil
@@ -22,7 +22,7 @@
 	if s, ok := v.(string); ok && t == pgtype.UUIDOID {
 		var u pgtype.UUID
 		if err := u.Scan(s); err != nil {
-			return nil, failure(codeInvalidText, "invalid input syntax for type uuid: %q", s)
+			return nil, pgError(codeInvalidText, "invalid input syntax for type uuid: %q", s)
 		}
 		v = u
 	}
@@ -30,7 +30,7 @@
 	return b, errors.Annotatef(err, "encode value of type %d", t)
 }
 
-// Decode reads a parameter of type t, nil for null.
+// Decode decodes a parameter of type t from the given wire format. It returns nil for null.
 func Decode(m *pgtype.Map, t uint32, format int16, b []byte) (any, error) {
 	if b == nil {
 		return nil, nil
@@ -40,7 +40,7 @@
 	}
 	v, err := decodeBinary(m, t, b)
 	if err != nil {
-		return nil, failure("22P03", "incorrect binary data format: %v", err)
+		return nil, pgError("22P03", "incorrect binary data format: %v", err)
 	}
 	return v, nil
 }
--- a/internal/standin/executor/compare.go
+++ b/internal/standin/executor/compare.go
@@ -9,8 +9,9 @@
 	"github.com/jackc/pgx/v5/pgtype"
 )
 
-// alike brings two values to one Go type, where one is text or an integer.
-func alike(a, b any) (any, any, error) {
+// toCommonType converts text to the type of the other value and an integer to a float if the other
+// value is one. It returns other pairs unchanged.
+func toCommonType(a, b any) (any, any, error) {
 	switch x := a.(type) {
 	case string:
 		if _, ok := b.(string); ok {
@@ -51,9 +52,10 @@
 	}
 }
 
-// compare orders two values that aren't null.
-func compare(a, b any) (int, error) {
-	a, b, err := alike(a, b)
+// compareValues compares two values that are not null. The result is negative if a sorts before b,
+// zero if they are equal and positive otherwise.
+func compareValues(a, b any) (int, error) {
+	a, b, err := toCommonType(a, b)
 	if err != nil {
 		return 0, err
 	}
@@ -81,7 +83,7 @@
 			return bytes.Compare(x, y), nil
 		}
 	}
-	return 0, failure(codeUndefinedFunction, "operator does not exist for %T and %T", a, b)
+	return 0, pgError(codeUndefinedFunction, "operator does not exist for %T and %T", a, b)
 }
 
 func boolRank(b bool) int {
--- a/internal/standin/executor/control.go
+++ b/internal/standin/executor/control.go
@@ -11,7 +11,7 @@
 	"github.com/cuminwick/cuminwick/internal/standin/replicator"
 )
 
-// statusColumns are the columns of every control function's row.
+// statusColumns are the columns of the row that every control function returns.
 var statusColumns = []Column{
 	{Name: "backend_server", Type: pgtype.TextOID},
 	{Name: "role", Type: pgtype.TextOID},
@@ -27,18 +27,19 @@
 	{Name: "system_identifier", Type: pgtype.Int8OID},
 }
 
-// controlFunction is one function that answers with the server's status.
+// controlFunction is an SQL function that reads or changes the server's replication state and returns
+// the server's status.
 type controlFunction struct {
-	takes []uint32
-	call  func(s *replicator.Store, a []any, now time.Time) (controller.Status, error)
+	parameterTypes []uint32
+	call           func(s *replicator.Store, a []any, now time.Time) (controller.Status, error)
 }
 
-// controls are the control functions by name.
-var controls = map[string]controlFunction{
+// controlFunctions are the control functions by name.
+var controlFunctions = map[string]controlFunction{
 	"cuminwick_status":     {call: callStatus},
-	"cuminwick_raise_term": {takes: []uint32{pgtype.Int8OID}, call: callRaiseTerm},
-	"cuminwick_promote":    {takes: []uint32{pgtype.Int8OID}, call: callPromote},
-	"cuminwick_follow":     {takes: []uint32{pgtype.Int8OID, pgtype.TextOID, pgtype.TextOID}, call: callFollow},
+	"cuminwick_raise_term": {parameterTypes: []uint32{pgtype.Int8OID}, call: callRaiseTerm},
+	"cuminwick_promote":    {parameterTypes: []uint32{pgtype.Int8OID}, call: callPromote},
+	"cuminwick_follow":     {parameterTypes: []uint32{pgtype.Int8OID, pgtype.TextOID, pgtype.TextOID}, call: callFollow},
 }
 
 func callStatus(s *replicator.Store, _ []any, now time.Time) (controller.Status, error) {
@@ -58,11 +59,11 @@
 	return s.Follow(marker.Term(a[0].(int64)), l, now)
 }
 
-// callControl runs a control function and returns its row.
+// callControl calls a control function and returns its status row.
 func (s *scope) callControl(f *pgquery.FuncCall) ([]any, error) {
-	c := controls[lastName(f.Funcname)]
-	if len(f.Args) != len(c.takes) {
-		return nil, failure(codeUndefinedFunction, "function %s with %d arguments does not exist", lastName(f.Funcname), len(f.Args))
+	c := controlFunctions[lastName(f.Funcname)]
+	if len(f.Args) != len(c.parameterTypes) {
+		return nil, pgError(codeUndefinedFunction, "function %s with %d arguments does not exist", lastName(f.Funcname), len(f.Args))
 	}
 	var a []any
 	for i, n := range f.Args {
@@ -70,12 +71,12 @@
 		if err != nil {
 			return nil, err
 		}
-		v, err = Coerce(c.takes[i], v)
+		v, err = Coerce(c.parameterTypes[i], v)
 		if err != nil {
 			return nil, err
 		}
 		if v == nil {
-			return nil, failure("22004", "control functions take no null")
+			return nil, pgError("22004", "control functions take no null")
 		}
 		a = append(a, v)
 	}
--- a/internal/standin/executor/copies.go
+++ b/internal/standin/executor/copies.go
@@ -9,25 +9,25 @@
 	pgquery "github.com/pganalyze/pg_query_go/v6"
 )
 
-// CopyIn takes the data of a COPY FROM STDIN.
+// CopyIn receives the data of a COPY FROM STDIN and inserts its rows.
 type CopyIn struct {
-	// ColumnCount is the number of columns of a line.
+	// ColumnCount is the number of columns in each line.
 	ColumnCount int
 
-	insertion *insertion
-	rest      []byte
+	insertion   *insertOperation
+	partialLine []byte
 }
 
-// copies runs COPY FROM STDIN and COPY TO STDOUT in text form.
-func (s *Session) copies(q *pgquery.CopyStmt) (*Result, error) {
+// runCopy runs COPY FROM STDIN and COPY TO STDOUT in text format.
+func (s *Session) runCopy(q *pgquery.CopyStmt) (*Result, error) {
 	for _, o := range q.Options {
 		d := o.GetDefElem()
 		if d.GetDefname() != "format" || d.GetArg().GetString_().GetSval() != "text" {
-			return nil, failure(codeFeatureNotSupported, "COPY option %q is not supported by the stand-in", d.GetDefname())
+			return nil, pgError(codeFeatureNotSupported, "COPY option %q is not supported by the stand-in", d.GetDefname())
 		}
 	}
 	if q.Filename != "" || q.IsProgram || q.WhereClause != nil {
-		return nil, failure(codeFeatureNotSupported, "only COPY FROM STDIN and TO STDOUT are supported by the stand-in")
+		return nil, pgError(codeFeatureNotSupported, "only COPY FROM STDIN and TO STDOUT are supported by the stand-in")
 	}
 	if q.IsFrom {
 		return s.copyFrom(q)
@@ -36,7 +36,7 @@
 }
 
 func (s *Session) copyFrom(q *pgquery.CopyStmt) (*Result, error) {
-	t, err := s.writes()
+	t, err := s.writableTransaction()
 	if err != nil {
 		return nil, err
 	}
@@ -49,11 +49,11 @@
 		return nil, err
 	}
 	c := s.tableScope(d, nil)
-	i := &insertion{session: s, transaction: t, definition: d, columns: n, scope: c, returning: &returning{scope: c}}
+	i := &insertOperation{session: s, transaction: t, definition: d, columns: n, scope: c, returning: &returningClause{scope: c}}
 	return &Result{CopyIn: &CopyIn{ColumnCount: len(n), insertion: i}}, nil
 }
 
-// copyTargets turns COPY's names into an INSERT's column list.
+// copyTargets converts the column names of a COPY to the column list of an INSERT.
 func copyTargets(q *pgquery.CopyStmt) []*pgquery.Node {
 	var l []*pgquery.Node
 	for _, a := range q.Attlist {
@@ -75,7 +75,7 @@
 			o.TargetList = append(o.TargetList, pgquery.MakeResTargetNodeWithVal(n, 0))
 		}
 	}
-	r, err := s.selects(s.context, o, nil)
+	r, err := s.runSelect(s.statementContext, o, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -83,28 +83,28 @@
 	return r, nil
 }
 
-// Data takes the next part of the data, which may end within a line.
+// Data inserts the rows of the next part of the data, which may end within a line.
 func (c *CopyIn) Data(ctx context.Context, b []byte) error {
-	c.rest = append(c.rest, b...)
+	c.partialLine = append(c.partialLine, b...)
 	for {
-		l, r, ok := bytes.Cut(c.rest, []byte("\n"))
+		l, r, ok := bytes.Cut(c.partialLine, []byte("\n"))
 		if !ok {
 			return nil
 		}
-		c.rest = r
-		if err := c.line(ctx, strings.TrimSuffix(string(l), "\r")); err != nil {
+		c.partialLine = r
+		if err := c.insertLine(ctx, strings.TrimSuffix(string(l), "\r")); err != nil {
 			return Translate(err)
 		}
 	}
 }
 
-func (c *CopyIn) line(ctx context.Context, l string) error {
+func (c *CopyIn) insertLine(ctx context.Context, l string) error {
 	if l == `\.` {
 		return nil
 	}
 	f := strings.Split(l, "\t")
 	if len(f) != c.ColumnCount {
-		return failure("22P04", "COPY line has %d columns, expected %d", len(f), c.ColumnCount)
+		return pgError("22P04", "COPY line has %d columns, expected %d", len(f), c.ColumnCount)
 	}
 	v := make([]any, len(f))
 	for i, t := range f {
@@ -117,10 +117,10 @@
 		}
 		v[i] = x
 	}
-	return c.insertion.one(ctx, v, nil)
+	return c.insertion.insertRow(ctx, v, nil)
 }
 
-// copyUnescapes turns the text form's escapes back.
+// copyUnescapes replaces the escape sequences of COPY's text format.
 var copyUnescapes = strings.NewReplacer(`\\`, "\\", `\b`, "\b", `\f`, "\f", `\n`, "\n", `\r`, "\r", `\t`, "\t", `\v`, "\v")
 
 func copyUnescape(t string) string {
@@ -130,9 +130,9 @@
 	return copyUnescapes.Replace(t)
 }
 
-// Done ends the data and returns the command tag.
+// Done inserts a last line without a line feed and returns the command tag.
 func (c *CopyIn) Done(ctx context.Context) (string, error) {
-	if len(c.rest) > 0 {
+	if len(c.partialLine) > 0 {
 		if err := c.Data(ctx, []byte("\n")); err != nil {
 			return "", err
 		}
--- a/internal/standin/executor/ddl.go
+++ b/internal/standin/executor/ddl.go
@@ -10,15 +10,15 @@
 	"github.com/cuminwick/cuminwick/internal/standin/replicator"
 )
 
-// create runs CREATE TABLE.
-func (s *Session) create(ctx context.Context, q *pgquery.CreateStmt) (*Result, error) {
-	t, err := s.writes()
+// createTable runs CREATE TABLE.
+func (s *Session) createTable(ctx context.Context, q *pgquery.CreateStmt) (*Result, error) {
+	t, err := s.writableTransaction()
 	if err != nil {
 		return nil, err
 	}
 	n := q.Relation.GetRelname()
 	if q.Relation.GetRelpersistence() == "t" {
-		return nil, failure(codeFeatureNotSupported, "temporary tables are not supported by the stand-in")
+		return nil, pgError(codeFeatureNotSupported, "temporary tables are not supported by the stand-in")
 	}
 	if err := s.lock(ctx, t, "table\x00"+n); err != nil {
 		return nil, err
@@ -27,9 +27,9 @@
 		return &Result{Tag: "CREATE TABLE", Notice: "relation \"" + n + "\" already exists, skipping"}, nil
 	}
 	if t.Table(n) != nil {
-		return nil, failure(codeDuplicateTable, "relation %q already exists", n)
+		return nil, pgError(codeDuplicateTable, "relation %q already exists", n)
 	}
-	d, err := define(n, q)
+	d, err := buildDefinition(n, q)
 	if err != nil {
 		return nil, err
 	}
@@ -37,8 +37,8 @@
 	return &Result{Tag: "CREATE TABLE"}, nil
 }
 
-// define builds a table's definition.
-func define(name string, q *pgquery.CreateStmt) (*replicator.Definition, error) {
+// buildDefinition returns the table definition that a CREATE TABLE describes.
+func buildDefinition(name string, q *pgquery.CreateStmt) (*replicator.Definition, error) {
 	d := &replicator.Definition{Name: name}
 	for _, e := range q.TableElts {
 		if c := e.GetColumnDef(); c != nil {
@@ -83,10 +83,11 @@
 	return nil
 }
 
-// addConstraint takes a constraint over the columns n; CHECK and foreign keys are refused.
+// addConstraint adds a constraint on the columns with the indexes n. It returns an error for CHECK
+// constraints and foreign keys.
 func addConstraint(d *replicator.Definition, c *pgquery.Constraint, n []int) error {
 	if len(n) == 0 || n[0] < 0 {
-		return failure(codeUndefinedColumn, "column named in key does not exist")
+		return pgError(codeUndefinedColumn, "column named in key does not exist")
 	}
 	switch c.Contype {
 	case pgquery.ConstrType_CONSTR_NULL:
@@ -110,12 +111,12 @@
 		}
 		d.Uniques = append(d.Uniques, replicator.Unique{Name: d.Name + "_" + strings.Join(l, "_") + "_key", Columns: n})
 	default:
-		return failure(codeFeatureNotSupported, "constraint %s is not supported by the stand-in", c.Contype)
+		return pgError(codeFeatureNotSupported, "constraint %s is not supported by the stand-in", c.Contype)
 	}
 	return nil
 }
 
-// expressionText returns a SELECT of the expression, which the log can carry.
+// expressionText returns the SQL of a SELECT of the expression, so that the replication log can store it.
 func expressionText(n *pgquery.Node) (string, error) {
 	r, err := pgquery.Parse("SELECT 1")
 	if err != nil {
@@ -126,14 +127,14 @@
 	return t, errors.Annotate(err, "deparse default")
 }
 
-// drop runs DROP TABLE.
-func (s *Session) drop(ctx context.Context, q *pgquery.DropStmt) (*Result, error) {
-	t, err := s.writes()
+// dropTable runs DROP TABLE.
+func (s *Session) dropTable(ctx context.Context, q *pgquery.DropStmt) (*Result, error) {
+	t, err := s.writableTransaction()
 	if err != nil {
 		return nil, err
 	}
 	if q.RemoveType != pgquery.ObjectType_OBJECT_TABLE {
-		return nil, failure(codeFeatureNotSupported, "DROP of %s is not supported by the stand-in", q.RemoveType)
+		return nil, pgError(codeFeatureNotSupported, "DROP of %s is not supported by the stand-in", q.RemoveType)
 	}
 	for _, o := range q.Objects {
 		n := lastName(o.GetList().GetItems())
@@ -141,7 +142,7 @@
 			return nil, err
 		}
 		if t.Table(n) == nil && !q.MissingOk {
-			return nil, failure(codeUndefinedTable, "table %q does not exist", n)
+			return nil, pgError(codeUndefinedTable, "table %q does not exist", n)
 		}
 		if t.Table(n) != nil {
 			t.Add(replicator.Change{Kind: replicator.DropTable, Table: n})
@@ -152,7 +153,7 @@
 
 // truncate runs TRUNCATE.
 func (s *Session) truncate(ctx context.Context, q *pgquery.TruncateStmt) (*Result, error) {
-	t, err := s.writes()
+	t, err := s.writableTransaction()
 	if err != nil {
 		return nil, err
 	}
@@ -161,7 +162,7 @@
 		if err != nil {
 			return nil, err
 		}
-		l, err := s.matching(ctx, d, nil, s.tableScope(d, nil), true)
+		l, err := s.matchingRows(ctx, d, nil, s.tableScope(d, nil), true)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/standin/executor/describe.go
+++ b/internal/standin/executor/describe.go
@@ -5,7 +5,8 @@
 	pgquery "github.com/pganalyze/pg_query_go/v6"
 )
 
-// Describe works out the types of a statement's parameters and result.
+// Describe infers the types of a statement's parameters and result columns. The types in given,
+// which the client declared, take precedence unless they are zero.
 func (s *Session) Describe(n *pgquery.Node, given []uint32) (*PreparedStatement, error) {
 	p, err := s.describe(n, given)
 	return p, Translate(err)
@@ -15,7 +16,7 @@
 	if n == nil {
 		return &PreparedStatement{}, nil
 	}
-	c := s.scope(nil)
+	c := s.newScope(nil)
 	c.types = append([]uint32(nil), given...)
 	var err error
 	var k []Column
@@ -44,24 +45,24 @@
 }
 
 func (s *Session) describeSelect(q *pgquery.SelectStmt, c *scope) ([]Column, error) {
-	if err := supported(q); err != nil {
+	if err := checkSupported(q); err != nil {
 		return nil, err
 	}
 	for _, f := range q.FromClause {
-		if g := functionOf(f); g != nil {
+		if g := rangeFunctionCall(f); g != nil {
 			c.inferCall(g)
 			for i, a := range g.Args {
-				if t := controls[lastName(g.Funcname)].takes; i < len(t) {
+				if t := controlFunctions[lastName(g.Funcname)].parameterTypes; i < len(t) {
 					c.infer(a, t[i])
 				}
 			}
 		}
 	}
-	o, err := s.sourceOf(q.FromClause, c)
+	o, err := s.resolveSource(q.FromClause, c)
 	if err != nil {
 		return nil, err
 	}
-	c.columns, c.name = o.columns, o.name
+	c.columns, c.tableName = o.columns, o.name
 	c.infer(q.WhereClause, pgtype.BoolOID)
 	c.infer(q.LimitCount, pgtype.Int8OID)
 	c.infer(q.LimitOffset, pgtype.Int8OID)
@@ -85,7 +86,7 @@
 			return nil, err
 		}
 	}
-	c.columns, c.name = columnsOf(d), d.Name
+	c.columns, c.tableName = columnsOf(d), d.Name
 	for _, l := range o.GetValuesLists() {
 		for i, e := range l.GetList().GetItems() {
 			if i < len(n) {
@@ -94,14 +95,14 @@
 		}
 	}
 	c.inferSet(q.OnConflictClause.GetTargetList())
-	return c.described(q.ReturningList)
+	return c.describeReturning(q.ReturningList)
 }
 
-// inferSet gives the parameters of a SET list their columns' types.
+// inferSet infers the types of the parameters in a SET list from the columns they are assigned to.
 func (s *scope) inferSet(l []*pgquery.Node) {
 	for _, n := range l {
 		r := n.GetResTarget()
-		if i := s.index(r.GetName()); i >= 0 {
+		if i := s.columnIndex(r.GetName()); i >= 0 {
 			s.infer(r.Val, s.columns[i].Type)
 		}
 	}
@@ -112,10 +113,10 @@
 	if err != nil {
 		return nil, err
 	}
-	c.columns, c.name = columnsOf(d), d.Name
+	c.columns, c.tableName = columnsOf(d), d.Name
 	c.inferSet(q.TargetList)
 	c.infer(q.WhereClause, pgtype.BoolOID)
-	return c.described(q.ReturningList)
+	return c.describeReturning(q.ReturningList)
 }
 
 func (s *Session) describeDelete(q *pgquery.DeleteStmt, c *scope) ([]Column, error) {
@@ -123,13 +124,13 @@
 	if err != nil {
 		return nil, err
 	}
-	c.columns, c.name = columnsOf(d), d.Name
+	c.columns, c.tableName = columnsOf(d), d.Name
 	c.infer(q.WhereClause, pgtype.BoolOID)
-	return c.described(q.ReturningList)
+	return c.describeReturning(q.ReturningList)
 }
 
-// described returns the columns of a RETURNING list, nil if there is none.
-func (s *scope) described(l []*pgquery.Node) ([]Column, error) {
+// describeReturning returns the result columns of a RETURNING list, nil if the list is empty.
+func (s *scope) describeReturning(l []*pgquery.Node) ([]Column, error) {
 	if len(l) == 0 {
 		return nil, nil
 	}
--- a/internal/standin/executor/expression.go
+++ b/internal/standin/executor/expression.go
@@ -8,22 +8,23 @@
 	pgquery "github.com/pganalyze/pg_query_go/v6"
 )
 
-// scope is what names in an expression stand for.
+// scope holds what an expression can refer to: columns, the current row and parameters.
 type scope struct {
 	session *Session
 	columns []Column
-	// name is the table or its alias.
-	name     string
-	row      []any
+	// tableName is the name of the table or its alias.
+	tableName string
+	row       []any
+	// excluded is the row proposed for insertion, for ON CONFLICT DO UPDATE.
 	excluded []any
 	params   []any
 	types    []uint32
 	now      time.Time
-	// totals are the results of the aggregate calls for the present group.
-	totals map[*pgquery.FuncCall]any
+	// aggregateResults holds the results of the aggregate calls for the current group.
+	aggregateResults map[*pgquery.FuncCall]any
 }
 
-func (s *scope) index(name string) int {
+func (s *scope) columnIndex(name string) int {
 	for i := range s.columns {
 		if s.columns[i].Name == name {
 			return i
@@ -32,44 +33,44 @@
 	return -1
 }
 
-// column returns the number of the column that a reference names.
-func (s *scope) column(c *pgquery.ColumnRef) (int, error) {
+// resolveColumn returns the index of the column that a reference names.
+func (s *scope) resolveColumn(c *pgquery.ColumnRef) (int, error) {
 	n := lastName(c.Fields)
-	i := s.index(n)
+	i := s.columnIndex(n)
 	if i < 0 {
-		return 0, failure(codeUndefinedColumn, "column %q does not exist", n)
+		return 0, pgError(codeUndefinedColumn, "column %q does not exist", n)
 	}
 	return i, nil
 }
 
-// eval computes an expression for the scope's row.
+// eval evaluates an expression for the scope's current row.
 func (s *scope) eval(n *pgquery.Node) (any, error) {
 	switch x := n.GetNode().(type) {
 	case *pgquery.Node_AConst:
-		return constant(x.AConst)
+		return constantValue(x.AConst)
 	case *pgquery.Node_ParamRef:
-		return s.parameter(x.ParamRef)
+		return s.parameterValue(x.ParamRef)
 	case *pgquery.Node_ColumnRef:
 		return s.columnValue(x.ColumnRef)
 	case *pgquery.Node_TypeCast:
-		return s.cast(x.TypeCast)
+		return s.evalCast(x.TypeCast)
 	case *pgquery.Node_AExpr:
-		return s.operator(x.AExpr)
+		return s.evalOperator(x.AExpr)
 	case *pgquery.Node_BoolExpr:
-		return s.boolean(x.BoolExpr)
+		return s.evalBoolean(x.BoolExpr)
 	case *pgquery.Node_NullTest:
-		return s.nullTest(x.NullTest)
+		return s.evalNullTest(x.NullTest)
 	case *pgquery.Node_CoalesceExpr:
-		return s.coalesce(x.CoalesceExpr)
+		return s.evalCoalesce(x.CoalesceExpr)
 	case *pgquery.Node_FuncCall:
-		return s.call(x.FuncCall)
+		return s.callFunction(x.FuncCall)
 	case *pgquery.Node_SqlvalueFunction:
-		return s.valueFunction(x.SqlvalueFunction)
+		return s.evalValueFunction(x.SqlvalueFunction)
 	}
-	return nil, failure(codeFeatureNotSupported, "expression %T is not supported by the stand-in", n.GetNode())
+	return nil, pgError(codeFeatureNotSupported, "expression %T is not supported by the stand-in", n.GetNode())
 }
 
-func constant(c *pgquery.A_Const) (any, error) {
+func constantValue(c *pgquery.A_Const) (any, error) {
 	switch v := c.GetVal().(type) {
 	case *pgquery.A_Const_Ival:
 		return int64(v.Ival.GetIval()), nil
@@ -86,15 +87,15 @@
 	return nil, nil
 }
 
-func (s *scope) parameter(p *pgquery.ParamRef) (any, error) {
+func (s *scope) parameterValue(p *pgquery.ParamRef) (any, error) {
 	if int(p.Number) > len(s.params) || p.Number < 1 {
-		return nil, failure(codeUndefinedParameter, "there is no parameter $%d", p.Number)
+		return nil, pgError(codeUndefinedParameter, "there is no parameter $%d", p.Number)
 	}
 	return s.params[p.Number-1], nil
 }
 
 func (s *scope) columnValue(c *pgquery.ColumnRef) (any, error) {
-	i, err := s.column(c)
+	i, err := s.resolveColumn(c)
 	if err != nil {
 		return nil, err
 	}
@@ -103,12 +104,12 @@
 		r = s.excluded
 	}
 	if i >= len(r) {
-		return nil, failure(codeUndefinedColumn, "column %q has no value here", s.columns[i].Name)
+		return nil, pgError(codeUndefinedColumn, "column %q has no value here", s.columns[i].Name)
 	}
 	return r[i], nil
 }
 
-func (s *scope) cast(c *pgquery.TypeCast) (any, error) {
+func (s *scope) evalCast(c *pgquery.TypeCast) (any, error) {
 	t, err := typeByName(c.TypeName)
 	if err != nil {
 		return nil, err
@@ -120,12 +121,12 @@
 	return Coerce(t, v)
 }
 
-func (s *scope) nullTest(n *pgquery.NullTest) (any, error) {
+func (s *scope) evalNullTest(n *pgquery.NullTest) (any, error) {
 	v, err := s.eval(n.Arg)
 	return (v == nil) == (n.Nulltesttype == pgquery.NullTestType_IS_NULL), err
 }
 
-func (s *scope) coalesce(c *pgquery.CoalesceExpr) (any, error) {
+func (s *scope) evalCoalesce(c *pgquery.CoalesceExpr) (any, error) {
 	for _, n := range c.Args {
 		v, err := s.eval(n)
 		if err != nil || v != nil {
@@ -135,7 +136,7 @@
 	return nil, nil
 }
 
-func (s *scope) valueFunction(f *pgquery.SQLValueFunction) (any, error) {
+func (s *scope) evalValueFunction(f *pgquery.SQLValueFunction) (any, error) {
 	switch f.Op {
 	case pgquery.SQLValueFunctionOp_SVFOP_CURRENT_TIMESTAMP, pgquery.SQLValueFunctionOp_SVFOP_CURRENT_TIMESTAMP_N:
 		return s.now, nil
@@ -147,11 +148,11 @@
 	case pgquery.SQLValueFunctionOp_SVFOP_CURRENT_SCHEMA:
 		return "public", nil
 	}
-	return nil, failure(codeFeatureNotSupported, "%s is not supported by the stand-in", f.Op)
+	return nil, pgError(codeFeatureNotSupported, "%s is not supported by the stand-in", f.Op)
 }
 
-// true reports whether a condition holds for the scope's row; nil holds always.
-func (s *scope) true(n *pgquery.Node) (bool, error) {
+// satisfies reports whether the scope's current row satisfies a condition. Every row satisfies nil.
+func (s *scope) satisfies(n *pgquery.Node) (bool, error) {
 	if n == nil {
 		return true, nil
 	}
--- a/internal/standin/executor/infer.go
+++ b/internal/standin/executor/infer.go
@@ -7,7 +7,7 @@
 	pgquery "github.com/pganalyze/pg_query_go/v6"
 )
 
-// typeOf returns an expression's type, zero if it isn't known.
+// typeOf returns the type OID of an expression, zero if it is unknown.
 func (s *scope) typeOf(n *pgquery.Node) uint32 {
 	switch x := n.GetNode().(type) {
 	case *pgquery.Node_AConst:
@@ -18,7 +18,7 @@
 		}
 		return 0
 	case *pgquery.Node_ColumnRef:
-		if i := s.index(lastName(x.ColumnRef.Fields)); i >= 0 {
+		if i := s.columnIndex(lastName(x.ColumnRef.Fields)); i >= 0 {
 			return s.columns[i].Type
 		}
 		return 0
@@ -90,7 +90,7 @@
 	case "generate_series":
 		return s.typeOfSeries(f)
 	}
-	return functions[n].result
+	return functions[n].resultType
 }
 
 func (s *scope) typeOfSeries(f *pgquery.FuncCall) uint32 {
@@ -102,11 +102,12 @@
 	return pgtype.Int4OID
 }
 
-// infer gives the parameters in n that have no type yet one, hint if nothing tells better.
+// infer infers the types of the parameters in n whose types are unknown. Where the expression itself
+// determines no type, it sets hint.
 func (s *scope) infer(n *pgquery.Node, hint uint32) {
 	switch x := n.GetNode().(type) {
 	case *pgquery.Node_ParamRef:
-		s.setType(int(x.ParamRef.Number), hint)
+		s.setParameterType(int(x.ParamRef.Number), hint)
 	case *pgquery.Node_TypeCast:
 		t, _ := typeByName(x.TypeCast.TypeName)
 		s.infer(x.TypeCast.Arg, t)
@@ -157,7 +158,7 @@
 }
 
 func (s *scope) inferCall(f *pgquery.FuncCall) {
-	t := functions[lastName(f.Funcname)].takes
+	t := functions[lastName(f.Funcname)].parameterTypes
 	for i, a := range f.Args {
 		h := uint32(0)
 		if i < len(t) {
@@ -170,8 +171,9 @@
 	}
 }
 
-// setType notes the type of parameter n; one that nothing tells becomes text at the end.
-func (s *scope) setType(n int, t uint32) {
+// setParameterType sets the type of parameter n if it is unknown. Describe sets those that remain
+// unknown to text.
+func (s *scope) setParameterType(n int, t uint32) {
 	for len(s.types) < n {
 		s.types = append(s.types, 0)
 	}
--- a/internal/standin/executor/insert.go
+++ b/internal/standin/executor/insert.go
@@ -8,25 +8,25 @@
 	"github.com/cuminwick/cuminwick/internal/standin/replicator"
 )
 
-// insertion is one INSERT in progress.
-type insertion struct {
+// insertOperation is an INSERT or COPY FROM STDIN in progress.
+type insertOperation struct {
 	session     *Session
 	transaction *replicator.Transaction
 	definition  *replicator.Definition
 	columns     []int
-	conflict    *pgquery.OnConflictClause
+	onConflict  *pgquery.OnConflictClause
 	scope       *scope
-	returning   *returning
+	returning   *returningClause
 }
 
-// insert runs an INSERT.
-func (s *Session) insert(ctx context.Context, q *pgquery.InsertStmt, params []any) (*Result, error) {
-	t, err := s.writes()
+// runInsert runs an INSERT.
+func (s *Session) runInsert(ctx context.Context, q *pgquery.InsertStmt, params []any) (*Result, error) {
+	t, err := s.writableTransaction()
 	if err != nil {
 		return nil, err
 	}
 	if q.WithClause != nil {
-		return nil, failure(codeFeatureNotSupported, "INSERT with WITH is not supported by the stand-in")
+		return nil, pgError(codeFeatureNotSupported, "INSERT with WITH is not supported by the stand-in")
 	}
 	d, err := s.table(q.Relation)
 	if err != nil {
@@ -37,24 +37,25 @@
 		return nil, err
 	}
 	c := s.tableScope(d, params)
-	g, err := newReturning(c, q.ReturningList)
+	g, err := newReturningClause(c, q.ReturningList)
 	if err != nil {
 		return nil, err
 	}
-	i := &insertion{session: s, transaction: t, definition: d, columns: n, conflict: q.OnConflictClause, scope: c, returning: g}
-	if err := i.all(ctx, q.SelectStmt.GetSelectStmt(), params); err != nil {
+	i := &insertOperation{session: s, transaction: t, definition: d, columns: n, onConflict: q.OnConflictClause, scope: c, returning: g}
+	if err := i.insertAll(ctx, q.SelectStmt.GetSelectStmt(), params); err != nil {
 		return nil, err
 	}
 	return g.result("INSERT 0"), nil
 }
 
-// insertColumns returns the numbers of the columns that values are given for.
+// insertColumns returns the indexes of the columns in an INSERT's column list, or of all columns if
+// the list is empty.
 func insertColumns(d *replicator.Definition, l []*pgquery.Node) ([]int, error) {
 	var n []int
 	for _, c := range l {
 		i := d.Index(c.GetResTarget().GetName())
 		if i < 0 {
-			return nil, failure(codeUndefinedColumn, "column %q of relation %q does not exist", c.GetResTarget().GetName(), d.Name)
+			return nil, pgError(codeUndefinedColumn, "column %q of relation %q does not exist", c.GetResTarget().GetName(), d.Name)
 		}
 		n = append(n, i)
 	}
@@ -67,20 +68,20 @@
 	return n, nil
 }
 
-// all inserts the rows of VALUES or of a SELECT.
-func (i *insertion) all(ctx context.Context, q *pgquery.SelectStmt, params []any) error {
+// insertAll inserts the rows of VALUES or of a SELECT. A nil q inserts one row of defaults.
+func (i *insertOperation) insertAll(ctx context.Context, q *pgquery.SelectStmt, params []any) error {
 	if q == nil {
-		return i.one(ctx, nil, nil)
+		return i.insertRow(ctx, nil, nil)
 	}
 	for _, l := range q.ValuesLists {
-		if err := i.values(ctx, l.GetList().GetItems()); err != nil {
+		if err := i.insertValues(ctx, l.GetList().GetItems()); err != nil {
 			return err
 		}
 	}
 	if len(q.ValuesLists) > 0 {
 		return nil
 	}
-	r, err := i.session.selects(ctx, q, params)
+	r, err := i.session.runSelect(ctx, q, params)
 	if err != nil {
 		return err
 	}
@@ -89,14 +90,14 @@
 		if err != nil || v == nil {
 			return err
 		}
-		if err := i.one(ctx, v, nil); err != nil {
+		if err := i.insertRow(ctx, v, nil); err != nil {
 			return err
 		}
 	}
 }
 
-// values inserts one list of expressions.
-func (i *insertion) values(ctx context.Context, l []*pgquery.Node) error {
+// insertValues inserts one row of a VALUES list.
+func (i *insertOperation) insertValues(ctx context.Context, l []*pgquery.Node) error {
 	v := make([]any, len(l))
 	defaults := map[int]bool{}
 	c := *i.scope
@@ -112,14 +113,15 @@
 		}
 		v[k] = x
 	}
-	return i.one(ctx, v, defaults)
+	return i.insertRow(ctx, v, defaults)
 }
 
-// one inserts one row.
-func (i *insertion) one(ctx context.Context, given []any, defaults map[int]bool) error {
+// insertRow inserts one row. Columns that are not given, and those whose indexes in given are in
+// defaults, get their default values.
+func (i *insertOperation) insertRow(ctx context.Context, given []any, defaults map[int]bool) error {
 	d := i.definition
 	if len(given) > len(i.columns) {
-		return failure(codeSyntaxError, "INSERT has more expressions than target columns")
+		return pgError(codeSyntaxError, "INSERT has more expressions than target columns")
 	}
 	v := make([]any, len(d.Columns))
 	set := make([]bool, len(d.Columns))
@@ -134,17 +136,17 @@
 		}
 		v[c], set[c] = x, true
 	}
-	if err := i.fill(v, set); err != nil {
+	if err := i.fillDefaults(v, set); err != nil {
 		return err
 	}
 	if err := checkNulls(d, v); err != nil {
 		return err
 	}
-	return i.put(ctx, v)
+	return i.putRow(ctx, v)
 }
 
-// fill gives the columns that weren't set their defaults.
-func (i *insertion) fill(v []any, set []bool) error {
+// fillDefaults sets the columns without a value to their next serial number or default.
+func (i *insertOperation) fillDefaults(v []any, set []bool) error {
 	d := i.definition
 	for c := range d.Columns {
 		if set[c] {
@@ -171,17 +173,18 @@
 	if err != nil {
 		return nil, err
 	}
-	v, err := s.scope(nil).eval(n[0].GetSelectStmt().TargetList[0].GetResTarget().Val)
+	v, err := s.newScope(nil).eval(n[0].GetSelectStmt().TargetList[0].GetResTarget().Val)
 	if err != nil {
 		return nil, err
 	}
 	return Coerce(c.Type, v)
 }
 
-// put writes the row unless it conflicts with another.
-func (i *insertion) put(ctx context.Context, v []any) error {
+// putRow adds the row to the transaction, or follows the ON CONFLICT clause if another row has its
+// primary key or unique values.
+func (i *insertOperation) putRow(ctx context.Context, v []any) error {
 	s, t, d := i.session, i.transaction, i.definition
-	k, err := s.keyOf(ctx, t, d, v, "")
+	k, err := s.lockPrimaryKey(ctx, t, d, v, "")
 	if err != nil {
 		return err
 	}
@@ -189,45 +192,47 @@
 		k = t.NewKey()
 	}
 	if o := t.Get(d.Name, k); o != nil {
-		return i.collide(ctx, d.Key, o, v)
+		return i.resolveConflict(ctx, d.Key, o, v)
 	}
-	u, err := s.conflict(ctx, t, d, v, k)
+	u, err := s.findConflict(ctx, t, d, v, k)
 	if err != nil {
 		return err
 	}
 	if u != nil {
-		return i.collide(ctx, u, nil, v)
+		return i.resolveConflict(ctx, u, nil, v)
 	}
 	t.Add(replicator.Change{Kind: replicator.PutRow, Table: d.Name, Key: k, Values: v})
 	return i.returning.add(v)
 }
 
-// collide follows the ON CONFLICT clause, or fails.
-func (i *insertion) collide(ctx context.Context, u *replicator.Unique, o *replicator.Row, v []any) error {
-	switch i.conflict.GetAction() {
+// resolveConflict follows the ON CONFLICT clause and returns a unique violation if there is none.
+// o is the existing row of a primary key conflict, nil for a conflict on another unique constraint;
+// DO UPDATE is supported only for the former.
+func (i *insertOperation) resolveConflict(ctx context.Context, u *replicator.Unique, o *replicator.Row, v []any) error {
+	switch i.onConflict.GetAction() {
 	case pgquery.OnConflictAction_ONCONFLICT_NOTHING:
 		return nil
 	case pgquery.OnConflictAction_ONCONFLICT_UPDATE:
 		if o != nil {
-			return i.merge(ctx, o, v)
+			return i.updateConflictingRow(ctx, o, v)
 		}
 	}
-	return duplicate(u)
+	return uniqueViolation(u)
 }
 
-// merge runs ON CONFLICT DO UPDATE on the row o.
-func (i *insertion) merge(ctx context.Context, o *replicator.Row, v []any) error {
+// updateConflictingRow runs ON CONFLICT DO UPDATE on the row o.
+func (i *insertOperation) updateConflictingRow(ctx context.Context, o *replicator.Row, v []any) error {
 	c := *i.scope
 	c.row, c.excluded = o.Values, v
-	ok, err := c.true(i.conflict.WhereClause)
+	ok, err := c.satisfies(i.onConflict.WhereClause)
 	if err != nil || !ok {
 		return err
 	}
-	n, err := c.assigned(i.definition, o.Values, i.conflict.TargetList)
+	n, err := c.applyAssignments(i.definition, o.Values, i.onConflict.TargetList)
 	if err != nil {
 		return err
 	}
-	if err := i.session.replace(ctx, i.transaction, i.definition, o, n); err != nil {
+	if err := i.session.replaceRow(ctx, i.transaction, i.definition, o, n); err != nil {
 		return err
 	}
 	return i.returning.add(n)
--- a/internal/standin/executor/matching.go
+++ b/internal/standin/executor/matching.go
@@ -8,21 +8,21 @@
 	"github.com/cuminwick/cuminwick/internal/standin/replicator"
 )
 
-// matching returns the rows of a table that satisfy where, locked if asked for.
-func (s *Session) matching(ctx context.Context, d *replicator.Definition, where *pgquery.Node, c *scope, lock bool) ([]*replicator.Row, error) {
-	t := s.ensure()
+// matchingRows returns the rows of a table that satisfy where, and locks them if lock is true.
+func (s *Session) matchingRows(ctx context.Context, d *replicator.Definition, where *pgquery.Node, c *scope, lock bool) ([]*replicator.Row, error) {
+	t := s.ensureTransaction()
 	if lock {
-		if _, err := s.writes(); err != nil {
+		if _, err := s.writableTransaction(); err != nil {
 			return nil, err
 		}
 	}
-	l, err := s.candidates(t, d, where, c)
+	l, err := s.candidateRows(t, d, where, c)
 	if err != nil {
 		return nil, err
 	}
 	f := l[:0:0]
 	for _, r := range l {
-		r, err := s.match(ctx, t, d, r, where, c, lock)
+		r, err := s.matchRow(ctx, t, d, r, where, c, lock)
 		if err != nil {
 			return nil, err
 		}
@@ -33,12 +33,13 @@
 	return f, nil
 }
 
-// match returns the row if it satisfies where; under a lock it looks at the latest version.
-func (s *Session) match(ctx context.Context, t *replicator.Transaction, d *replicator.Definition, r *replicator.Row, where *pgquery.Node, c *scope, lock bool) (*replicator.Row, error) {
+// matchRow returns the row if it satisfies where, otherwise nil. If lock is true, it locks a matching
+// row and evaluates where again if the row changed before the lock was acquired.
+func (s *Session) matchRow(ctx context.Context, t *replicator.Transaction, d *replicator.Definition, r *replicator.Row, where *pgquery.Node, c *scope, lock bool) (*replicator.Row, error) {
 	c.row = r.Values
-	ok, err := c.true(where)
+	ok, err := c.satisfies(where)
 	if err != nil || !ok || !lock {
-		return only(r, ok), err
+		return rowIf(r, ok), err
 	}
 	err = s.lock(ctx, t, lockName(d, "", r.Key))
 	if err != nil {
@@ -49,29 +50,31 @@
 		return n, nil
 	}
 	c.row = n.Values
-	ok, err = c.true(where)
-	return only(n, ok), err
+	ok, err = c.satisfies(where)
+	return rowIf(n, ok), err
 }
 
-func only(r *replicator.Row, ok bool) *replicator.Row {
+func rowIf(r *replicator.Row, ok bool) *replicator.Row {
 	if !ok {
 		return nil
 	}
 	return r
 }
 
+// lockName returns the name of the lock on a key of a unique constraint, or on a primary key or row if
+// constraint is empty.
 func lockName(d *replicator.Definition, constraint, key string) string {
 	return d.Name + "\x00" + constraint + "\x00" + key
 }
 
-// candidates returns the row of the primary key if where fixes it, otherwise all rows.
-func (s *Session) candidates(t *replicator.Transaction, d *replicator.Definition, where *pgquery.Node, c *scope) ([]*replicator.Row, error) {
+// candidateRows returns the one row with the primary key if where determines it, otherwise all rows.
+func (s *Session) candidateRows(t *replicator.Transaction, d *replicator.Definition, where *pgquery.Node, c *scope) ([]*replicator.Row, error) {
 	if d.Key == nil {
 		return t.Scan(d.Name), nil
 	}
 	v := make([]any, len(d.Columns))
 	found := map[int]bool{}
-	err := c.fixed(where, v, found)
+	err := c.collectEqualities(where, v, found)
 	if err != nil {
 		return nil, err
 	}
@@ -92,11 +95,12 @@
 	return []*replicator.Row{r}, nil
 }
 
-// fixed notes the columns that where sets equal to a constant or parameter.
-func (s *scope) fixed(where *pgquery.Node, v []any, found map[int]bool) error {
+// collectEqualities finds the columns that where requires to equal a constant or parameter. It sets
+// their values in v and marks their indexes in found.
+func (s *scope) collectEqualities(where *pgquery.Node, v []any, found map[int]bool) error {
 	if b := where.GetBoolExpr(); b != nil && b.Boolop == pgquery.BoolExprType_AND_EXPR {
 		for _, n := range b.Args {
-			if err := s.fixed(n, v, found); err != nil {
+			if err := s.collectEqualities(n, v, found); err != nil {
 				return err
 			}
 		}
@@ -110,10 +114,10 @@
 	if r.GetColumnRef() == nil {
 		r, o = o, r
 	}
-	if r.GetColumnRef() == nil || !independent(o) {
+	if r.GetColumnRef() == nil || !readsNoColumn(o) {
 		return nil
 	}
-	i, err := s.column(r.GetColumnRef())
+	i, err := s.resolveColumn(r.GetColumnRef())
 	if err != nil {
 		return err
 	}
@@ -122,13 +126,13 @@
 	return err
 }
 
-// independent reports whether an expression reads no column.
-func independent(n *pgquery.Node) bool {
+// readsNoColumn reports whether an expression is a constant or parameter, possibly with type casts.
+func readsNoColumn(n *pgquery.Node) bool {
 	switch x := n.GetNode().(type) {
 	case *pgquery.Node_AConst, *pgquery.Node_ParamRef:
 		return true
 	case *pgquery.Node_TypeCast:
-		return independent(x.TypeCast.Arg)
+		return readsNoColumn(x.TypeCast.Arg)
 	}
 	return false
 }
--- a/internal/standin/executor/operators.go
+++ b/internal/standin/executor/operators.go
@@ -7,15 +7,15 @@
 	pgquery "github.com/pganalyze/pg_query_go/v6"
 )
 
-func (s *scope) operator(e *pgquery.A_Expr) (any, error) {
+func (s *scope) evalOperator(e *pgquery.A_Expr) (any, error) {
 	switch e.Kind {
 	case pgquery.A_Expr_Kind_AEXPR_IN:
-		return s.in(e)
+		return s.evalIn(e)
 	case pgquery.A_Expr_Kind_AEXPR_BETWEEN:
-		return s.between(e)
+		return s.evalBetween(e)
 	case pgquery.A_Expr_Kind_AEXPR_OP:
 	default:
-		return nil, failure(codeFeatureNotSupported, "operator kind %s is not supported by the stand-in", e.Kind)
+		return nil, pgError(codeFeatureNotSupported, "operator kind %s is not supported by the stand-in", e.Kind)
 	}
 	b, err := s.eval(e.Rexpr)
 	if err != nil {
@@ -28,10 +28,10 @@
 	if err != nil || a == nil || b == nil {
 		return nil, err
 	}
-	return binary(lastName(e.Name), a, b)
+	return binaryOperator(lastName(e.Name), a, b)
 }
 
-// comparisons tells for each comparison operator which orders satisfy it.
+// comparisons maps each comparison operator to a predicate on the result of compareValues.
 var comparisons = map[string]func(int) bool{
 	"=":  func(c int) bool { return c == 0 },
 	"<>": func(c int) bool { return c != 0 },
@@ -41,9 +41,9 @@
 	">=": func(c int) bool { return c >= 0 },
 }
 
-func binary(o string, a, b any) (any, error) {
+func binaryOperator(o string, a, b any) (any, error) {
 	if f, ok := comparisons[o]; ok {
-		c, err := compare(a, b)
+		c, err := compareValues(a, b)
 		return f(c), err
 	}
 	if o == "||" {
@@ -53,7 +53,7 @@
 }
 
 func arithmetic(o string, a, b any) (any, error) {
-	a, b, err := alike(a, b)
+	a, b, err := toCommonType(a, b)
 	if err != nil {
 		return nil, err
 	}
@@ -67,7 +67,7 @@
 			return floatArithmetic(o, x, y)
 		}
 	}
-	return nil, failure(codeUndefinedFunction, "operator %s does not exist for %T and %T", o, a, b)
+	return nil, pgError(codeUndefinedFunction, "operator %s does not exist for %T and %T", o, a, b)
 }
 
 func integerArithmetic(o string, x, y int64) (any, error) {
@@ -80,7 +80,7 @@
 		return x * y, nil
 	}
 	if y == 0 && (o == "/" || o == "%") {
-		return nil, failure(codeDivisionByZero, "division by zero")
+		return nil, pgError(codeDivisionByZero, "division by zero")
 	}
 	switch o {
 	case "/":
@@ -88,7 +88,7 @@
 	case "%":
 		return x % y, nil
 	}
-	return nil, failure(codeUndefinedFunction, "operator %s does not exist for bigint", o)
+	return nil, pgError(codeUndefinedFunction, "operator %s does not exist for bigint", o)
 }
 
 func floatArithmetic(o string, x, y float64) (any, error) {
@@ -101,7 +101,7 @@
 		return x * y, nil
 	}
 	if o == "/" && y == 0 {
-		return nil, failure(codeDivisionByZero, "division by zero")
+		return nil, pgError(codeDivisionByZero, "division by zero")
 	}
 	switch o {
 	case "/":
@@ -109,10 +109,10 @@
 	case "%":
 		return math.Mod(x, y), nil
 	}
-	return nil, failure(codeUndefinedFunction, "operator %s does not exist for double precision", o)
+	return nil, pgError(codeUndefinedFunction, "operator %s does not exist for double precision", o)
 }
 
-func (s *scope) in(e *pgquery.A_Expr) (any, error) {
+func (s *scope) evalIn(e *pgquery.A_Expr) (any, error) {
 	a, err := s.eval(e.Lexpr)
 	if err != nil || a == nil {
 		return nil, err
@@ -126,7 +126,7 @@
 		if b == nil {
 			continue
 		}
-		c, err := compare(a, b)
+		c, err := compareValues(a, b)
 		if err != nil {
 			return nil, err
 		}
@@ -135,7 +135,7 @@
 	return found == (lastName(e.Name) == "="), nil
 }
 
-func (s *scope) between(e *pgquery.A_Expr) (any, error) {
+func (s *scope) evalBetween(e *pgquery.A_Expr) (any, error) {
 	a, err := s.eval(e.Lexpr)
 	if err != nil {
 		return nil, err
@@ -149,16 +149,16 @@
 	if err != nil || a == nil || lo == nil || hi == nil {
 		return nil, err
 	}
-	c, err := compare(a, lo)
+	c, err := compareValues(a, lo)
 	if err != nil || c < 0 {
 		return false, err
 	}
-	c, err = compare(a, hi)
+	c, err = compareValues(a, hi)
 	return c <= 0, err
 }
 
-// boolean follows SQL's logic of three values.
-func (s *scope) boolean(e *pgquery.BoolExpr) (any, error) {
+// evalBoolean evaluates AND, OR and NOT in SQL's three-valued logic.
+func (s *scope) evalBoolean(e *pgquery.BoolExpr) (any, error) {
 	unknown := false
 	for _, n := range e.Args {
 		v, err := s.eval(n)
@@ -167,7 +167,7 @@
 		}
 		b, ok := v.(bool)
 		if v != nil && !ok {
-			return nil, failure(codeDatatypeMismatch, "argument of a boolean operator must be boolean")
+			return nil, pgError(codeDatatypeMismatch, "argument of a boolean operator must be boolean")
 		}
 		switch {
 		case v == nil:
--- a/internal/standin/executor/order.go
+++ b/internal/standin/executor/order.go
@@ -12,13 +12,13 @@
 	"github.com/cuminwick/cuminwick/internal/standin/replicator"
 )
 
-// limited applies LIMIT and OFFSET.
-func (s *scope) limited(q *pgquery.SelectStmt, r rows) (rows, error) {
-	skip, err := s.count(q.LimitOffset, 0)
+// limitRows applies LIMIT and OFFSET.
+func (s *scope) limitRows(q *pgquery.SelectStmt, r rowIterator) (rowIterator, error) {
+	skip, err := s.evalCount(q.LimitOffset, 0)
 	if err != nil {
 		return nil, err
 	}
-	left, err := s.count(q.LimitCount, -1)
+	left, err := s.evalCount(q.LimitCount, -1)
 	if err != nil || (skip == 0 && left < 0) {
 		return r, err
 	}
@@ -37,9 +37,10 @@
 	}, nil
 }
 
-func (s *scope) count(n *pgquery.Node, otherwise int64) (int64, error) {
+// evalCount evaluates a LIMIT or OFFSET expression. It returns fallback if there is none or it is null.
+func (s *scope) evalCount(n *pgquery.Node, fallback int64) (int64, error) {
 	if n == nil {
-		return otherwise, nil
+		return fallback, nil
 	}
 	v, err := s.eval(n)
 	if err != nil {
@@ -47,14 +48,14 @@
 	}
 	v, err = Coerce(pgtype.Int8OID, v)
 	if err != nil || v == nil {
-		return otherwise, err
+		return fallback, err
 	}
 	return v.(int64), nil
 }
 
-// ordered reads all rows and sorts them by the ORDER BY clause.
-func (s *scope) ordered(ctx context.Context, q *pgquery.SelectStmt, t []target, r rows) ([][]any, error) {
-	var l []entry
+// sortRows reads all rows and returns them sorted by the ORDER BY clause.
+func (s *scope) sortRows(ctx context.Context, q *pgquery.SelectStmt, t []target, r rowIterator) ([][]any, error) {
+	var l []sortEntry
 	for {
 		v, err := r(ctx)
 		if err != nil {
@@ -68,21 +69,21 @@
 		if err != nil {
 			return nil, err
 		}
-		l = append(l, entry{row: v, by: k})
+		l = append(l, sortEntry{row: v, keys: k})
 	}
-	return sorted(q, l)
+	return sortEntries(q, l)
 }
 
-// entry is a row with the values that it is sorted by.
-type entry struct {
-	row, by []any
+// sortEntry is a row and the values of its ORDER BY expressions.
+type sortEntry struct {
+	row, keys []any
 }
 
-// sorted returns the rows in the order that the statement asks for.
-func sorted(q *pgquery.SelectStmt, l []entry) ([][]any, error) {
+// sortEntries returns the rows in the order of the ORDER BY clause.
+func sortEntries(q *pgquery.SelectStmt, l []sortEntry) ([][]any, error) {
 	var failed error
-	slices.SortStableFunc(l, func(a, b entry) int {
-		n, err := compareKeys(q.SortClause, a.by, b.by)
+	slices.SortStableFunc(l, func(a, b sortEntry) int {
+		n, err := compareKeys(q.SortClause, a.keys, b.keys)
 		if err != nil {
 			failed = err
 		}
@@ -95,7 +96,7 @@
 	return o, failed
 }
 
-// sortKey computes the ORDER BY expressions, which may name a result column or its number.
+// sortKey evaluates the ORDER BY expressions for the scope's current row.
 func (s *scope) sortKey(q *pgquery.SelectStmt, t []target) ([]any, error) {
 	var k []any
 	for _, n := range q.SortClause {
@@ -108,7 +109,7 @@
 	return k, nil
 }
 
-// evalOutput computes an expression that may be a result column's name or number.
+// evalOutput evaluates an expression that may be the name or the one-based number of a result column.
 func (s *scope) evalOutput(n *pgquery.Node, t []target) (any, error) {
 	if i, ok := outputIndex(n, t); ok {
 		if t[i].node == nil {
@@ -148,15 +149,15 @@
 	return 0, nil
 }
 
-// compareNullable orders null after every value.
+// compareNullable compares two values. Null sorts after every other value.
 func compareNullable(a, b any) (int, error) {
 	if a == nil || b == nil {
 		return boolRank(a == nil) - boolRank(b == nil), nil
 	}
-	return compare(a, b)
+	return compareValues(a, b)
 }
 
-// groupKey joins the GROUP BY values of the scope's row.
+// groupKey encodes the GROUP BY values of the scope's current row as one string.
 func (s *scope) groupKey(q *pgquery.SelectStmt, t []target) (string, error) {
 	var b strings.Builder
 	for _, n := range q.GroupClause {
--- a/internal/standin/executor/parse.go
+++ b/internal/standin/executor/parse.go
@@ -10,22 +10,22 @@
 	"github.com/pganalyze/pg_query_go/v6/parser"
 )
 
-// Sizes of the cache of parse results.
+// Limits of the cache of parse results.
 const (
-	cachedStatements    = 4096
-	longestCachedString = 8192
+	maximumCachedStrings = 4096
+	maximumCachedLength  = 8192 // bytes of a query string
 )
 
-// Parser parses SQL with PostgreSQL's own parser and remembers the results.
-// It is used by many goroutines; a parse result is never changed.
+// Parser parses SQL with PostgreSQL's own parser and caches the results.
+// It is safe for concurrent use. Callers must not modify a parse result, as sessions share it.
 type Parser struct {
 	once  sync.Once
 	cache *lru.Cache[string, []*pgquery.Node]
 }
 
-// Parse returns the statements of a query string.
+// Parse returns the statements of a query string, or a PostgreSQL syntax error.
 func (p *Parser) Parse(sql string) ([]*pgquery.Node, error) {
-	p.once.Do(p.setUp)
+	p.once.Do(p.createCache)
 	if n, ok := p.cache.Get(sql); ok {
 		return n, nil
 	}
@@ -37,15 +37,15 @@
 	for _, s := range r.Stmts {
 		n = append(n, s.Stmt)
 	}
-	if len(sql) <= longestCachedString {
+	if len(sql) <= maximumCachedLength {
 		p.cache.Add(sql, n)
 	}
 	return n, nil
 }
 
-func (p *Parser) setUp() {
-	// New fails only for a size that isn't positive.
-	p.cache, _ = lru.New[string, []*pgquery.Node](cachedStatements)
+func (p *Parser) createCache() {
+	// New returns an error only for a size that is not positive.
+	p.cache, _ = lru.New[string, []*pgquery.Node](maximumCachedStrings)
 }
 
 func syntaxError(err error) error {
@@ -70,7 +70,7 @@
 	n := lastName(t.GetNames())
 	o, ok := typeNames[n]
 	if !ok || len(t.GetArrayBounds()) > 0 {
-		return 0, failure(codeFeatureNotSupported, "type %q is not supported by the stand-in", n)
+		return 0, pgError(codeFeatureNotSupported, "type %q is not supported by the stand-in", n)
 	}
 	return o, nil
 }
--- a/internal/standin/executor/prepared.go
+++ b/internal/standin/executor/prepared.go
@@ -8,8 +8,8 @@
 
 func (s *Session) discard(d *pgquery.DiscardStmt) (*Result, error) {
 	if d.Target == pgquery.DiscardMode_DISCARD_ALL {
-		if s.explicit {
-			return nil, failure("25001", "DISCARD ALL cannot run inside a transaction block")
+		if s.inTransactionBlock {
+			return nil, pgError("25001", "DISCARD ALL cannot run inside a transaction block")
 		}
 		s.Reset()
 		clear(s.PreparedStatements)
@@ -20,7 +20,7 @@
 
 func (s *Session) prepare(p *pgquery.PrepareStmt) (*Result, error) {
 	if _, ok := s.PreparedStatements[p.Name]; ok {
-		return nil, failure(codeDuplicatePrepared, "prepared statement %q already exists", p.Name)
+		return nil, pgError(codeDuplicatePrepared, "prepared statement %q already exists", p.Name)
 	}
 	var t []uint32
 	for _, a := range p.Argtypes {
@@ -41,12 +41,12 @@
 func (s *Session) execute(ctx context.Context, e *pgquery.ExecuteStmt) (*Result, error) {
 	p, ok := s.PreparedStatements[e.Name]
 	if !ok || p.Node == nil {
-		return nil, failure(codeInvalidStatement, "prepared statement %q does not exist", e.Name)
+		return nil, pgError(codeInvalidStatement, "prepared statement %q does not exist", e.Name)
 	}
 	if len(e.Params) != len(p.ParameterTypes) {
-		return nil, failure(codeSyntaxError, "wrong number of parameters for prepared statement %q", e.Name)
+		return nil, pgError(codeSyntaxError, "wrong number of parameters for prepared statement %q", e.Name)
 	}
-	c := s.scope(nil)
+	c := s.newScope(nil)
 	var a []any
 	for i, n := range e.Params {
 		v, err := c.eval(n)
@@ -68,7 +68,7 @@
 		return &Result{Tag: "DEALLOCATE ALL"}, nil
 	}
 	if _, ok := s.PreparedStatements[d.Name]; !ok {
-		return nil, failure(codeInvalidStatement, "prepared statement %q does not exist", d.Name)
+		return nil, pgError(codeInvalidStatement, "prepared statement %q does not exist", d.Name)
 	}
 	delete(s.PreparedStatements, d.Name)
 	return &Result{Tag: "DEALLOCATE"}, nil
--- a/internal/standin/executor/selects.go
+++ b/internal/standin/executor/selects.go
@@ -8,48 +8,49 @@
 	"github.com/cuminwick/cuminwick/internal/standin/replicator"
 )
 
-// rows gives one row after the other, nil after the last one.
-type rows func(ctx context.Context) ([]any, error)
+// rowIterator returns the next row, nil after the last one.
+type rowIterator func(ctx context.Context) ([]any, error)
 
-// supported refuses the clauses that the stand-in doesn't know.
-func supported(q *pgquery.SelectStmt) error {
+// checkSupported returns an error for a SELECT with clauses that the stand-in server does not support.
+func checkSupported(q *pgquery.SelectStmt) error {
 	switch {
 	case q.Op > pgquery.SetOperation_SETOP_NONE:
-		return failure(codeFeatureNotSupported, "UNION, INTERSECT and EXCEPT are not supported by the stand-in")
+		return pgError(codeFeatureNotSupported, "UNION, INTERSECT and EXCEPT are not supported by the stand-in")
 	case q.WithClause != nil, q.HavingClause != nil, len(q.WindowClause) > 0, len(q.DistinctClause) > 0, q.IntoClause != nil:
-		return failure(codeFeatureNotSupported, "WITH, HAVING, WINDOW, DISTINCT and INTO are not supported by the stand-in")
+		return pgError(codeFeatureNotSupported, "WITH, HAVING, WINDOW, DISTINCT and INTO are not supported by the stand-in")
 	}
 	return nil
 }
 
-// selects runs a SELECT.
-func (s *Session) selects(ctx context.Context, q *pgquery.SelectStmt, params []any) (*Result, error) {
-	if err := supported(q); err != nil {
+// runSelect runs a SELECT.
+func (s *Session) runSelect(ctx context.Context, q *pgquery.SelectStmt, params []any) (*Result, error) {
+	if err := checkSupported(q); err != nil {
 		return nil, err
 	}
-	c := s.scope(params)
+	c := s.newScope(params)
 	c.types = typesOf(params)
-	o, err := s.sourceOf(q.FromClause, c)
+	o, err := s.resolveSource(q.FromClause, c)
 	if err != nil {
 		return nil, err
 	}
-	c.columns, c.name = o.columns, o.name
+	c.columns, c.tableName = o.columns, o.name
 	t, err := c.targets(q.TargetList)
 	if err != nil {
 		return nil, err
 	}
-	r, err := s.read(ctx, o, q, c)
+	r, err := s.readSource(ctx, o, q, c)
 	if err != nil {
 		return nil, err
 	}
-	r, err = c.shape(ctx, q, t, r)
+	r, err = c.applyClauses(ctx, q, t, r)
 	if err != nil {
 		return nil, err
 	}
 	return &Result{Columns: resultColumns(t), Next: r}, nil
 }
 
-// typesOf guesses the types of bound parameters, for the names of result types only.
+// typesOf derives the types of bound parameters from their values. They serve only to determine the
+// types of result columns.
 func typesOf(params []any) []uint32 {
 	t := make([]uint32, len(params))
 	for i, p := range params {
@@ -60,29 +61,29 @@
 	return t
 }
 
-// read returns the source's rows that satisfy the WHERE clause.
-func (s *Session) read(ctx context.Context, o *source, q *pgquery.SelectStmt, c *scope) (rows, error) {
+// readSource returns the source's rows that satisfy the WHERE clause.
+func (s *Session) readSource(ctx context.Context, o *source, q *pgquery.SelectStmt, c *scope) (rowIterator, error) {
 	if o.definition != nil {
-		f, err := s.matching(ctx, o.definition, q.WhereClause, c, len(q.LockingClause) > 0)
+		f, err := s.matchingRows(ctx, o.definition, q.WhereClause, c, len(q.LockingClause) > 0)
 		if err != nil {
 			return nil, err
 		}
-		return stored(f), nil
+		return storedRowIterator(f), nil
 	}
 	if o.activity {
-		return c.filtered(sliced(s.Activity()), q.WhereClause), nil
+		return c.filterRows(sliceIterator(s.Activity()), q.WhereClause), nil
 	}
 	if o.function == nil {
-		return c.filtered(sliced([][]any{{}}), q.WhereClause), nil
+		return c.filterRows(sliceIterator([][]any{{}}), q.WhereClause), nil
 	}
-	r, err := c.series(o.function)
+	r, err := c.functionRows(o.function)
 	if err != nil {
 		return nil, err
 	}
-	return c.filtered(r, q.WhereClause), nil
+	return c.filterRows(r, q.WhereClause), nil
 }
 
-func stored(f []*replicator.Row) rows {
+func storedRowIterator(f []*replicator.Row) rowIterator {
 	i := 0
 	return func(context.Context) ([]any, error) {
 		if i >= len(f) {
@@ -93,7 +94,7 @@
 	}
 }
 
-func (s *scope) filtered(r rows, where *pgquery.Node) rows {
+func (s *scope) filterRows(r rowIterator, where *pgquery.Node) rowIterator {
 	if where == nil {
 		return r
 	}
@@ -104,7 +105,7 @@
 				return nil, err
 			}
 			s.row = v
-			ok, err := s.true(where)
+			ok, err := s.satisfies(where)
 			if err != nil || ok {
 				return v, err
 			}
@@ -112,23 +113,23 @@
 	}
 }
 
-// shape groups, orders, limits and projects rows.
-func (s *scope) shape(ctx context.Context, q *pgquery.SelectStmt, t []target, r rows) (rows, error) {
+// applyClauses applies the GROUP BY, ORDER BY, LIMIT and OFFSET clauses and the target list to rows.
+func (s *scope) applyClauses(ctx context.Context, q *pgquery.SelectStmt, t []target, r rowIterator) (rowIterator, error) {
 	if a := aggregatesIn(t); len(a) > 0 || len(q.GroupClause) > 0 {
-		g, err := s.grouped(ctx, q, t, a, r)
+		g, err := s.groupRows(ctx, q, t, a, r)
 		if err != nil {
 			return nil, err
 		}
-		return s.limited(q, sliced(g))
+		return s.limitRows(q, sliceIterator(g))
 	}
 	if len(q.SortClause) > 0 {
-		l, err := s.ordered(ctx, q, t, r)
+		l, err := s.sortRows(ctx, q, t, r)
 		if err != nil {
 			return nil, err
 		}
-		r = sliced(l)
+		r = sliceIterator(l)
 	}
-	r, err := s.limited(q, r)
+	r, err := s.limitRows(q, r)
 	if err != nil {
 		return nil, err
 	}
@@ -138,7 +139,7 @@
 			return nil, err
 		}
 		s.row = v
-		s.session.context = ctx
-		return s.produce(t)
+		s.session.statementContext = ctx
+		return s.project(t)
 	}, nil
 }
--- a/internal/standin/executor/settings.go
+++ b/internal/standin/executor/settings.go
@@ -8,14 +8,14 @@
 	pgquery "github.com/pganalyze/pg_query_go/v6"
 )
 
-// set runs SET, SET LOCAL, SET TRANSACTION and RESET.
-func (s *Session) set(v *pgquery.VariableSetStmt) (*Result, error) {
+// runSet runs SET, SET LOCAL, SET TRANSACTION and RESET.
+func (s *Session) runSet(v *pgquery.VariableSetStmt) (*Result, error) {
 	switch v.Kind {
 	case pgquery.VariableSetKind_VAR_RESET_ALL:
 		s.Reset()
 		return &Result{Tag: "RESET"}, nil
 	case pgquery.VariableSetKind_VAR_RESET, pgquery.VariableSetKind_VAR_SET_DEFAULT:
-		s.change(v.Name, s.StartupSettings[CanonicalSetting(v.Name)], v.IsLocal)
+		s.changeSetting(v.Name, s.StartupSettings[CanonicalSetting(v.Name)], v.IsLocal)
 		if v.Kind == pgquery.VariableSetKind_VAR_RESET {
 			return &Result{Tag: "RESET"}, nil
 		}
@@ -26,7 +26,7 @@
 		if err != nil {
 			return nil, err
 		}
-		s.change(v.Name, t, v.IsLocal)
+		s.changeSetting(v.Name, t, v.IsLocal)
 	}
 	return &Result{Tag: "SET"}, nil
 }
@@ -43,7 +43,7 @@
 			s.readOnly = on
 			continue
 		}
-		s.change("default_transaction_read_only", onOff(on), false)
+		s.changeSetting("default_transaction_read_only", onOff(on), false)
 	}
 	return &Result{Tag: "SET"}, nil
 }
@@ -55,24 +55,25 @@
 	return "off"
 }
 
-// change sets a setting for the session or, if local, until the transaction ends.
-func (s *Session) change(name, value string, local bool) {
+// changeSetting changes a setting for the session or, if local, until the transaction ends.
+func (s *Session) changeSetting(name, value string, local bool) {
 	name = CanonicalSetting(name)
-	if local && !s.explicit {
+	if local && !s.inTransactionBlock {
 		return
 	}
 	if local {
-		keep(&s.local, s.Settings, name)
-	} else if s.explicit {
-		keep(&s.undo, s.Settings, name)
-		delete(s.local, name)
+		saveOriginal(&s.settingsBeforeSetLocal, s.Settings, name)
+	} else if s.inTransactionBlock {
+		saveOriginal(&s.settingsBeforeSet, s.Settings, name)
+		delete(s.settingsBeforeSetLocal, name)
 	}
-	s.assign(name, value)
+	s.assignSetting(name, value)
 }
 
-// CanonicalSetting returns a setting's name as the server reports it.
+// CanonicalSetting returns a setting's name in the case in which the server reports it, lower case if
+// the server does not report it.
 func CanonicalSetting(name string) string {
-	for n := range reported {
+	for n := range reportedSettings {
 		if strings.EqualFold(n, name) {
 			return n
 		}
@@ -83,7 +84,7 @@
 func settingText(args []*pgquery.Node) (string, error) {
 	var t []string
 	for _, a := range args {
-		v, err := constant(a.GetAConst())
+		v, err := constantValue(a.GetAConst())
 		if err != nil {
 			return "", err
 		}
@@ -92,42 +93,42 @@
 	return strings.Join(t, ", "), nil
 }
 
-func (s *Session) show(v *pgquery.VariableShowStmt) (*Result, error) {
+func (s *Session) runShow(v *pgquery.VariableShowStmt) (*Result, error) {
 	n := CanonicalSetting(v.Name)
 	if n == "transaction_read_only" {
 		l, _ := s.Store.Leads()
-		return oneRow([]Column{{Name: n, Type: pgtype.TextOID}}, []any{onOff(s.readOnly || !l)}, "SHOW"), nil
+		return singleRowResult([]Column{{Name: n, Type: pgtype.TextOID}}, []any{onOff(s.readOnly || !l)}, "SHOW"), nil
 	}
 	t, ok := s.Setting(n)
 	if !ok {
-		return nil, failure("42704", "unrecognized configuration parameter %q", v.Name)
+		return nil, pgError("42704", "unrecognized configuration parameter %q", v.Name)
 	}
-	return oneRow([]Column{{Name: n, Type: pgtype.TextOID}}, []any{t}, "SHOW"), nil
+	return singleRowResult([]Column{{Name: n, Type: pgtype.TextOID}}, []any{t}, "SHOW"), nil
 }
 
-// Setting returns a setting's value.
+// Setting returns the value of the setting with the given canonical name, and whether it exists.
 func (s *Session) Setting(name string) (string, bool) {
 	v, ok := s.Settings[name]
 	return v, ok
 }
 
-// restore puts back settings that were changed, nil values remove them.
-func (s *Session) restore(old map[string]string) {
+// restoreSettings sets the settings in old to their values there.
+func (s *Session) restoreSettings(old map[string]string) {
 	for n, v := range old {
-		s.assign(n, v)
+		s.assignSetting(n, v)
 	}
 }
 
-// assign changes a setting and reports it where PostgreSQL does.
-func (s *Session) assign(name, value string) {
+// assignSetting assigns a setting and reports it to the client if PostgreSQL does so.
+func (s *Session) assignSetting(name, value string) {
 	s.Settings[name] = value
-	if reported[name] && s.Report != nil {
+	if reportedSettings[name] && s.Report != nil {
 		s.Report(name, value)
 	}
 }
 
-// reported are the settings whose changes callers are told.
-var reported = map[string]bool{
+// reportedSettings are the settings whose changes the server reports to the client.
+var reportedSettings = map[string]bool{
 	"application_name":              true,
 	"client_encoding":               true,
 	"DateStyle":                     true,
@@ -137,8 +138,8 @@
 	"default_transaction_read_only": true,
 }
 
-// keep remembers a setting's value before its first change in a transaction.
-func keep(m *map[string]string, settings map[string]string, name string) {
+// saveOriginal saves a setting's value in m before its first change in a transaction.
+func saveOriginal(m *map[string]string, settings map[string]string, name string) {
 	if *m == nil {
 		*m = map[string]string{}
 	}
@@ -147,7 +148,7 @@
 	}
 }
 
-// Reset puts all settings back to those of the startup.
+// Reset restores all settings to StartupSettings.
 func (s *Session) Reset() {
 	for n := range s.Settings {
 		if _, ok := s.StartupSettings[n]; !ok {
@@ -156,7 +157,7 @@
 	}
 	for n, v := range maps.All(s.StartupSettings) {
 		if s.Settings[n] != v {
-			s.assign(n, v)
+			s.assignSetting(n, v)
 		}
 	}
 }
--- a/internal/standin/executor/source.go
+++ b/internal/standin/executor/source.go
@@ -9,21 +9,21 @@
 	"github.com/cuminwick/cuminwick/internal/standin/replicator"
 )
 
-// source is what a SELECT reads from.
+// source is the table or function that a SELECT reads from. The zero value is a single empty row.
 type source struct {
 	name    string
 	columns []Column
-	// definition is set for a table, function for a set-returning function.
+	// definition is set for a table, function for a function call.
 	definition *replicator.Definition
 	function   *pgquery.FuncCall
-	// activity is set for the list of sessions.
+	// activity is true for pg_stat_activity.
 	activity bool
 }
 
-// activityTable is the list of sessions, as PostgreSQL names it.
+// activityTable is PostgreSQL's system view of sessions.
 const activityTable = "pg_stat_activity"
 
-// activityColumns are those of the list that the stand-in has.
+// activityColumns are the columns of pg_stat_activity that the stand-in server supports.
 var activityColumns = []Column{
 	{Name: "pid", Type: pgtype.Int4OID},
 	{Name: "state", Type: pgtype.TextOID},
@@ -40,20 +40,20 @@
 // table returns the definition of the table that r names.
 func (s *Session) table(r *pgquery.RangeVar) (*replicator.Definition, error) {
 	if r.GetRelpersistence() == "t" {
-		return nil, failure(codeFeatureNotSupported, "temporary tables are not supported by the stand-in")
+		return nil, pgError(codeFeatureNotSupported, "temporary tables are not supported by the stand-in")
 	}
-	d := s.ensure().Table(r.GetRelname())
+	d := s.ensureTransaction().Table(r.GetRelname())
 	if d == nil {
-		return nil, failure(codeUndefinedTable, "relation %q does not exist", r.GetRelname())
+		return nil, pgError(codeUndefinedTable, "relation %q does not exist", r.GetRelname())
 	}
 	return d, nil
 }
 
-func rangeFunction(n *pgquery.Node) string {
-	return lastName(functionOf(n).GetFuncname())
+func rangeFunctionName(n *pgquery.Node) string {
+	return lastName(rangeFunctionCall(n).GetFuncname())
 }
 
-func functionOf(n *pgquery.Node) *pgquery.FuncCall {
+func rangeFunctionCall(n *pgquery.Node) *pgquery.FuncCall {
 	f := n.GetRangeFunction().GetFunctions()
 	if len(f) == 0 {
 		return nil
@@ -65,13 +65,13 @@
 	return l[0].GetFuncCall()
 }
 
-// sourceOf returns what a FROM clause names.
-func (s *Session) sourceOf(from []*pgquery.Node, c *scope) (*source, error) {
+// resolveSource returns the source that a FROM clause names.
+func (s *Session) resolveSource(from []*pgquery.Node, c *scope) (*source, error) {
 	if len(from) == 0 {
 		return &source{}, nil
 	}
 	if len(from) > 1 {
-		return nil, failure(codeFeatureNotSupported, "joins are not supported by the stand-in")
+		return nil, pgError(codeFeatureNotSupported, "joins are not supported by the stand-in")
 	}
 	if r := from[0].GetRangeVar(); r != nil && r.Relname == activityTable {
 		return &source{name: activityTable, columns: activityColumns, activity: true}, nil
@@ -87,9 +87,9 @@
 		}
 		return &source{name: n, columns: columnsOf(d), definition: d}, nil
 	}
-	f := functionOf(from[0])
+	f := rangeFunctionCall(from[0])
 	if f == nil {
-		return nil, failure(codeFeatureNotSupported, "FROM %T is not supported by the stand-in", from[0].GetNode())
+		return nil, pgError(codeFeatureNotSupported, "FROM %T is not supported by the stand-in", from[0].GetNode())
 	}
 	return functionSource(f, from[0].GetRangeFunction().GetAlias(), c)
 }
@@ -97,12 +97,12 @@
 func functionSource(f *pgquery.FuncCall, a *pgquery.Alias, c *scope) (*source, error) {
 	n := lastName(f.Funcname)
 	o := &source{name: n, function: f}
-	if _, ok := controls[n]; ok {
+	if _, ok := controlFunctions[n]; ok {
 		o.columns = statusColumns
 		return o, nil
 	}
 	if n != "generate_series" && functions[n].call == nil {
-		return nil, failure(codeUndefinedFunction, "function %s does not exist", n)
+		return nil, pgError(codeUndefinedFunction, "function %s does not exist", n)
 	}
 	o.columns = []Column{{Name: n, Type: c.typeOfCall(f)}}
 	if a != nil {
@@ -115,16 +115,16 @@
 	return o, nil
 }
 
-// series returns the rows of a set-returning function.
-func (s *scope) series(f *pgquery.FuncCall) (rows, error) {
+// functionRows returns the rows of a function call in a FROM clause.
+func (s *scope) functionRows(f *pgquery.FuncCall) (rowIterator, error) {
 	n := lastName(f.Funcname)
-	if _, ok := controls[n]; ok {
+	if _, ok := controlFunctions[n]; ok {
 		v, err := s.callControl(f)
-		return sliced([][]any{v}), err
+		return sliceIterator([][]any{v}), err
 	}
 	if n != "generate_series" {
-		v, err := s.call(f)
-		return sliced([][]any{{v}}), err
+		v, err := s.callFunction(f)
+		return sliceIterator([][]any{{v}}), err
 	}
 	b := []int64{0, 0, 1}
 	for i, a := range f.Args {
@@ -134,17 +134,17 @@
 		}
 		v, err = Coerce(pgtype.Int8OID, v)
 		if err != nil || v == nil || i > 2 {
-			return sliced(nil), err
+			return sliceIterator(nil), err
 		}
 		b[i] = v.(int64)
 	}
 	if b[2] == 0 {
-		return nil, failure("22023", "step size cannot equal zero")
+		return nil, pgError("22023", "step size cannot equal zero")
 	}
-	return counted(b[0], b[1], b[2]), nil
+	return seriesIterator(b[0], b[1], b[2]), nil
 }
 
-func counted(from, to, step int64) rows {
+func seriesIterator(from, to, step int64) rowIterator {
 	return func(ctx context.Context) ([]any, error) {
 		if (step > 0 && from > to) || (step < 0 && from < to) {
 			return nil, nil
--- a/internal/standin/executor/targets.go
+++ b/internal/standin/executor/targets.go
@@ -5,14 +5,15 @@
 	pgquery "github.com/pganalyze/pg_query_go/v6"
 )
 
-// target is one column of the result: an expression, or the source's column at index.
+// target is one column of the result: the expression node or, if node is nil, the source's column at
+// index.
 type target struct {
 	column Column
 	node   *pgquery.Node
 	index  int
 }
 
-// targets resolves a target list against the source's columns.
+// targets resolves a target list and expands each star to the source's columns.
 func (s *scope) targets(l []*pgquery.Node) ([]target, error) {
 	var t []target
 	for _, n := range l {
@@ -23,35 +24,36 @@
 			}
 			continue
 		}
-		if err := s.check(r.Val); err != nil {
+		if err := s.checkNames(r.Val); err != nil {
 			return nil, err
 		}
 		o := s.typeOf(r.Val)
 		if o == 0 {
 			o = pgtype.TextOID
 		}
-		t = append(t, target{column: Column{Name: nameOf(r), Type: o}, node: r.Val})
+		t = append(t, target{column: Column{Name: resultColumnName(r), Type: o}, node: r.Val})
 	}
 	return t, nil
 }
 
-// check refuses a name that doesn't exist even where no row would be evaluated.
-func (s *scope) check(n *pgquery.Node) error {
+// checkNames returns an error if n is a reference to an unknown column or a call of an unknown
+// function. Evaluation would not detect it if there are no rows.
+func (s *scope) checkNames(n *pgquery.Node) error {
 	if r := n.GetColumnRef(); r != nil {
-		_, err := s.column(r)
+		_, err := s.resolveColumn(r)
 		return err
 	}
 	if f := n.GetFuncCall(); f != nil {
 		k := lastName(f.Funcname)
 		if functions[k].call == nil && !aggregates[k] && k != "generate_series" {
-			return failure(codeUndefinedFunction, "function %s does not exist", k)
+			return pgError(codeUndefinedFunction, "function %s does not exist", k)
 		}
 	}
 	return nil
 }
 
-// nameOf names a result column as PostgreSQL does.
-func nameOf(r *pgquery.ResTarget) string {
+// resultColumnName returns the name that PostgreSQL gives a result column.
+func resultColumnName(r *pgquery.ResTarget) string {
 	if r.Name != "" {
 		return r.Name
 	}
@@ -64,15 +66,15 @@
 		return "coalesce"
 	case *pgquery.Node_TypeCast:
 		if x.TypeCast.Arg.GetColumnRef() != nil || x.TypeCast.Arg.GetFuncCall() != nil {
-			return nameOf(&pgquery.ResTarget{Val: x.TypeCast.Arg})
+			return resultColumnName(&pgquery.ResTarget{Val: x.TypeCast.Arg})
 		}
 		return lastName(x.TypeCast.TypeName.Names)
 	}
 	return "?column?"
 }
 
-// produce computes the result row for the scope's row.
-func (s *scope) produce(t []target) ([]any, error) {
+// project returns the result row for the scope's current row.
+func (s *scope) project(t []target) ([]any, error) {
 	r := make([]any, len(t))
 	for i := range t {
 		if t[i].node == nil {
--- a/internal/standin/executor/utility.go
+++ b/internal/standin/executor/utility.go
@@ -10,8 +10,8 @@
 	"github.com/cuminwick/cuminwick/internal/group/marker"
 )
 
-// control runs a transaction statement.
-func (s *Session) control(t *pgquery.TransactionStmt) (*Result, error) {
+// runTransactionStatement runs a transaction statement.
+func (s *Session) runTransactionStatement(t *pgquery.TransactionStmt) (*Result, error) {
 	switch t.Kind {
 	case pgquery.TransactionStmtKind_TRANS_STMT_BEGIN, pgquery.TransactionStmtKind_TRANS_STMT_START:
 		return s.begin(t)
@@ -20,13 +20,13 @@
 	case pgquery.TransactionStmtKind_TRANS_STMT_ROLLBACK:
 		return s.rollback()
 	case pgquery.TransactionStmtKind_TRANS_STMT_SAVEPOINT:
-		return s.savepoint(t.SavepointName)
+		return s.createSavepoint(t.SavepointName)
 	case pgquery.TransactionStmtKind_TRANS_STMT_RELEASE:
-		return s.release(t.SavepointName)
+		return s.releaseSavepoint(t.SavepointName)
 	case pgquery.TransactionStmtKind_TRANS_STMT_ROLLBACK_TO:
-		return s.rollbackTo(t.SavepointName)
+		return s.rollbackToSavepoint(t.SavepointName)
 	}
-	return nil, failure(codeFeatureNotSupported, "%s is not supported by the stand-in", t.Kind)
+	return nil, pgError(codeFeatureNotSupported, "%s is not supported by the stand-in", t.Kind)
 }
 
 func (s *Session) begin(t *pgquery.TransactionStmt) (*Result, error) {
@@ -34,12 +34,12 @@
 	if t.Kind == pgquery.TransactionStmtKind_TRANS_STMT_START {
 		r.Tag = "START TRANSACTION"
 	}
-	if s.explicit {
+	if s.inTransactionBlock {
 		r.Notice = "there is already a transaction in progress"
 		return r, nil
 	}
-	s.ensure()
-	s.explicit = true
+	s.ensureTransaction()
+	s.inTransactionBlock = true
 	for _, o := range t.Options {
 		d := o.GetDefElem()
 		if d.GetDefname() == "transaction_read_only" {
@@ -50,57 +50,57 @@
 }
 
 func (s *Session) commit() (*Result, error) {
-	if !s.explicit {
+	if !s.inTransactionBlock {
 		return &Result{Tag: "COMMIT", Notice: "there is no transaction in progress"}, nil
 	}
 	if s.failed {
 		return s.rollback()
 	}
 	m, err := s.Commit(s.transaction)
-	s.committed = m
+	s.lastCommitMark = m
 	if err == nil {
-		s.undo = nil
+		s.settingsBeforeSet = nil
 	}
-	s.explicit = false
-	s.end()
+	s.inTransactionBlock = false
+	s.endTransaction()
 	return &Result{Tag: "COMMIT"}, err
 }
 
 func (s *Session) rollback() (*Result, error) {
 	r := &Result{Tag: "ROLLBACK"}
-	if !s.explicit {
+	if !s.inTransactionBlock {
 		r.Notice = "there is no transaction in progress"
 		return r, nil
 	}
-	s.restore(s.undo)
-	s.committed = marker.Mark{}
-	s.end()
+	s.restoreSettings(s.settingsBeforeSet)
+	s.lastCommitMark = marker.Mark{}
+	s.endTransaction()
 	return r, nil
 }
 
-func (s *Session) savepoint(name string) (*Result, error) {
-	if !s.explicit {
-		return nil, failure(codeNoTransaction, "SAVEPOINT can only be used in transaction blocks")
+func (s *Session) createSavepoint(name string) (*Result, error) {
+	if !s.inTransactionBlock {
+		return nil, pgError(codeNoTransaction, "SAVEPOINT can only be used in transaction blocks")
 	}
-	s.savepoints = append(s.savepoints, savepoint{name: name, changes: s.transaction.Savepoint()})
+	s.savepoints = append(s.savepoints, savepoint{name: name, changeCount: s.transaction.Savepoint()})
 	return &Result{Tag: "SAVEPOINT"}, nil
 }
 
-// find returns the number of the latest savepoint so named.
-func (s *Session) find(name string) (int, error) {
-	if !s.explicit {
-		return 0, failure(codeNoTransaction, "savepoints can only be used in transaction blocks")
+// findSavepoint returns the index of the latest savepoint with the given name.
+func (s *Session) findSavepoint(name string) (int, error) {
+	if !s.inTransactionBlock {
+		return 0, pgError(codeNoTransaction, "savepoints can only be used in transaction blocks")
 	}
 	for i := len(s.savepoints) - 1; i >= 0; i-- {
 		if s.savepoints[i].name == name {
 			return i, nil
 		}
 	}
-	return 0, failure(codeInvalidSavepoint, "savepoint %q does not exist", name)
+	return 0, pgError(codeInvalidSavepoint, "savepoint %q does not exist", name)
 }
 
-func (s *Session) release(name string) (*Result, error) {
-	i, err := s.find(name)
+func (s *Session) releaseSavepoint(name string) (*Result, error) {
+	i, err := s.findSavepoint(name)
 	if err != nil {
 		return nil, err
 	}
@@ -108,24 +108,24 @@
 	return &Result{Tag: "RELEASE"}, nil
 }
 
-func (s *Session) rollbackTo(name string) (*Result, error) {
-	i, err := s.find(name)
+func (s *Session) rollbackToSavepoint(name string) (*Result, error) {
+	i, err := s.findSavepoint(name)
 	if err != nil {
 		return nil, err
 	}
-	s.transaction.RollbackTo(s.savepoints[i].changes)
+	s.transaction.RollbackTo(s.savepoints[i].changeCount)
 	s.savepoints = s.savepoints[:i+1]
 	s.failed = false
 	return &Result{Tag: "ROLLBACK"}, nil
 }
 
-// oneRow returns a result of one row.
-func oneRow(c []Column, row []any, tag string) *Result {
-	return &Result{Columns: c, Next: sliced([][]any{row}), Tag: tag}
+// singleRowResult returns a result with one row.
+func singleRowResult(c []Column, row []any, tag string) *Result {
+	return &Result{Columns: c, Next: sliceIterator([][]any{row}), Tag: tag}
 }
 
-// sliced returns rows one by one.
-func sliced(rows [][]any) func(context.Context) ([]any, error) {
+// sliceIterator returns an iterator over rows.
+func sliceIterator(rows [][]any) func(context.Context) ([]any, error) {
 	i := 0
 	return func(context.Context) ([]any, error) {
 		if i >= len(rows) {
@@ -136,22 +136,24 @@
 	}
 }
 
-// NeedsSlot reports whether a statement works on data, so that it waits for a slot.
+// NeedsSlot reports whether a statement must hold an execution slot. Transaction
+// control, settings, prepared statement management and calls of control functions need none.
 func NeedsSlot(n *pgquery.Node) bool {
 	switch x := n.GetNode().(type) {
 	case *pgquery.Node_TransactionStmt, *pgquery.Node_VariableSetStmt, *pgquery.Node_VariableShowStmt,
 		*pgquery.Node_DiscardStmt, *pgquery.Node_PrepareStmt, *pgquery.Node_DeallocateStmt:
 		return false
 	case *pgquery.Node_SelectStmt:
-		return !asksControl(x.SelectStmt)
+		return !callsControlFunctionsOnly(x.SelectStmt)
 	}
 	return true
 }
 
-// asksControl reports whether a statement calls the control functions only.
-func asksControl(q *pgquery.SelectStmt) bool {
+// callsControlFunctionsOnly reports whether a SELECT only calls one function of the stand-in server: a
+// control function in the FROM clause, or any cuminwick function as the single target.
+func callsControlFunctionsOnly(q *pgquery.SelectStmt) bool {
 	if len(q.FromClause) == 1 {
-		_, ok := controls[rangeFunction(q.FromClause[0])]
+		_, ok := controlFunctions[rangeFunctionName(q.FromClause[0])]
 		return ok
 	}
 	if len(q.FromClause) > 1 || len(q.TargetList) != 1 {
@@ -161,10 +163,10 @@
 	return strings.HasPrefix(lastName(f.GetFuncname()), "cuminwick_")
 }
 
-// Copy text form: one escape table for both directions.
+// copyEscapes escapes a value for COPY's text format. copyUnescapes is its inverse.
 var copyEscapes = strings.NewReplacer("\\", `\\`, "\b", `\b`, "\f", `\f`, "\n", `\n`, "\r", `\r`, "\t", `\t`, "\v", `\v`)
 
-// CopyLine returns a row in COPY's text form.
+// CopyLine returns a row as a line of COPY's text format.
 func CopyLine(columns []Column, row []any) []byte {
 	var b strings.Builder
 	for i, v := range row {
--- a/internal/standin/executor/values.go
+++ b/internal/standin/executor/values.go
@@ -12,7 +12,7 @@
 	"github.com/jackc/pgx/v5/pgtype"
 )
 
-// SQLSTATE codes that the stand-in answers with.
+// SQLSTATE codes of the errors that the stand-in server returns.
 const (
 	codeSyntaxError         = "42601"
 	codeUndefinedTable      = "42P01"
@@ -38,19 +38,19 @@
 	codeDatatypeMismatch    = "42804"
 )
 
-// failure returns an error as a backend server sends it.
-func failure(code, format string, args ...any) error {
+// pgError returns an error with an SQLSTATE code, as a PostgreSQL server sends it.
+func pgError(code, format string, args ...any) error {
 	return &pgconn.PgError{Severity: "ERROR", Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
 // Column describes one column of a result.
 type Column struct {
 	Name string
-	// Type is the PostgreSQL type's object identifier.
+	// Type is the OID of the PostgreSQL type.
 	Type uint32
 }
 
-// Size returns the type's length as PostgreSQL gives it, -1 if it varies.
+// Size returns the type's length in bytes, -1 if it is variable, as in RowDescription.
 func (c Column) Size() int16 {
 	switch c.Type {
 	case pgtype.BoolOID:
@@ -83,7 +83,7 @@
 	"serial": pgtype.Int4OID, "bigserial": pgtype.Int8OID, "serial4": pgtype.Int4OID, "serial8": pgtype.Int8OID,
 }
 
-// voidOID is the type of a function that returns nothing.
+// voidOID is the OID of void, the result type of a function that returns nothing.
 const voidOID = 2278
 
 const (
@@ -99,19 +99,19 @@
 	return t == pgtype.Float4OID || t == pgtype.Float8OID
 }
 
-// ParseText reads a value of type t from PostgreSQL's text form.
+// ParseText parses a value of type t in PostgreSQL's text format.
 func ParseText(t uint32, s string) (any, error) {
 	switch {
 	case isInteger(t):
 		n, err := strconv.ParseInt(strings.TrimSpace(s), 10, 64)
 		if err != nil {
-			return nil, failure(codeInvalidText, "invalid input syntax for type bigint: %q", s)
+			return nil, pgError(codeInvalidText, "invalid input syntax for type bigint: %q", s)
 		}
 		return checkRange(t, n)
 	case isFloat(t):
 		f, err := strconv.ParseFloat(strings.TrimSpace(s), 64)
 		if err != nil {
-			return nil, failure(codeInvalidText, "invalid input syntax for type double precision: %q", s)
+			return nil, pgError(codeInvalidText, "invalid input syntax for type double precision: %q", s)
 		}
 		return f, nil
 	case t == pgtype.BoolOID:
@@ -127,10 +127,10 @@
 
 func checkRange(t uint32, n int64) (any, error) {
 	if t == pgtype.Int4OID && (n > math.MaxInt32 || n < math.MinInt32) {
-		return nil, failure(codeOutOfRange, "integer out of range")
+		return nil, pgError(codeOutOfRange, "integer out of range")
 	}
 	if t == pgtype.Int2OID && (n > math.MaxInt16 || n < math.MinInt16) {
-		return nil, failure(codeOutOfRange, "smallint out of range")
+		return nil, pgError(codeOutOfRange, "smallint out of range")
 	}
 	return n, nil
 }
@@ -142,7 +142,7 @@
 	case "f", "false", "off", "no", "n", "0":
 		return false, nil
 	}
-	return nil, failure(codeInvalidText, "invalid input syntax for type boolean: %q", s)
+	return nil, pgError(codeInvalidText, "invalid input syntax for type boolean: %q", s)
 }
 
 func parseTime(s string) (any, error) {
@@ -151,7 +151,7 @@
 			return t.UTC(), nil
 		}
 	}
-	return nil, failure(codeInvalidText, "invalid input syntax for type timestamp: %q", s)
+	return nil, pgError(codeInvalidText, "invalid input syntax for type timestamp: %q", s)
 }
 
 func parseBytes(s string) (any, error) {
@@ -161,12 +161,12 @@
 	}
 	b, err := hex.DecodeString(h)
 	if err != nil {
-		return nil, failure(codeInvalidText, "invalid hexadecimal data: %q", s)
+		return nil, pgError(codeInvalidText, "invalid hexadecimal data: %q", s)
 	}
 	return b, nil
 }
 
-// FormatText returns a value that isn't null in PostgreSQL's text form.
+// FormatText formats a value of type t, which must not be null, in PostgreSQL's text format.
 func FormatText(t uint32, v any) []byte {
 	switch v := v.(type) {
 	case string:
@@ -191,7 +191,7 @@
 	return fmt.Append(nil, v)
 }
 
-// Coerce turns v into a value of type t.
+// Coerce converts v to a value of type t. Null stays null.
 func Coerce(t uint32, v any) (any, error) {
 	switch x := v.(type) {
 	case nil:
@@ -237,5 +237,5 @@
 	if t == pgtype.TextOID || t == pgtype.VarcharOID {
 		return string(FormatText(t, v)), nil
 	}
-	return nil, failure(codeDatatypeMismatch, "cannot convert %T to type %d", v, t)
+	return nil, pgError(codeDatatypeMismatch, "cannot convert %T to type %d", v, t)
 }
