--- a/internal/standin/executor/compare.go
+++ b/internal/standin/executor/compare.go
@@ -86,6 +86,7 @@
 	return 0, pgError(codeUndefinedFunction, "operator does not exist for %T and %T", a, b)
 }
 
+// boolRank returns 1 for true and 0 for false, as false sorts before true.
 func boolRank(b bool) int {
 	if b {
 		return 1
--- a/internal/standin/executor/dml.go
+++ b/internal/standin/executor/dml.go
@@ -131,6 +131,7 @@
 	return nil
 }
 
+// conflictError returns err, or a unique violation of u if err is nil.
 func conflictError(err error, u *replicator.Unique) error {
 	if err != nil {
 		return err
@@ -183,8 +184,8 @@
 	return nil
 }
 
-// runDelete runs a DELETE.
-func (s *Session) runDelete(ctx context.Context, q *pgquery.DeleteStmt, params []any) (*Result, error) {
+// delete runs a DELETE.
+func (s *Session) delete(ctx context.Context, q *pgquery.DeleteStmt, params []any) (*Result, error) {
 	t, err := s.writableTransaction()
 	if err != nil {
 		return nil, err
--- a/internal/standin/executor/executor.go
+++ b/internal/standin/executor/executor.go
@@ -140,7 +140,7 @@
 	case *pgquery.Node_UpdateStmt:
 		return s.runUpdate(ctx, x.UpdateStmt, params)
 	case *pgquery.Node_DeleteStmt:
-		return s.runDelete(ctx, x.DeleteStmt, params)
+		return s.delete(ctx, x.DeleteStmt, params)
 	case *pgquery.Node_CreateStmt:
 		return s.createTable(ctx, x.CreateStmt)
 	case *pgquery.Node_DropStmt:
--- a/internal/standin/executor/expression.go
+++ b/internal/standin/executor/expression.go
@@ -18,8 +18,10 @@
 	// excluded is the row proposed for insertion, for ON CONFLICT DO UPDATE.
 	excluded []any
 	params   []any
-	types    []uint32
-	now      time.Time
+	// types are the type OIDs of the parameters, zero where unknown.
+	types []uint32
+	// now is the start of the transaction.
+	now time.Time
 	// aggregateResults holds the results of the aggregate calls for the current group.
 	aggregateResults map[*pgquery.FuncCall]any
 }
@@ -151,8 +153,8 @@
 	return nil, pgError(codeFeatureNotSupported, "%s is not supported by the stand-in", f.Op)
 }
 
-// satisfies reports whether the scope's current row satisfies a condition. Every row satisfies nil.
-func (s *scope) satisfies(n *pgquery.Node) (bool, error) {
+// true reports whether the scope's current row satisfies a condition. Every row satisfies nil.
+func (s *scope) true(n *pgquery.Node) (bool, error) {
 	if n == nil {
 		return true, nil
 	}
--- a/internal/standin/executor/insert.go
+++ b/internal/standin/executor/insert.go
@@ -13,10 +13,11 @@
 	session     *Session
 	transaction *replicator.Transaction
 	definition  *replicator.Definition
-	columns     []int
-	onConflict  *pgquery.OnConflictClause
-	scope       *scope
-	returning   *returningClause
+	// columns are the indexes of the table columns that values are given for.
+	columns    []int
+	onConflict *pgquery.OnConflictClause
+	scope      *scope
+	returning  *returningClause
 }
 
 // runInsert runs an INSERT.
@@ -224,7 +225,7 @@
 func (i *insertOperation) updateConflictingRow(ctx context.Context, o *replicator.Row, v []any) error {
 	c := *i.scope
 	c.row, c.excluded = o.Values, v
-	ok, err := c.satisfies(i.onConflict.WhereClause)
+	ok, err := c.true(i.onConflict.WhereClause)
 	if err != nil || !ok {
 		return err
 	}
--- a/internal/standin/executor/matching.go
+++ b/internal/standin/executor/matching.go
@@ -37,7 +37,7 @@
 // row and evaluates where again if the row changed before the lock was acquired.
 func (s *Session) matchRow(ctx context.Context, t *replicator.Transaction, d *replicator.Definition, r *replicator.Row, where *pgquery.Node, c *scope, lock bool) (*replicator.Row, error) {
 	c.row = r.Values
-	ok, err := c.satisfies(where)
+	ok, err := c.true(where)
 	if err != nil || !ok || !lock {
 		return rowIf(r, ok), err
 	}
@@ -50,10 +50,11 @@
 		return n, nil
 	}
 	c.row = n.Values
-	ok, err = c.satisfies(where)
+	ok, err = c.true(where)
 	return rowIf(n, ok), err
 }
 
+// rowIf returns r if ok is true, otherwise nil.
 func rowIf(r *replicator.Row, ok bool) *replicator.Row {
 	if !ok {
 		return nil
--- a/internal/standin/executor/order.go
+++ b/internal/standin/executor/order.go
@@ -120,6 +120,7 @@
 	return s.eval(n)
 }
 
+// outputIndex returns the index of the result column that an expression names, if it names one.
 func outputIndex(n *pgquery.Node, t []target) (int, bool) {
 	if k := n.GetAConst().GetIval(); k != nil {
 		i := int(k.GetIval()) - 1
--- a/internal/standin/executor/selects.go
+++ b/internal/standin/executor/selects.go
@@ -105,7 +105,7 @@
 				return nil, err
 			}
 			s.row = v
-			ok, err := s.satisfies(where)
+			ok, err := s.true(where)
 			if err != nil || ok {
 				return v, err
 			}
--- a/internal/standin/executor/source.go
+++ b/internal/standin/executor/source.go
@@ -53,6 +53,7 @@
 	return lastName(rangeFunctionCall(n).GetFuncname())
 }
 
+// rangeFunctionCall returns the function call in a FROM item, nil if the item is not a function.
 func rangeFunctionCall(n *pgquery.Node) *pgquery.FuncCall {
 	f := n.GetRangeFunction().GetFunctions()
 	if len(f) == 0 {
@@ -144,6 +145,7 @@
 	return seriesIterator(b[0], b[1], b[2]), nil
 }
 
+// seriesIterator returns the rows of generate_series.
 func seriesIterator(from, to, step int64) rowIterator {
 	return func(ctx context.Context) ([]any, error) {
 		if (step > 0 && from > to) || (step < 0 && from < to) {
--- a/internal/standin/executor/utility.go
+++ b/internal/standin/executor/utility.go
@@ -49,6 +49,7 @@
 	return r, nil
 }
 
+// commit runs COMMIT, which rolls a failed transaction block back.
 func (s *Session) commit() (*Result, error) {
 	if !s.inTransactionBlock {
 		return &Result{Tag: "COMMIT", Notice: "there is no transaction in progress"}, nil
