--- a/internal/standin/executor/executor.go
+++ b/internal/standin/executor/executor.go
@@ -72,8 +72,10 @@
 	// PreparedStatements holds the prepared statements by name.
 	PreparedStatements map[string]*PreparedStatement
 
-	statementContext   context.Context
-	transaction        *replicator.Transaction
+	statementContext context.Context
+	transaction      *replicator.Transaction
+	// inTransactionBlock is true between BEGIN and COMMIT or ROLLBACK. Outside of a block each
+	// statement or query string runs in an implicit transaction.
 	inTransactionBlock bool
 	failed             bool
 	readOnly           bool
@@ -90,7 +92,8 @@
 
 // savepoint is a named position in the transaction's list of changes.
 type savepoint struct {
-	name        string
+	name string
+	// changeCount is the number of changes that the transaction had at the savepoint.
 	changeCount int
 }
 
