--- a/internal/standin/injector/injector.go
+++ b/internal/standin/injector/injector.go
@@ -68,17 +68,17 @@
 
 // WaitUnpaused returns when the server isn't paused, at once mostly.
 func (f *Faults) WaitUnpaused(ctx context.Context) error {
-	return f.until(ctx, func(s Settings) bool { return !s.Paused })
+	return f.waitFor(ctx, func(s Settings) bool { return !s.Paused })
 }
 
 // WaitReplicating returns when replication isn't stopped.
 func (f *Faults) WaitReplicating(ctx context.Context) error {
-	return f.until(ctx, func(s Settings) bool { return !s.Paused && !s.ReplicationStopped })
+	return f.waitFor(ctx, func(s Settings) bool { return !s.Paused && !s.ReplicationStopped })
 }
 
 // WaitConnected returns when the server isn't isolated.
 func (f *Faults) WaitConnected(ctx context.Context) error {
-	return f.until(ctx, func(s Settings) bool { return !s.Isolated })
+	return f.waitFor(ctx, func(s Settings) bool { return !s.Isolated })
 }
 
 // WaitReplicationLag returns when a record that came at the given time may be taken over,
@@ -102,7 +102,7 @@
 	}
 }
 
-func (f *Faults) until(ctx context.Context, holds func(Settings) bool) error {
+func (f *Faults) waitFor(ctx context.Context, holds func(Settings) bool) error {
 	for {
 		s, c := f.Get()
 		if holds(s) {
--- a/internal/standin/replicator/log.go
+++ b/internal/standin/replicator/log.go
@@ -27,7 +27,7 @@
 func (s *Store) write(c []Change) marker.Mark {
 	m := marker.Mark{Term: s.term, Position: s.last().Position + 1}
 	s.appendRecord(Record{Mark: m, Changes: c})
-	s.announce()
+	s.notifyChanged()
 	return m
 }
 
@@ -91,7 +91,7 @@
 
 // Truncate drops what follows position p and reports whether anything was dropped.
 func (s *Store) Truncate(t marker.Term, p marker.Position) (bool, error) {
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	if t != s.term || s.role != controller.RoleReplica {
 		return false, errors.Annotatef(ErrTermRefused, "truncate %s under %d at %d", s.Name, t, s.term)
@@ -112,12 +112,12 @@
 	for _, e := range r {
 		s.appendRecord(e)
 	}
-	s.announce()
+	s.notifyChanged()
 }
 
 // Append adds records that a primary of term t sent.
 func (s *Store) Append(t marker.Term, r []Record) error {
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	if t != s.term || s.role != controller.RoleReplica {
 		return errors.Annotatef(ErrTermRefused, "append to %s under %d at %d", s.Name, t, s.term)
@@ -128,6 +128,6 @@
 		}
 		s.appendRecord(e)
 	}
-	s.announce()
+	s.notifyChanged()
 	return nil
 }
--- a/internal/standin/replicator/replicator.go
+++ b/internal/standin/replicator/replicator.go
@@ -40,7 +40,7 @@
 	ready     bool
 	role      controller.Role
 	term      marker.Term
-	leader    PrimaryServer
+	followed  PrimaryServer
 	leaving   bool
 	epoch     uint64
 	log       []Record
@@ -50,8 +50,8 @@
 	rowNumber uint64
 	changed   chan struct{}
 
-	// following repeats leader and term for those who can't wait for mutex.
-	following following
+	// contact repeats leader and term for those who can't wait for mutex.
+	contact primaryContact
 
 	lockMutex sync.Mutex
 	locks     map[string]*Transaction
@@ -66,27 +66,27 @@
 	s.tables = map[string]*table{}
 	s.locks = map[string]*Transaction{}
 	s.changed = make(chan struct{})
-	s.following.reset(time.Now())
+	s.contact.reset(time.Now())
 	if s.role == "" {
 		s.role = controller.RoleReplica
 	}
 }
 
-// hold takes the mutex for a change.
-func (s *Store) hold() {
+// lock takes the mutex for a change.
+func (s *Store) lock() {
 	s.mutex.Lock()
 	s.setUp()
 }
 
-// announce wakes everyone who waits on Changed; the caller holds the mutex.
-func (s *Store) announce() {
+// notifyChanged wakes everyone who waits on Changed; the caller holds the mutex.
+func (s *Store) notifyChanged() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // Changed returns a channel that is closed at the next change of log, role or leader.
 func (s *Store) Changed() <-chan struct{} {
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	return s.changed
 }
@@ -108,7 +108,7 @@
 
 // Status returns the server's word about itself at now.
 func (s *Store) Status(now time.Time) controller.Status {
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	return s.status(now)
 }
@@ -119,12 +119,12 @@
 		Role:              s.role,
 		Term:              s.term,
 		Last:              s.last(),
-		Following:         s.leader.Name,
+		Following:         s.followed.Name,
 		Leaving:           s.leaving,
-		WriteTransactions: s.writing(),
+		WriteTransactions: s.countWriteTransactions(),
 	}
 	if s.role != controller.RolePrimary {
-		t.SinceLastContact = s.following.silence(now)
+		t.SinceLastContact = s.contact.sinceContact(now)
 	}
 	h := s.history()
 	if len(h) > 0 {
@@ -136,8 +136,8 @@
 	return t
 }
 
-// writing counts the open transactions that hold locks, and so have written.
-func (s *Store) writing() int {
+// countWriteTransactions counts the open transactions that hold locks, and so have written.
+func (s *Store) countWriteTransactions() int {
 	s.lockMutex.Lock()
 	defer s.lockMutex.Unlock()
 	m := map[*Transaction]bool{}
@@ -149,88 +149,88 @@
 
 // Start makes an empty server primary of term t, as the platform does for a new group.
 func (s *Store) Start(t marker.Term) {
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	s.term = t
-	s.lead()
+	s.becomePrimary()
 }
 
-// lead makes the server primary of its term and writes the term-start record.
-func (s *Store) lead() {
+// becomePrimary makes the server primary of its term and writes the term-start record.
+func (s *Store) becomePrimary() {
 	s.role = controller.RolePrimary
-	s.leader = PrimaryServer{}
-	s.following.set(s.leader, s.term)
+	s.followed = PrimaryServer{}
+	s.contact.set(s.followed, s.term)
 	s.epoch++
 	s.write(nil)
 }
 
 // RaiseTerm accepts term t, which must be above the accepted one, and stops writes under lower ones.
 func (s *Store) RaiseTerm(t marker.Term, now time.Time) (controller.Status, error) {
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	if t <= s.term {
 		return s.status(now), errors.Annotatef(ErrTermRefused, "raise to %d on %s at %d", t, s.Name, s.term)
 	}
-	s.accept(t, now)
+	s.acceptTerm(t, now)
 	return s.status(now), nil
 }
 
-// accept takes on the higher term t, which ends leading or following under a lower one.
-func (s *Store) accept(t marker.Term, now time.Time) {
+// acceptTerm takes on the higher term t, which ends leading or following under a lower one.
+func (s *Store) acceptTerm(t marker.Term, now time.Time) {
 	s.term = t
 	s.epoch++
 	if s.role == controller.RolePrimary {
 		s.role = controller.RoleFenced
-		s.following.reset(now)
+		s.contact.reset(now)
 	}
-	s.leader = PrimaryServer{}
-	s.following.set(s.leader, s.term)
-	s.announce()
+	s.followed = PrimaryServer{}
+	s.contact.set(s.followed, s.term)
+	s.notifyChanged()
 }
 
 // LearnTerm fences a primary that hears of a higher term from a peer.
 func (s *Store) LearnTerm(t marker.Term, now time.Time) {
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	if t > s.term && s.role == controller.RolePrimary {
-		s.accept(t, now)
+		s.acceptTerm(t, now)
 	}
 }
 
 // Promote makes the server primary of its accepted term t.
 func (s *Store) Promote(t marker.Term, now time.Time) (controller.Status, error) {
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	if t == s.term && s.role == controller.RolePrimary {
 		return s.status(now), nil
 	}
-	if t != s.term || s.leader != (PrimaryServer{}) {
-		return s.status(now), errors.Annotatef(ErrTermRefused, "promote to %d on %s at %d following %q", t, s.Name, s.term, s.leader.Name)
+	if t != s.term || s.followed != (PrimaryServer{}) {
+		return s.status(now), errors.Annotatef(ErrTermRefused, "promote to %d on %s at %d following %q", t, s.Name, s.term, s.followed.Name)
 	}
-	s.lead()
+	s.becomePrimary()
 	return s.status(now), nil
 }
 
 // Follow makes the server a replica of l under term t. A primary of t itself refuses.
 func (s *Store) Follow(t marker.Term, l PrimaryServer, now time.Time) (controller.Status, error) {
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	if t < s.term || (t == s.term && s.role == controller.RolePrimary) {
 		return s.status(now), errors.Annotatef(ErrTermRefused, "follow %s under %d on %s at %d", l.Name, t, s.Name, s.term)
 	}
 	if t > s.term {
-		s.accept(t, now)
+		s.acceptTerm(t, now)
 	}
 	s.role = controller.RoleReplica
-	s.leader = l
-	s.following.set(s.leader, s.term)
-	s.announce()
+	s.followed = l
+	s.contact.set(s.followed, s.term)
+	s.notifyChanged()
 	return s.status(now), nil
 }
 
 // SetLeaving says whether the server will stop soon.
 func (s *Store) SetLeaving(leaving bool) {
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	s.leaving = leaving
 }
@@ -238,12 +238,12 @@
 // FollowedPrimary returns the primary that the server follows, with the term, empty if none.
 // It doesn't wait for changes in progress.
 func (s *Store) FollowedPrimary() (PrimaryServer, marker.Term) {
-	return s.following.get()
+	return s.contact.get()
 }
 
 // IsPrimary reports whether the server is primary, and under which term.
 func (s *Store) IsPrimary() (bool, marker.Term) {
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	return s.role == controller.RolePrimary, s.term
 }
@@ -251,7 +251,7 @@
 // NoteContact notes that the server heard its primary, if it still follows under t.
 // It doesn't wait for changes in progress.
 func (s *Store) NoteContact(t marker.Term, now time.Time) {
-	s.following.hear(t, now)
+	s.contact.noteContact(t, now)
 }
 
 // Epoch counts the changes of role and log that end transactions in progress.
--- a/internal/standin/replicator/table.go
+++ b/internal/standin/replicator/table.go
@@ -172,8 +172,8 @@
 	delete(t.rows, key)
 }
 
-// sorted returns the rows in the order of their first insertion.
-func (t *table) sorted() []*Row {
+// sortedRows returns the rows in the order of their first insertion.
+func (t *table) sortedRows() []*Row {
 	r := make([]*Row, 0, len(t.rows))
 	for _, e := range t.rows {
 		r = append(r, e)
@@ -199,12 +199,12 @@
 
 // Dump returns the server's tables and log at one moment.
 func (s *Store) Dump() Dump {
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	d := Dump{BackendServer: s.Name, Tables: map[string]TableDump{}, Log: slices.Clone(s.log), Dropped: slices.Clone(s.dropped)}
 	for n, t := range s.tables {
 		u := TableDump{Definition: *t.definition}
-		for _, r := range t.sorted() {
+		for _, r := range t.sortedRows() {
 			u.Rows = append(u.Rows, r.Values)
 		}
 		d.Tables[n] = u
--- a/internal/standin/replicator/transaction.go
+++ b/internal/standin/replicator/transaction.go
@@ -17,30 +17,30 @@
 	// Store is the server's store.
 	Store *Store
 
-	changes []Change
-	pending map[rowName]*Row // nil for a deleted row
-	catalog map[string]*Definition
-	epoch   uint64
-	locked  []string
-	waiting *Transaction
-	done    chan struct{}
+	changes       []Change
+	pendingRows   map[rowID]*Row // nil for a deleted row
+	pendingTables map[string]*Definition
+	epoch         uint64
+	locked        []string
+	waiting       *Transaction
+	done          chan struct{}
 }
 
-type rowName struct {
+type rowID struct {
 	table string
 	key   string
 }
 
 // Begin starts a transaction.
 func (s *Store) Begin() *Transaction {
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	return &Transaction{Store: s, epoch: s.epoch, done: make(chan struct{})}
 }
 
 // Table returns the definition of the table so named, nil if there is none.
 func (t *Transaction) Table(name string) *Definition {
-	if d, ok := t.catalog[name]; ok {
+	if d, ok := t.pendingTables[name]; ok {
 		return d
 	}
 	t.Store.mutex.RLock()
@@ -51,9 +51,9 @@
 	return nil
 }
 
-// committed returns the committed table; the caller holds the store's mutex.
-func (t *Transaction) committed(name string) *table {
-	if d, ok := t.catalog[name]; ok && (d == nil || t.Store.tables[name] == nil || t.Store.tables[name].definition != d) {
+// committedTable returns the committedTable table; the caller holds the store's mutex.
+func (t *Transaction) committedTable(name string) *table {
+	if d, ok := t.pendingTables[name]; ok && (d == nil || t.Store.tables[name] == nil || t.Store.tables[name].definition != d) {
 		return nil
 	}
 	return t.Store.tables[name]
@@ -61,12 +61,12 @@
 
 // Get returns the row so keyed, nil if there is none.
 func (t *Transaction) Get(name, key string) *Row {
-	if r, ok := t.pending[rowName{name, key}]; ok {
+	if r, ok := t.pendingRows[rowID{name, key}]; ok {
 		return r
 	}
 	t.Store.mutex.RLock()
 	defer t.Store.mutex.RUnlock()
-	if c := t.committed(name); c != nil {
+	if c := t.committedTable(name); c != nil {
 		return c.rows[key]
 	}
 	return nil
@@ -76,11 +76,11 @@
 func (t *Transaction) Scan(name string) []*Row {
 	t.Store.mutex.RLock()
 	var r []*Row
-	if c := t.committed(name); c != nil {
-		r = c.sorted()
+	if c := t.committedTable(name); c != nil {
+		r = c.sortedRows()
 	}
 	t.Store.mutex.RUnlock()
-	if len(t.pending) == 0 {
+	if len(t.pendingRows) == 0 {
 		return r
 	}
 	return t.overlay(name, r)
@@ -92,7 +92,7 @@
 	var r []*Row
 	for _, e := range rows {
 		seen[e.Key] = true
-		if p, ok := t.pending[rowName{name, e.Key}]; ok {
+		if p, ok := t.pendingRows[rowID{name, e.Key}]; ok {
 			e = p
 		}
 		if e != nil {
@@ -104,7 +104,7 @@
 			continue
 		}
 		seen[c.Key] = true
-		if p := t.pending[rowName{name, c.Key}]; p != nil {
+		if p := t.pendingRows[rowID{name, c.Key}]; p != nil {
 			r = append(r, p)
 		}
 	}
@@ -113,7 +113,7 @@
 
 // FindUnique returns the key of the row that holds the encoded value in unique constraint i.
 func (t *Transaction) FindUnique(d *Definition, i int, value string) (key string, ok bool) {
-	for n, r := range t.pending {
+	for n, r := range t.pendingRows {
 		if n.table != d.Name || r == nil {
 			continue
 		}
@@ -123,12 +123,12 @@
 	}
 	t.Store.mutex.RLock()
 	defer t.Store.mutex.RUnlock()
-	c := t.committed(d.Name)
+	c := t.committedTable(d.Name)
 	if c == nil {
 		return "", false
 	}
 	k, ok := c.indexes[i][value]
-	if _, own := t.pending[rowName{d.Name, k}]; !ok || own {
+	if _, own := t.pendingRows[rowID{d.Name, k}]; !ok || own {
 		return "", false
 	}
 	return k, true
@@ -136,7 +136,7 @@
 
 // NextSerial returns the next number of a table's serial column.
 func (t *Transaction) NextSerial(name string) int64 {
-	t.Store.hold()
+	t.Store.lock()
 	defer t.Store.mutex.Unlock()
 	c := t.Store.tables[name]
 	if c == nil {
@@ -149,7 +149,7 @@
 
 // NewKey returns a key for a row of a table without primary key.
 func (t *Transaction) NewKey() string {
-	t.Store.hold()
+	t.Store.lock()
 	defer t.Store.mutex.Unlock()
 	t.Store.rowNumber++
 	return fmt.Sprintf("%s.%d.%d", t.Store.Name, t.Store.term, t.Store.rowNumber)
@@ -180,19 +180,19 @@
 }
 
 func (t *Transaction) overlayChange(c Change) {
-	if t.pending == nil {
-		t.pending = map[rowName]*Row{}
-		t.catalog = map[string]*Definition{}
+	if t.pendingRows == nil {
+		t.pendingRows = map[rowID]*Row{}
+		t.pendingTables = map[string]*Definition{}
 	}
 	switch c.Kind {
 	case CreateTable:
-		t.catalog[c.Table] = c.Definition
+		t.pendingTables[c.Table] = c.Definition
 	case DropTable:
-		t.catalog[c.Table] = nil
+		t.pendingTables[c.Table] = nil
 	case PutRow:
-		t.pending[rowName{c.Table, c.Key}] = &Row{Key: c.Key, Values: c.Values}
+		t.pendingRows[rowID{c.Table, c.Key}] = &Row{Key: c.Key, Values: c.Values}
 	case DeleteRow:
-		t.pending[rowName{c.Table, c.Key}] = nil
+		t.pendingRows[rowID{c.Table, c.Key}] = nil
 	}
 }
 
@@ -204,7 +204,7 @@
 // RollbackTo drops the changes since Savepoint returned n; locks stay.
 func (t *Transaction) RollbackTo(n int) {
 	c := slices.Clone(t.changes[:n])
-	t.changes, t.pending, t.catalog = nil, nil, nil
+	t.changes, t.pendingRows, t.pendingTables = nil, nil, nil
 	for _, e := range c {
 		t.Add(e)
 	}
@@ -220,12 +220,12 @@
 // A server that was fenced since the transaction began refuses, so that nothing
 // commits under a term that is already closed.
 func (t *Transaction) Commit() (marker.Mark, error) {
-	defer t.finish()
+	defer t.releaseLocks()
 	if len(t.changes) == 0 {
 		return marker.Mark{}, nil
 	}
 	s := t.Store
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	if err := t.writable(); err != nil {
 		return marker.Mark{}, err
@@ -235,11 +235,11 @@
 
 // Rollback drops the transaction.
 func (t *Transaction) Rollback() {
-	t.finish()
+	t.releaseLocks()
 }
 
-// finish gives back the locks, once.
-func (t *Transaction) finish() {
+// releaseLocks gives back the locks, once.
+func (t *Transaction) releaseLocks() {
 	s := t.Store
 	s.lockMutex.Lock()
 	defer s.lockMutex.Unlock()
--- a/internal/standin/responder/authenticate.go
+++ b/internal/standin/responder/authenticate.go
@@ -8,9 +8,9 @@
 
 // SCRAM settings.
 const (
-	mechanism  = "SCRAM-SHA-256"
-	salt       = "cuminwick-stand-in"
-	iterations = 4096
+	scramMechanism  = "SCRAM-SHA-256"
+	scramSalt       = "cuminwick-stand-in"
+	scramIterations = 4096
 )
 
 // authenticate asks for the password, if one is set.
@@ -18,8 +18,8 @@
 	if c.server.Password == "" {
 		return nil
 	}
-	c.backend.Send(&pgproto3.AuthenticationSASL{AuthMechanisms: []string{mechanism}})
-	if err := c.askSASL(pgproto3.AuthTypeSASL); err != nil {
+	c.backend.Send(&pgproto3.AuthenticationSASL{AuthMechanisms: []string{scramMechanism}})
+	if err := c.requestSASL(pgproto3.AuthTypeSASL); err != nil {
 		return err
 	}
 	m, err := c.backend.Receive()
@@ -27,25 +27,25 @@
 		return errors.Annotate(err, "receive first SASL message")
 	}
 	i, ok := m.(*pgproto3.SASLInitialResponse)
-	if !ok || i.AuthMechanism != mechanism {
-		return c.refuse("08P01", "expected a SASL response with "+mechanism)
+	if !ok || i.AuthMechanism != scramMechanism {
+		return c.refuse("08P01", "expected a SASL response with "+scramMechanism)
 	}
-	v, err := c.conversation()
+	v, err := c.newConversation()
 	if err != nil {
 		return err
 	}
-	return c.converse(v, string(i.Data))
+	return c.exchangeSCRAM(v, string(i.Data))
 }
 
-// askSASL sends what is queued and sets how the answer is decoded.
-func (c *connection) askSASL(kind uint32) error {
+// requestSASL sends what is queued and sets how the answer is decoded.
+func (c *connection) requestSASL(kind uint32) error {
 	if err := c.backend.Flush(); err != nil {
 		return errors.Annotate(err, "ask for password")
 	}
 	return c.backend.SetAuthType(kind)
 }
 
-func (c *connection) conversation() (*scram.ServerConversation, error) {
+func (c *connection) newConversation() (*scram.ServerConversation, error) {
 	s, err := scram.SHA256.NewServer(c.credentials)
 	if err != nil {
 		return nil, errors.Annotate(err, "make SCRAM server")
@@ -59,17 +59,17 @@
 	if err != nil {
 		return scram.StoredCredentials{}, err
 	}
-	return u.GetStoredCredentialsWithError(scram.KeyFactors{Salt: salt, Iters: iterations})
+	return u.GetStoredCredentialsWithError(scram.KeyFactors{Salt: scramSalt, Iters: scramIterations})
 }
 
-// converse runs the two steps of SCRAM.
-func (c *connection) converse(v *scram.ServerConversation, first string) error {
+// exchangeSCRAM runs the two steps of SCRAM.
+func (c *connection) exchangeSCRAM(v *scram.ServerConversation, first string) error {
 	r, err := v.Step(first)
 	if err != nil {
 		return c.rejectPassword(err)
 	}
 	c.backend.Send(&pgproto3.AuthenticationSASLContinue{Data: []byte(r)})
-	if err := c.askSASL(pgproto3.AuthTypeSASLContinue); err != nil {
+	if err := c.requestSASL(pgproto3.AuthTypeSASLContinue); err != nil {
 		return err
 	}
 	m, err := c.backend.Receive()
--- a/internal/standin/responder/connection.go
+++ b/internal/standin/responder/connection.go
@@ -19,12 +19,12 @@
 
 // Sizes of a connection.
 const (
-	// secretLength is the length of a cancel key.
-	secretLength = 4
-	// maximumMessage bounds what a caller can make the stand-in hold.
-	maximumMessage = 64 << 20
-	// flushAt is how much of an answer is gathered before it is written.
-	flushAt = 32 << 10
+	// secretKeyBytes is the length of a cancel key.
+	secretKeyBytes = 4
+	// maximumMessageBytes bounds what a caller can make the stand-in hold.
+	maximumMessageBytes = 64 << 20
+	// flushBytes is how much of an answer is gathered before it is written.
+	flushBytes = 32 << 10
 )
 
 // connection is one caller's connection.
@@ -38,10 +38,10 @@
 	session *executor.Session
 	types   *pgtype.Map
 	portals map[string]*portal
-	// skipping drops messages up to Sync after an error in the extended protocol.
-	skipping bool
-	gathered int
-	holding  bool
+	// skipToSync drops messages up to Sync after an error in the extended protocol.
+	skipToSync    bool
+	bufferedBytes int
+	holdsSlot     bool
 
 	mutex  sync.Mutex
 	cancel context.CancelFunc
@@ -52,7 +52,7 @@
 	defer c.conn.Close()
 	defer context.AfterFunc(ctx, func() { c.conn.Close() })()
 	c.backend = pgproto3.NewBackend(c.conn, c.conn)
-	c.backend.SetMaxBodyLen(maximumMessage)
+	c.backend.SetMaxBodyLen(maximumMessageBytes)
 	err := c.serve(ctx)
 	if err != nil {
 		log.WithFields(log.Fields{"backend-server": c.server.Name, "peer": c.conn.RemoteAddr().String()}).WithError(err).Debug("connection ended")
@@ -68,11 +68,11 @@
 	if n == streamer.ApplicationName {
 		return c.replicate(ctx)
 	}
-	defer c.server.connections.Add(-1)
-	if k := c.server.connections.Add(1); c.server.MaximumConnections > 0 && k > int64(c.server.MaximumConnections) {
+	defer c.server.currentConnections.Add(-1)
+	if k := c.server.currentConnections.Add(1); c.server.MaximumConnections > 0 && k > int64(c.server.MaximumConnections) {
 		return c.refuse("53300", "sorry, too many clients already")
 	}
-	c.server.opened.Add(1)
+	c.server.openedConnections.Add(1)
 	c.control = n == ControlApplicationName
 	if err := scheduler.Pause(ctx, c.server.ConnectTime); err != nil {
 		return err
@@ -88,7 +88,7 @@
 	defer c.server.sessions.remove(c)
 	defer c.session.Close()
 	c.session.Process = c.process
-	if err := c.greet(); err != nil {
+	if err := c.sendGreeting(); err != nil {
 		return err
 	}
 	return c.loopMessages(ctx)
@@ -135,7 +135,7 @@
 }
 
 func (c *connection) setUpSession(p map[string]string) {
-	c.secret = make([]byte, secretLength)
+	c.secret = make([]byte, secretKeyBytes)
 	// Read never fails, as its documentation says.
 	_, _ = rand.Read(c.secret)
 	c.types = pgtype.NewMap()
@@ -150,8 +150,8 @@
 		User:      p["user"],
 		Database:  d,
 		Committer: c.commit,
-		Yield:     c.yield,
-		Regain:    c.regain,
+		Yield:     c.releaseSlot,
+		Regain:    c.acquireSlot,
 		Report:    c.report,
 		Activity:  c.server.sessions.activity,
 		Terminate: c.server.sessions.terminate,
@@ -188,16 +188,16 @@
 	return m
 }
 
-// greeted are the settings that every connection is told at its start.
-var greeted = []string{
+// reportedSettings are the settings that every connection is told at its start.
+var reportedSettings = []string{
 	"application_name", "client_encoding", "DateStyle", "default_transaction_read_only", "integer_datetimes",
 	"IntervalStyle", "is_superuser", "server_encoding", "server_version", "session_authorization",
 	"standard_conforming_strings", "TimeZone",
 }
 
-func (c *connection) greet() error {
+func (c *connection) sendGreeting() error {
 	c.backend.Send(&pgproto3.AuthenticationOk{})
-	for _, n := range greeted {
+	for _, n := range reportedSettings {
 		c.backend.Send(&pgproto3.ParameterStatus{Name: n, Value: c.session.Settings[n]})
 	}
 	c.backend.Send(&pgproto3.BackendKeyData{ProcessID: c.process, SecretKey: c.secret})
@@ -209,8 +209,8 @@
 	c.backend.Send(&pgproto3.ParameterStatus{Name: name, Value: value})
 }
 
-// begin returns the context of one statement, which a cancel ends.
-func (c *connection) begin(ctx context.Context) (context.Context, context.CancelFunc) {
+// beginStatement returns the context of one statement, which a cancel ends.
+func (c *connection) beginStatement(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, stop := context.WithCancel(ctx)
 	c.mutex.Lock()
 	c.cancel = stop
@@ -218,8 +218,8 @@
 	return ctx, stop
 }
 
-// finish lets a late cancel miss.
-func (c *connection) finish(stop context.CancelFunc) {
+// finishStatement lets a late cancel miss.
+func (c *connection) finishStatement(stop context.CancelFunc) {
 	c.mutex.Lock()
 	c.cancel = nil
 	c.mutex.Unlock()
@@ -249,25 +249,25 @@
 	if c.control || !executor.NeedsSlot(n) {
 		return nil
 	}
-	if err := c.regain(ctx); err != nil {
+	if err := c.acquireSlot(ctx); err != nil {
 		return executor.Translate(err)
 	}
-	c.server.count(n)
+	c.server.countStatement(n)
 	return executor.Translate(scheduler.Pause(ctx, c.server.ServiceTime))
 }
 
-func (c *connection) regain(ctx context.Context) error {
-	if c.control || c.server.slots == nil || c.holding {
+func (c *connection) acquireSlot(ctx context.Context) error {
+	if c.control || c.server.slots == nil || c.holdsSlot {
 		return nil
 	}
 	err := c.server.slots.Acquire(ctx, 1)
-	c.holding = err == nil
+	c.holdsSlot = err == nil
 	return err
 }
 
-func (c *connection) yield() {
-	if c.holding {
+func (c *connection) releaseSlot() {
+	if c.holdsSlot {
 		c.server.slots.Release(1)
-		c.holding = false
+		c.holdsSlot = false
 	}
 }
--- a/internal/standin/responder/extended.go
+++ b/internal/standin/responder/extended.go
@@ -12,21 +12,21 @@
 	"github.com/cuminwick/cuminwick/internal/standin/executor"
 )
 
-func refusal(code, message string) error {
+func newError(code, message string) error {
 	return &pgconn.PgError{Severity: "ERROR", Code: code, Message: message}
 }
 
 // parse keeps a prepared statement.
 func (c *connection) parse(m *pgproto3.Parse) error {
 	if _, ok := c.session.Prepared[m.Name]; ok && m.Name != "" {
-		return refusal("42P05", "prepared statement \""+m.Name+"\" already exists")
+		return newError("42P05", "prepared statement \""+m.Name+"\" already exists")
 	}
 	l, err := c.server.parser.Parse(m.Query)
 	if err != nil {
 		return err
 	}
 	if len(l) > 1 {
-		return refusal("42601", "cannot insert multiple commands into a prepared statement")
+		return newError("42601", "cannot insert multiple commands into a prepared statement")
 	}
 	var n *pgquery.Node
 	if len(l) == 1 {
@@ -44,7 +44,7 @@
 func (c *connection) prepared(name string) (*executor.Prepared, error) {
 	p, ok := c.session.Prepared[name]
 	if !ok {
-		return nil, refusal("26000", "prepared statement \""+name+"\" does not exist")
+		return nil, newError("26000", "prepared statement \""+name+"\" does not exist")
 	}
 	return p, nil
 }
@@ -52,7 +52,7 @@
 func (c *connection) portal(name string) (*portal, error) {
 	p, ok := c.portals[name]
 	if !ok {
-		return nil, refusal("34000", "portal \""+name+"\" does not exist")
+		return nil, newError("34000", "portal \""+name+"\" does not exist")
 	}
 	return p, nil
 }
@@ -64,10 +64,10 @@
 		return err
 	}
 	if _, ok := c.portals[m.DestinationPortal]; ok && m.DestinationPortal != "" {
-		return refusal("42P03", "portal \""+m.DestinationPortal+"\" already exists")
+		return newError("42P03", "portal \""+m.DestinationPortal+"\" already exists")
 	}
 	if len(m.Parameters) != len(s.Parameters) {
-		return refusal("08P01", "bind message supplies a wrong number of parameters")
+		return newError("08P01", "bind message supplies a wrong number of parameters")
 	}
 	p := &portal{prepared: s, formats: slices.Clone(m.ResultFormatCodes)}
 	for i, b := range m.Parameters {
@@ -119,9 +119,9 @@
 		c.backend.Send(&pgproto3.EmptyQueryResponse{})
 		return nil
 	}
-	ctx, stop := c.begin(ctx)
-	defer c.finish(stop)
-	defer c.yield()
+	ctx, stop := c.beginStatement(ctx)
+	defer c.finishStatement(stop)
+	defer c.releaseSlot()
 	if err := c.takeSlot(ctx, p.prepared.Node); err != nil {
 		return err
 	}
@@ -131,7 +131,7 @@
 			return err
 		}
 	}
-	more, err := c.rows(ctx, p, int(m.MaxRows))
+	more, err := c.sendRows(ctx, p, int(m.MaxRows))
 	if err != nil {
 		return err
 	}
@@ -139,12 +139,12 @@
 		c.backend.Send(&pgproto3.PortalSuspended{})
 		return nil
 	}
-	c.complete(p)
+	c.sendCompletion(p)
 	return nil
 }
 
-// rows sends up to limit rows, all if it is zero, and reports whether it stopped at the limit.
-func (c *connection) rows(ctx context.Context, p *portal, limit int) (bool, error) {
+// sendRows sends up to limit sendRows, all if it is zero, and reports whether it stopped at the limit.
+func (c *connection) sendRows(ctx context.Context, p *portal, limit int) (bool, error) {
 	r := p.result
 	if r.CopyIn != nil {
 		return false, c.copyIn(ctx, r)
@@ -184,10 +184,10 @@
 			return executor.Translate(err)
 		}
 		d.Values[i] = b
-		c.gathered += len(b) + 4
+		c.bufferedBytes += len(b) + 4
 	}
 	c.backend.Send(d)
-	if c.gathered < flushAt {
+	if c.bufferedBytes < flushBytes {
 		return nil
 	}
 	return c.flush(ctx)
@@ -208,8 +208,8 @@
 		b := executor.CopyLine(p.result.Columns, v)
 		c.backend.Send(&pgproto3.CopyData{Data: b})
 		p.sent++
-		c.gathered += len(b)
-		if c.gathered < flushAt {
+		c.bufferedBytes += len(b)
+		if c.bufferedBytes < flushBytes {
 			continue
 		}
 		if err := c.flush(ctx); err != nil {
@@ -224,7 +224,7 @@
 	if err := c.flush(ctx); err != nil {
 		return err
 	}
-	c.yield()
+	c.releaseSlot()
 	for {
 		m, err := c.backend.Receive()
 		if err != nil {
@@ -240,10 +240,10 @@
 			r.Tag, err = r.CopyIn.Done(ctx)
 			return err
 		case *pgproto3.CopyFail:
-			return refusal("57014", "COPY from stdin failed: "+m.Message)
+			return newError("57014", "COPY from stdin failed: "+m.Message)
 		case *pgproto3.Flush, *pgproto3.Sync:
 		default:
-			return refusal("08P01", "unexpected message during COPY from stdin")
+			return newError("08P01", "unexpected message during COPY from stdin")
 		}
 		if err != nil {
 			return err
--- a/internal/standin/responder/faults.go
+++ b/internal/standin/responder/faults.go
@@ -76,19 +76,19 @@
 func (s *Server) beginCrash() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.crash == nil || s.down {
+	if s.stopServing == nil || s.crashed {
 		return nil
 	}
-	s.down = true
-	s.crash()
-	return s.ended
+	s.crashed = true
+	s.stopServing()
+	return s.stopped
 }
 
 // Restart starts a crashed server again at its address.
 func (s *Server) Restart() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !s.down {
+	if !s.crashed {
 		return
 	}
 	select {
@@ -134,18 +134,18 @@
 		}
 		s.SetReplicationLag(d)
 	}
-	set(f.ReplicationStopped, s.StopReplication)
-	set(f.Paused, s.Pause)
-	set(f.Isolated, s.Isolate)
-	set(f.Leaving, s.ReportLeaving)
-	set(f.Crashed, s.setCrashed)
+	setIfPresent(f.ReplicationStopped, s.StopReplication)
+	setIfPresent(f.Paused, s.Pause)
+	setIfPresent(f.Isolated, s.Isolate)
+	setIfPresent(f.Leaving, s.ReportLeaving)
+	setIfPresent(f.Crashed, s.setCrashed)
 	if c := f.CommitFailure; c != nil {
 		s.FailCommit(injector.CommitFailure{Code: c.SQLState, Committed: c.Committed})
 	}
 	return nil
 }
 
-func set(v *bool, f func(bool)) {
+func setIfPresent(v *bool, f func(bool)) {
 	if v != nil {
 		f(*v)
 	}
--- a/internal/standin/responder/messages.go
+++ b/internal/standin/responder/messages.go
@@ -44,7 +44,7 @@
 func (c *connection) handle(ctx context.Context, m pgproto3.FrontendMessage) error {
 	switch m := m.(type) {
 	case *pgproto3.Query:
-		return c.query(ctx, m.String)
+		return c.handleQuery(ctx, m.String)
 	case *pgproto3.Sync:
 		return c.sync(ctx)
 	case *pgproto3.Flush:
@@ -53,10 +53,10 @@
 		// The rest of a COPY that failed is dropped, as PostgreSQL does.
 		return nil
 	}
-	if c.skipping {
+	if c.skipToSync {
 		return nil
 	}
-	err := c.extended(ctx, m)
+	err := c.handleExtended(ctx, m)
 	if err == nil {
 		return nil
 	}
@@ -64,13 +64,13 @@
 	if !errors.As(err, &p) {
 		return err
 	}
-	c.fail(p)
-	c.skipping = true
+	c.sendError(p)
+	c.skipToSync = true
 	return nil
 }
 
-// extended handles a message of the extended protocol.
-func (c *connection) extended(ctx context.Context, m pgproto3.FrontendMessage) error {
+// handleExtended handles a message of the handleExtended protocol.
+func (c *connection) handleExtended(ctx context.Context, m pgproto3.FrontendMessage) error {
 	switch m := m.(type) {
 	case *pgproto3.Parse:
 		return c.parse(m)
@@ -86,8 +86,8 @@
 	return errors.Errorf("unexpected message %T", m)
 }
 
-// fail sends an error and ends an implicit transaction.
-func (c *connection) fail(p *pgconn.PgError) {
+// sendError sends an error and ends an implicit transaction.
+func (c *connection) sendError(p *pgconn.PgError) {
 	c.session.Fail()
 	c.backend.Send(&pgproto3.ErrorResponse{
 		Severity:            p.Severity,
@@ -103,17 +103,17 @@
 	if err := c.server.faults.WaitUnpaused(ctx); err != nil {
 		return err
 	}
-	c.gathered = 0
+	c.bufferedBytes = 0
 	return errors.Annotate(c.backend.Flush(), "send answer")
 }
 
 // sync ends an implicit transaction and says that the server is ready.
 func (c *connection) sync(ctx context.Context) error {
-	c.skipping = false
+	c.skipToSync = false
 	if err := c.finishImplicit(); err != nil {
 		return err
 	}
-	return c.ready(ctx)
+	return c.sendReady(ctx)
 }
 
 // finishImplicit commits an implicit transaction; an error of the commit goes to the caller.
@@ -124,32 +124,32 @@
 	err := c.session.Finish()
 	var p *pgconn.PgError
 	if errors.As(err, &p) {
-		c.fail(p)
+		c.sendError(p)
 		return nil
 	}
 	return err
 }
 
-func (c *connection) ready(ctx context.Context) error {
+func (c *connection) sendReady(ctx context.Context) error {
 	c.backend.Send(&pgproto3.ReadyForQuery{TxStatus: c.session.Status()})
 	return c.flush(ctx)
 }
 
-// query runs a query string of the simple protocol.
-func (c *connection) query(ctx context.Context, sql string) error {
-	c.skipping = false
-	err := c.statements(ctx, sql)
+// handleQuery runs a handleQuery string of the simple protocol.
+func (c *connection) handleQuery(ctx context.Context, sql string) error {
+	c.skipToSync = false
+	err := c.executeStatements(ctx, sql)
 	var p *pgconn.PgError
 	if errors.As(err, &p) {
-		c.fail(p)
+		c.sendError(p)
 	} else if err != nil {
 		return err
 	}
-	return c.ready(ctx)
+	return c.sendReady(ctx)
 }
 
-// statements runs the statements of a query string, in one implicit transaction.
-func (c *connection) statements(ctx context.Context, sql string) error {
+// executeStatements runs the executeStatements of a query string, in one implicit transaction.
+func (c *connection) executeStatements(ctx context.Context, sql string) error {
 	l, err := c.server.parser.Parse(sql)
 	if err != nil {
 		return err
@@ -159,19 +159,19 @@
 		return nil
 	}
 	for i, n := range l {
-		if err := c.simple(ctx, n, i == len(l)-1); err != nil {
+		if err := c.executeSimple(ctx, n, i == len(l)-1); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// simple runs one statement and sends its whole answer. The last one commits
+// executeSimple runs one statement and sends its whole answer. The last one commits
 // before its command tag is sent, so that the tag is true.
-func (c *connection) simple(ctx context.Context, n *pgquery.Node, last bool) error {
-	ctx, stop := c.begin(ctx)
-	defer c.finish(stop)
-	defer c.yield()
+func (c *connection) executeSimple(ctx context.Context, n *pgquery.Node, last bool) error {
+	ctx, stop := c.beginStatement(ctx)
+	defer c.finishStatement(stop)
+	defer c.releaseSlot()
 	if err := c.takeSlot(ctx, n); err != nil {
 		return err
 	}
@@ -183,7 +183,7 @@
 	if r.Columns != nil && !r.CopyOut {
 		c.backend.Send(describeRows(r.Columns, nil))
 	}
-	if _, err := c.rows(ctx, p, 0); err != nil {
+	if _, err := c.sendRows(ctx, p, 0); err != nil {
 		return err
 	}
 	if last {
@@ -191,12 +191,12 @@
 			return err
 		}
 	}
-	c.complete(p)
+	c.sendCompletion(p)
 	return nil
 }
 
-// complete sends the notice and the command tag.
-func (c *connection) complete(p *portal) {
+// sendCompletion sends the notice and the command tag.
+func (c *connection) sendCompletion(p *portal) {
 	if p.result.Notice != "" {
 		c.backend.Send(&pgproto3.NoticeResponse{Severity: "WARNING", SeverityUnlocalized: "WARNING", Code: "01000", Message: p.result.Notice})
 	}
--- a/internal/standin/responder/registry.go
+++ b/internal/standin/responder/registry.go
@@ -64,8 +64,8 @@
 	return true
 }
 
-// closeCallers ends all sessions but those for control.
-func (r *registry) closeCallers() {
+// closeClients ends all sessions but those for control.
+func (r *registry) closeClients() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, c := range r.sessions {
--- a/internal/standin/responder/responder.go
+++ b/internal/standin/responder/responder.go
@@ -47,25 +47,25 @@
 	// AdminAddress serves faults and dumps over HTTP, nowhere if empty.
 	AdminAddress string
 
-	once        sync.Once
-	ready       chan struct{}
-	store       replicator.Store
-	faults      injector.Faults
-	parser      executor.Parser
-	slots       *semaphore.Weighted
-	connections atomic.Int64
-	opened      atomic.Int64
-	work        work
-	sessions    registry
+	once               sync.Once
+	ready              chan struct{}
+	store              replicator.Store
+	faults             injector.Faults
+	parser             executor.Parser
+	slots              *semaphore.Weighted
+	currentConnections atomic.Int64
+	openedConnections  atomic.Int64
+	counters           statementCounters
+	sessions           registry
 
-	mutex   sync.Mutex
-	address string
-	admin   string
-	crash   context.CancelFunc
-	// ended is closed once nothing of the present life answers any more.
-	ended    chan struct{}
+	mutex       sync.Mutex
+	address     string
+	adminAddr   string
+	stopServing context.CancelFunc
+	// stopped is closed once nothing of the present life answers any more.
+	stopped  chan struct{}
 	restarts chan struct{}
-	down     bool
+	crashed  bool
 }
 
 func (s *Server) setUp() {
@@ -106,7 +106,7 @@
 func (s *Server) AdminAddr() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.admin
+	return s.adminAddr
 }
 
 // Store returns the server's store, for tests and checkers in the same process.
@@ -117,7 +117,7 @@
 
 // OpenedConnections counts the connections accepted so far, without replicas and cancels.
 func (s *Server) OpenedConnections() int64 {
-	return s.opened.Load()
+	return s.openedConnections.Load()
 }
 
 // Run serves until ctx ends; a crash ends what is open, and Restart begins anew with the log kept.
@@ -141,7 +141,7 @@
 		return err
 	}
 	for {
-		err := s.live(ctx)
+		err := s.serveUntilCrash(ctx)
 		if err != nil || ctx.Err() != nil {
 			return err
 		}
@@ -153,8 +153,8 @@
 	}
 }
 
-// live serves from one start to the next crash.
-func (s *Server) live(ctx context.Context) error {
+// serveUntilCrash serves from one start to the next crash.
+func (s *Server) serveUntilCrash(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	l, err := s.listen(ctx)
@@ -165,9 +165,9 @@
 	defer close(e)
 	s.mutex.Lock()
 	s.address = l.Addr().String()
-	s.crash = stop
-	s.ended = e
-	s.down = false
+	s.stopServing = stop
+	s.stopped = e
+	s.crashed = false
 	s.mutex.Unlock()
 	s.announceReady()
 	var w sync.WaitGroup
@@ -183,8 +183,8 @@
 // A port may not be free at once: a process that was just killed had it, or a crashed
 // life of this server. The server gives up after a second.
 const (
-	portAttempts = 50
-	portPause    = 20 * time.Millisecond
+	portAttempts   = 50
+	portRetryDelay = 20 * time.Millisecond
 )
 
 // reserve keeps the server's port for as long as it runs.
@@ -205,7 +205,7 @@
 		if err == nil || i == portAttempts || ctx.Err() != nil {
 			return v, err
 		}
-		time.Sleep(portPause)
+		time.Sleep(portRetryDelay)
 	}
 }
 
@@ -235,7 +235,7 @@
 // connections hold nothing of the log; closed, the one that told the server to
 // follow another primary could lose its answer.
 func (s *Server) dropSessions() {
-	s.sessions.closeCallers()
+	s.sessions.closeClients()
 }
 
 // serveAdmin starts the HTTP side, which ends with ctx.
@@ -249,7 +249,7 @@
 		return errors.Annotatef(err, "listen for admin of %s", s.Name)
 	}
 	s.mutex.Lock()
-	s.admin = l.Addr().String()
+	s.adminAddr = l.Addr().String()
 	s.mutex.Unlock()
 	h := &http.Server{Handler: s.Handler(), ReadHeaderTimeout: time.Second}
 	go s.runAdmin(h, l)
--- a/internal/standin/responder/work.go
+++ b/internal/standin/responder/work.go
@@ -7,8 +7,8 @@
 	pgquery "github.com/pganalyze/pg_query_go/v6"
 )
 
-// ownPrefix starts the names of tables that cuminwick keeps for itself.
-const ownPrefix = "cuminwick_"
+// internalTablePrefix starts the names of tables that cuminwick keeps for itself.
+const internalTablePrefix = "cuminwick_"
 
 // StatementCounts counts the statements that worked in a slot.
 type StatementCounts struct {
@@ -24,8 +24,8 @@
 	return w.PrimaryReads + w.ReplicaReads + w.Others
 }
 
-// work holds the counters behind Work.
-type work struct {
+// statementCounters holds the counters behind Work.
+type statementCounters struct {
 	primaryReads atomic.Int64
 	replicaReads atomic.Int64
 	others       atomic.Int64
@@ -34,9 +34,9 @@
 // StatementCounts returns the statements counted so far.
 func (s *Server) StatementCounts() StatementCounts {
 	return StatementCounts{
-		PrimaryReads: s.work.primaryReads.Load(),
-		ReplicaReads: s.work.replicaReads.Load(),
-		Others:       s.work.others.Load(),
+		PrimaryReads: s.counters.primaryReads.Load(),
+		ReplicaReads: s.counters.replicaReads.Load(),
+		Others:       s.counters.others.Load(),
 	}
 }
 
@@ -45,23 +45,23 @@
 	return s.StatementCounts().Total()
 }
 
-// count adds one statement that takes a slot.
-func (s *Server) count(n *pgquery.Node) {
+// countStatement adds one statement that takes a slot.
+func (s *Server) countStatement(n *pgquery.Node) {
 	q := n.GetSelectStmt()
-	if q == nil || readsOwn(q) {
-		s.work.others.Add(1)
+	if q == nil || readsInternalTable(q) {
+		s.counters.others.Add(1)
 		return
 	}
 	if l, _ := s.store.IsPrimary(); l {
-		s.work.primaryReads.Add(1)
+		s.counters.primaryReads.Add(1)
 		return
 	}
-	s.work.replicaReads.Add(1)
+	s.counters.replicaReads.Add(1)
 }
 
-func readsOwn(q *pgquery.SelectStmt) bool {
+func readsInternalTable(q *pgquery.SelectStmt) bool {
 	if len(q.FromClause) == 0 {
 		return false
 	}
-	return strings.HasPrefix(q.FromClause[0].GetRangeVar().GetRelname(), ownPrefix)
+	return strings.HasPrefix(q.FromClause[0].GetRangeVar().GetRelname(), internalTablePrefix)
 }
--- a/internal/standin/storekeeper/faults.go
+++ b/internal/standin/storekeeper/faults.go
@@ -19,7 +19,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.wake()
+	s.wakeWatches()
 }
 
 // Faults returns the present fault settings.
@@ -34,7 +34,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.Outage = on
-	s.wake()
+	s.wakeWatches()
 }
 
 // SetLatency delays each call by d.
--- a/internal/standin/storekeeper/handler.go
+++ b/internal/standin/storekeeper/handler.go
@@ -132,11 +132,11 @@
 	case errors.Is(err, accessor.ErrUnchanged):
 		w.WriteHeader(http.StatusNoContent)
 	default:
-		http.Error(w, err.Error(), status(err))
+		http.Error(w, err.Error(), statusCode(err))
 	}
 }
 
-func status(err error) int {
+func statusCode(err error) int {
 	switch {
 	case errors.Is(err, accessor.ErrNotFound):
 		return http.StatusNotFound
--- a/internal/standin/storekeeper/hosts.go
+++ b/internal/standin/storekeeper/hosts.go
@@ -22,8 +22,8 @@
 	visible map[string]accessor.Host
 }
 
-// settle makes the changes up to t visible.
-func (h *hostList) settle(t time.Time) {
+// applyUntil makes the changes up to t visible.
+func (h *hostList) applyUntil(t time.Time) {
 	if h.visible == nil {
 		h.visible = map[string]accessor.Host{}
 	}
@@ -57,12 +57,12 @@
 
 // Hosts returns the host list as it was one lag ago, ordered by name.
 func (s *Store) Hosts(ctx context.Context) ([]accessor.Host, error) {
-	if err := s.enter(ctx, func(c *Calls) { c.Hosts++ }); err != nil {
+	if err := s.startCall(ctx, func(c *Calls) { c.Hosts++ }); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hosts.settle(time.Now().Add(-s.faults.HostListLag))
+	s.hosts.applyUntil(time.Now().Add(-s.faults.HostListLag))
 	l := make([]accessor.Host, 0, len(s.hosts.visible))
 	for _, h := range s.hosts.visible {
 		l = append(l, h)
--- a/internal/standin/storekeeper/store.go
+++ b/internal/standin/storekeeper/store.go
@@ -60,7 +60,7 @@
 
 // Get returns one object.
 func (s *Store) Get(ctx context.Context, kind, name string) (accessor.Object, error) {
-	if err := s.enter(ctx, func(c *Calls) { c.Get++ }); err != nil {
+	if err := s.startCall(ctx, func(c *Calls) { c.Get++ }); err != nil {
 		return accessor.Object{}, err
 	}
 	s.mu.Lock()
@@ -74,12 +74,12 @@
 
 // Put stores o if its version is the stored one.
 func (s *Store) Put(ctx context.Context, o accessor.Object) (accessor.Object, error) {
-	if err := s.enter(ctx, func(c *Calls) { c.Put++ }); err != nil {
+	if err := s.startCall(ctx, func(c *Calls) { c.Put++ }); err != nil {
 		return accessor.Object{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	o, err := s.store(o)
+	o, err := s.replace(o)
 	if err != nil {
 		return accessor.Object{}, err
 	}
@@ -90,7 +90,7 @@
 	return o, nil
 }
 
-func (s *Store) store(o accessor.Object) (accessor.Object, error) {
+func (s *Store) replace(o accessor.Object) (accessor.Object, error) {
 	if len(o.Value) > accessor.MaximumValueBytes {
 		return o, accessor.ErrTooLarge
 	}
@@ -104,13 +104,13 @@
 	o.Version++
 	o.Value = slices.Clone(o.Value)
 	s.objects[k] = o
-	s.wake()
+	s.wakeWatches()
 	return o, nil
 }
 
 // List returns all objects of a kind, ordered by name.
 func (s *Store) List(ctx context.Context, kind string) ([]accessor.Object, error) {
-	if err := s.enter(ctx, func(c *Calls) { c.List++ }); err != nil {
+	if err := s.startCall(ctx, func(c *Calls) { c.List++ }); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
@@ -135,13 +135,13 @@
 }
 
 func (s *Store) watch(ctx context.Context, kind, name string, after accessor.Version, d time.Duration) (accessor.Object, error) {
-	if err := s.enter(ctx, func(c *Calls) { c.Watch++ }); err != nil {
+	if err := s.startCall(ctx, func(c *Calls) { c.Watch++ }); err != nil {
 		return accessor.Object{}, err
 	}
 	t := time.NewTimer(d)
 	defer t.Stop()
 	for {
-		o, c, err := s.look(key{kind, name})
+		o, c, err := s.lookUp(key{kind, name})
 		if err != nil {
 			return accessor.Object{}, err
 		}
@@ -151,15 +151,15 @@
 		select {
 		case <-c:
 		case <-t.C:
-			return accessor.Object{}, unchanged(o)
+			return accessor.Object{}, watchTimeoutError(o)
 		case <-ctx.Done():
 			return accessor.Object{}, ctx.Err()
 		}
 	}
 }
 
-// look returns the object, zero if absent, and a channel closed at the next change.
-func (s *Store) look(k key) (accessor.Object, <-chan struct{}, error) {
+// lookUp returns the object, zero if absent, and a channel closed at the next change.
+func (s *Store) lookUp(k key) (accessor.Object, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.Outage {
@@ -171,16 +171,16 @@
 	return s.objects[k], s.changed, nil
 }
 
-// unchanged tells an absent object from one that didn't change during a watch.
-func unchanged(o accessor.Object) error {
+// watchTimeoutError tells an absent object from one that didn't change during a watch.
+func watchTimeoutError(o accessor.Object) error {
 	if o.Version == 0 {
 		return accessor.ErrNotFound
 	}
 	return accessor.ErrUnchanged
 }
 
-// wake lets all watches look again; the caller holds the lock.
-func (s *Store) wake() {
+// wakeWatches lets all watches look again; the caller holds the lock.
+func (s *Store) wakeWatches() {
 	if s.changed != nil {
 		close(s.changed)
 	}
@@ -201,8 +201,8 @@
 	s.calls = Calls{}
 }
 
-// enter counts a call and applies slowness and outage to it.
-func (s *Store) enter(ctx context.Context, count func(*Calls)) error {
+// startCall counts a call and applies slowness and outage to it.
+func (s *Store) startCall(ctx context.Context, count func(*Calls)) error {
 	s.mu.Lock()
 	count(&s.calls)
 	f := s.faults
--- a/internal/standin/streamer/delayed.go
+++ b/internal/standin/streamer/delayed.go
@@ -9,28 +9,28 @@
 
 // entry is what one or more frames brought, and when the last of them came.
 type entry struct {
-	// first says that the log is to be cut back to common, else records counts.
-	first  bool
-	common marker.Position
+	// truncate says that the log is to be cut back to common, else records counts.
+	truncate bool
+	common   marker.Position
 	// records are encoded.
-	records []byte
-	came    time.Time
+	records  []byte
+	received time.Time
 }
 
-// delayed is a queue of entries that wait for the replication lag to pass.
-type delayed struct {
+// delayQueue is a queue of entries that wait for the replication lag to pass.
+type delayQueue struct {
 	mutex   sync.Mutex
 	entries []entry
 }
 
-func (d *delayed) push(e entry) {
+func (d *delayQueue) push(e entry) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.entries = append(d.entries, e)
 }
 
 // pop takes the first entry, whether due or not.
-func (d *delayed) pop() (entry, bool) {
+func (d *delayQueue) pop() (entry, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if len(d.entries) == 0 {
--- a/internal/standin/streamer/gathering.go
+++ b/internal/standin/streamer/gathering.go
@@ -5,13 +5,13 @@
 	"github.com/cuminwick/cuminwick/internal/standin/replicator"
 )
 
-// gathering takes records from the store and encodes them while the sender goes
+// recordFetch takes records from the store and encodes them while the sender goes
 // on with its heartbeats.
 //
 // A COPY is one record: to commit it keeps the store's mutex, and to encode it
 // takes a processor, each for hundreds of milliseconds on a busy machine. With no
 // heartbeat in between, replicas would take the primary for lost.
-type gathering struct {
+type recordFetch struct {
 	store *replicator.Store
 	term  marker.Term
 	from  marker.Position
@@ -24,10 +24,10 @@
 	err     error
 }
 
-func (g *gathering) run() {
+func (g *recordFetch) run() {
 	defer close(g.done)
 	g.changed = g.store.Changed()
-	r, err := g.store.ReadRecords(g.term, g.from, batch)
+	r, err := g.store.ReadRecords(g.term, g.from, maximumBatchRecords)
 	if err != nil {
 		g.err = err
 		return
--- a/internal/standin/streamer/puller.go
+++ b/internal/standin/streamer/puller.go
@@ -45,7 +45,7 @@
 		if p.Faults.WaitConnected(ctx) != nil {
 			return
 		}
-		s := &stream{puller: p, leader: l, term: t, wake: make(chan struct{}, 1), ended: make(chan struct{})}
+		s := &stream{puller: p, primary: l, term: t, wake: make(chan struct{}, 1), applyDone: make(chan struct{})}
 		err := s.run(ctx)
 		log.WithFields(log.Fields{"backend-server": p.Store.Name, "primary": l.Name, "term": t}).WithError(err).Debug("replication stream ended")
 		_ = scheduler.Pause(ctx, retryDelay)
@@ -54,17 +54,17 @@
 
 // stream is one connection to one primary under one term.
 type stream struct {
-	puller *Puller
-	leader replicator.PrimaryServer
-	term   marker.Term
-	front  *pgproto3.Frontend
-	ear    *ear
+	puller   *Puller
+	primary  replicator.PrimaryServer
+	term     marker.Term
+	frontend *pgproto3.Frontend
+	conn     *contactConn
 	// parts are those that came of records that haven't come whole.
 	parts []byte
 	wake  chan struct{}
-	queue delayed
-	// ended is closed when loopApply has returned.
-	ended chan struct{}
+	queue delayQueue
+	// applyDone is closed when loopApply has returned.
+	applyDone chan struct{}
 }
 
 // run opens the stream and takes records until something ends it. It returns
@@ -77,36 +77,36 @@
 	go s.loopWatch(ctx, stop)
 	c, err := s.dial(ctx)
 	if err != nil {
-		return errors.Annotatef(err, "dial primary %s at %s", s.leader.Name, s.leader.Address)
+		return errors.Annotatef(err, "dial primary %s at %s", s.primary.Name, s.primary.Address)
 	}
 	defer c.Close()
 	defer context.AfterFunc(ctx, func() { c.Close() })()
-	s.ear = &ear{Conn: c, stream: s}
-	s.front = pgproto3.NewFrontend(s.ear, c)
+	s.conn = &contactConn{Conn: c, stream: s}
+	s.frontend = pgproto3.NewFrontend(s.conn, c)
 	err = s.open()
 	if err != nil {
-		return errors.Annotatef(err, "open stream from %s", s.leader.Name)
+		return errors.Annotatef(err, "open stream from %s", s.primary.Name)
 	}
 	go s.loopApply(ctx, stop)
 	err = s.loopReceive(ctx)
 	stop()
-	<-s.ended
+	<-s.applyDone
 	return err
 }
 
 func (s *stream) dial(ctx context.Context) (net.Conn, error) {
-	ctx, stop := context.WithTimeout(ctx, silenceLimit)
+	ctx, stop := context.WithTimeout(ctx, idleTimeout)
 	defer stop()
 	if s.puller.Dial != nil {
-		return s.puller.Dial(ctx, s.leader.Name, s.leader.Address)
+		return s.puller.Dial(ctx, s.primary.Name, s.primary.Address)
 	}
 	var d net.Dialer
-	return d.DialContext(ctx, "tcp", s.leader.Address)
+	return d.DialContext(ctx, "tcp", s.primary.Address)
 }
 
 // open sends the startup message and what the replica has.
 func (s *stream) open() error {
-	s.front.Send(&pgproto3.StartupMessage{
+	s.frontend.Send(&pgproto3.StartupMessage{
 		ProtocolVersion: pgproto3.ProtocolVersion30,
 		Parameters:      map[string]string{"user": "replication", "application_name": ApplicationName},
 	})
@@ -114,8 +114,8 @@
 	if err != nil {
 		return err
 	}
-	s.front.Send(&pgproto3.CopyData{Data: b})
-	return errors.Trace(s.front.Flush())
+	s.frontend.Send(&pgproto3.CopyData{Data: b})
+	return errors.Trace(s.frontend.Flush())
 }
 
 // loopWatch ends the stream, or the attempt to open it, when the store is told to
@@ -126,7 +126,7 @@
 	for {
 		c := s.puller.Store.Changed()
 		l, t := s.puller.Store.FollowedPrimary()
-		if l != (replicator.PrimaryServer{}) && (l != s.leader || t != s.term) {
+		if l != (replicator.PrimaryServer{}) && (l != s.primary || t != s.term) {
 			stop()
 			return
 		}
@@ -153,22 +153,22 @@
 			return err
 		}
 		l, t := s.puller.Store.FollowedPrimary()
-		if l != s.leader || t != s.term || f.Term != s.term {
-			return errors.Annotatef(replicator.ErrTermRefused, "stream under %d ends at %d, reported %v", s.term, t, s.tell(t))
+		if l != s.primary || t != s.term || f.Term != s.term {
+			return errors.Annotatef(replicator.ErrTermRefused, "stream under %d ends at %d, reported %v", s.term, t, s.sendTerm(t))
 		}
 		g, _ := s.puller.Faults.Get()
 		if g.Isolated {
 			return errors.Errorf("%s is isolated", s.puller.Store.Name)
 		}
-		s.ear.open.Store(true)
-		s.hear()
-		s.take(f)
+		s.conn.termConfirmed.Store(true)
+		s.noteContact()
+		s.enqueue(f)
 	}
 }
 
-// hear notes that the primary was heard, if this server could hear anything: a
+// noteContact notes that the primary was heard, if this server could noteContact anything: a
 // paused one's kernel goes on taking bytes.
-func (s *stream) hear() {
+func (s *stream) noteContact() {
 	f, _ := s.puller.Faults.Get()
 	if f.Paused || f.Isolated {
 		return
@@ -176,26 +176,26 @@
 	s.puller.Store.NoteContact(s.term, time.Now())
 }
 
-// take queues what f brings, records only once they are whole. They are decoded
+// enqueue queues what f brings, records only once they are whole. They are decoded
 // by loopApply, since nothing is heard of the primary meanwhile.
-func (s *stream) take(f frame) {
+func (s *stream) enqueue(f frame) {
 	if f.First {
-		s.queue.push(entry{first: true, common: f.Common, came: time.Now()})
-		s.nudge()
+		s.queue.push(entry{truncate: true, common: f.Common, received: time.Now()})
+		s.wakeApply()
 		return
 	}
 	s.parts = append(s.parts, f.Part...)
 	if !f.Ends {
 		return
 	}
-	s.queue.push(entry{records: s.parts, came: time.Now()})
+	s.queue.push(entry{records: s.parts, received: time.Now()})
 	s.parts = nil
-	s.nudge()
+	s.wakeApply()
 }
 
 func (s *stream) receive() (frame, error) {
 	var f frame
-	m, err := s.front.Receive()
+	m, err := s.frontend.Receive()
 	if err != nil {
 		return f, errors.Annotate(err, "receive records")
 	}
@@ -206,17 +206,17 @@
 	return f, decode(d.Data, &f)
 }
 
-// tell reports the accepted term to the primary.
-func (s *stream) tell(t marker.Term) error {
+// sendTerm reports the accepted term to the primary.
+func (s *stream) sendTerm(t marker.Term) error {
 	b, err := encode(report{Term: t})
 	if err != nil {
 		return err
 	}
-	s.front.Send(&pgproto3.CopyData{Data: b})
-	return errors.Trace(s.front.Flush())
+	s.frontend.Send(&pgproto3.CopyData{Data: b})
+	return errors.Trace(s.frontend.Flush())
 }
 
-func (s *stream) nudge() {
+func (s *stream) wakeApply() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -225,7 +225,7 @@
 
 // loopApply takes over queued records when they are due.
 func (s *stream) loopApply(ctx context.Context, stop context.CancelFunc) {
-	defer close(s.ended)
+	defer close(s.applyDone)
 	defer stop()
 	for {
 		e, ok := s.queue.pop()
@@ -237,7 +237,7 @@
 				return
 			}
 		}
-		if s.puller.Faults.WaitReplicationLag(ctx, e.came) != nil || s.puller.Faults.WaitReplicating(ctx) != nil {
+		if s.puller.Faults.WaitReplicationLag(ctx, e.received) != nil || s.puller.Faults.WaitReplicating(ctx) != nil {
 			return
 		}
 		if err := s.apply(e); err != nil {
@@ -248,7 +248,7 @@
 }
 
 func (s *stream) apply(e entry) error {
-	if !e.first {
+	if !e.truncate {
 		return s.appendRecords(e.records)
 	}
 	d, err := s.puller.Store.Truncate(s.term, e.common)
--- a/internal/standin/streamer/sender.go
+++ b/internal/standin/streamer/sender.go
@@ -90,13 +90,13 @@
 		if f.Isolated {
 			return errors.Errorf("%s is isolated", s.Store.Name)
 		}
-		a := &gathering{store: s.Store, term: s.term, from: s.position, done: make(chan struct{})}
+		a := &recordFetch{store: s.Store, term: s.term, from: s.position, done: make(chan struct{})}
 		go a.run()
-		err := s.sendGathered(ctx, a, t.C)
+		err := s.sendFetched(ctx, a, t.C)
 		if err != nil {
 			return err
 		}
-		if a.count == batch {
+		if a.count == maximumBatchRecords {
 			continue
 		}
 		select {
@@ -109,8 +109,8 @@
 	}
 }
 
-// sendGathered sends the records of a, and heartbeats until they are there.
-func (s *Sender) sendGathered(ctx context.Context, a *gathering, tick <-chan time.Time) error {
+// sendFetched sends the records of a, and heartbeats until they are there.
+func (s *Sender) sendFetched(ctx context.Context, a *recordFetch, tick <-chan time.Time) error {
 	for {
 		select {
 		case <-a.done:
@@ -132,7 +132,7 @@
 // sendParts sends encoded records, or a heartbeat where there are none.
 func (s *Sender) sendParts(ctx context.Context, b []byte) error {
 	for {
-		n := min(len(b), partBytes)
+		n := min(len(b), maximumPartBytes)
 		f := frame{Term: s.term, Part: b[:n], Ends: n > 0 && n == len(b)}
 		b = b[n:]
 		err := s.send(ctx, f)
--- a/internal/standin/streamer/streamer.go
+++ b/internal/standin/streamer/streamer.go
@@ -19,15 +19,15 @@
 const (
 	// HeartbeatInterval is how often a primary sends when it has no records.
 	HeartbeatInterval = 20 * time.Millisecond
-	// silenceLimit ends a stream whose primary sends nothing.
-	silenceLimit = 500 * time.Millisecond
+	// idleTimeout ends a stream whose primary sends nothing.
+	idleTimeout = 500 * time.Millisecond
 	// retryDelay is the pause before a replica dials again.
 	retryDelay = 20 * time.Millisecond
-	// batch is the most records that are sent together.
-	batch = 256
-	// partBytes is the most bytes of records in one frame, as PostgreSQL's sender
+	// maximumBatchRecords is the most records that are sent together.
+	maximumBatchRecords = 256
+	// maximumPartBytes is the most bytes of records in one frame, as PostgreSQL's sender
 	// has it.
-	partBytes = 128 << 10
+	maximumPartBytes = 128 << 10
 )
 
 // hello opens a stream: what a replica has.
