--- a/internal/standin/grouper/admin_test.go
+++ b/internal/standin/grouper/admin_test.go
@@ -10,7 +10,7 @@
 	"github.com/cuminwick/cuminwick/internal/standin/responder"
 )
 
-func post(t *testing.T, s *responder.Server, body string) int {
+func postFault(t *testing.T, s *responder.Server, body string) int {
 	t.Helper()
 	q, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+s.AdminAddr()+"/fault", strings.NewReader(body))
 	if err != nil {
@@ -24,7 +24,7 @@
 	return r.StatusCode
 }
 
-func dump(t *testing.T, s *responder.Server) replicator.Dump {
+func getDump(t *testing.T, s *responder.Server) replicator.Dump {
 	t.Helper()
 	q, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+s.AdminAddr()+"/dump", nil)
 	if err != nil {
@@ -42,7 +42,8 @@
 	return d
 }
 
-// Servers that run as processes of their own get their faults over HTTP.
+// Servers that run in separate processes receive their faults over HTTP. Guards against settings
+// that the admin handler ignores, and against unknown keys and malformed durations that it accepts.
 func TestFaultsOverHTTP(t *testing.T) {
 	g := start(t, 2, func(s *responder.Server) { s.AdminAddress = "127.0.0.1:0" })
 	a, b := g.Servers[0], g.Servers[1]
@@ -52,28 +53,28 @@
 		`{"replication-lag":"soon"}`:              http.StatusBadRequest,
 		`{"replcation-lag":"1s"}`:                 http.StatusBadRequest,
 	} {
-		if k := post(t, b, body); k != want {
+		if k := postFault(t, b, body); k != want {
 			t.Errorf("%s: %d, want %d", body, k, want)
 		}
 	}
 	exec(t, c, "CREATE TABLE note (id int PRIMARY KEY, body text)")
 	exec(t, c, "INSERT INTO note VALUES (1, 'a')")
-	if d := dump(t, b); len(d.Tables) != 0 {
-		t.Errorf("replica doesn't lag: %+v", d)
+	if d := getDump(t, b); len(d.Tables) != 0 {
+		t.Errorf("replica does not lag: %+v", d)
 	}
 	if s, err := client(t, b).Status(t.Context()); err != nil || !s.Leaving {
 		t.Errorf("%+v %v", s, err)
 	}
-	if k := post(t, b, `{"replication-lag":"0s"}`); k != http.StatusNoContent {
+	if k := postFault(t, b, `{"replication-lag":"0s"}`); k != http.StatusNoContent {
 		t.Error(k)
 	}
-	until(t, "replica has the row", func() bool { return len(dump(t, b).Tables["note"].Rows) == 1 })
-	if k := post(t, a, `{"crashed":true}`); k != http.StatusNoContent {
+	waitFor(t, "replica has the row", func() bool { return len(getDump(t, b).Tables["note"].Rows) == 1 })
+	if k := postFault(t, a, `{"crashed":true}`); k != http.StatusNoContent {
 		t.Error(k)
 	}
-	until(t, "connection drops", func() bool { _, err := c.Exec(t.Context(), "SELECT 1"); return err != nil })
-	if k := post(t, a, `{"crashed":false}`); k != http.StatusNoContent {
+	waitFor(t, "connection is closed", func() bool { _, err := c.Exec(t.Context(), "SELECT 1"); return err != nil })
+	if k := postFault(t, a, `{"crashed":false}`); k != http.StatusNoContent {
 		t.Error(k)
 	}
-	until(t, "server is back", func() bool { _, err := client(t, a).Status(t.Context()); return err == nil })
+	waitFor(t, "server answers again", func() bool { _, err := client(t, a).Status(t.Context()); return err == nil })
 }
--- a/internal/standin/grouper/grouper.go
+++ b/internal/standin/grouper/grouper.go
@@ -13,10 +13,10 @@
 	"github.com/cuminwick/cuminwick/internal/standin/responder"
 )
 
-// Group is a database group. The first server starts as primary of term 1, the
-// others follow it. All tell one system identifier, which is drawn at the start.
+// Group is a database group. The first server starts as primary of term 1, the others follow it.
+// All servers report the same system identifier, which is chosen at random by Run.
 type Group struct {
-	// Servers are the group's backend servers.
+	// Servers are the group's backend servers; set before Run.
 	Servers []*responder.Server
 
 	once  sync.Once
@@ -31,13 +31,14 @@
 	g.ready = make(chan struct{})
 }
 
-// Ready is closed when all servers listen.
+// Ready returns a channel that is closed when all servers listen.
 func (g *Group) Ready() <-chan struct{} {
 	g.setUp()
 	return g.ready
 }
 
-// Run serves until ctx ends.
+// Run starts the servers one after another and serves until ctx ends. It returns the first
+// error of a server.
 func (g *Group) Run(ctx context.Context) error {
 	g.setUp()
 	w, ctx := errgroup.WithContext(ctx)
--- a/internal/standin/grouper/grouper_test.go
+++ b/internal/standin/grouper/grouper_test.go
@@ -15,7 +15,8 @@
 	"github.com/cuminwick/cuminwick/internal/standin/responder"
 )
 
-const patience = 20 * time.Second
+// waitTimeout ends a run that would otherwise hang; it is not a limit on the servers' speed.
+const waitTimeout = 20 * time.Second
 
 // start runs a group of n servers until the test ends.
 func start(t *testing.T, n int, change func(*responder.Server)) *Group {
@@ -60,7 +61,8 @@
 	return r
 }
 
-func one[T any](t *testing.T, c *pgx.Conn, sql string, args ...any) T {
+// queryValue returns the single value that the query selects.
+func queryValue[T any](t *testing.T, c *pgx.Conn, sql string, args ...any) T {
 	t.Helper()
 	var v T
 	if err := c.QueryRow(t.Context(), sql, args...).Scan(&v); err != nil {
@@ -69,7 +71,8 @@
 	return v
 }
 
-func codeOf(err error) string {
+// sqlState returns the SQLSTATE of err, or its text if it is not an error of PostgreSQL.
+func sqlState(err error) string {
 	var p *pgconn.PgError
 	if errors.As(err, &p) {
 		return p.Code
@@ -77,12 +80,12 @@
 	return fmt.Sprint(err)
 }
 
-// until waits for a condition; the limit only ends a run that would hang.
-func until(t *testing.T, what string, holds func() bool) {
+// waitFor polls until the condition holds and fails the test after waitTimeout.
+func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); {
+	for end := time.Now().Add(waitTimeout); !holds(); {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -105,32 +108,32 @@
 			exec(t, c, "INSERT INTO note (id, body, tag) VALUES ($1, $2, $3)", 1, "first", "a")
 			exec(t, c, "INSERT INTO note (id, body, tag) VALUES (2, 'second', 'b'), (3, 'third', 'c')")
 			if n := exec(t, c, "INSERT INTO note (id, body) VALUES (1, 'again') ON CONFLICT DO NOTHING").RowsAffected(); n != 0 {
-				t.Errorf("conflicting insert took %d rows", n)
+				t.Errorf("conflicting insert affected %d rows", n)
 			}
 			_, err := c.Exec(t.Context(), "INSERT INTO note (id, body) VALUES (1, 'again')")
-			if codeOf(err) != "23505" {
+			if sqlState(err) != "23505" {
 				t.Errorf("duplicate key: %v", err)
 			}
 			_, err = c.Exec(t.Context(), "INSERT INTO note (id, body, tag) VALUES (4, 'x', 'a')")
-			if codeOf(err) != "23505" {
+			if sqlState(err) != "23505" {
 				t.Errorf("duplicate unique value: %v", err)
 			}
-			if v := one[int64](t, c, "UPDATE note SET n = n + $1 WHERE id = $2 RETURNING n", 5, 1); v != 12 {
+			if v := queryValue[int64](t, c, "UPDATE note SET n = n + $1 WHERE id = $2 RETURNING n", 5, 1); v != 12 {
 				t.Errorf("n = %d", v)
 			}
-			if v := one[string](t, c, "SELECT body FROM note WHERE id = $1 AND n = 12", 1); v != "first" {
+			if v := queryValue[string](t, c, "SELECT body FROM note WHERE id = $1 AND n = 12", 1); v != "first" {
 				t.Errorf("body = %q", v)
 			}
-			if v := one[int64](t, c, "SELECT count(*) FROM note WHERE n < $1", 100); v != 3 {
+			if v := queryValue[int64](t, c, "SELECT count(*) FROM note WHERE n < $1", 100); v != 3 {
 				t.Errorf("count = %d", v)
 			}
-			if v := one[string](t, c, "SELECT body FROM note ORDER BY id DESC LIMIT 1"); v != "third" {
+			if v := queryValue[string](t, c, "SELECT body FROM note ORDER BY id DESC LIMIT 1"); v != "third" {
 				t.Errorf("last = %q", v)
 			}
-			if v := one[time.Time](t, c, "SELECT at FROM note WHERE id = 2"); time.Since(v) > time.Hour {
+			if v := queryValue[time.Time](t, c, "SELECT at FROM note WHERE id = 2"); time.Since(v) > time.Hour {
 				t.Errorf("at = %v", v)
 			}
-			if v := one[int64](t, c, "SELECT sum(g) FROM generate_series(1, $1) g", 10); v != 55 {
+			if v := queryValue[int64](t, c, "SELECT sum(g) FROM generate_series(1, $1) g", 10); v != 55 {
 				t.Errorf("sum = %d", v)
 			}
 			if n := exec(t, c, "DELETE FROM note WHERE id IN (2, 3)").RowsAffected(); n != 2 {
@@ -144,7 +147,7 @@
 				"CREATE TEMP TABLE x (id int)":        "0A000",
 				"SELECT * FROM cuminwick_promote(99)": "55000",
 			} {
-				if _, err := c.Exec(t.Context(), sql); codeOf(err) != code {
+				if _, err := c.Exec(t.Context(), sql); sqlState(err) != code {
 					t.Errorf("%s: %v, want %s", sql, err, code)
 				}
 			}
@@ -159,8 +162,8 @@
 	exec(t, a, "INSERT INTO line VALUES (1, 0)")
 	exec(t, a, "BEGIN")
 	exec(t, a, "UPDATE line SET v = v + 1 WHERE id = 1")
-	if v := one[int](t, b, "SELECT v FROM line WHERE id = 1"); v != 0 {
-		t.Errorf("read an uncommitted %d", v)
+	if v := queryValue[int](t, b, "SELECT v FROM line WHERE id = 1"); v != 0 {
+		t.Errorf("read the uncommitted value %d", v)
 	}
 	done := make(chan error, 1)
 	go func() {
@@ -174,21 +177,21 @@
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	if v := one[int](t, a, "SELECT v FROM line WHERE id = 1"); v != 2 {
+	if v := queryValue[int](t, a, "SELECT v FROM line WHERE id = 1"); v != 2 {
 		t.Errorf("v = %d, an update was lost", v)
 	}
 	exec(t, a, "BEGIN")
-	if _, err := a.Exec(t.Context(), "SELECT 1/0"); codeOf(err) != "22012" {
+	if _, err := a.Exec(t.Context(), "SELECT 1/0"); sqlState(err) != "22012" {
 		t.Error(err)
 	}
-	if _, err := a.Exec(t.Context(), "SELECT 1"); codeOf(err) != "25P02" {
+	if _, err := a.Exec(t.Context(), "SELECT 1"); sqlState(err) != "25P02" {
 		t.Error(err)
 	}
 	if r := exec(t, a, "COMMIT"); r.String() != "ROLLBACK" {
-		t.Errorf("commit of a failed transaction says %s", r)
+		t.Errorf("commit of a failed transaction answered %s", r)
 	}
 	exec(t, a, "BEGIN READ ONLY")
-	if _, err := a.Exec(t.Context(), "DELETE FROM line"); codeOf(err) != "25006" {
+	if _, err := a.Exec(t.Context(), "DELETE FROM line"); sqlState(err) != "25006" {
 		t.Error(err)
 	}
 	exec(t, a, "ROLLBACK")
@@ -230,14 +233,14 @@
 		_, err := a.Exec(context.Background(), "SELECT pg_sleep(600)")
 		done <- err
 	}()
-	until(t, "statement works", func() bool { return g.Servers[0].StatementCounts().PrimaryReads == 1 })
+	waitFor(t, "the statement holds its slot", func() bool { return g.Servers[0].StatementCounts().PrimaryReads == 1 })
 	if err := a.PgConn().CancelRequest(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-done; codeOf(err) != "57014" {
+	if err := <-done; sqlState(err) != "57014" {
 		t.Error(err)
 	}
-	if v := one[int](t, b, "SELECT 1"); v != 1 {
+	if v := queryValue[int](t, b, "SELECT 1"); v != 1 {
 		t.Error(v)
 	}
 }
@@ -247,7 +250,7 @@
 	connect(t, g.Servers[0], "")
 	connect(t, g.Servers[0], "&application_name=cuminwick-control")
 	_, err := pgx.Connect(t.Context(), "postgres://anna@"+g.Servers[0].Addr()+"/records?sslmode=disable")
-	if codeOf(err) != "53300" {
+	if sqlState(err) != "53300" {
 		t.Error(err)
 	}
 }
@@ -256,7 +259,7 @@
 	g := start(t, 1, func(s *responder.Server) { s.Password = "geheim" })
 	for p, code := range map[string]string{"geheim": "<nil>", "falsch": "28P01"} {
 		c, err := pgx.Connect(t.Context(), "postgres://anna:"+p+"@"+g.Servers[0].Addr()+"/records?sslmode=disable")
-		if codeOf(err) != code {
+		if sqlState(err) != code {
 			t.Errorf("%s: %v", p, err)
 		}
 		if err == nil {
@@ -265,16 +268,16 @@
 	}
 }
 
-// The primary is isolated with writes that reached no replica. Another server
-// is promoted; the old one must refuse writes once it hears of the new term,
-// and must drop those records when it comes back.
+// The primary is isolated with writes that reached no replica, and another server is promoted.
+// Guards against a former primary that accepts writes after it received the higher term, or that
+// keeps the unreplicated records when it rejoins as a replica.
 func TestPromotionAndTruncation(t *testing.T) {
 	g := start(t, 3, nil)
 	s := g.Servers
 	a := connect(t, s[0], "")
 	exec(t, a, "CREATE TABLE line (id int PRIMARY KEY)")
 	exec(t, a, "INSERT INTO line VALUES (1)")
-	until(t, "replicas have caught up", func() bool {
+	waitFor(t, "the replicas catch up", func() bool {
 		return s[1].Store().Last() == s[0].Store().Last() && s[2].Store().Last() == s[0].Store().Last()
 	})
 	s[0].Isolate(true)
@@ -287,7 +290,7 @@
 			t.Fatal(err)
 		}
 	}
-	if _, err := client(t, s[1]).RaiseTerm(x, 2); codeOf(err) != "55000" {
+	if _, err := client(t, s[1]).RaiseTerm(x, 2); sqlState(err) != "55000" {
 		t.Error(err)
 	}
 	if _, err := client(t, s[1]).Promote(x, 2); err != nil {
@@ -296,11 +299,11 @@
 	if _, err := client(t, s[2]).Follow(x, 2, "db-2", s[1].Addr()); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "db-3 follows", func() bool { return s[2].Store().Last() == s[1].Store().Last() })
+	waitFor(t, "db-3 follows", func() bool { return s[2].Store().Last() == s[1].Store().Last() })
 	if _, err := client(t, s[0]).RaiseTerm(x, 2); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := a.Exec(x, "COMMIT"); codeOf(err) != "25006" {
+	if _, err := a.Exec(x, "COMMIT"); sqlState(err) != "25006" {
 		t.Errorf("commit on a fenced server: %v", err)
 	}
 	b := connect(t, s[1], "")
@@ -309,12 +312,12 @@
 	if _, err := client(t, s[0]).Follow(x, 2, "db-2", s[1].Addr()); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "db-1 follows", func() bool { return s[0].Store().Last() == s[1].Store().Last() })
+	waitFor(t, "db-1 follows", func() bool { return s[0].Store().Last() == s[1].Store().Last() })
 	c := connect(t, s[0], "")
-	if n := one[int](t, c, "SELECT sum(id) FROM line"); n != 5 {
-		t.Errorf("the old primary holds %d", n)
+	if n := queryValue[int](t, c, "SELECT sum(id) FROM line"); n != 5 {
+		t.Errorf("sum on the former primary is %d, want 5", n)
 	}
-	if _, err := c.Exec(x, "INSERT INTO line VALUES (9)"); codeOf(err) != "25006" {
+	if _, err := c.Exec(x, "INSERT INTO line VALUES (9)"); sqlState(err) != "25006" {
 		t.Errorf("write on a replica: %v", err)
 	}
 }
@@ -327,27 +330,27 @@
 	s[1].StopReplication(true)
 	exec(t, a, "INSERT INTO line VALUES (1)")
 	if s[1].Store().Last() == s[0].Store().Last() {
-		t.Error("replica went on")
+		t.Error("replica applied records while replication was stopped")
 	}
 	s[1].StopReplication(false)
-	until(t, "replica catches up", func() bool { return s[1].Store().Last() == s[0].Store().Last() })
+	waitFor(t, "the replica catches up", func() bool { return s[1].Store().Last() == s[0].Store().Last() })
 	s[1].SetReplicationLag(time.Hour)
 	exec(t, a, "CREATE TABLE late (id int)")
 	if s[1].Store().Last() == s[0].Store().Last() {
-		t.Error("replica doesn't lag")
+		t.Error("replica does not lag")
 	}
 	s[1].SetReplicationLag(0)
-	until(t, "replica catches up", func() bool { return s[1].Store().Last() == s[0].Store().Last() })
+	waitFor(t, "the replica catches up", func() bool { return s[1].Store().Last() == s[0].Store().Last() })
 	s[0].Crash()
-	until(t, "connection drops", func() bool { _, err := a.Exec(t.Context(), "SELECT 1"); return err != nil })
+	waitFor(t, "the connection is closed", func() bool { _, err := a.Exec(t.Context(), "SELECT 1"); return err != nil })
 	s[0].Restart()
-	until(t, "server is back with its log", func() bool {
+	waitFor(t, "the server answers again with its log kept", func() bool {
 		c, err := pgx.Connect(t.Context(), "postgres://anna@"+s[0].Addr()+"/records?sslmode=disable")
 		if err != nil {
 			return false
 		}
 		defer c.Close(t.Context())
-		return one[int](t, c, "SELECT count(*) FROM line") == 1
+		return queryValue[int](t, c, "SELECT count(*) FROM line") == 1
 	})
 	s[1].Pause(true)
 	x, stop := context.WithTimeout(t.Context(), 50*time.Millisecond)
