--- a/internal/standin/injector/injector.go
+++ b/internal/standin/injector/injector.go
@@ -7,29 +7,33 @@
 	"time"
 )
 
-// Settings are the faults in force.
+// Settings are the faults that are set. The zero value sets none.
 type Settings struct {
-	// ReplicationLag delays each record that a replica takes over.
+	// ReplicationLag is how long a replica waits after it received a record before it applies it.
 	ReplicationLag time.Duration
-	// ReplicationStopped keeps a replica from taking over records; it still hears its primary.
+	// ReplicationStopped keeps a replica from applying records; it still receives them and the
+	// primary's heartbeats.
 	ReplicationStopped bool
-	// Paused freezes the process: connections stay open, nothing is answered, the clock goes on.
+	// Paused makes the server behave like a stopped process: connections stay open, nothing is
+	// answered, time passes.
 	Paused bool
-	// Isolated cuts the server off from its peers; callers still reach it.
+	// Isolated disconnects the server from its peers; clients still reach it.
 	Isolated bool
-	// CommitFailure answers the next commit of a transaction that wrote.
+	// CommitFailure is the error that answers the next commit of a transaction with changes.
 	CommitFailure CommitFailure
 }
 
-// CommitFailure is an error that answers a commit, none if Code is empty.
+// CommitFailure describes the error that answers a commit; none if Code is empty.
 type CommitFailure struct {
-	// Code is its SQLSTATE.
+	// Code is the SQLSTATE of the error.
 	Code string
-	// Committed says that the commit takes effect all the same; otherwise it doesn't.
+	// Committed says that the transaction is committed although an error is answered; otherwise
+	// it is rolled back.
 	Committed bool
 }
 
-// Faults are settings that goroutines wait on.
+// Faults holds the settings and lets goroutines wait for changes of them. The zero value is ready
+// for use.
 type Faults struct {
 	mutex    sync.Mutex
 	settings Settings
@@ -46,7 +50,7 @@
 	return f.settings, f.changed
 }
 
-// Change lets c change the settings.
+// Change calls c to modify the settings and wakes all waiters.
 func (f *Faults) Change(c func(*Settings)) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -57,7 +61,7 @@
 	}
 }
 
-// TakeCommitFailure returns the failure of the next commit, which happens once.
+// TakeCommitFailure returns the commit failure that is set and clears it, so that it occurs once.
 func (f *Faults) TakeCommitFailure() CommitFailure {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -66,27 +70,28 @@
 	return c
 }
 
-// WaitUnpaused returns when the server isn't paused, at once mostly.
+// WaitUnpaused returns once the server is not paused, or with the error of ctx.
 func (f *Faults) WaitUnpaused(ctx context.Context) error {
 	return f.waitFor(ctx, func(s Settings) bool { return !s.Paused })
 }
 
-// WaitReplicating returns when replication isn't stopped.
+// WaitReplicating returns once the server is neither paused nor its replication stopped, or with
+// the error of ctx.
 func (f *Faults) WaitReplicating(ctx context.Context) error {
 	return f.waitFor(ctx, func(s Settings) bool { return !s.Paused && !s.ReplicationStopped })
 }
 
-// WaitConnected returns when the server isn't isolated.
+// WaitConnected returns once the server is not isolated, or with the error of ctx.
 func (f *Faults) WaitConnected(ctx context.Context) error {
 	return f.waitFor(ctx, func(s Settings) bool { return !s.Isolated })
 }
 
-// WaitReplicationLag returns when a record that came at the given time may be taken over,
-// by the replication lag that is set then.
-func (f *Faults) WaitReplicationLag(ctx context.Context, came time.Time) error {
+// WaitReplicationLag returns once a record received at the given time may be applied, or with the
+// error of ctx. A change of the replication lag takes effect during the wait.
+func (f *Faults) WaitReplicationLag(ctx context.Context, received time.Time) error {
 	for {
 		s, c := f.Get()
-		d := time.Until(came.Add(s.ReplicationLag))
+		d := time.Until(received.Add(s.ReplicationLag))
 		if d <= 0 {
 			return ctx.Err()
 		}
@@ -102,6 +107,7 @@
 	}
 }
 
+// waitFor returns once the settings fulfil the condition, or with the error of ctx.
 func (f *Faults) waitFor(ctx context.Context, holds func(Settings) bool) error {
 	for {
 		s, c := f.Get()
