--- a/internal/standin/replicator/following.go
+++ b/internal/standin/replicator/following.go
@@ -7,11 +7,11 @@
 	"github.com/cuminwick/cuminwick/internal/group/marker"
 )
 
-// primaryContact tells whom a store follows and when it last heard that primary.
+// primaryContact holds the primary that a store follows and the time of the last contact with it.
 //
-// It has a mutex of its own. Under the store's, the replica's stream would wait
-// while a large record is applied: the replica would report a silence during
-// which its primary sent all the time, and entry hosts would replace it.
+// It has a mutex of its own. With the store's mutex, the replica's stream would wait while a large
+// record is applied: the replica would report a long time without contact although its primary sent
+// all the time, and entry hosts would replace that primary.
 type primaryContact struct {
 	mutex       sync.Mutex
 	primary     PrimaryServer
@@ -19,7 +19,7 @@
 	lastContact time.Time
 }
 
-// set notes whom the store follows, under which accepted term.
+// set records the primary that the store follows and the accepted term.
 func (f *primaryContact) set(l PrimaryServer, t marker.Term) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -27,14 +27,15 @@
 	f.term = t
 }
 
+// get returns the primary that the store follows, zero if none, and the accepted term.
 func (f *primaryContact) get() (PrimaryServer, marker.Term) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.primary, f.term
 }
 
-// noteContact notes that the primary of term t was heard. One of an earlier term
-// counts for nothing, however long it goes on sending.
+// noteContact records that the primary of term t sent something at now. Contact with a primary of
+// another term is ignored, however long that primary continues to send.
 func (f *primaryContact) noteContact(t marker.Term, now time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -43,14 +44,14 @@
 	}
 }
 
-// reset lets the time of silence begin at now.
+// reset sets the time of the last contact to now.
 func (f *primaryContact) reset(now time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.lastContact = now
 }
 
-// sinceContact is how long before now the primary was last heard.
+// sinceContact returns the time since the last contact with the primary.
 func (f *primaryContact) sinceContact(now time.Time) time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/standin/replicator/log.go
+++ b/internal/standin/replicator/log.go
@@ -10,20 +10,21 @@
 	"github.com/cuminwick/cuminwick/internal/group/marker"
 )
 
-// Record is one log entry: all changes of one committed transaction.
+// Record is one log entry: all changes of one committed transaction, none in a term-start record.
 type Record struct {
 	Mark    marker.Mark `cbor:"1,keyasint" json:"mark"`
 	Changes []Change    `cbor:"2,keyasint,omitempty" json:"changes,omitempty"`
 }
 
-// Segment is the run of records that one term wrote.
+// Segment is the range of consecutive log positions that one term wrote.
 type Segment struct {
 	Term  marker.Term     `cbor:"1,keyasint" json:"term"`
 	First marker.Position `cbor:"2,keyasint" json:"first"`
 	Last  marker.Position `cbor:"3,keyasint" json:"last"`
 }
 
-// write appends one record under the server's term and applies it; the caller holds the mutex.
+// write appends one record under the server's term, applies it and returns its mark. The caller
+// holds the mutex.
 func (s *Store) write(c []Change) marker.Mark {
 	m := marker.Mark{Term: s.term, Position: s.last().Position + 1}
 	s.appendRecord(Record{Mark: m, Changes: c})
@@ -31,6 +32,7 @@
 	return m
 }
 
+// appendRecord appends one record and applies its changes; the caller holds the mutex.
 func (s *Store) appendRecord(r Record) {
 	s.log = append(s.log, r)
 	for i := range r.Changes {
@@ -38,14 +40,15 @@
 	}
 }
 
-// History returns the log's segments in order, one a term.
+// History returns the log's segments in order, one per term.
 func (s *Store) History() []Segment {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	return s.history()
 }
 
-// history finds each segment's end by binary search, since terms only grow along the log.
+// history finds each segment's end by binary search, since terms never decrease along the log. The
+// caller holds the mutex.
 func (s *Store) history() []Segment {
 	var h []Segment
 	for i := 0; i < len(s.log); {
@@ -57,10 +60,10 @@
 	return h
 }
 
-// CommonPosition returns the last position that two logs share.
+// CommonPosition returns the last position up to which two logs are equal, zero if there is none.
 //
-// One primary writes a term, and a replica takes only records that continue its
-// log, so equal terms at a position mean equal logs up to there.
+// Only one primary writes under a term, and a replica appends only records that continue its log, so
+// equal terms at a position mean that the logs are equal up to there.
 func CommonPosition(a, b []Segment) marker.Position {
 	for i := len(a) - 1; i >= 0; i-- {
 		for j := len(b) - 1; j >= 0; j-- {
@@ -72,12 +75,13 @@
 	return 0
 }
 
-// ReadRecords returns at most n records that follow position p, while the server leads under term t.
+// ReadRecords returns at most n records that follow position p. It returns ErrTermRefused if the
+// server is not primary under term t.
 func (s *Store) ReadRecords(t marker.Term, p marker.Position, n int) ([]Record, error) {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	if s.role != controller.RolePrimary || s.term != t {
-		return nil, errors.Annotatef(ErrTermRefused, "feed from %s under %d: %s at %d", s.Name, t, s.role, s.term)
+		return nil, errors.Annotatef(ErrTermRefused, "read records of %s under term %d: server is %s at term %d", s.Name, t, s.role, s.term)
 	}
 	if int(p) >= len(s.log) {
 		return nil, nil
@@ -89,7 +93,8 @@
 	return slices.Clone(r), nil
 }
 
-// Truncate drops what follows position p and reports whether anything was dropped.
+// Truncate drops the records after position p and reports whether there were any. It returns
+// ErrTermRefused if the server is not a replica under term t.
 func (s *Store) Truncate(t marker.Term, p marker.Position) (bool, error) {
 	s.lock()
 	defer s.mutex.Unlock()
@@ -104,7 +109,8 @@
 	return true, nil
 }
 
-// rebuild replaces the tables by what the records r bring about.
+// rebuild replaces the log by the records r and the tables by the result of applying them. The
+// caller holds the mutex.
 func (s *Store) rebuild(r []Record) {
 	s.log = nil
 	s.tables = map[string]*table{}
@@ -115,12 +121,13 @@
 	s.notifyChanged()
 }
 
-// Append adds records that a primary of term t sent.
+// Append adds and applies records that the primary of term t sent. It returns ErrTermRefused if the
+// server is not a replica under t, and ErrDiverged for a record that does not continue the log.
 func (s *Store) Append(t marker.Term, r []Record) error {
 	s.lock()
 	defer s.mutex.Unlock()
 	if t != s.term || s.role != controller.RoleReplica {
-		return errors.Annotatef(ErrTermRefused, "append to %s under %d at %d", s.Name, t, s.term)
+		return errors.Annotatef(ErrTermRefused, "append to %s under term %d at term %d", s.Name, t, s.term)
 	}
 	for _, e := range r {
 		if e.Mark.Position != s.last().Position+1 || e.Mark.Term < s.last().Term {
--- a/internal/standin/replicator/replicator.go
+++ b/internal/standin/replicator/replicator.go
@@ -13,27 +13,31 @@
 
 // Errors of the store.
 const (
-	// ErrReadOnly is returned for a write on a server that isn't primary, or whose role changed since the transaction began.
+	// ErrReadOnly is returned for a write on a server that is not primary, or whose role changed
+	// since the transaction began.
 	ErrReadOnly = errors.ConstError("backend server accepts no writes")
-	// ErrTermRefused is returned for a control call whose term doesn't fit the accepted one.
+	// ErrTermRefused is returned for a control call or a replication stream whose term does not
+	// match the accepted term or the server's role.
 	ErrTermRefused = errors.ConstError("term refused")
-	// ErrDeadlock is returned to the transaction whose wait would close a cycle of waits.
+	// ErrDeadlock is returned to the transaction whose lock request would complete a cycle of
+	// waiting transactions.
 	ErrDeadlock = errors.ConstError("deadlock detected")
-	// ErrDiverged is returned for records that don't continue the log.
+	// ErrDiverged is returned for records that do not continue the log.
 	ErrDiverged = errors.ConstError("records do not continue the log")
 )
 
-// PrimaryServer names the primary that a replica follows.
+// PrimaryServer holds the name and the network address of the primary that a replica follows.
 type PrimaryServer struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 }
 
-// Store is the durable state of one backend server; it outlives a crash.
+// Store holds the state of one backend server that survives a simulated crash: log, tables, role and
+// accepted term.
 type Store struct {
 	// Name is the backend server's name in its group.
 	Name string
-	// SystemIdentifier is that of the group's data, zero if the server doesn't tell it.
+	// SystemIdentifier is shared by the servers of a group; zero if the server does not report it.
 	SystemIdentifier uint64
 
 	mutex     sync.RWMutex
@@ -50,14 +54,14 @@
 	rowNumber uint64
 	changed   chan struct{}
 
-	// contact repeats leader and term for those who can't wait for mutex.
+	// contact repeats followed and term for readers that must not wait for mutex.
 	contact primaryContact
 
 	lockMutex sync.Mutex
 	locks     map[string]*Transaction
 }
 
-// setUp makes the maps; the caller holds the mutex.
+// setUp initializes the store on first use; the caller holds the mutex.
 func (s *Store) setUp() {
 	if s.ready {
 		return
@@ -72,13 +76,13 @@
 	}
 }
 
-// lock takes the mutex for a change.
+// lock locks the mutex for writing and initializes the store on first use.
 func (s *Store) lock() {
 	s.mutex.Lock()
 	s.setUp()
 }
 
-// notifyChanged wakes everyone who waits on Changed; the caller holds the mutex.
+// notifyChanged wakes all waiters on Changed; the caller holds the mutex.
 func (s *Store) notifyChanged() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -106,7 +110,7 @@
 	return s.last()
 }
 
-// Status returns the server's word about itself at now.
+// Status returns the state that the server reports at now.
 func (s *Store) Status(now time.Time) controller.Status {
 	s.lock()
 	defer s.mutex.Unlock()
@@ -136,7 +140,7 @@
 	return t
 }
 
-// countWriteTransactions counts the open transactions that hold locks, and so have written.
+// countWriteTransactions counts the open transactions that hold locks, which are those that write.
 func (s *Store) countWriteTransactions() int {
 	s.lockMutex.Lock()
 	defer s.lockMutex.Unlock()
@@ -147,7 +151,7 @@
 	return len(m)
 }
 
-// Start makes an empty server primary of term t, as the platform does for a new group.
+// Start makes an empty server the primary of term t, as the platform does for a new group.
 func (s *Store) Start(t marker.Term) {
 	s.lock()
 	defer s.mutex.Unlock()
@@ -155,7 +159,8 @@
 	s.becomePrimary()
 }
 
-// becomePrimary makes the server primary of its term and writes the term-start record.
+// becomePrimary makes the server primary of its term and writes the term-start record. The caller
+// holds the mutex.
 func (s *Store) becomePrimary() {
 	s.role = controller.RolePrimary
 	s.followed = PrimaryServer{}
@@ -164,18 +169,20 @@
 	s.write(nil)
 }
 
-// RaiseTerm accepts term t, which must be above the accepted one, and stops writes under lower ones.
+// RaiseTerm accepts term t and stops writes under lower terms. It returns ErrTermRefused if t is not
+// higher than the accepted term.
 func (s *Store) RaiseTerm(t marker.Term, now time.Time) (controller.Status, error) {
 	s.lock()
 	defer s.mutex.Unlock()
 	if t <= s.term {
-		return s.status(now), errors.Annotatef(ErrTermRefused, "raise to %d on %s at %d", t, s.Name, s.term)
+		return s.status(now), errors.Annotatef(ErrTermRefused, "raise term to %d on %s at term %d", t, s.Name, s.term)
 	}
 	s.acceptTerm(t, now)
 	return s.status(now), nil
 }
 
-// acceptTerm takes on the higher term t, which ends leading or following under a lower one.
+// acceptTerm accepts the higher term t: a primary becomes fenced, a replica stops following its
+// primary, and transactions in progress cannot commit. The caller holds the mutex.
 func (s *Store) acceptTerm(t marker.Term, now time.Time) {
 	s.term = t
 	s.epoch++
@@ -188,7 +195,7 @@
 	s.notifyChanged()
 }
 
-// LearnTerm fences a primary that hears of a higher term from a peer.
+// LearnTerm fences the server if it is primary and a peer has reported the higher term t.
 func (s *Store) LearnTerm(t marker.Term, now time.Time) {
 	s.lock()
 	defer s.mutex.Unlock()
@@ -197,7 +204,8 @@
 	}
 }
 
-// Promote makes the server primary of its accepted term t.
+// Promote makes the server primary of its accepted term t. It returns ErrTermRefused if t is another
+// term or the server follows a primary.
 func (s *Store) Promote(t marker.Term, now time.Time) (controller.Status, error) {
 	s.lock()
 	defer s.mutex.Unlock()
@@ -205,13 +213,14 @@
 		return s.status(now), nil
 	}
 	if t != s.term || s.followed != (PrimaryServer{}) {
-		return s.status(now), errors.Annotatef(ErrTermRefused, "promote to %d on %s at %d following %q", t, s.Name, s.term, s.followed.Name)
+		return s.status(now), errors.Annotatef(ErrTermRefused, "promote to term %d on %s at term %d following %q", t, s.Name, s.term, s.followed.Name)
 	}
 	s.becomePrimary()
 	return s.status(now), nil
 }
 
-// Follow makes the server a replica of l under term t. A primary of t itself refuses.
+// Follow makes the server a replica of l under term t. It returns ErrTermRefused if t is lower than
+// the accepted term or the server itself is the primary of t.
 func (s *Store) Follow(t marker.Term, l PrimaryServer, now time.Time) (controller.Status, error) {
 	s.lock()
 	defer s.mutex.Unlock()
@@ -228,33 +237,34 @@
 	return s.status(now), nil
 }
 
-// SetLeaving says whether the server will stop soon.
+// SetLeaving sets whether the status reports that the server will stop soon.
 func (s *Store) SetLeaving(leaving bool) {
 	s.lock()
 	defer s.mutex.Unlock()
 	s.leaving = leaving
 }
 
-// FollowedPrimary returns the primary that the server follows, with the term, empty if none.
-// It doesn't wait for changes in progress.
+// FollowedPrimary returns the primary that the server follows, zero if none, and the accepted term.
+// It does not wait while a record is applied.
 func (s *Store) FollowedPrimary() (PrimaryServer, marker.Term) {
 	return s.contact.get()
 }
 
-// IsPrimary reports whether the server is primary, and under which term.
+// IsPrimary reports whether the server is primary, and returns the accepted term.
 func (s *Store) IsPrimary() (bool, marker.Term) {
 	s.lock()
 	defer s.mutex.Unlock()
 	return s.role == controller.RolePrimary, s.term
 }
 
-// NoteContact notes that the server heard its primary, if it still follows under t.
-// It doesn't wait for changes in progress.
+// NoteContact records that the primary of term t sent something at now; ignored if t is not the
+// accepted term. It does not wait while a record is applied.
 func (s *Store) NoteContact(t marker.Term, now time.Time) {
 	s.contact.noteContact(t, now)
 }
 
-// Epoch counts the changes of role and log that end transactions in progress.
+// Epoch returns the number of changes of role and log after which transactions in progress cannot
+// commit.
 func (s *Store) Epoch() uint64 {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
--- a/internal/standin/replicator/replicator_test.go
+++ b/internal/standin/replicator/replicator_test.go
@@ -24,7 +24,7 @@
 	os.Exit(m.Run())
 }
 
-// step is one event in the life of a group of three.
+// step is one event in a group of three servers.
 type step struct {
 	Kind   string
 	Server int
@@ -39,9 +39,8 @@
 	}
 }), 40, 80)
 
-// model is a group of stores under the control rules, with a controller that
-// does what cuminwick does. needed is how many servers must hold a record
-// before it is acknowledged.
+// model is a group of stores whose servers are fenced, promoted and made to follow as cuminwick
+// does it. needed is the number of servers that must hold a record before it is acknowledged.
 type model struct {
 	stores       []*Store
 	needed       int
@@ -107,7 +106,7 @@
 	return p
 }
 
-// replicate carries one record to s from the primary that it follows.
+// replicate copies one record to s from the primary that it follows.
 func (m *model) replicate(s *Store) error {
 	l, t := s.FollowedPrimary()
 	if l == (PrimaryServer{}) {
@@ -143,8 +142,8 @@
 	}
 }
 
-// promote raises the term at two servers and promotes the one that is ahead;
-// then every acknowledged record must be in its log.
+// promote raises the term on two servers, promotes the one whose log is ahead, and checks that every
+// acknowledged record is in its log.
 func (m *model) promote(a, b int) error {
 	if a == b {
 		return nil
@@ -170,8 +169,8 @@
 	return nil
 }
 
-// Servers fail, are superseded and come back in any order. A record that a
-// majority held must survive all of it, and replicas end with the primary's log.
+// Primaries are replaced and servers rejoin in random order. Guards against the loss of a record that
+// a majority held, and against replicas whose state differs from the primary's in the end.
 func TestMajorityKeepsRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(2)
@@ -198,8 +197,8 @@
 	})
 }
 
-// The same model must lose records when one server is enough for an
-// acknowledgement; otherwise the test above couldn't fail.
+// The model must lose records if one server is enough for an acknowledgement; otherwise
+// TestMajorityKeepsRecords could not fail.
 func TestOneServerLosesRecords(t *testing.T) {
 	lost := 0
 	for i := range 200 {
@@ -212,8 +211,8 @@
 	}
 }
 
-// The length of the log goes wrong without a user's noticing if a primary of an
-// old term is still followed: its records must be refused.
+// A primary of an earlier term still sends records. Guards against a replica that accepts them, or
+// control calls under an earlier term: its log would diverge without an error that a user sees.
 func TestOldTermIsRefused(t *testing.T) {
 	s := &Store{Name: "a"}
 	now := time.Now()
@@ -230,17 +229,17 @@
 		t.Error(err)
 	}
 	if _, err := s.Promote(3, now); !errors.Is(err, ErrTermRefused) {
-		t.Errorf("promoted while following: %v", err)
+		t.Errorf("promoted a server that follows a primary: %v", err)
 	}
 	if err := s.Append(3, []Record{{Mark: marker.Mark{Term: 3, Position: 2}}}); !errors.Is(err, ErrDiverged) {
 		t.Error(err)
 	}
 }
 
-// A COPY is applied on a busy replica and keeps its store locked for long. Were
-// the primary's bytes not heard meanwhile, the replica would then report a
-// silence that never was, and entry hosts would replace the primary.
-func TestPrimaryIsHeardWhileARecordIsApplied(t *testing.T) {
+// Applying the record of a large COPY keeps a replica's store locked for long. Guards against contact
+// with the primary that is not recorded meanwhile: the replica would report a loss of contact that
+// did not occur, and entry hosts would replace the primary.
+func TestContactIsNotedWhileARecordIsApplied(t *testing.T) {
 	s := &Store{Name: "db-2"}
 	now := time.Now()
 	if _, err := s.Follow(1, PrimaryServer{Name: "db-1"}, now); err != nil {
@@ -251,6 +250,6 @@
 	l, n := s.FollowedPrimary()
 	s.mutex.Unlock()
 	if d := s.Status(now.Add(time.Second)).SinceLastContact; d != 0 || l.Name != "db-1" || n != 1 {
-		t.Errorf("heard %v ago, follows %q under %d", d, l.Name, n)
+		t.Errorf("last contact %v ago, follows %q under term %d", d, l.Name, n)
 	}
 }
--- a/internal/standin/replicator/table.go
+++ b/internal/standin/replicator/table.go
@@ -11,32 +11,32 @@
 // Column is one column of a table.
 type Column struct {
 	Name string `cbor:"1,keyasint" json:"name"`
-	// Type is the PostgreSQL type's object identifier.
+	// Type is the object identifier (OID) of the PostgreSQL type.
 	Type    uint32 `cbor:"2,keyasint" json:"type"`
 	NotNull bool   `cbor:"3,keyasint,omitempty" json:"not-null,omitempty"`
-	// Default is a SELECT that gives the value, empty if none.
+	// Default is the SELECT statement that computes the default value, empty if none.
 	Default string `cbor:"4,keyasint,omitempty" json:"default,omitempty"`
-	// Serial columns take the next number if none is given.
+	// Serial says that an insert without a value takes the next number of the table.
 	Serial bool `cbor:"5,keyasint,omitempty" json:"serial,omitempty"`
 }
 
-// Unique is a set of columns whose values occur once.
+// Unique is a unique constraint on a set of columns.
 type Unique struct {
 	Name    string `cbor:"1,keyasint" json:"name"`
 	Columns []int  `cbor:"2,keyasint" json:"columns"`
 }
 
-// Definition describes one table.
+// Definition describes one table: its columns and constraints.
 type Definition struct {
 	Name    string   `cbor:"1,keyasint" json:"name"`
 	Columns []Column `cbor:"2,keyasint" json:"columns"`
 	// Key is the primary key, nil if none.
 	Key *Unique `cbor:"3,keyasint,omitempty" json:"key,omitempty"`
-	// Uniques are the further unique constraints.
+	// Uniques are the unique constraints besides the primary key.
 	Uniques []Unique `cbor:"4,keyasint,omitempty" json:"uniques,omitempty"`
 }
 
-// Index returns the number of the column so named, or -1.
+// Index returns the index of the named column, or -1 if there is none.
 func (d *Definition) Index(name string) int {
 	for i := range d.Columns {
 		if d.Columns[i].Name == name {
@@ -46,7 +46,9 @@
 	return -1
 }
 
-// Encode joins the values of the columns of u; ok is false if one of them is null.
+// Encode joins the values of the columns of u to one text, equal for equal values; ok is false if one
+// of them is null. With several columns each value is preceded by its length, so that different
+// values never give the same text.
 func (u *Unique) Encode(values []any) (key string, ok bool) {
 	if len(u.Columns) == 1 {
 		return EncodeValue(values[u.Columns[0]])
@@ -62,7 +64,7 @@
 	return b.String(), true
 }
 
-// EncodeValue gives equal text for equal values; ok is false for null.
+// EncodeValue returns equal text for equal values; ok is false for null.
 func EncodeValue(v any) (text string, ok bool) {
 	switch v := v.(type) {
 	case nil:
@@ -78,7 +80,7 @@
 	}
 }
 
-// ChangeKind tells the kinds of change apart.
+// ChangeKind is the kind of a Change.
 type ChangeKind int
 
 // Kinds of change.
@@ -87,7 +89,7 @@
 	CreateTable ChangeKind = iota + 1
 	// DropTable removes a table.
 	DropTable
-	// PutRow sets one row.
+	// PutRow inserts or replaces one row.
 	PutRow
 	// DeleteRow removes one row.
 	DeleteRow
@@ -102,15 +104,15 @@
 	Values     []any       `cbor:"5,keyasint,omitempty" json:"values,omitempty"`
 }
 
-// Row is one row version; it is never changed.
+// Row is one row version; it is never modified.
 type Row struct {
 	Key    string
 	Values []any
-	// order is the place among the table's rows, by first insertion.
+	// order is the sequence number of the row's first insertion.
 	order uint64
 }
 
-// table holds the committed rows of one table.
+// table holds the definition, the committed rows and the unique indexes of one table.
 type table struct {
 	definition *Definition
 	rows       map[string]*Row
@@ -118,7 +120,7 @@
 	nextSerial int64
 }
 
-// apply carries out a committed change; the caller holds the mutex.
+// apply applies a committed change to the tables; the caller holds the mutex.
 func (s *Store) apply(c *Change) {
 	switch c.Kind {
 	case CreateTable:
@@ -133,6 +135,7 @@
 	}
 }
 
+// newTable returns an empty table.
 func newTable(d *Definition) *table {
 	t := &table{definition: d, rows: map[string]*Row{}, nextSerial: 1}
 	for range d.Uniques {
@@ -141,6 +144,7 @@
 	return t
 }
 
+// put inserts or replaces a row and updates the indexes. A replaced row keeps its order.
 func (t *table) put(key string, values []any, order uint64) {
 	if o, ok := t.rows[key]; ok {
 		order = o.order
@@ -159,6 +163,7 @@
 	}
 }
 
+// remove deletes a row, if it exists, and its index entries.
 func (t *table) remove(key string) {
 	r, ok := t.rows[key]
 	if !ok {
@@ -182,22 +187,22 @@
 	return r
 }
 
-// TableDump is the whole content of one table.
+// TableDump holds the definition and all rows of one table.
 type TableDump struct {
 	Definition Definition `json:"definition"`
 	Rows       [][]any    `json:"rows"`
 }
 
-// Dump is all that a server holds, for a checker to compare.
+// Dump holds the tables and the log of a server, for a consistency checker to compare.
 type Dump struct {
 	BackendServer string               `json:"backend-server"`
 	Tables        map[string]TableDump `json:"tables"`
 	Log           []Record             `json:"log"`
-	// Dropped are the records that the server threw away to follow a later primary.
+	// Dropped are the records that the server truncated from its log to follow a later primary.
 	Dropped []Record `json:"dropped,omitempty"`
 }
 
-// Dump returns the server's tables and log at one moment.
+// Dump returns a consistent snapshot of the server's tables and log.
 func (s *Store) Dump() Dump {
 	s.lock()
 	defer s.mutex.Unlock()
--- a/internal/standin/replicator/transaction.go
+++ b/internal/standin/replicator/transaction.go
@@ -11,10 +11,10 @@
 	"github.com/cuminwick/cuminwick/internal/group/marker"
 )
 
-// Transaction is one transaction's pending changes and locks. It reads what is
-// committed at each statement (read committed) and its own changes.
+// Transaction holds the pending changes and locks of one transaction. It reads what is committed at
+// each statement (isolation level read committed) and its own changes.
 type Transaction struct {
-	// Store is the server's store.
+	// Store is the store of the server that runs the transaction; set by Begin.
 	Store *Store
 
 	changes       []Change
@@ -26,6 +26,7 @@
 	done          chan struct{}
 }
 
+// rowID identifies a row by its table's name and its key.
 type rowID struct {
 	table string
 	key   string
@@ -38,7 +39,7 @@
 	return &Transaction{Store: s, epoch: s.epoch, done: make(chan struct{})}
 }
 
-// Table returns the definition of the table so named, nil if there is none.
+// Table returns the definition of the named table, nil if there is none.
 func (t *Transaction) Table(name string) *Definition {
 	if d, ok := t.pendingTables[name]; ok {
 		return d
@@ -51,7 +52,8 @@
 	return nil
 }
 
-// committedTable returns the committedTable table; the caller holds the store's mutex.
+// committedTable returns the committed table, nil if there is none or the transaction dropped or
+// recreated it. The caller holds the store's mutex.
 func (t *Transaction) committedTable(name string) *table {
 	if d, ok := t.pendingTables[name]; ok && (d == nil || t.Store.tables[name] == nil || t.Store.tables[name].definition != d) {
 		return nil
@@ -59,7 +61,7 @@
 	return t.Store.tables[name]
 }
 
-// Get returns the row so keyed, nil if there is none.
+// Get returns the row with the given key, nil if there is none.
 func (t *Transaction) Get(name, key string) *Row {
 	if r, ok := t.pendingRows[rowID{name, key}]; ok {
 		return r
@@ -72,7 +74,7 @@
 	return nil
 }
 
-// Scan returns all rows of a table as they are now.
+// Scan returns all rows of a table that the transaction sees now.
 func (t *Transaction) Scan(name string) []*Row {
 	t.Store.mutex.RLock()
 	var r []*Row
@@ -86,7 +88,7 @@
 	return t.overlay(name, r)
 }
 
-// overlay replaces rows by the transaction's own versions and adds its new ones.
+// overlay replaces committed rows by the transaction's own versions and adds its new rows.
 func (t *Transaction) overlay(name string, rows []*Row) []*Row {
 	seen := map[string]bool{}
 	var r []*Row
@@ -111,7 +113,8 @@
 	return r
 }
 
-// FindUnique returns the key of the row that holds the encoded value in unique constraint i.
+// FindUnique returns the key of the row that has the encoded value in unique constraint i of d; ok is
+// false if there is none.
 func (t *Transaction) FindUnique(d *Definition, i int, value string) (key string, ok bool) {
 	for n, r := range t.pendingRows {
 		if n.table != d.Name || r == nil {
@@ -134,7 +137,8 @@
 	return k, true
 }
 
-// NextSerial returns the next number of a table's serial column.
+// NextSerial returns the next number for the serial columns of a table. As in PostgreSQL, a rollback
+// does not return the number.
 func (t *Transaction) NextSerial(name string) int64 {
 	t.Store.lock()
 	defer t.Store.mutex.Unlock()
@@ -147,7 +151,7 @@
 	return n
 }
 
-// NewKey returns a key for a row of a table without primary key.
+// NewKey returns a unique key for a row of a table without primary key.
 func (t *Transaction) NewKey() string {
 	t.Store.lock()
 	defer t.Store.mutex.Unlock()
@@ -155,30 +159,32 @@
 	return fmt.Sprintf("%s.%d.%d", t.Store.Name, t.Store.term, t.Store.rowNumber)
 }
 
-// Writable returns ErrReadOnly if the server can't commit this transaction's writes.
+// Writable returns ErrReadOnly if the server cannot commit this transaction's writes.
 func (t *Transaction) Writable() error {
 	t.Store.mutex.RLock()
 	defer t.Store.mutex.RUnlock()
 	return t.writable()
 }
 
+// writable is Writable for a caller that holds the store's mutex.
 func (t *Transaction) writable() error {
 	s := t.Store
 	if s.role != controller.RolePrimary {
 		return errors.Annotatef(ErrReadOnly, "%s is %s", s.Name, s.role)
 	}
 	if t.epoch != s.epoch {
-		return errors.Annotatef(ErrReadOnly, "%s changed its role since the transaction began", s.Name)
+		return errors.Annotatef(ErrReadOnly, "%s changed its role or log since the transaction began", s.Name)
 	}
 	return nil
 }
 
-// Add takes one change into the transaction.
+// Add adds one change to the transaction.
 func (t *Transaction) Add(c Change) {
 	t.changes = append(t.changes, c)
 	t.overlayChange(c)
 }
 
+// overlayChange makes a change visible to the transaction's own reads.
 func (t *Transaction) overlayChange(c Change) {
 	if t.pendingRows == nil {
 		t.pendingRows = map[rowID]*Row{}
@@ -196,12 +202,12 @@
 	}
 }
 
-// Savepoint returns the present length of the changes, for RollbackTo.
+// Savepoint returns the number of changes so far, for RollbackTo.
 func (t *Transaction) Savepoint() int {
 	return len(t.changes)
 }
 
-// RollbackTo drops the changes since Savepoint returned n; locks stay.
+// RollbackTo drops the changes since Savepoint returned n; locks are kept.
 func (t *Transaction) RollbackTo(n int) {
 	c := slices.Clone(t.changes[:n])
 	t.changes, t.pendingRows, t.pendingTables = nil, nil, nil
@@ -215,10 +221,11 @@
 	return len(t.changes) == 0
 }
 
-// Commit writes the changes as one log record, which readers see at once.
+// Commit writes the changes as one log record, atomically for readers, and returns its mark, zero if
+// there are no changes. It releases the locks in any case.
 //
-// A server that was fenced since the transaction began refuses, so that nothing
-// commits under a term that is already closed.
+// It returns ErrReadOnly on a server that was fenced since the transaction began, so that nothing
+// commits under a term that has ended.
 func (t *Transaction) Commit() (marker.Mark, error) {
 	defer t.releaseLocks()
 	if len(t.changes) == 0 {
@@ -233,12 +240,12 @@
 	return s.write(t.changes), nil
 }
 
-// Rollback drops the transaction.
+// Rollback drops the changes and releases the locks.
 func (t *Transaction) Rollback() {
 	t.releaseLocks()
 }
 
-// releaseLocks gives back the locks, once.
+// releaseLocks releases the locks and marks the transaction as ended, on the first call only.
 func (t *Transaction) releaseLocks() {
 	s := t.Store
 	s.lockMutex.Lock()
@@ -255,7 +262,8 @@
 	close(t.done)
 }
 
-// TryLock takes the lock so named unless another transaction holds it, which it then returns.
+// TryLock takes the named lock. If another transaction holds it, that transaction is returned and
+// recorded as the one waited for; ErrDeadlock is returned if it waits for this one.
 func (t *Transaction) TryLock(name string) (*Transaction, error) {
 	s := t.Store
 	s.lockMutex.Lock()
@@ -279,7 +287,8 @@
 	return o, nil
 }
 
-// Lock takes the lock so named, waiting for the transaction that holds it.
+// Lock takes the named lock and waits for the transaction that holds it. It returns ErrDeadlock if
+// that one waits for this transaction.
 func (t *Transaction) Lock(ctx context.Context, name string) error {
 	for {
 		o, err := t.TryLock(name)
@@ -293,7 +302,7 @@
 	}
 }
 
-// wait returns when o has ended.
+// wait returns once o has ended, or with the error of ctx.
 func (t *Transaction) wait(ctx context.Context, o *Transaction) error {
 	defer t.stopWaiting()
 	select {
@@ -304,6 +313,7 @@
 	}
 }
 
+// stopWaiting records that the transaction waits for no other one.
 func (t *Transaction) stopWaiting() {
 	t.Store.lockMutex.Lock()
 	defer t.Store.lockMutex.Unlock()
