--- a/internal/standin/grouper/admin_test.go
+++ b/internal/standin/grouper/admin_test.go
@@ -68,13 +68,13 @@
 	if k := postFault(t, b, `{"replication-lag":"0s"}`); k != http.StatusNoContent {
 		t.Error(k)
 	}
-	waitFor(t, "replica has the row", func() bool { return len(getDump(t, b).Tables["note"].Rows) == 1 })
+	waitFor(t, "the replica has the row", func() bool { return len(getDump(t, b).Tables["note"].Rows) == 1 })
 	if k := postFault(t, a, `{"crashed":true}`); k != http.StatusNoContent {
 		t.Error(k)
 	}
-	waitFor(t, "connection is closed", func() bool { _, err := c.Exec(t.Context(), "SELECT 1"); return err != nil })
+	waitFor(t, "the connection is closed", func() bool { _, err := c.Exec(t.Context(), "SELECT 1"); return err != nil })
 	if k := postFault(t, a, `{"crashed":false}`); k != http.StatusNoContent {
 		t.Error(k)
 	}
-	waitFor(t, "server answers again", func() bool { _, err := client(t, a).Status(t.Context()); return err == nil })
+	waitFor(t, "the server answers again", func() bool { _, err := client(t, a).Status(t.Context()); return err == nil })
 }
--- a/internal/standin/streamer/delayed.go
+++ b/internal/standin/streamer/delayed.go
@@ -7,29 +7,31 @@
 	"github.com/cuminwick/cuminwick/internal/group/marker"
 )
 
-// entry is what one or more frames brought, and when the last of them came.
+// entry is the content of one or more frames, with the time when the last of them was received.
 type entry struct {
-	// truncate says that the log is to be cut back to common, else records counts.
+	// truncate says that the log is to be truncated after common; otherwise records are appended.
 	truncate bool
 	common   marker.Position
-	// records are encoded.
+	// records is a CBOR-encoded list of records.
 	records  []byte
 	received time.Time
 }
 
-// delayQueue is a queue of entries that wait for the replication lag to pass.
+// delayQueue is a queue of received entries that are not applied yet.
 type delayQueue struct {
 	mutex   sync.Mutex
 	entries []entry
 }
 
+// push appends an entry.
 func (d *delayQueue) push(e entry) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.entries = append(d.entries, e)
 }
 
-// pop takes the first entry, whether due or not.
+// pop removes and returns the first entry, whether it is due or not, and reports
+// whether there was one.
 func (d *delayQueue) pop() (entry, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/standin/streamer/ear.go
+++ b/internal/standin/streamer/ear.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// contactConn is a stream's connection to its primary and notes when bytes came from it.
+// contactConn is a stream's connection to its primary that records contact with the primary whenever
+// bytes arrive.
 //
-// A frame is whole only after all of it came, and on a busy line that takes
-// longer than a primary may be silent. Were only whole frames heard, a primary
-// in the middle of one would look lost.
+// On a slow connection a whole frame can take longer to arrive than a primary may be without contact.
+// If only whole frames counted, a primary in the middle of a frame would seem to have failed.
 type contactConn struct {
 	net.Conn
 	stream *stream
-	// termConfirmed says that a frame came under the followed term. Bytes before it may be
-	// those of a primary of another term.
+	// termConfirmed says that a frame of the followed term was received. Bytes before it may come
+	// from a primary of another term.
 	termConfirmed atomic.Bool
 }
 
-// Read fails when nothing comes for the silence limit.
+// Read fails if no bytes arrive for idleTimeout.
 func (e *contactConn) Read(b []byte) (int, error) {
 	if err := e.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 		return 0, err
--- a/internal/standin/streamer/puller.go
+++ b/internal/standin/streamer/puller.go
@@ -15,10 +15,10 @@
 	"github.com/cuminwick/cuminwick/internal/standin/replicator"
 )
 
-// Dial opens a connection to a peer, by name and the address that Follow gave.
+// Dial opens a connection to the peer with the given name and address, as passed to Follow.
 type Dial func(ctx context.Context, name, address string) (net.Conn, error)
 
-// Puller takes over the records of the primary that its store follows.
+// Puller copies the log of the primary that its store follows. Its fields are set before Run.
 type Puller struct {
 	// Store is the replica's store.
 	Store *replicator.Store
@@ -26,11 +26,11 @@
 	Faults *injector.Faults
 	// Dial opens connections, plain TCP if nil.
 	Dial Dial
-	// Truncated is called after records were dropped.
+	// Truncated is called after records were dropped from the log; may be nil.
 	Truncated func()
 }
 
-// Run follows whichever primary the store names, until ctx ends.
+// Run keeps a stream open to the primary that the store follows, until ctx ends.
 func (p *Puller) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		c := p.Store.Changed()
@@ -52,25 +52,25 @@
 	}
 }
 
-// stream is one connection to one primary under one term.
+// stream is one replication connection to one primary under one term.
 type stream struct {
 	puller   *Puller
 	primary  replicator.PrimaryServer
 	term     marker.Term
 	frontend *pgproto3.Frontend
 	conn     *contactConn
-	// parts are those that came of records that haven't come whole.
+	// parts are the received parts of records that are not complete yet.
 	parts []byte
+	// wake tells loopApply that the queue has a new entry.
 	wake  chan struct{}
 	queue delayQueue
 	// applyDone is closed when loopApply has returned.
 	applyDone chan struct{}
 }
 
-// run opens the stream and takes records until something ends it. It returns
-// only when nothing is applied any more: otherwise the next stream could drop a
-// record as diverged that this one applied after the next one's hello, and a
-// write that a majority held would be held by one fewer.
+// run opens the stream and receives records until the stream ends. It returns only after loopApply
+// has returned: otherwise this stream could apply a record after the next stream's hello, the next
+// one would drop that record as diverged, and a write that a majority held could lose its majority.
 func (s *stream) run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -94,6 +94,7 @@
 	return err
 }
 
+// dial connects to the primary within idleTimeout.
 func (s *stream) dial(ctx context.Context) (net.Conn, error) {
 	ctx, stop := context.WithTimeout(ctx, idleTimeout)
 	defer stop()
@@ -104,7 +105,7 @@
 	return d.DialContext(ctx, "tcp", s.primary.Address)
 }
 
-// open sends the startup message and what the replica has.
+// open sends the startup message and the hello, which describes the replica's log.
 func (s *stream) open() error {
 	s.frontend.Send(&pgproto3.StartupMessage{
 		ProtocolVersion: pgproto3.ProtocolVersion30,
@@ -118,10 +119,9 @@
 	return errors.Trace(s.frontend.Flush())
 }
 
-// loopWatch ends the stream, or the attempt to open it, when the store is told to
-// follow another primary. A primary that is paused or cut off sends nothing, and
-// without this the replica would wait for it until the silence limit before it
-// turned to the new one.
+// loopWatch ends the stream, or the attempt to open it, when the store follows another primary or
+// another term. A primary that is paused or isolated sends nothing; without loopWatch the replica
+// would wait for it until idleTimeout before it connects to the new one.
 func (s *stream) loopWatch(ctx context.Context, stop context.CancelFunc) {
 	for {
 		c := s.puller.Store.Changed()
@@ -138,11 +138,11 @@
 	}
 }
 
-// loopReceive queues records and notes that the primary was heard.
+// loopReceive queues records and records contact with the primary.
 //
-// Before each frame it looks whether the store still follows this primary under
-// this term: a server that accepted a higher term takes nothing more from a
-// lower one, and tells it so, which fences a primary that lost the group.
+// After each frame it checks that the store still follows this primary under this term: a server that
+// accepted a higher term takes no more records of a lower one and reports the higher term to the
+// sender, which fences a primary that was replaced.
 func (s *stream) loopReceive(ctx context.Context) error {
 	for {
 		f, err := s.receive()
@@ -154,7 +154,7 @@
 		}
 		l, t := s.puller.Store.FollowedPrimary()
 		if l != s.primary || t != s.term || f.Term != s.term {
-			return errors.Annotatef(replicator.ErrTermRefused, "stream under %d ends at %d, reported %v", s.term, t, s.sendTerm(t))
+			return errors.Annotatef(replicator.ErrTermRefused, "stream of term %d ended by term %d, report error %v", s.term, t, s.sendTerm(t))
 		}
 		g, _ := s.puller.Faults.Get()
 		if g.Isolated {
@@ -166,8 +166,8 @@
 	}
 }
 
-// noteContact notes that the primary was heard, if this server could noteContact anything: a
-// paused one's kernel goes on taking bytes.
+// noteContact records contact with the primary, unless this server is paused or isolated: the kernel
+// of a paused server still accepts bytes.
 func (s *stream) noteContact() {
 	f, _ := s.puller.Faults.Get()
 	if f.Paused || f.Isolated {
@@ -176,16 +176,16 @@
 	s.puller.Store.NoteContact(s.term, time.Now())
 }
 
-// enqueue queues what f brings, records only once they are whole. They are decoded
-// by loopApply, since nothing is heard of the primary meanwhile.
+// enqueue queues the content of f, records only once they are complete. loopApply decodes them,
+// because no contact is recorded while this goroutine is busy.
 func (s *stream) enqueue(f frame) {
-	if f.First {
+	if f.Truncate {
 		s.queue.push(entry{truncate: true, common: f.Common, received: time.Now()})
 		s.wakeApply()
 		return
 	}
 	s.parts = append(s.parts, f.Part...)
-	if !f.Ends {
+	if !f.LastPart {
 		return
 	}
 	s.queue.push(entry{records: s.parts, received: time.Now()})
@@ -193,6 +193,7 @@
 	s.wakeApply()
 }
 
+// receive returns the next frame.
 func (s *stream) receive() (frame, error) {
 	var f frame
 	m, err := s.frontend.Receive()
@@ -206,7 +207,7 @@
 	return f, decode(d.Data, &f)
 }
 
-// sendTerm reports the accepted term to the primary.
+// sendTerm reports the accepted term t to the primary.
 func (s *stream) sendTerm(t marker.Term) error {
 	b, err := encode(report{Term: t})
 	if err != nil {
@@ -216,6 +217,7 @@
 	return errors.Trace(s.frontend.Flush())
 }
 
+// wakeApply wakes loopApply after an entry was queued.
 func (s *stream) wakeApply() {
 	select {
 	case s.wake <- struct{}{}:
@@ -223,7 +225,7 @@
 	}
 }
 
-// loopApply takes over queued records when they are due.
+// loopApply applies queued entries when the replication lag has passed since they were received.
 func (s *stream) loopApply(ctx context.Context, stop context.CancelFunc) {
 	defer close(s.applyDone)
 	defer stop()
@@ -247,6 +249,7 @@
 	}
 }
 
+// apply truncates the log or appends records to it.
 func (s *stream) apply(e entry) error {
 	if !e.truncate {
 		return s.appendRecords(e.records)
@@ -258,6 +261,7 @@
 	return err
 }
 
+// appendRecords decodes records and appends them to the log.
 func (s *stream) appendRecords(b []byte) error {
 	var r []replicator.Record
 	if err := decode(b, &r); err != nil {
--- a/internal/standin/streamer/sender.go
+++ b/internal/standin/streamer/sender.go
@@ -13,13 +13,13 @@
 	"github.com/cuminwick/cuminwick/internal/standin/replicator"
 )
 
-// Sender serves one replica's stream on the primary.
+// Sender serves one replica's stream on the primary. Its fields are set before Run.
 type Sender struct {
 	// Store is the primary's store.
 	Store *replicator.Store
 	// Faults are the primary's faults.
 	Faults *injector.Faults
-	// Conn is the replica's connection, after authentication; Backend its codec.
+	// Conn is the replica's connection after the startup message, Backend its message codec.
 	Conn    net.Conn
 	Backend *pgproto3.Backend
 
@@ -27,7 +27,8 @@
 	position marker.Position
 }
 
-// Run sends records until the connection or the primary's term ends.
+// Run sends records until the connection, the primary's term or ctx ends, and returns the reason.
+// It closes Conn.
 func (s *Sender) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -44,6 +45,7 @@
 	return s.loopRecords(ctx)
 }
 
+// receiveHello returns the first message of the replica.
 func (s *Sender) receiveHello() (hello, error) {
 	var h hello
 	m, err := s.Backend.Receive()
@@ -57,7 +59,8 @@
 	return h, decode(d.Data, &h)
 }
 
-// open refuses a replica under another term, or sends the position where the logs part.
+// open sends the position up to which both logs are equal. It returns ErrTermRefused if the replica
+// has another term or this server is not primary.
 func (s *Sender) open(ctx context.Context, h hello) error {
 	s.Store.LearnTerm(h.Term, time.Now())
 	leads, t := s.Store.IsPrimary()
@@ -66,9 +69,10 @@
 	}
 	s.term = t
 	s.position = replicator.CommonPosition(h.History, s.Store.History())
-	return s.send(ctx, frame{Term: t, First: true, Common: s.position})
+	return s.send(ctx, frame{Term: t, Truncate: true, Common: s.position})
 }
 
+// send sends one frame, once the server is not paused.
 func (s *Sender) send(ctx context.Context, f frame) error {
 	if err := s.Faults.WaitUnpaused(ctx); err != nil {
 		return err
@@ -81,7 +85,7 @@
 	return errors.Annotate(s.Backend.Flush(), "send records")
 }
 
-// loopRecords sends what is new, and a heartbeat where nothing is.
+// loopRecords sends new records, and a heartbeat in each interval without any.
 func (s *Sender) loopRecords(ctx context.Context) error {
 	t := time.NewTicker(HeartbeatInterval)
 	defer t.Stop()
@@ -109,7 +113,7 @@
 	}
 }
 
-// sendFetched sends the records of a, and heartbeats until they are there.
+// sendFetched sends the records of a, and heartbeats until they are fetched.
 func (s *Sender) sendFetched(ctx context.Context, a *recordFetch, tick <-chan time.Time) error {
 	for {
 		select {
@@ -129,11 +133,11 @@
 	}
 }
 
-// sendParts sends encoded records, or a heartbeat where there are none.
+// sendParts sends encoded records in parts, or a heartbeat if there are none.
 func (s *Sender) sendParts(ctx context.Context, b []byte) error {
 	for {
 		n := min(len(b), maximumPartBytes)
-		f := frame{Term: s.term, Part: b[:n], Ends: n > 0 && n == len(b)}
+		f := frame{Term: s.term, Part: b[:n], LastPart: n > 0 && n == len(b)}
 		b = b[n:]
 		err := s.send(ctx, f)
 		if err != nil || len(b) == 0 {
@@ -142,7 +146,8 @@
 	}
 }
 
-// loopReports learns of higher terms and ends the stream with the connection.
+// loopReports passes the terms that the replica reports to the store and ends the stream when the
+// connection ends.
 func (s *Sender) loopReports(stop context.CancelFunc) {
 	defer stop()
 	for {
--- a/internal/standin/streamer/streamer.go
+++ b/internal/standin/streamer/streamer.go
@@ -12,48 +12,52 @@
 	"github.com/cuminwick/cuminwick/internal/standin/replicator"
 )
 
-// ApplicationName marks a replica's connection to its primary; it counts towards no limit.
+// ApplicationName is the application_name of a replica's connection to its primary. Such connections
+// do not count towards the connection limit.
 const ApplicationName = "cuminwick-replication"
 
 // Timing of the stream.
 const (
-	// HeartbeatInterval is how often a primary sends when it has no records.
+	// HeartbeatInterval is the interval at which a primary without new records sends heartbeats.
 	HeartbeatInterval = 20 * time.Millisecond
-	// idleTimeout ends a stream whose primary sends nothing.
+	// idleTimeout ends a stream whose primary sends nothing for so long; it also limits a dial.
 	idleTimeout = 500 * time.Millisecond
-	// retryDelay is the pause before a replica dials again.
+	// retryDelay is the pause before a replica opens the next stream.
 	retryDelay = 20 * time.Millisecond
-	// maximumBatchRecords is the most records that are sent together.
+	// maximumBatchRecords limits the records that are encoded and sent together.
 	maximumBatchRecords = 256
-	// maximumPartBytes is the most bytes of records in one frame, as PostgreSQL's sender
-	// has it.
+	// maximumPartBytes limits the bytes of records in one frame; PostgreSQL's WAL sender has the
+	// same limit.
 	maximumPartBytes = 128 << 10
 )
 
-// hello opens a stream: what a replica has.
+// hello is the first message of a replica: its name, accepted term and log history.
 type hello struct {
 	Name    string               `cbor:"1,keyasint"`
 	Term    marker.Term          `cbor:"2,keyasint"`
 	History []replicator.Segment `cbor:"3,keyasint"`
 }
 
-// frame is what a primary sends: a part of encoded records, or none as a heartbeat.
+// frame is a message of a primary: a truncation, a part of encoded records, or a heartbeat if it has
+// neither.
 type frame struct {
 	Term marker.Term `cbor:"1,keyasint"`
-	// First says that Common counts: the replica drops what follows it.
-	First  bool            `cbor:"2,keyasint,omitempty"`
-	Common marker.Position `cbor:"3,keyasint,omitempty"`
-	// Part belongs to encoded records, which end with the part that has Ends.
-	Part []byte `cbor:"4,keyasint,omitempty"`
-	Ends bool   `cbor:"5,keyasint,omitempty"`
+	// Truncate says that the replica drops the records after position Common. The first frame of a
+	// stream sets it.
+	Truncate bool            `cbor:"2,keyasint,omitempty"`
+	Common   marker.Position `cbor:"3,keyasint,omitempty"`
+	// Part is a part of encoded records, the last one if LastPart is set.
+	Part     []byte `cbor:"4,keyasint,omitempty"`
+	LastPart bool   `cbor:"5,keyasint,omitempty"`
 }
 
-// report tells the primary the replica's accepted term.
+// report is a message of a replica that has accepted a higher term.
 type report struct {
 	Term marker.Term `cbor:"1,keyasint"`
 }
 
-// codec keeps the types of row values: integers stay signed, times stay times.
+// encoder and decoder are the CBOR modes of the stream. They preserve the types of row values:
+// integers stay signed, times stay times, byte strings stay []byte.
 var encoder, decoder = newCodec()
 
 func newCodec() (cbor.EncMode, cbor.DecMode) {
--- a/internal/standin/streamer/streamer_test.go
+++ b/internal/standin/streamer/streamer_test.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// readBytes every readTime is what the line carries: 400 kB/s.
+	// The slow connection delivers readBytes every readTime, about 400 kB/s.
 	readBytes = 4 << 10
 	readTime  = 10 * time.Millisecond
 )
@@ -29,13 +29,14 @@
 	faults  injector.Faults
 }
 
-// dial opens a stream over a slow line.
+// dial connects a replica over a slow connection.
 func (p *primary) dial(context.Context, string, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	go p.run(p.context, far)
-	return &slow{Conn: near}, nil
+	return &slowConn{Conn: near}, nil
 }
 
+// run serves one stream until ctx ends.
 func (p *primary) run(ctx context.Context, c net.Conn) {
 	defer context.AfterFunc(ctx, func() { c.Close() })()
 	b := pgproto3.NewBackend(c, c)
@@ -46,12 +47,12 @@
 	_ = s.Run(ctx)
 }
 
-// slow is a connection that takes its time to deliver.
-type slow struct {
+// slowConn is a connection that delivers at most readBytes every readTime.
+type slowConn struct {
 	net.Conn
 }
 
-func (s *slow) Read(b []byte) (int, error) {
+func (s *slowConn) Read(b []byte) (int, error) {
 	_ = scheduler.Pause(context.Background(), readTime)
 	return s.Conn.Read(b[:min(len(b), readBytes)])
 }
@@ -63,6 +64,7 @@
 	faults  injector.Faults
 }
 
+// startGroup starts a primary and a replica until ctx ends.
 func startGroup(ctx context.Context, t *testing.T) *group {
 	t.Helper()
 	g := &group{primary: primary{context: ctx, store: &replicator.Store{Name: "db-1"}}, replica: &replicator.Store{Name: "db-2"}}
@@ -75,8 +77,8 @@
 	return g
 }
 
-// end stops the group and lets reads that are on their way come back.
-func end(stop context.CancelFunc) {
+// stopGroup stops the group and waits until reads in progress have returned.
+func stopGroup(stop context.CancelFunc) {
 	stop()
 	time.Sleep(2 * readTime)
 }
@@ -91,27 +93,26 @@
 	}
 }
 
-// silence is how long ago the replica heard its primary.
-func (g *group) silence() time.Duration {
+// sinceContact returns the time since the replica's last contact with its primary.
+func (g *group) sinceContact() time.Duration {
 	now := time.Now()
 	return g.replica.Status(now).SinceLastContact
 }
 
-// A COPY of 2 MB is one record, and a slow line carries it in five seconds. A
-// replica that counts only whole frames hears nothing for so long, and ends the
-// stream; entry hosts take the primary for isolated, replace it, and the
-// caller's COPY is answered as unknown.
-func TestLargeRecordIsHeardWhileItComes(t *testing.T) {
+// A COPY of 2 MB is one record, which a slow connection transfers in five seconds. Guards against a
+// replica that counts only whole frames as contact: it would end the stream, entry hosts would assume
+// that the primary is isolated and replace it, and the client's COPY would have an unknown outcome.
+func TestPartsOfALargeRecordCountAsContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		defer end(stop)
+		defer stopGroup(stop)
 		g := startGroup(ctx, t)
 		time.Sleep(time.Second)
 		g.write(t, 2<<20)
 		for range 800 {
 			time.Sleep(readTime)
-			if d := g.silence(); d > 100*time.Millisecond {
-				t.Fatalf("replica hasn't heard its primary for %v", d)
+			if d := g.sinceContact(); d > 100*time.Millisecond {
+				t.Fatalf("replica reports no contact with its primary for %v", d)
 			}
 		}
 		if g.replica.Last() != g.primary.store.Last() {
@@ -120,13 +121,13 @@
 	})
 }
 
-// A primary is fenced, or its replica is, while a large record is on its way.
-// What still comes of it must neither count as hearing the primary, or entry
-// hosts would wait for one that can't acknowledge, nor be taken over.
-func TestBytesOfAnEarlierTermAreNotHeard(t *testing.T) {
+// A replica accepts a higher term while a large record of the earlier term is in transfer. Guards
+// against bytes of that record that count as contact, so that entry hosts would wait for a primary
+// that cannot acknowledge, and against a replica that appends the record.
+func TestBytesOfAnEarlierTermAreNoContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		defer end(stop)
+		defer stopGroup(stop)
 		g := startGroup(ctx, t)
 		time.Sleep(time.Second)
 		last := g.replica.Last()
@@ -137,30 +138,30 @@
 		}
 		raised := time.Now()
 		time.Sleep(time.Second)
-		if d := g.silence(); d < time.Since(raised) {
-			t.Errorf("heard a primary of an earlier term %v ago", d)
+		if d := g.sinceContact(); d < time.Since(raised) {
+			t.Errorf("last contact %v ago, with a primary of an earlier term", d)
 		}
 		if g.replica.Last() != last {
-			t.Errorf("took over %s after the fence", g.replica.Last())
+			t.Errorf("appended %s after the higher term was accepted", g.replica.Last())
 		}
 	})
 }
 
-// A replica is paused, or cut off from its peers, while a large record is on its
-// way. Bytes that the kernel still takes are no word of the primary to it.
-func TestPausedOrIsolatedReplicaHearsNothing(t *testing.T) {
+// A replica is paused or isolated while a large record is in transfer. Guards against bytes that the
+// kernel still accepts being counted as contact with the primary.
+func TestPausedOrIsolatedReplicaHasNoContact(t *testing.T) {
 	for _, s := range []injector.Settings{{Paused: true}, {Isolated: true}} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
-			defer end(stop)
+			defer stopGroup(stop)
 			g := startGroup(ctx, t)
 			time.Sleep(time.Second)
 			g.write(t, 2<<20)
 			time.Sleep(time.Second)
 			g.faults.Change(func(f *injector.Settings) { *f = s })
 			time.Sleep(400 * time.Millisecond)
-			if d := g.silence(); d < 390*time.Millisecond {
-				t.Errorf("%+v: heard the primary %v ago", s, d)
+			if d := g.sinceContact(); d < 390*time.Millisecond {
+				t.Errorf("%+v: last contact with the primary %v ago", s, d)
 			}
 		})
 	}
