--- a/internal/standin/storekeeper/faults.go
+++ b/internal/standin/storekeeper/faults.go
@@ -2,58 +2,58 @@
 
 import "time"
 
-// Faults are the settable faults of the stand-in.
+// Faults are the fault settings of the stand-in. The zero value sets none.
 type Faults struct {
-	// Outage makes every call fail, waiting watches included.
+	// Outage makes every call fail with ErrOutage, including watches in progress.
 	Outage bool `json:"outage"`
 	// Latency is added before each call takes effect.
 	Latency time.Duration `json:"latency-nanoseconds"`
-	// LoseAnswers is how many of the next puts take effect without an answer.
+	// LoseAnswers is the number of puts to come that take effect but fail with ErrAnswerLost.
 	LoseAnswers int `json:"lose-answers"`
-	// HostListLag is how far the host list lags behind the truth.
+	// HostListLag is how long a change of the hosts takes to appear in the host list.
 	HostListLag time.Duration `json:"host-list-lag-nanoseconds"`
 }
 
 // SetFaults replaces all fault settings.
 func (s *Store) SetFaults(f Faults) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	s.faults = f
 	s.wakeWatches()
 }
 
-// Faults returns the present fault settings.
+// Faults returns the current fault settings.
 func (s *Store) Faults() Faults {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	return s.faults
 }
 
 // SetOutage starts or ends an outage.
 func (s *Store) SetOutage(on bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	s.faults.Outage = on
 	s.wakeWatches()
 }
 
-// SetLatency delays each call by d.
+// SetLatency delays each later call by d.
 func (s *Store) SetLatency(d time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	s.faults.Latency = d
 }
 
-// LoseAnswers lets the next n puts take effect without an answer.
+// LoseAnswers makes the next n puts take effect but fail with ErrAnswerLost.
 func (s *Store) LoseAnswers(n int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	s.faults.LoseAnswers = n
 }
 
-// SetHostListLag lets the host list lag by d.
+// SetHostListLag makes changes of the hosts appear in the host list after d.
 func (s *Store) SetHostListLag(d time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	s.faults.HostListLag = d
 }
--- a/internal/standin/storekeeper/handler.go
+++ b/internal/standin/storekeeper/handler.go
@@ -11,13 +11,14 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// maximumWait bounds one waiting watch; the client asks again after it.
+// maximumWait limits the duration of one watch request; the client repeats the request after it.
 const maximumWait = 60 * time.Second
 
-// maximumBodyBytes leaves room for a value in base64 and the other fields.
+// maximumBodyBytes is large enough for a value in base64 and the other fields of an object.
 const maximumBodyBytes = 2 * accessor.MaximumValueBytes
 
-// Handler offers the store and its fault settings over HTTP.
+// Handler serves the store under /objects, /watches and /hosts, and its fault settings, call counts
+// and hosts under /admin.
 func (s *Store) Handler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /objects/{kind}", s.serveList)
@@ -106,6 +107,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
+// decode decodes the JSON body into v. If that fails, it answers with an error and returns false.
 func decode(w http.ResponseWriter, r *http.Request, v any) bool {
 	b := http.MaxBytesReader(w, r.Body, maximumBodyBytes)
 	err := json.NewDecoder(b).Decode(v)
@@ -121,11 +123,13 @@
 	return true
 }
 
+// answer sends v as JSON, or the status and text for err. For ErrAnswerLost it closes the connection
+// without an answer.
 func answer(w http.ResponseWriter, v any, err error) {
 	switch {
 	case err == nil:
 		w.Header().Set("Content-Type", "application/json")
-		// A client that is gone can't be told anything.
+		// An encoding error means that the client has disconnected, so it cannot be reported.
 		_ = json.NewEncoder(w).Encode(v)
 	case errors.Is(err, ErrAnswerLost):
 		panic(http.ErrAbortHandler)
@@ -136,6 +140,7 @@
 	}
 }
 
+// statusCode returns the HTTP status for an error of the store.
 func statusCode(err error) int {
 	switch {
 	case errors.Is(err, accessor.ErrNotFound):
--- a/internal/standin/storekeeper/hosts.go
+++ b/internal/standin/storekeeper/hosts.go
@@ -9,20 +9,20 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// hostChange is one change of the host list that becomes visible after the lag.
+// hostChange is one change of the hosts, made at a time, that becomes visible after the host list lag.
 type hostChange struct {
 	at      time.Time
 	host    accessor.Host
 	removed bool
 }
 
-// hostList keeps the changes that aren't visible yet and the visible hosts.
+// hostList holds the visible hosts by name and, in order of time, the changes that are not visible yet.
 type hostList struct {
 	pending []hostChange
 	visible map[string]accessor.Host
 }
 
-// applyUntil makes the changes up to t visible.
+// applyUntil makes the changes made up to t visible.
 func (h *hostList) applyUntil(t time.Time) {
 	if h.visible == nil {
 		h.visible = map[string]accessor.Host{}
@@ -38,30 +38,31 @@
 	}
 }
 
-// SetHost adds or changes a host; the list shows it after the lag.
+// SetHost adds or replaces a host; the host list shows the change after the lag.
 func (s *Store) SetHost(h accessor.Host) {
 	s.changeHost(hostChange{host: h})
 }
 
-// RemoveHost takes the named host off; the list shows it until the lag is over.
+// RemoveHost removes the named host; the host list shows it until the lag has passed.
 func (s *Store) RemoveHost(name string) {
 	s.changeHost(hostChange{host: accessor.Host{Name: name}, removed: true})
 }
 
+// changeHost records a change made now.
 func (s *Store) changeHost(c hostChange) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	c.at = time.Now()
 	s.hosts.pending = append(s.hosts.pending, c)
 }
 
-// Hosts returns the host list as it was one lag ago, ordered by name.
+// Hosts returns the host list as it was HostListLag ago, ordered by name.
 func (s *Store) Hosts(ctx context.Context) ([]accessor.Host, error) {
 	if err := s.startCall(ctx, func(c *Calls) { c.Hosts++ }); err != nil {
 		return nil, err
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	s.hosts.applyUntil(time.Now().Add(-s.faults.HostListLag))
 	l := make([]accessor.Host, 0, len(s.hosts.visible))
 	for _, h := range s.hosts.visible {
--- a/internal/standin/storekeeper/hosts_test.go
+++ b/internal/standin/storekeeper/hosts_test.go
@@ -9,6 +9,8 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
+// The platform's host list shows changes late. Guards against a stand-in that shows an added or
+// removed host before or after the lag that is set.
 func TestHostListLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &storekeeper.Store{}
--- a/internal/standin/storekeeper/store.go
+++ b/internal/standin/storekeeper/store.go
@@ -13,18 +13,18 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// Errors of the stand-in beside those of accessor.
+// Errors of the stand-in, in addition to those of accessor.
 const (
-	// ErrOutage is returned by every call while an outage is set.
+	// ErrOutage is returned by every call during an outage.
 	ErrOutage = errors.ConstError("platform outage")
-	// ErrAnswerLost is returned by a put that took effect and whose answer is dropped.
+	// ErrAnswerLost is returned by a put that took effect but whose answer does not reach the client.
 	ErrAnswerLost = errors.ConstError("answer lost")
 )
 
-// DefaultWait is how long a watch waits if nobody says otherwise.
+// DefaultWait is how long a watch waits if Store.Wait is not set.
 const DefaultWait = 4 * time.Second
 
-// Calls counts the calls of each operation since the start.
+// Calls holds the number of calls of each operation.
 type Calls struct {
 	Get   int `json:"get"`
 	Put   int `json:"put"`
@@ -42,13 +42,13 @@
 	kind, name string
 }
 
-// Store keeps objects in memory and injects faults. It is itself an
-// accessor.Platform, so that tests can do without sockets.
+// Store keeps objects in memory and injects faults. It implements accessor.Platform, so that tests
+// need no sockets. The zero value is an empty store.
 type Store struct {
-	// Wait is how long a watch waits at most, DefaultWait if unset.
+	// Wait is how long a call of Watch waits at most, DefaultWait if zero.
 	Wait time.Duration
 
-	mu      sync.Mutex
+	mutex   sync.Mutex
 	objects map[key]accessor.Object
 	changed chan struct{}
 	calls   Calls
@@ -58,13 +58,13 @@
 
 var _ accessor.Platform = (*Store)(nil)
 
-// Get returns one object.
+// Get returns one object, or accessor.ErrNotFound.
 func (s *Store) Get(ctx context.Context, kind, name string) (accessor.Object, error) {
 	if err := s.startCall(ctx, func(c *Calls) { c.Get++ }); err != nil {
 		return accessor.Object{}, err
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	o, ok := s.objects[key{kind, name}]
 	if !ok {
 		return accessor.Object{}, accessor.ErrNotFound
@@ -72,13 +72,14 @@
 	return o, nil
 }
 
-// Put stores o if its version is the stored one.
+// Put stores o and returns it with its new version. It returns accessor.ErrConflict if the version of o
+// is not the stored one, and accessor.ErrTooLarge for a value that is too large.
 func (s *Store) Put(ctx context.Context, o accessor.Object) (accessor.Object, error) {
 	if err := s.startCall(ctx, func(c *Calls) { c.Put++ }); err != nil {
 		return accessor.Object{}, err
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	o, err := s.replace(o)
 	if err != nil {
 		return accessor.Object{}, err
@@ -90,6 +91,7 @@
 	return o, nil
 }
 
+// replace stores o under the next version; the caller holds the mutex.
 func (s *Store) replace(o accessor.Object) (accessor.Object, error) {
 	if len(o.Value) > accessor.MaximumValueBytes {
 		return o, accessor.ErrTooLarge
@@ -113,8 +115,8 @@
 	if err := s.startCall(ctx, func(c *Calls) { c.List++ }); err != nil {
 		return nil, err
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	l := []accessor.Object{}
 	for k, o := range s.objects {
 		if k.kind == kind {
@@ -125,7 +127,8 @@
 	return l, nil
 }
 
-// Watch waits until the object's version is above after, or for s.Wait.
+// Watch returns the object as soon as its version is above after. If s.Wait passes first, it returns
+// accessor.ErrUnchanged, or accessor.ErrNotFound if there is no such object.
 func (s *Store) Watch(ctx context.Context, kind, name string, after accessor.Version) (accessor.Object, error) {
 	d := s.Wait
 	if d <= 0 {
@@ -134,6 +137,7 @@
 	return s.watch(ctx, kind, name, after, d)
 }
 
+// watch is Watch with the wait d.
 func (s *Store) watch(ctx context.Context, kind, name string, after accessor.Version, d time.Duration) (accessor.Object, error) {
 	if err := s.startCall(ctx, func(c *Calls) { c.Watch++ }); err != nil {
 		return accessor.Object{}, err
@@ -158,10 +162,11 @@
 	}
 }
 
-// lookUp returns the object, zero if absent, and a channel closed at the next change.
+// lookUp returns the object, zero if absent, and a channel that is closed at the next change. It returns
+// ErrOutage during an outage.
 func (s *Store) lookUp(k key) (accessor.Object, <-chan struct{}, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	if s.faults.Outage {
 		return accessor.Object{}, nil, ErrOutage
 	}
@@ -171,7 +176,8 @@
 	return s.objects[k], s.changed, nil
 }
 
-// watchTimeoutError tells an absent object from one that didn't change during a watch.
+// watchTimeoutError returns the error of a watch that timed out: accessor.ErrNotFound if o is absent,
+// accessor.ErrUnchanged otherwise.
 func watchTimeoutError(o accessor.Object) error {
 	if o.Version == 0 {
 		return accessor.ErrNotFound
@@ -179,7 +185,7 @@
 	return accessor.ErrUnchanged
 }
 
-// wakeWatches lets all watches look again; the caller holds the lock.
+// wakeWatches makes all watches look up their objects again; the caller holds the mutex.
 func (s *Store) wakeWatches() {
 	if s.changed != nil {
 		close(s.changed)
@@ -189,24 +195,24 @@
 
 // Calls returns the counts since the start or the last ResetCalls.
 func (s *Store) Calls() Calls {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	return s.calls
 }
 
 // ResetCalls sets all counts to zero.
 func (s *Store) ResetCalls() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	s.calls = Calls{}
 }
 
-// startCall counts a call and applies slowness and outage to it.
+// startCall counts a call and applies latency and outage to it.
 func (s *Store) startCall(ctx context.Context, count func(*Calls)) error {
-	s.mu.Lock()
+	s.mutex.Lock()
 	count(&s.calls)
 	f := s.faults
-	s.mu.Unlock()
+	s.mutex.Unlock()
 	if err := scheduler.Pause(ctx, f.Latency); err != nil {
 		return err
 	}
--- a/internal/standin/storekeeper/storekeeper.go
+++ b/internal/standin/storekeeper/storekeeper.go
@@ -1,4 +1,5 @@
-// Package storekeeper is a stand-in for the platform's object service and host list.
+// Package storekeeper implements a stand-in for the platform's object service and host list, with fault
+// injection.
 package storekeeper
 
 import (
@@ -10,20 +11,21 @@
 	"github.com/juju/errors"
 )
 
-// DefaultAddress is where the stand-in listens unless told otherwise.
+// DefaultAddress is the listening address if Server.Address is empty.
 const DefaultAddress = "127.0.0.1:7400"
 
-// Server offers a Store over HTTP and JSON.
+// Server serves a Store as JSON over HTTP. Its fields are set before Listen and Run.
 type Server struct {
-	// Address is the listening address; port 0 picks a free one.
+	// Address is the listening address, DefaultAddress if empty; port 0 selects a free port.
 	Address string
-	// Store holds the objects; a new one is made if unset.
+	// Store holds the objects; Listen creates an empty one if it is nil.
 	Store *Store
 
 	listener net.Listener
 }
 
-// Listen opens the address and returns the actual one. Run calls it if it wasn't called before.
+// Listen opens the listening address and returns the actual one. Run calls it if it was not called
+// before.
 func (s *Server) Listen() (string, error) {
 	if s.listener != nil {
 		return s.listener.Addr().String(), nil
@@ -42,7 +44,7 @@
 	return l.Addr().String(), nil
 }
 
-// Run serves until ctx ends; waiting watches are cut off then.
+// Run serves until ctx ends, which closes all connections, including those of watches.
 func (s *Server) Run(ctx context.Context) error {
 	a, err := s.Listen()
 	if err != nil {
