--- a/internal/standin/grouper/grouper_test.go
+++ b/internal/standin/grouper/grouper_test.go
@@ -155,6 +155,7 @@
 	}
 }
 
+// Guards against reads of uncommitted data, lost updates, and commits of failed transactions.
 func TestTransactions(t *testing.T) {
 	g := start(t, 1, nil)
 	a, b := connect(t, g.Servers[0], ""), connect(t, g.Servers[0], "")
@@ -225,6 +226,7 @@
 	}
 }
 
+// Guards against a canceled statement that keeps its slot: no other statement could run.
 func TestCancelFreesTheSlot(t *testing.T) {
 	g := start(t, 1, func(s *responder.Server) { s.Slots = 1 })
 	a, b := connect(t, g.Servers[0], ""), connect(t, g.Servers[0], "")
@@ -245,6 +247,7 @@
 	}
 }
 
+// Guards against a connection limit that is not enforced or that does not count control connections.
 func TestConnectionLimit(t *testing.T) {
 	g := start(t, 1, func(s *responder.Server) { s.MaximumConnections = 2 })
 	connect(t, g.Servers[0], "")
@@ -255,6 +258,7 @@
 	}
 }
 
+// Guards against a wrong password that is accepted and a right one that is refused.
 func TestPassword(t *testing.T) {
 	g := start(t, 1, func(s *responder.Server) { s.Password = "geheim" })
 	for p, code := range map[string]string{"geheim": "<nil>", "falsch": "28P01"} {
@@ -322,6 +326,7 @@
 	}
 }
 
+// Guards against injected faults that have no effect, or that persist after they are cleared.
 func TestFaults(t *testing.T) {
 	g := start(t, 2, nil)
 	s := g.Servers
--- a/internal/standin/responder/authenticate.go
+++ b/internal/standin/responder/authenticate.go
@@ -6,14 +6,14 @@
 	"github.com/xdg-go/scram"
 )
 
-// SCRAM settings.
+// SCRAM settings, the same for all users and servers.
 const (
 	scramMechanism  = "SCRAM-SHA-256"
 	scramSalt       = "cuminwick-stand-in"
 	scramIterations = 4096
 )
 
-// authenticate asks for the password, if one is set.
+// authenticate performs SCRAM-SHA-256 authentication if the server has a password.
 func (c *connection) authenticate() error {
 	if c.server.Password == "" {
 		return nil
@@ -37,14 +37,16 @@
 	return c.exchangeSCRAM(v, string(i.Data))
 }
 
-// requestSASL sends what is queued and sets how the answer is decoded.
+// requestSASL sends the queued messages and sets the authentication type by which the response is
+// decoded.
 func (c *connection) requestSASL(kind uint32) error {
 	if err := c.backend.Flush(); err != nil {
-		return errors.Annotate(err, "ask for password")
+		return errors.Annotate(err, "request password")
 	}
 	return c.backend.SetAuthType(kind)
 }
 
+// newConversation starts the server side of a SCRAM exchange.
 func (c *connection) newConversation() (*scram.ServerConversation, error) {
 	s, err := scram.SHA256.NewServer(c.credentials)
 	if err != nil {
@@ -53,7 +55,7 @@
 	return s.NewConversation(), nil
 }
 
-// credentials are the same for every user.
+// credentials returns the stored credentials of the server's password, the same for every user.
 func (c *connection) credentials(string) (scram.StoredCredentials, error) {
 	u, err := scram.SHA256.NewClient("", c.server.Password, "")
 	if err != nil {
@@ -62,7 +64,7 @@
 	return u.GetStoredCredentialsWithError(scram.KeyFactors{Salt: scramSalt, Iters: scramIterations})
 }
 
-// exchangeSCRAM runs the two steps of SCRAM.
+// exchangeSCRAM performs the two steps of SCRAM; first is the client's first message.
 func (c *connection) exchangeSCRAM(v *scram.ServerConversation, first string) error {
 	r, err := v.Step(first)
 	if err != nil {
@@ -88,6 +90,7 @@
 	return nil
 }
 
+// rejectPassword answers that the password is wrong and returns err, the reason, annotated.
 func (c *connection) rejectPassword(err error) error {
 	if e := c.refuse("28P01", "password authentication failed"); e != nil {
 		return e
--- a/internal/standin/responder/commit.go
+++ b/internal/standin/responder/commit.go
@@ -7,9 +7,9 @@
 	"github.com/cuminwick/cuminwick/internal/standin/replicator"
 )
 
-// commit ends a transaction, or fails as it was told to. A real server answers
-// with a code that leaves the outcome open where it lost a connection of its own,
-// to a standby or to the node that holds the data; both outcomes occur.
+// commit commits a transaction, or answers with the injected commit failure. A real server answers
+// with an SQLSTATE that leaves the outcome open if it has lost its own connection to a standby or to
+// the node that holds the data; the transaction may be committed or not.
 func (c *connection) commit(t *replicator.Transaction) (marker.Mark, error) {
 	if t.Empty() {
 		return t.Commit()
@@ -23,6 +23,6 @@
 			return marker.Mark{}, err
 		}
 	}
-	// What isn't committed is rolled back by the session's end of the transaction.
+	// A transaction that is not committed is rolled back when the session ends it.
 	return marker.Mark{}, &pgconn.PgError{Severity: "ERROR", Code: f.Code, Message: "outcome of the transaction is not known"}
 }
--- a/internal/standin/responder/connection.go
+++ b/internal/standin/responder/connection.go
@@ -17,37 +17,42 @@
 	"github.com/cuminwick/cuminwick/internal/standin/streamer"
 )
 
-// Sizes of a connection.
+// Sizes in bytes.
 const (
-	// secretKeyBytes is the length of a cancel key.
+	// secretKeyBytes is the length of the secret key that a cancel request needs.
 	secretKeyBytes = 4
-	// maximumMessageBytes bounds what a caller can make the stand-in hold.
+	// maximumMessageBytes limits the memory that one message of a client can occupy.
 	maximumMessageBytes = 64 << 20
-	// flushBytes is how much of an answer is gathered before it is written.
+	// flushBytes is how much of an answer is buffered before it is sent.
 	flushBytes = 32 << 10
 )
 
-// connection is one caller's connection.
+// connection is one client connection.
 type connection struct {
 	server  *Server
 	conn    net.Conn
 	backend *pgproto3.Backend
+	// process is the process number that identifies the session in cancel requests.
 	process uint32
 	secret  []byte
+	// control says that the client identified itself by ControlApplicationName.
 	control bool
 	session *executor.Session
 	types   *pgtype.Map
 	portals map[string]*portal
-	// skipToSync drops messages up to Sync after an error in the extended protocol.
-	skipToSync    bool
+	// skipToSync says that messages up to Sync are ignored after an error in the extended protocol.
+	skipToSync bool
+	// bufferedBytes is the size of the rows that are queued and not sent.
 	bufferedBytes int
-	holdsSlot     bool
+	// holdsSlot says that the connection holds one of the server's slots.
+	holdsSlot bool
 
-	mutex  sync.Mutex
+	mutex sync.Mutex
+	// cancel ends the statement in progress, nil if there is none.
 	cancel context.CancelFunc
 }
 
-// run serves the connection until it ends.
+// run serves the connection until it or ctx ends.
 func (c *connection) run(ctx context.Context) {
 	defer c.conn.Close()
 	defer context.AfterFunc(ctx, func() { c.conn.Close() })()
@@ -59,6 +64,7 @@
 	}
 }
 
+// serve performs the startup and answers messages, or serves a replica's stream.
 func (c *connection) serve(ctx context.Context) error {
 	m, err := c.receiveStartup(ctx)
 	if err != nil || m == nil {
@@ -94,7 +100,8 @@
 	return c.loopMessages(ctx)
 }
 
-// receiveStartup answers TLS requests and cancels; it returns nil after a cancel.
+// receiveStartup returns the startup message, nil after a cancel request. It refuses encryption and
+// carries out cancel requests.
 func (c *connection) receiveStartup(ctx context.Context) (*pgproto3.StartupMessage, error) {
 	for {
 		m, err := c.backend.ReceiveStartupMessage()
@@ -118,7 +125,7 @@
 	}
 }
 
-// replicate serves a replica's stream.
+// replicate serves a replica's replication stream.
 func (c *connection) replicate(ctx context.Context) error {
 	f, _ := c.server.faults.Get()
 	if f.Isolated {
@@ -128,12 +135,13 @@
 	return s.Run(ctx)
 }
 
-// refuse answers with a fatal error.
+// refuse answers with a fatal error. It returns an error only if that cannot be sent.
 func (c *connection) refuse(code, message string) error {
 	c.backend.Send(&pgproto3.ErrorResponse{Severity: "FATAL", SeverityUnlocalized: "FATAL", Code: code, Message: message})
 	return errors.Annotate(c.backend.Flush(), "refuse connection")
 }
 
+// setUpSession creates the session from the parameters of the startup message.
 func (c *connection) setUpSession(p map[string]string) {
 	c.secret = make([]byte, secretKeyBytes)
 	// Read never fails, as its documentation says.
@@ -161,7 +169,8 @@
 	}
 }
 
-// startSettings are a session's first settings, with those of the startup message.
+// startSettings returns the initial settings of a session: the defaults and those of the startup
+// message.
 func startSettings(p map[string]string) map[string]string {
 	m := map[string]string{
 		"application_name":              "",
@@ -188,13 +197,14 @@
 	return m
 }
 
-// reportedSettings are the settings that every connection is told at its start.
+// reportedSettings are the settings that the server reports to each client after authentication.
 var reportedSettings = []string{
 	"application_name", "client_encoding", "DateStyle", "default_transaction_read_only", "integer_datetimes",
 	"IntervalStyle", "is_superuser", "server_encoding", "server_version", "session_authorization",
 	"standard_conforming_strings", "TimeZone",
 }
 
+// sendGreeting completes the startup: it sends the settings and the cancel key.
 func (c *connection) sendGreeting() error {
 	c.backend.Send(&pgproto3.AuthenticationOk{})
 	for _, n := range reportedSettings {
@@ -202,14 +212,15 @@
 	}
 	c.backend.Send(&pgproto3.BackendKeyData{ProcessID: c.process, SecretKey: c.secret})
 	c.backend.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
-	return errors.Annotate(c.backend.Flush(), "greet caller")
+	return errors.Annotate(c.backend.Flush(), "send greeting")
 }
 
+// report tells the client the new value of a setting.
 func (c *connection) report(name, value string) {
 	c.backend.Send(&pgproto3.ParameterStatus{Name: name, Value: value})
 }
 
-// beginStatement returns the context of one statement, which a cancel ends.
+// beginStatement returns the context of one statement, which a cancel request ends.
 func (c *connection) beginStatement(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, stop := context.WithCancel(ctx)
 	c.mutex.Lock()
@@ -218,7 +229,7 @@
 	return ctx, stop
 }
 
-// finishStatement lets a late cancel miss.
+// finishStatement ends the context of a statement, so that a late cancel request has no effect.
 func (c *connection) finishStatement(stop context.CancelFunc) {
 	c.mutex.Lock()
 	c.cancel = nil
@@ -226,7 +237,7 @@
 	stop()
 }
 
-// state tells whether the session runs a statement.
+// state returns "active" while the session runs a statement, otherwise "idle".
 func (c *connection) state() string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -236,6 +247,7 @@
 	return "idle"
 }
 
+// cancelStatement ends the statement in progress, if any.
 func (c *connection) cancelStatement() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -244,7 +256,8 @@
 	}
 }
 
-// takeSlot waits for a slot, where the statement needs one, and spends the service time in it.
+// takeSlot waits for a slot, counts the statement and waits for the service time. Control connections
+// and statements that need no slot return at once.
 func (c *connection) takeSlot(ctx context.Context, n *pgquery.Node) error {
 	if c.control || !executor.NeedsSlot(n) {
 		return nil
@@ -256,6 +269,7 @@
 	return executor.Translate(scheduler.Pause(ctx, c.server.ServiceTime))
 }
 
+// acquireSlot waits for a slot unless the connection holds one or needs none.
 func (c *connection) acquireSlot(ctx context.Context) error {
 	if c.control || c.server.slots == nil || c.holdsSlot {
 		return nil
@@ -265,6 +279,7 @@
 	return err
 }
 
+// releaseSlot releases the slot, if the connection holds one.
 func (c *connection) releaseSlot() {
 	if c.holdsSlot {
 		c.server.slots.Release(1)
--- a/internal/standin/responder/extended.go
+++ b/internal/standin/responder/extended.go
@@ -12,11 +12,12 @@
 	"github.com/cuminwick/cuminwick/internal/standin/executor"
 )
 
+// newError returns an error that is sent to the client with the given SQLSTATE.
 func newError(code, message string) error {
 	return &pgconn.PgError{Severity: "ERROR", Code: code, Message: message}
 }
 
-// parse keeps a prepared statement.
+// parse creates a prepared statement.
 func (c *connection) parse(m *pgproto3.Parse) error {
 	if _, ok := c.session.Prepared[m.Name]; ok && m.Name != "" {
 		return newError("42P05", "prepared statement \""+m.Name+"\" already exists")
@@ -41,6 +42,7 @@
 	return nil
 }
 
+// prepared returns the named prepared statement.
 func (c *connection) prepared(name string) (*executor.Prepared, error) {
 	p, ok := c.session.Prepared[name]
 	if !ok {
@@ -49,6 +51,7 @@
 	return p, nil
 }
 
+// portal returns the named portal.
 func (c *connection) portal(name string) (*portal, error) {
 	p, ok := c.portals[name]
 	if !ok {
@@ -57,7 +60,7 @@
 	return p, nil
 }
 
-// bind makes a portal of a prepared statement and its parameters.
+// bind creates a portal from a prepared statement and its parameters.
 func (c *connection) bind(m *pgproto3.Bind) error {
 	s, err := c.prepared(m.PreparedStatement)
 	if err != nil {
@@ -82,7 +85,7 @@
 	return nil
 }
 
-// describe sends the types of a statement or a portal.
+// describe sends the parameter types of a prepared statement, and the columns of it or of a portal.
 func (c *connection) describe(m *pgproto3.Describe) error {
 	if m.ObjectType == 'S' {
 		s, err := c.prepared(m.Name)
@@ -101,6 +104,7 @@
 	return nil
 }
 
+// sendDescription sends the columns of a statement's result, or that it has none.
 func (c *connection) sendDescription(s *executor.Prepared, formats []int16) {
 	if s.Columns == nil {
 		c.backend.Send(&pgproto3.NoData{})
@@ -109,7 +113,7 @@
 	c.backend.Send(describeRows(s.Columns, formats))
 }
 
-// execute runs a portal, or goes on with one that was suspended.
+// execute runs a portal, or continues one that was suspended.
 func (c *connection) execute(ctx context.Context, m *pgproto3.Execute) error {
 	p, err := c.portal(m.Portal)
 	if err != nil {
@@ -143,7 +147,8 @@
 	return nil
 }
 
-// sendRows sends up to limit sendRows, all if it is zero, and reports whether it stopped at the limit.
+// sendRows sends up to limit rows, all if it is zero, and reports whether it stopped at the limit. For
+// a COPY it transfers all data.
 func (c *connection) sendRows(ctx context.Context, p *portal, limit int) (bool, error) {
 	r := p.result
 	if r.CopyIn != nil {
@@ -176,7 +181,7 @@
 	return true, nil
 }
 
-// sendRow encodes one row, and writes out what has gathered.
+// sendRow encodes and queues one row, and sends the queued rows if they exceed flushBytes.
 func (c *connection) sendRow(ctx context.Context, d *pgproto3.DataRow, l []executor.Column, formats []int16, v []any) error {
 	for i := range l {
 		b, err := executor.Encode(c.types, l[i].Type, formatOf(formats, i), v[i])
@@ -193,7 +198,7 @@
 	return c.flush(ctx)
 }
 
-// copyOut sends the rows in COPY's text form.
+// copyOut sends the rows in the text format of COPY.
 func (c *connection) copyOut(ctx context.Context, p *portal) error {
 	c.backend.Send(&pgproto3.CopyOutResponse{ColumnFormatCodes: make([]uint16, len(p.result.Columns))})
 	for {
@@ -218,7 +223,7 @@
 	}
 }
 
-// copyIn takes the caller's data until it says that it is done.
+// copyIn receives the client's data until CopyDone. It releases the slot meanwhile.
 func (c *connection) copyIn(ctx context.Context, r *executor.Result) error {
 	c.backend.Send(&pgproto3.CopyInResponse{ColumnFormatCodes: make([]uint16, r.CopyIn.Columns)})
 	if err := c.flush(ctx); err != nil {
@@ -251,7 +256,7 @@
 	}
 }
 
-// close drops a prepared statement or a portal.
+// close removes a prepared statement or a portal.
 func (c *connection) close(m *pgproto3.Close) error {
 	if m.ObjectType == 'S' {
 		delete(c.session.Prepared, m.Name)
--- a/internal/standin/responder/faults.go
+++ b/internal/standin/responder/faults.go
@@ -11,68 +11,70 @@
 	"github.com/cuminwick/cuminwick/internal/standin/replicator"
 )
 
-// Fault is the JSON body of a POST to /fault; keys that are absent change nothing.
+// Fault is the JSON body of POST /fault. Absent keys change nothing; true sets a fault, false
+// clears it.
 type Fault struct {
-	// ReplicationLag is a duration such as 200ms.
+	// ReplicationLag is how long the server, as a replica, delays each record, such as 200ms.
 	ReplicationLag     *string `json:"replication-lag,omitempty"`
 	ReplicationStopped *bool   `json:"replication-stopped,omitempty"`
 	Paused             *bool   `json:"paused,omitempty"`
 	Isolated           *bool   `json:"isolated,omitempty"`
 	Leaving            *bool   `json:"leaving,omitempty"`
-	// CommitFailure answers the next commit that wrote with an error.
+	// CommitFailure is the error that answers the next commit of a transaction with changes.
 	CommitFailure *CommitFailure `json:"commit-failure,omitempty"`
-	// Crashed true drops everything, false starts again with the log kept.
+	// Crashed true closes all connections and the listener, false restarts with the log kept.
 	Crashed *bool `json:"crashed,omitempty"`
 }
 
-// CommitFailure is the JSON form of a commit's failure.
+// CommitFailure is the JSON form of injector.CommitFailure.
 type CommitFailure struct {
 	SQLState string `json:"sqlstate"`
-	// Committed says that the commit takes effect all the same.
+	// Committed says that the transaction is committed although an error is answered.
 	Committed bool `json:"lasts"`
 }
 
-// FailCommit answers the next commit of a transaction that wrote with an error.
+// FailCommit sets the error that answers the next commit of a transaction with changes.
 func (s *Server) FailCommit(f injector.CommitFailure) {
 	s.faults.Change(func(g *injector.Settings) { g.CommitFailure = f })
 }
 
-// SetReplicationLag delays each record that the server takes over as a replica.
+// SetReplicationLag sets how long the server, as a replica, delays each record before it applies it.
 func (s *Server) SetReplicationLag(d time.Duration) {
 	s.faults.Change(func(f *injector.Settings) { f.ReplicationLag = d })
 }
 
-// StopReplication keeps the server from taking over records, or lets it again.
+// StopReplication stops the server, as a replica, from applying records, or lets it continue.
 func (s *Server) StopReplication(on bool) {
 	s.faults.Change(func(f *injector.Settings) { f.ReplicationStopped = on })
 }
 
-// Pause freezes the server, or wakes it: connections stay open, nothing is answered, the clock goes on.
+// Pause makes the server behave like a stopped process, or lets it continue: while it is paused,
+// connections stay open, nothing is answered and time passes.
 func (s *Server) Pause(on bool) {
 	s.faults.Change(func(f *injector.Settings) { f.Paused = on })
 }
 
-// Isolate cuts the server off from its peers, or joins it again; callers still reach it.
+// Isolate disconnects the server from its peers, or reconnects it; clients still reach it.
 func (s *Server) Isolate(on bool) {
 	s.faults.Change(func(f *injector.Settings) { f.Isolated = on })
 }
 
-// ReportLeaving says in the server's status that it will stop soon, or not any more.
+// ReportLeaving sets whether the server's status says that it will stop soon.
 func (s *Server) ReportLeaving(on bool) {
 	s.Store().SetLeaving(on)
 }
 
-// Crash drops all connections and listens no more; the log is kept. It returns once
-// nothing is answered any more: on a busy machine the server would otherwise go on
-// answering for a while, and look alive to whoever has just crashed it.
+// Crash closes all connections and the listener; the log is kept. It returns once nothing is answered:
+// on a busy machine the server would otherwise continue to answer for a while, and the caller of Crash
+// would observe a running server.
 func (s *Server) Crash() {
 	if e := s.beginCrash(); e != nil {
 		<-e
 	}
 }
 
-// beginCrash returns a channel that closes at the end of the crash, nil if there is
-// nothing to crash.
+// beginCrash starts a crash and returns a channel that is closed at its end, nil if the server does not
+// run or has crashed already.
 func (s *Server) beginCrash() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -84,7 +86,7 @@
 	return s.stopped
 }
 
-// Restart starts a crashed server again at its address.
+// Restart starts a crashed server again at its address; otherwise it does nothing.
 func (s *Server) Restart() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -97,7 +99,7 @@
 	}
 }
 
-// Dump returns all that the server holds.
+// Dump returns the server's tables and log.
 func (s *Server) Dump() replicator.Dump {
 	return s.Store().Dump()
 }
@@ -125,7 +127,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Inject brings about the faults that f names.
+// Inject sets or clears the faults that f contains. It returns an error for a malformed duration.
 func (s *Server) Inject(f Fault) error {
 	if f.ReplicationLag != nil {
 		d, err := time.ParseDuration(*f.ReplicationLag)
@@ -145,6 +147,7 @@
 	return nil
 }
 
+// setIfPresent calls f with the value unless it is absent.
 func setIfPresent(v *bool, f func(bool)) {
 	if v != nil {
 		f(*v)
@@ -161,6 +164,6 @@
 
 func (s *Server) handleDump(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	// A broken connection ends the dump, there is nobody left to tell.
+	// An encoding error means that the client has disconnected, so it cannot be reported.
 	_ = json.NewEncoder(w).Encode(s.Dump())
 }
--- a/internal/standin/responder/messages.go
+++ b/internal/standin/responder/messages.go
@@ -12,13 +12,14 @@
 	"github.com/cuminwick/cuminwick/internal/standin/executor"
 )
 
-// portal is a bound statement and, once it runs, the rest of its rows.
+// portal is a prepared statement with its parameters and, once it is executed, its result.
 type portal struct {
 	prepared *executor.Prepared
 	params   []any
 	formats  []int16
 	result   *executor.Result
-	sent     int
+	// sent is the number of rows sent so far.
+	sent int
 }
 
 // loopMessages answers messages until the connection ends.
@@ -40,7 +41,7 @@
 	}
 }
 
-// handle answers one message; the errors that it returns end the connection.
+// handle answers one message. An error that it returns ends the connection.
 func (c *connection) handle(ctx context.Context, m pgproto3.FrontendMessage) error {
 	switch m := m.(type) {
 	case *pgproto3.Query:
@@ -50,7 +51,7 @@
 	case *pgproto3.Flush:
 		return c.flush(ctx)
 	case *pgproto3.CopyData, *pgproto3.CopyDone, *pgproto3.CopyFail:
-		// The rest of a COPY that failed is dropped, as PostgreSQL does.
+		// The remaining messages of a COPY that failed are ignored, as PostgreSQL does.
 		return nil
 	}
 	if c.skipToSync {
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// handleExtended handles a message of the handleExtended protocol.
+// handleExtended answers one message of the extended protocol.
 func (c *connection) handleExtended(ctx context.Context, m pgproto3.FrontendMessage) error {
 	switch m := m.(type) {
 	case *pgproto3.Parse:
@@ -86,7 +87,8 @@
 	return errors.Errorf("unexpected message %T", m)
 }
 
-// sendError sends an error and ends an implicit transaction.
+// sendError queues an error response. It rolls back an implicit transaction and marks an explicit one
+// as failed.
 func (c *connection) sendError(p *pgconn.PgError) {
 	c.session.Fail()
 	c.backend.Send(&pgproto3.ErrorResponse{
@@ -99,6 +101,7 @@
 	})
 }
 
+// flush sends the queued messages, once the server is not paused.
 func (c *connection) flush(ctx context.Context) error {
 	if err := c.server.faults.WaitUnpaused(ctx); err != nil {
 		return err
@@ -107,7 +110,7 @@
 	return errors.Annotate(c.backend.Flush(), "send answer")
 }
 
-// sync ends an implicit transaction and says that the server is ready.
+// sync ends an implicit transaction and sends that the server is ready for a query.
 func (c *connection) sync(ctx context.Context) error {
 	c.skipToSync = false
 	if err := c.finishImplicit(); err != nil {
@@ -116,7 +119,7 @@
 	return c.sendReady(ctx)
 }
 
-// finishImplicit commits an implicit transaction; an error of the commit goes to the caller.
+// finishImplicit commits an implicit transaction and sends an error of the commit to the client.
 func (c *connection) finishImplicit() error {
 	if c.session.Status() == 'I' {
 		clear(c.portals)
@@ -130,12 +133,13 @@
 	return err
 }
 
+// sendReady sends the queued messages and that the server is ready for a query.
 func (c *connection) sendReady(ctx context.Context) error {
 	c.backend.Send(&pgproto3.ReadyForQuery{TxStatus: c.session.Status()})
 	return c.flush(ctx)
 }
 
-// handleQuery runs a handleQuery string of the simple protocol.
+// handleQuery runs a query string of the simple protocol and sends its whole answer.
 func (c *connection) handleQuery(ctx context.Context, sql string) error {
 	c.skipToSync = false
 	err := c.executeStatements(ctx, sql)
@@ -148,7 +152,7 @@
 	return c.sendReady(ctx)
 }
 
-// executeStatements runs the executeStatements of a query string, in one implicit transaction.
+// executeStatements runs the statements of a query string in one implicit transaction.
 func (c *connection) executeStatements(ctx context.Context, sql string) error {
 	l, err := c.server.parser.Parse(sql)
 	if err != nil {
@@ -166,8 +170,8 @@
 	return nil
 }
 
-// executeSimple runs one statement and sends its whole answer. The last one commits
-// before its command tag is sent, so that the tag is true.
+// executeSimple runs one statement of a query string and queues its answer. The last statement commits
+// before its command tag is queued, so that the tag is sent only for a successful commit.
 func (c *connection) executeSimple(ctx context.Context, n *pgquery.Node, last bool) error {
 	ctx, stop := c.beginStatement(ctx)
 	defer c.finishStatement(stop)
@@ -195,7 +199,7 @@
 	return nil
 }
 
-// sendCompletion sends the notice and the command tag.
+// sendCompletion queues the notice, if there is one, and the command tag.
 func (c *connection) sendCompletion(p *portal) {
 	if p.result.Notice != "" {
 		c.backend.Send(&pgproto3.NoticeResponse{Severity: "WARNING", SeverityUnlocalized: "WARNING", Code: "01000", Message: p.result.Notice})
@@ -210,6 +214,7 @@
 	c.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte(t)})
 }
 
+// describeRows returns the description of result columns in the given formats.
 func describeRows(l []executor.Column, formats []int16) *pgproto3.RowDescription {
 	d := &pgproto3.RowDescription{}
 	for i, k := range l {
@@ -224,7 +229,7 @@
 	return d
 }
 
-// formatOf applies the rule that one code counts for all columns, and none means text.
+// formatOf returns the format code of column i: no codes mean text, one code applies to all columns.
 func formatOf(formats []int16, i int) int16 {
 	switch {
 	case len(formats) == 0:
--- a/internal/standin/responder/registry.go
+++ b/internal/standin/responder/registry.go
@@ -5,14 +5,15 @@
 	"sync"
 )
 
-// registry finds sessions by the process number of their cancel keys.
+// registry holds the open sessions by process number. The zero value is empty.
 type registry struct {
-	mutex    sync.Mutex
+	mutex sync.Mutex
+	// last is the highest process number in use so far.
 	last     uint32
 	sessions map[uint32]*connection
 }
 
-// add gives a connection its number.
+// add assigns a process number to a connection and adds it.
 func (r *registry) add(c *connection) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -24,13 +25,15 @@
 	r.sessions[r.last] = c
 }
 
+// remove removes a connection.
 func (r *registry) remove(c *connection) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.sessions, c.process)
 }
 
-// cancel ends the running statement of the session whose key it is.
+// cancel ends the statement in progress of the session with this process number, if the secret key
+// matches.
 func (r *registry) cancel(process uint32, secret []byte) {
 	r.mutex.Lock()
 	c := r.sessions[process]
@@ -51,7 +54,7 @@
 	return l
 }
 
-// terminate ends the session with this process number.
+// terminate ends the session with this process number and reports whether there is one.
 func (r *registry) terminate(process uint32) bool {
 	r.mutex.Lock()
 	c := r.sessions[process]
@@ -64,7 +67,7 @@
 	return true
 }
 
-// closeClients ends all sessions but those for control.
+// closeClients ends all sessions except control connections.
 func (r *registry) closeClients() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/standin/responder/reserve.go
+++ b/internal/standin/responder/reserve.go
@@ -8,20 +8,22 @@
 	"github.com/juju/errors"
 )
 
-// reservation keeps a port for its server while the server doesn't listen.
+// reservation reserves a port for its server while the server does not listen.
 //
-// The port of a crashed server is free for any process that asks for one. If
-// another stand-in got it, the group's clients and replicas would meet a stranger there
-// and the restart would fail. A socket that is bound and doesn't listen keeps the port
-// from being given out, refuses connections as a crashed server's machine does, and
-// lets the server listen beside it.
+// The kernel may assign the port of a crashed server to any process that asks for a free one. If
+// another stand-in got it, the group's clients and replicas would connect to a server of another group
+// and the restart would fail. A socket that is bound but does not listen keeps the kernel from assigning
+// the port, refuses connections as the machine of a crashed server does, and lets the server listen on
+// the same port.
 type reservation struct {
-	file    *os.File
+	// file is the bound socket, nil if nothing is reserved.
+	file *os.File
+	// address is the reserved host:port.
 	address string
 }
 
-// reserve binds a host:port, whose port 0 picks one. Without an IP address to bind
-// nothing is reserved.
+// reserve binds address, a host:port; port 0 selects a free port. Without an IPv4 address nothing is
+// reserved.
 func reserve(address string) (*reservation, error) {
 	a, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
@@ -42,7 +44,8 @@
 	return r, nil
 }
 
-// bind allows a listener beside it, which the kernel takes from both sockets.
+// bind binds the socket and sets r.address. SO_REUSEADDR, which the kernel requires on both sockets,
+// allows the listener on the same port.
 func (r *reservation) bind(socket int, a *net.TCPAddr) error {
 	if err := syscall.SetsockoptInt(socket, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 		return errors.Trace(err)
@@ -59,11 +62,11 @@
 	return nil
 }
 
-// release gives the port back.
+// release ends the reservation.
 func (r *reservation) release() {
 	if r.file == nil {
 		return
 	}
-	// Nothing was ever written to the socket.
+	// The socket never sent data, so that an error of Close loses nothing.
 	_ = r.file.Close()
 }
--- a/internal/standin/responder/reserve_test.go
+++ b/internal/standin/responder/reserve_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A server has crashed, and other processes ask for free ports meanwhile. If they got
-// its port, its group's clients would meet a stranger's server there.
+// Other processes ask for free ports while a server has crashed. Guards against the kernel assigning
+// them the crashed server's port: clients of its group would connect to a server of another group.
 func TestReservedPortIsKept(t *testing.T) {
 	r, err := reserve("127.0.0.1:0")
 	if err != nil {
@@ -16,12 +16,12 @@
 	}
 	defer r.release()
 	if _, err := net.Dial("tcp", r.address); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("dial a port that nobody listens on: %v", err)
+		t.Errorf("dial the reserved port without a listener: %v", err)
 	}
 	for range 3 {
 		l, err := net.Listen("tcp", r.address)
 		if err != nil {
-			t.Fatal("the server itself can't listen:", err)
+			t.Fatal("the server cannot listen on its reserved port:", err)
 		}
 		l.Close()
 	}
@@ -34,9 +34,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// A socket that doesn't share ports is refused those that aren't given out.
+	// Without SO_REUSEADDR the kernel refuses a port that is in use.
 	err = syscall.Bind(s, &syscall.SockaddrInet4{Port: a.Port, Addr: [4]byte(a.IP.To4())})
 	if !errors.Is(err, syscall.EADDRINUSE) {
-		t.Errorf("port given out to another: %v", err)
+		t.Errorf("bind of the reserved port by another socket: %v", err)
 	}
 }
--- a/internal/standin/responder/responder.go
+++ b/internal/standin/responder/responder.go
@@ -1,4 +1,5 @@
-// Package responder serves PostgreSQL protocol 3 for one stand-in backend server.
+// Package responder implements one stand-in backend server that speaks version 3 of the PostgreSQL
+// protocol.
 package responder
 
 import (
@@ -19,32 +20,34 @@
 	"github.com/cuminwick/cuminwick/internal/standin/streamer"
 )
 
-// ControlApplicationName marks connections whose statements never wait for a slot.
+// ControlApplicationName is the application_name of control connections, whose statements never wait
+// for a slot.
 const ControlApplicationName = "cuminwick-control"
 
-// Server is one stand-in backend server.
+// Server is one stand-in backend server. Its exported fields are set before Run.
 type Server struct {
 	// Name is the server's name in its group.
 	Name string
-	// SystemIdentifier is what the servers of one group share; not told if zero.
+	// SystemIdentifier is shared by the servers of a group; not reported if zero.
 	SystemIdentifier uint64
-	// Address is where it listens; port 0 picks one, see Addr.
+	// Address is the listening address; port 0 selects a free port, see Addr.
 	Address string
-	// Slots is how many statements work at a time, no limit if zero.
+	// Slots limits the statements that are executed at the same time, no limit if zero.
 	Slots int
-	// MaximumConnections is how many connections are accepted, no limit if zero.
+	// MaximumConnections limits the open client connections, no limit if zero.
 	MaximumConnections int
-	// ConnectTime is what a new connection takes, ServiceTime what a statement takes in its slot.
+	// ConnectTime is the delay of each new connection, ServiceTime the time that each statement
+	// occupies its slot before it is executed.
 	ConnectTime, ServiceTime time.Duration
-	// Password is asked for by SCRAM-SHA-256, nothing is asked for if empty.
+	// Password is checked by SCRAM-SHA-256 for every user; no authentication if empty.
 	Password string
-	// Primary starts an empty server as the primary of term 1.
+	// Primary says that the server, which is empty, starts as primary of term 1.
 	Primary bool
-	// Following is the primary that an empty server follows under term 1, if set.
+	// Following is the primary that the server follows under term 1 at its start, none if zero.
 	Following replicator.PrimaryServer
 	// Dial opens connections to peers, plain TCP if nil.
 	Dial streamer.Dial
-	// AdminAddress serves faults and dumps over HTTP, nowhere if empty.
+	// AdminAddress is the listening address for faults and dumps over HTTP, none if empty.
 	AdminAddress string
 
 	once               sync.Once
@@ -62,7 +65,7 @@
 	address     string
 	adminAddr   string
 	stopServing context.CancelFunc
-	// stopped is closed once nothing of the present life answers any more.
+	// stopped is closed once nothing is answered after a crash. It is replaced at each start.
 	stopped  chan struct{}
 	restarts chan struct{}
 	crashed  bool
@@ -82,7 +85,7 @@
 	}
 }
 
-// Ready is closed when the server listens for the first time.
+// Ready returns a channel that is closed when the server listens for the first time.
 func (s *Server) Ready() <-chan struct{} {
 	s.setUp()
 	return s.ready
@@ -102,7 +105,7 @@
 	s.address = a
 }
 
-// AdminAddr returns the address of the HTTP side, final once Ready is closed.
+// AdminAddr returns the address of the admin listener, final once Ready is closed.
 func (s *Server) AdminAddr() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -115,12 +118,13 @@
 	return &s.store
 }
 
-// OpenedConnections counts the connections accepted so far, without replicas and cancels.
+// OpenedConnections returns the number of client connections accepted so far, without replication
+// streams, cancel requests and connections above the limit.
 func (s *Server) OpenedConnections() int64 {
 	return s.openedConnections.Load()
 }
 
-// Run serves until ctx ends; a crash ends what is open, and Restart begins anew with the log kept.
+// Run serves until ctx ends. After a crash it waits for Restart and serves again with the log kept.
 func (s *Server) Run(ctx context.Context) error {
 	s.setUp()
 	s.store.SystemIdentifier = s.SystemIdentifier
@@ -153,7 +157,7 @@
 	}
 }
 
-// serveUntilCrash serves from one start to the next crash.
+// serveUntilCrash listens and serves until the next crash or until ctx ends.
 func (s *Server) serveUntilCrash(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -180,14 +184,14 @@
 	return nil
 }
 
-// A port may not be free at once: a process that was just killed had it, or a crashed
-// life of this server. The server gives up after a second.
+// A port may not be free at once, because a process that was just killed or this server before its
+// crash used it. The server gives up after one second.
 const (
 	portAttempts   = 50
 	portRetryDelay = 20 * time.Millisecond
 )
 
-// reserve keeps the server's port for as long as it runs.
+// reserve reserves the server's port.
 func (s *Server) reserve(ctx context.Context) (*reservation, error) {
 	return retryPort(ctx, func() (*reservation, error) { return reserve(s.Address) })
 }
@@ -198,7 +202,7 @@
 	return retryPort(ctx, func() (net.Listener, error) { return c.Listen(ctx, "tcp", s.Addr()) })
 }
 
-// retryPort calls f until it succeeds, the attempts are used up or ctx ends.
+// retryPort calls f until it succeeds, all attempts have failed or ctx ends.
 func retryPort[T any](ctx context.Context, f func() (T, error)) (T, error) {
 	for i := 0; ; i++ {
 		v, err := f()
@@ -209,6 +213,7 @@
 	}
 }
 
+// announceReady closes the channel of Ready on the first start.
 func (s *Server) announceReady() {
 	select {
 	case <-s.ready:
@@ -217,6 +222,7 @@
 	}
 }
 
+// loopAccept serves each connection in a goroutine of w.
 func (s *Server) loopAccept(ctx context.Context, l net.Listener, w *sync.WaitGroup) {
 	for {
 		c, err := l.Accept()
@@ -228,17 +234,16 @@
 	}
 }
 
-// dropSessions ends all callers' connections, as a server does that throws away part of its log.
+// dropSessions closes all client connections, as a server does that truncates its log.
 //
-// Otherwise a caller could ask for the log's position after its commit was
-// dropped, and would take the new log's position for that of its commit. Control
-// connections hold nothing of the log; closed, the one that told the server to
-// follow another primary could lose its answer.
+// Otherwise a client could ask for the log's position after its commit was dropped, and would take the
+// position in the new log for that of its commit. Control connections stay open, because they do not
+// depend on the log and the call that made the server follow another primary still needs its answer.
 func (s *Server) dropSessions() {
 	s.sessions.closeClients()
 }
 
-// serveAdmin starts the HTTP side, which ends with ctx.
+// serveAdmin starts the admin listener, which is closed when ctx ends.
 func (s *Server) serveAdmin(ctx context.Context) error {
 	if s.AdminAddress == "" {
 		return nil
@@ -257,11 +262,13 @@
 	return nil
 }
 
-// closeAdmin ends the HTTP side; its listener and connections are of no use any more.
+// closeAdmin closes the admin listener and its connections. An error is ignored, because neither is
+// used afterwards.
 func closeAdmin(h *http.Server) {
 	_ = h.Close()
 }
 
+// runAdmin serves the admin listener until it is closed.
 func (s *Server) runAdmin(h *http.Server, l net.Listener) {
 	err := h.Serve(l)
 	if !errors.Is(err, http.ErrServerClosed) {
--- a/internal/standin/responder/work.go
+++ b/internal/standin/responder/work.go
@@ -7,31 +7,31 @@
 	pgquery "github.com/pganalyze/pg_query_go/v6"
 )
 
-// internalTablePrefix starts the names of tables that cuminwick keeps for itself.
+// internalTablePrefix is the prefix of the names of tables that cuminwick creates for its own use.
 const internalTablePrefix = "cuminwick_"
 
-// StatementCounts counts the statements that worked in a slot.
+// StatementCounts holds the numbers of statements that took a slot.
 type StatementCounts struct {
-	// PrimaryReads and ReplicaReads are SELECTs by the server's role at the time.
+	// PrimaryReads and ReplicaReads are the SELECTs that ran while the server was primary or was not.
 	PrimaryReads int64
 	ReplicaReads int64
-	// Others are all other statements, and SELECTs of cuminwick's own tables.
+	// Others are all other statements, and SELECTs from cuminwick's own tables.
 	Others int64
 }
 
-// Total is the number of statements.
+// Total returns the number of all statements.
 func (w StatementCounts) Total() int64 {
 	return w.PrimaryReads + w.ReplicaReads + w.Others
 }
 
-// statementCounters holds the counters behind Work.
+// statementCounters holds the counters that StatementCounts returns.
 type statementCounters struct {
 	primaryReads atomic.Int64
 	replicaReads atomic.Int64
 	others       atomic.Int64
 }
 
-// StatementCounts returns the statements counted so far.
+// StatementCounts returns the counts so far.
 func (s *Server) StatementCounts() StatementCounts {
 	return StatementCounts{
 		PrimaryReads: s.counters.primaryReads.Load(),
@@ -40,12 +40,12 @@
 	}
 }
 
-// Statements counts the statements that worked in a slot so far.
+// Statements returns the number of statements that took a slot so far.
 func (s *Server) Statements() int64 {
 	return s.StatementCounts().Total()
 }
 
-// countStatement adds one statement that takes a slot.
+// countStatement counts one statement that takes a slot.
 func (s *Server) countStatement(n *pgquery.Node) {
 	q := n.GetSelectStmt()
 	if q == nil || readsInternalTable(q) {
@@ -59,6 +59,7 @@
 	s.counters.replicaReads.Add(1)
 }
 
+// readsInternalTable reports whether the first table of a SELECT is one of cuminwick's own.
 func readsInternalTable(q *pgquery.SelectStmt) bool {
 	if len(q.FromClause) == 0 {
 		return false
--- a/internal/standin/storekeeper/store.go
+++ b/internal/standin/storekeeper/store.go
@@ -162,8 +162,8 @@
 	}
 }
 
-// lookUp returns the object, zero if absent, and a channel that is closed at the next change. It returns
-// ErrOutage during an outage.
+// lookUp returns the object, zero if absent, and a channel that is closed at the next change. During
+// an outage it returns ErrOutage.
 func (s *Store) lookUp(k key) (accessor.Object, <-chan struct{}, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
