--- a/internal/standin/replicator/replicator.go
+++ b/internal/standin/replicator/replicator.go
@@ -175,7 +175,7 @@
 	s.lock()
 	defer s.mutex.Unlock()
 	if t <= s.term {
-		return s.status(now), errors.Annotatef(ErrTermRefused, "raise term to %d on %s at term %d", t, s.Name, s.term)
+		return s.status(now), errors.Annotatef(ErrTermRefused, "raise to %d on %s at %d", t, s.Name, s.term)
 	}
 	s.acceptTerm(t, now)
 	return s.status(now), nil
@@ -213,7 +213,7 @@
 		return s.status(now), nil
 	}
 	if t != s.term || s.followed != (PrimaryServer{}) {
-		return s.status(now), errors.Annotatef(ErrTermRefused, "promote to term %d on %s at term %d following %q", t, s.Name, s.term, s.followed.Name)
+		return s.status(now), errors.Annotatef(ErrTermRefused, "promote to %d on %s at %d following %q", t, s.Name, s.term, s.followed.Name)
 	}
 	s.becomePrimary()
 	return s.status(now), nil
--- a/internal/standin/replicator/transaction.go
+++ b/internal/standin/replicator/transaction.go
@@ -173,7 +173,7 @@
 		return errors.Annotatef(ErrReadOnly, "%s is %s", s.Name, s.role)
 	}
 	if t.epoch != s.epoch {
-		return errors.Annotatef(ErrReadOnly, "%s changed its role or log since the transaction began", s.Name)
+		return errors.Annotatef(ErrReadOnly, "%s changed its role since the transaction began", s.Name)
 	}
 	return nil
 }
