--- a/internal/standin/replicator/replicator.go
+++ b/internal/standin/replicator/replicator.go
@@ -88,7 +88,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Changed returns a channel that is closed at the next change of log, role or leader.
+// Changed returns a channel that is closed at the next change of log, role or followed primary.
 func (s *Store) Changed() <-chan struct{} {
 	s.lock()
 	defer s.mutex.Unlock()
--- a/internal/standin/replicator/replicator_test.go
+++ b/internal/standin/replicator/replicator_test.go
@@ -113,7 +113,7 @@
 		return nil
 	}
 	p := m.stores[l.Name[0]-'0']
-	if leads, u := p.IsPrimary(); !leads || u != t {
+	if isPrimary, u := p.IsPrimary(); !isPrimary || u != t {
 		return nil
 	}
 	c := CommonPosition(s.History(), p.History())
--- a/internal/standin/streamer/sender.go
+++ b/internal/standin/streamer/sender.go
@@ -63,9 +63,9 @@
 // has another term or this server is not primary.
 func (s *Sender) open(ctx context.Context, h hello) error {
 	s.Store.LearnTerm(h.Term, time.Now())
-	leads, t := s.Store.IsPrimary()
-	if !leads || h.Term != t {
-		return errors.Annotatef(replicator.ErrTermRefused, "replica %s under %d, %s under %d leads %t", h.Name, h.Term, s.Store.Name, t, leads)
+	isPrimary, t := s.Store.IsPrimary()
+	if !isPrimary || h.Term != t {
+		return errors.Annotatef(replicator.ErrTermRefused, "replica %s under %d, %s under %d leads %t", h.Name, h.Term, s.Store.Name, t, isPrimary)
 	}
 	s.term = t
 	s.position = replicator.CommonPosition(h.History, s.Store.History())
