--- a/internal/standin/replicator/replicator.go
+++ b/internal/standin/replicator/replicator.go
@@ -13,34 +13,38 @@
 
 // Errors of the store.
 const (
-	// ErrReadOnly is returned for a write on a server that isn't primary, or whose role changed since the transaction began.
+	// ErrReadOnly is returned for a write on a server that is not primary, or whose role changed
+	// since the transaction began.
 	ErrReadOnly = errors.ConstError("backend server accepts no writes")
-	// ErrTermRefused is returned for a control call whose term doesn't fit the accepted one.
+	// ErrTermRefused is returned for a control call or a replication stream whose term does not
+	// match the accepted term or the server's role.
 	ErrTermRefused = errors.ConstError("term refused")
-	// ErrDeadlock is returned to the transaction whose wait would close a cycle of waits.
+	// ErrDeadlock is returned to the transaction whose lock request would complete a cycle of
+	// waiting transactions.
 	ErrDeadlock = errors.ConstError("deadlock detected")
-	// ErrDiverged is returned for records that don't continue the log.
+	// ErrDiverged is returned for records that do not continue the log.
 	ErrDiverged = errors.ConstError("records do not continue the log")
 )
 
-// PrimaryServer names the primary that a replica follows.
+// PrimaryServer holds the name and the network address of the primary that a replica follows.
 type PrimaryServer struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 }
 
-// Store is the durable state of one backend server; it outlives a crash.
+// Store holds the state of one backend server that survives a simulated crash: log, tables, role and
+// accepted term.
 type Store struct {
 	// Name is the backend server's name in its group.
 	Name string
-	// SystemIdentifier is that of the group's data, zero if the server doesn't tell it.
+	// SystemIdentifier is shared by the servers of a group; zero if the server does not report it.
 	SystemIdentifier uint64
 
 	mutex     sync.RWMutex
 	ready     bool
 	role      controller.Role
 	term      marker.Term
-	leader    PrimaryServer
+	followed  PrimaryServer
 	leaving   bool
 	epoch     uint64
 	log       []Record
@@ -50,14 +54,14 @@
 	rowNumber uint64
 	changed   chan struct{}
 
-	// following repeats leader and term for those who can't wait for mutex.
-	following following
+	// contact repeats followed and term for readers that must not wait for mutex.
+	contact primaryContact
 
 	lockMutex sync.Mutex
 	locks     map[string]*Transaction
 }
 
-// setUp makes the maps; the caller holds the mutex.
+// setUp initializes the store on first use; the caller holds the mutex.
 func (s *Store) setUp() {
 	if s.ready {
 		return
@@ -66,27 +70,27 @@
 	s.tables = map[string]*table{}
 	s.locks = map[string]*Transaction{}
 	s.changed = make(chan struct{})
-	s.following.reset(time.Now())
+	s.contact.reset(time.Now())
 	if s.role == "" {
 		s.role = controller.RoleReplica
 	}
 }
 
-// hold takes the mutex for a change.
-func (s *Store) hold() {
+// lock locks the mutex for writing and initializes the store on first use.
+func (s *Store) lock() {
 	s.mutex.Lock()
 	s.setUp()
 }
 
-// announce wakes everyone who waits on Changed; the caller holds the mutex.
-func (s *Store) announce() {
+// notifyChanged wakes all waiters on Changed; the caller holds the mutex.
+func (s *Store) notifyChanged() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Changed returns a channel that is closed at the next change of log, role or leader.
+// Changed returns a channel that is closed at the next change of log, role or followed primary.
 func (s *Store) Changed() <-chan struct{} {
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	return s.changed
 }
@@ -106,9 +110,9 @@
 	return s.last()
 }
 
-// Status returns the server's word about itself at now.
+// Status returns the state that the server reports at now.
 func (s *Store) Status(now time.Time) controller.Status {
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	return s.status(now)
 }
@@ -119,12 +123,12 @@
 		Role:              s.role,
 		Term:              s.term,
 		Last:              s.last(),
-		Following:         s.leader.Name,
+		Following:         s.followed.Name,
 		Leaving:           s.leaving,
-		WriteTransactions: s.writing(),
+		WriteTransactions: s.countWriteTransactions(),
 	}
 	if s.role != controller.RolePrimary {
-		t.SinceLastContact = s.following.silence(now)
+		t.SinceLastContact = s.contact.sinceContact(now)
 	}
 	h := s.history()
 	if len(h) > 0 {
@@ -136,8 +140,8 @@
 	return t
 }
 
-// writing counts the open transactions that hold locks, and so have written.
-func (s *Store) writing() int {
+// countWriteTransactions counts the open transactions that hold locks, which are those that write.
+func (s *Store) countWriteTransactions() int {
 	s.lockMutex.Lock()
 	defer s.lockMutex.Unlock()
 	m := map[*Transaction]bool{}
@@ -147,114 +151,120 @@
 	return len(m)
 }
 
-// Start makes an empty server primary of term t, as the platform does for a new group.
+// Start makes an empty server the primary of term t, as the platform does for a new group.
 func (s *Store) Start(t marker.Term) {
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	s.term = t
-	s.lead()
+	s.becomePrimary()
 }
 
-// lead makes the server primary of its term and writes the term-start record.
-func (s *Store) lead() {
+// becomePrimary makes the server primary of its term and writes the term-start record. The caller
+// holds the mutex.
+func (s *Store) becomePrimary() {
 	s.role = controller.RolePrimary
-	s.leader = PrimaryServer{}
-	s.following.set(s.leader, s.term)
+	s.followed = PrimaryServer{}
+	s.contact.set(s.followed, s.term)
 	s.epoch++
 	s.write(nil)
 }
 
-// RaiseTerm accepts term t, which must be above the accepted one, and stops writes under lower ones.
+// RaiseTerm accepts term t and stops writes under lower terms. It returns ErrTermRefused if t is not
+// higher than the accepted term.
 func (s *Store) RaiseTerm(t marker.Term, now time.Time) (controller.Status, error) {
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	if t <= s.term {
 		return s.status(now), errors.Annotatef(ErrTermRefused, "raise to %d on %s at %d", t, s.Name, s.term)
 	}
-	s.accept(t, now)
+	s.acceptTerm(t, now)
 	return s.status(now), nil
 }
 
-// accept takes on the higher term t, which ends leading or following under a lower one.
-func (s *Store) accept(t marker.Term, now time.Time) {
+// acceptTerm accepts the higher term t: a primary becomes fenced, a replica stops following its
+// primary, and transactions in progress cannot commit. The caller holds the mutex.
+func (s *Store) acceptTerm(t marker.Term, now time.Time) {
 	s.term = t
 	s.epoch++
 	if s.role == controller.RolePrimary {
 		s.role = controller.RoleFenced
-		s.following.reset(now)
+		s.contact.reset(now)
 	}
-	s.leader = PrimaryServer{}
-	s.following.set(s.leader, s.term)
-	s.announce()
+	s.followed = PrimaryServer{}
+	s.contact.set(s.followed, s.term)
+	s.notifyChanged()
 }
 
-// LearnTerm fences a primary that hears of a higher term from a peer.
+// LearnTerm fences the server if it is primary and a peer has reported the higher term t.
 func (s *Store) LearnTerm(t marker.Term, now time.Time) {
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	if t > s.term && s.role == controller.RolePrimary {
-		s.accept(t, now)
+		s.acceptTerm(t, now)
 	}
 }
 
-// Promote makes the server primary of its accepted term t.
+// Promote makes the server primary of its accepted term t. It returns ErrTermRefused if t is another
+// term or the server follows a primary.
 func (s *Store) Promote(t marker.Term, now time.Time) (controller.Status, error) {
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	if t == s.term && s.role == controller.RolePrimary {
 		return s.status(now), nil
 	}
-	if t != s.term || s.leader != (PrimaryServer{}) {
-		return s.status(now), errors.Annotatef(ErrTermRefused, "promote to %d on %s at %d following %q", t, s.Name, s.term, s.leader.Name)
+	if t != s.term || s.followed != (PrimaryServer{}) {
+		return s.status(now), errors.Annotatef(ErrTermRefused, "promote to %d on %s at %d following %q", t, s.Name, s.term, s.followed.Name)
 	}
-	s.lead()
+	s.becomePrimary()
 	return s.status(now), nil
 }
 
-// Follow makes the server a replica of l under term t. A primary of t itself refuses.
+// Follow makes the server a replica of l under term t. It returns ErrTermRefused if t is lower than
+// the accepted term or the server itself is the primary of t.
 func (s *Store) Follow(t marker.Term, l PrimaryServer, now time.Time) (controller.Status, error) {
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	if t < s.term || (t == s.term && s.role == controller.RolePrimary) {
 		return s.status(now), errors.Annotatef(ErrTermRefused, "follow %s under %d on %s at %d", l.Name, t, s.Name, s.term)
 	}
 	if t > s.term {
-		s.accept(t, now)
+		s.acceptTerm(t, now)
 	}
 	s.role = controller.RoleReplica
-	s.leader = l
-	s.following.set(s.leader, s.term)
-	s.announce()
+	s.followed = l
+	s.contact.set(s.followed, s.term)
+	s.notifyChanged()
 	return s.status(now), nil
 }
 
-// SetLeaving says whether the server will stop soon.
+// SetLeaving sets whether the status reports that the server will stop soon.
 func (s *Store) SetLeaving(leaving bool) {
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	s.leaving = leaving
 }
 
-// FollowedPrimary returns the primary that the server follows, with the term, empty if none.
-// It doesn't wait for changes in progress.
+// FollowedPrimary returns the primary that the server follows, zero if none, and the accepted term.
+// It does not wait while a record is applied.
 func (s *Store) FollowedPrimary() (PrimaryServer, marker.Term) {
-	return s.following.get()
+	return s.contact.get()
 }
 
-// IsPrimary reports whether the server is primary, and under which term.
+// IsPrimary reports whether the server is primary, and returns the accepted term.
 func (s *Store) IsPrimary() (bool, marker.Term) {
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	return s.role == controller.RolePrimary, s.term
 }
 
-// NoteContact notes that the server heard its primary, if it still follows under t.
-// It doesn't wait for changes in progress.
+// NoteContact records that the primary of term t sent something at now; ignored if t is not the
+// accepted term. It does not wait while a record is applied.
 func (s *Store) NoteContact(t marker.Term, now time.Time) {
-	s.following.hear(t, now)
+	s.contact.noteContact(t, now)
 }
 
-// Epoch counts the changes of role and log that end transactions in progress.
+// Epoch returns the number of changes of role and log after which transactions in progress cannot
+// commit.
 func (s *Store) Epoch() uint64 {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
--- a/internal/standin/replicator/transaction.go
+++ b/internal/standin/replicator/transaction.go
@@ -11,36 +11,37 @@
 	"github.com/cuminwick/cuminwick/internal/group/marker"
 )
 
-// Transaction is one transaction's pending changes and locks. It reads what is
-// committed at each statement (read committed) and its own changes.
+// Transaction holds the pending changes and locks of one transaction. It reads what is committed at
+// each statement (isolation level read committed) and its own changes.
 type Transaction struct {
-	// Store is the server's store.
+	// Store is the store of the server that runs the transaction; set by Begin.
 	Store *Store
 
-	changes []Change
-	pending map[rowName]*Row // nil for a deleted row
-	catalog map[string]*Definition
-	epoch   uint64
-	locked  []string
-	waiting *Transaction
-	done    chan struct{}
+	changes       []Change
+	pendingRows   map[rowID]*Row // nil for a deleted row
+	pendingTables map[string]*Definition
+	epoch         uint64
+	locked        []string
+	waiting       *Transaction
+	done          chan struct{}
 }
 
-type rowName struct {
+// rowID identifies a row by its table's name and its key.
+type rowID struct {
 	table string
 	key   string
 }
 
 // Begin starts a transaction.
 func (s *Store) Begin() *Transaction {
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	return &Transaction{Store: s, epoch: s.epoch, done: make(chan struct{})}
 }
 
-// Table returns the definition of the table so named, nil if there is none.
+// Table returns the definition of the named table, nil if there is none.
 func (t *Transaction) Table(name string) *Definition {
-	if d, ok := t.catalog[name]; ok {
+	if d, ok := t.pendingTables[name]; ok {
 		return d
 	}
 	t.Store.mutex.RLock()
@@ -51,48 +52,49 @@
 	return nil
 }
 
-// committed returns the committed table; the caller holds the store's mutex.
-func (t *Transaction) committed(name string) *table {
-	if d, ok := t.catalog[name]; ok && (d == nil || t.Store.tables[name] == nil || t.Store.tables[name].definition != d) {
+// committedTable returns the committed table, nil if there is none or the transaction dropped or
+// recreated it. The caller holds the store's mutex.
+func (t *Transaction) committedTable(name string) *table {
+	if d, ok := t.pendingTables[name]; ok && (d == nil || t.Store.tables[name] == nil || t.Store.tables[name].definition != d) {
 		return nil
 	}
 	return t.Store.tables[name]
 }
 
-// Get returns the row so keyed, nil if there is none.
+// Get returns the row with the given key, nil if there is none.
 func (t *Transaction) Get(name, key string) *Row {
-	if r, ok := t.pending[rowName{name, key}]; ok {
+	if r, ok := t.pendingRows[rowID{name, key}]; ok {
 		return r
 	}
 	t.Store.mutex.RLock()
 	defer t.Store.mutex.RUnlock()
-	if c := t.committed(name); c != nil {
+	if c := t.committedTable(name); c != nil {
 		return c.rows[key]
 	}
 	return nil
 }
 
-// Scan returns all rows of a table as they are now.
+// Scan returns all rows of a table that the transaction sees now.
 func (t *Transaction) Scan(name string) []*Row {
 	t.Store.mutex.RLock()
 	var r []*Row
-	if c := t.committed(name); c != nil {
-		r = c.sorted()
+	if c := t.committedTable(name); c != nil {
+		r = c.sortedRows()
 	}
 	t.Store.mutex.RUnlock()
-	if len(t.pending) == 0 {
+	if len(t.pendingRows) == 0 {
 		return r
 	}
 	return t.overlay(name, r)
 }
 
-// overlay replaces rows by the transaction's own versions and adds its new ones.
+// overlay replaces committed rows by the transaction's own versions and adds its new rows.
 func (t *Transaction) overlay(name string, rows []*Row) []*Row {
 	seen := map[string]bool{}
 	var r []*Row
 	for _, e := range rows {
 		seen[e.Key] = true
-		if p, ok := t.pending[rowName{name, e.Key}]; ok {
+		if p, ok := t.pendingRows[rowID{name, e.Key}]; ok {
 			e = p
 		}
 		if e != nil {
@@ -104,16 +106,17 @@
 			continue
 		}
 		seen[c.Key] = true
-		if p := t.pending[rowName{name, c.Key}]; p != nil {
+		if p := t.pendingRows[rowID{name, c.Key}]; p != nil {
 			r = append(r, p)
 		}
 	}
 	return r
 }
 
-// FindUnique returns the key of the row that holds the encoded value in unique constraint i.
+// FindUnique returns the key of the row that has the encoded value in unique constraint i of d; ok is
+// false if there is none.
 func (t *Transaction) FindUnique(d *Definition, i int, value string) (key string, ok bool) {
-	for n, r := range t.pending {
+	for n, r := range t.pendingRows {
 		if n.table != d.Name || r == nil {
 			continue
 		}
@@ -123,20 +126,21 @@
 	}
 	t.Store.mutex.RLock()
 	defer t.Store.mutex.RUnlock()
-	c := t.committed(d.Name)
+	c := t.committedTable(d.Name)
 	if c == nil {
 		return "", false
 	}
 	k, ok := c.indexes[i][value]
-	if _, own := t.pending[rowName{d.Name, k}]; !ok || own {
+	if _, own := t.pendingRows[rowID{d.Name, k}]; !ok || own {
 		return "", false
 	}
 	return k, true
 }
 
-// NextSerial returns the next number of a table's serial column.
+// NextSerial returns the next number for the serial columns of a table. As in PostgreSQL, a rollback
+// does not return the number.
 func (t *Transaction) NextSerial(name string) int64 {
-	t.Store.hold()
+	t.Store.lock()
 	defer t.Store.mutex.Unlock()
 	c := t.Store.tables[name]
 	if c == nil {
@@ -147,21 +151,22 @@
 	return n
 }
 
-// NewKey returns a key for a row of a table without primary key.
+// NewKey returns a unique key for a row of a table without primary key.
 func (t *Transaction) NewKey() string {
-	t.Store.hold()
+	t.Store.lock()
 	defer t.Store.mutex.Unlock()
 	t.Store.rowNumber++
 	return fmt.Sprintf("%s.%d.%d", t.Store.Name, t.Store.term, t.Store.rowNumber)
 }
 
-// Writable returns ErrReadOnly if the server can't commit this transaction's writes.
+// Writable returns ErrReadOnly if the server cannot commit this transaction's writes.
 func (t *Transaction) Writable() error {
 	t.Store.mutex.RLock()
 	defer t.Store.mutex.RUnlock()
 	return t.writable()
 }
 
+// writable is Writable for a caller that holds the store's mutex.
 func (t *Transaction) writable() error {
 	s := t.Store
 	if s.role != controller.RolePrimary {
@@ -173,38 +178,39 @@
 	return nil
 }
 
-// Add takes one change into the transaction.
+// Add adds one change to the transaction.
 func (t *Transaction) Add(c Change) {
 	t.changes = append(t.changes, c)
 	t.overlayChange(c)
 }
 
+// overlayChange makes a change visible to the transaction's own reads.
 func (t *Transaction) overlayChange(c Change) {
-	if t.pending == nil {
-		t.pending = map[rowName]*Row{}
-		t.catalog = map[string]*Definition{}
+	if t.pendingRows == nil {
+		t.pendingRows = map[rowID]*Row{}
+		t.pendingTables = map[string]*Definition{}
 	}
 	switch c.Kind {
 	case CreateTable:
-		t.catalog[c.Table] = c.Definition
+		t.pendingTables[c.Table] = c.Definition
 	case DropTable:
-		t.catalog[c.Table] = nil
+		t.pendingTables[c.Table] = nil
 	case PutRow:
-		t.pending[rowName{c.Table, c.Key}] = &Row{Key: c.Key, Values: c.Values}
+		t.pendingRows[rowID{c.Table, c.Key}] = &Row{Key: c.Key, Values: c.Values}
 	case DeleteRow:
-		t.pending[rowName{c.Table, c.Key}] = nil
+		t.pendingRows[rowID{c.Table, c.Key}] = nil
 	}
 }
 
-// Savepoint returns the present length of the changes, for RollbackTo.
+// Savepoint returns the number of changes so far, for RollbackTo.
 func (t *Transaction) Savepoint() int {
 	return len(t.changes)
 }
 
-// RollbackTo drops the changes since Savepoint returned n; locks stay.
+// RollbackTo drops the changes since Savepoint returned n; locks are kept.
 func (t *Transaction) RollbackTo(n int) {
 	c := slices.Clone(t.changes[:n])
-	t.changes, t.pending, t.catalog = nil, nil, nil
+	t.changes, t.pendingRows, t.pendingTables = nil, nil, nil
 	for _, e := range c {
 		t.Add(e)
 	}
@@ -215,17 +221,18 @@
 	return len(t.changes) == 0
 }
 
-// Commit writes the changes as one log record, which readers see at once.
+// Commit writes the changes as one log record, atomically for readers, and returns its mark, zero if
+// there are no changes. It releases the locks in any case.
 //
-// A server that was fenced since the transaction began refuses, so that nothing
-// commits under a term that is already closed.
+// It returns ErrReadOnly on a server that was fenced since the transaction began, so that nothing
+// commits under a term that has ended.
 func (t *Transaction) Commit() (marker.Mark, error) {
-	defer t.finish()
+	defer t.releaseLocks()
 	if len(t.changes) == 0 {
 		return marker.Mark{}, nil
 	}
 	s := t.Store
-	s.hold()
+	s.lock()
 	defer s.mutex.Unlock()
 	if err := t.writable(); err != nil {
 		return marker.Mark{}, err
@@ -233,13 +240,13 @@
 	return s.write(t.changes), nil
 }
 
-// Rollback drops the transaction.
+// Rollback drops the changes and releases the locks.
 func (t *Transaction) Rollback() {
-	t.finish()
+	t.releaseLocks()
 }
 
-// finish gives back the locks, once.
-func (t *Transaction) finish() {
+// releaseLocks releases the locks and marks the transaction as ended, on the first call only.
+func (t *Transaction) releaseLocks() {
 	s := t.Store
 	s.lockMutex.Lock()
 	defer s.lockMutex.Unlock()
@@ -255,7 +262,8 @@
 	close(t.done)
 }
 
-// TryLock takes the lock so named unless another transaction holds it, which it then returns.
+// TryLock takes the named lock. If another transaction holds it, that transaction is returned and
+// recorded as the one waited for; ErrDeadlock is returned if it waits for this one.
 func (t *Transaction) TryLock(name string) (*Transaction, error) {
 	s := t.Store
 	s.lockMutex.Lock()
@@ -279,7 +287,8 @@
 	return o, nil
 }
 
-// Lock takes the lock so named, waiting for the transaction that holds it.
+// Lock takes the named lock and waits for the transaction that holds it. It returns ErrDeadlock if
+// that one waits for this transaction.
 func (t *Transaction) Lock(ctx context.Context, name string) error {
 	for {
 		o, err := t.TryLock(name)
@@ -293,7 +302,7 @@
 	}
 }
 
-// wait returns when o has ended.
+// wait returns once o has ended, or with the error of ctx.
 func (t *Transaction) wait(ctx context.Context, o *Transaction) error {
 	defer t.stopWaiting()
 	select {
@@ -304,6 +313,7 @@
 	}
 }
 
+// stopWaiting records that the transaction waits for no other one.
 func (t *Transaction) stopWaiting() {
 	t.Store.lockMutex.Lock()
 	defer t.Store.lockMutex.Unlock()
--- a/internal/standin/responder/authenticate.go
+++ b/internal/standin/responder/authenticate.go
@@ -6,20 +6,20 @@
 	"github.com/xdg-go/scram"
 )
 
-// SCRAM settings.
+// SCRAM settings, the same for all users and servers.
 const (
-	mechanism  = "SCRAM-SHA-256"
-	salt       = "cuminwick-stand-in"
-	iterations = 4096
+	scramMechanism  = "SCRAM-SHA-256"
+	scramSalt       = "cuminwick-stand-in"
+	scramIterations = 4096
 )
 
-// authenticate asks for the password, if one is set.
+// authenticate performs SCRAM-SHA-256 authentication if the server has a password.
 func (c *connection) authenticate() error {
 	if c.server.Password == "" {
 		return nil
 	}
-	c.backend.Send(&pgproto3.AuthenticationSASL{AuthMechanisms: []string{mechanism}})
-	if err := c.askSASL(pgproto3.AuthTypeSASL); err != nil {
+	c.backend.Send(&pgproto3.AuthenticationSASL{AuthMechanisms: []string{scramMechanism}})
+	if err := c.requestSASL(pgproto3.AuthTypeSASL); err != nil {
 		return err
 	}
 	m, err := c.backend.Receive()
@@ -27,25 +27,27 @@
 		return errors.Annotate(err, "receive first SASL message")
 	}
 	i, ok := m.(*pgproto3.SASLInitialResponse)
-	if !ok || i.AuthMechanism != mechanism {
-		return c.refuse("08P01", "expected a SASL response with "+mechanism)
+	if !ok || i.AuthMechanism != scramMechanism {
+		return c.refuse("08P01", "expected a SASL response with "+scramMechanism)
 	}
-	v, err := c.conversation()
+	v, err := c.newConversation()
 	if err != nil {
 		return err
 	}
-	return c.converse(v, string(i.Data))
+	return c.exchangeSCRAM(v, string(i.Data))
 }
 
-// askSASL sends what is queued and sets how the answer is decoded.
-func (c *connection) askSASL(kind uint32) error {
+// requestSASL sends the queued messages and sets the authentication type by which the response is
+// decoded.
+func (c *connection) requestSASL(kind uint32) error {
 	if err := c.backend.Flush(); err != nil {
-		return errors.Annotate(err, "ask for password")
+		return errors.Annotate(err, "request password")
 	}
 	return c.backend.SetAuthType(kind)
 }
 
-func (c *connection) conversation() (*scram.ServerConversation, error) {
+// newConversation starts the server side of a SCRAM exchange.
+func (c *connection) newConversation() (*scram.ServerConversation, error) {
 	s, err := scram.SHA256.NewServer(c.credentials)
 	if err != nil {
 		return nil, errors.Annotate(err, "make SCRAM server")
@@ -53,23 +55,23 @@
 	return s.NewConversation(), nil
 }
 
-// credentials are the same for every user.
+// credentials returns the stored credentials of the server's password, the same for every user.
 func (c *connection) credentials(string) (scram.StoredCredentials, error) {
 	u, err := scram.SHA256.NewClient("", c.server.Password, "")
 	if err != nil {
 		return scram.StoredCredentials{}, err
 	}
-	return u.GetStoredCredentialsWithError(scram.KeyFactors{Salt: salt, Iters: iterations})
+	return u.GetStoredCredentialsWithError(scram.KeyFactors{Salt: scramSalt, Iters: scramIterations})
 }
 
-// converse runs the two steps of SCRAM.
-func (c *connection) converse(v *scram.ServerConversation, first string) error {
+// exchangeSCRAM performs the two steps of SCRAM; first is the client's first message.
+func (c *connection) exchangeSCRAM(v *scram.ServerConversation, first string) error {
 	r, err := v.Step(first)
 	if err != nil {
 		return c.rejectPassword(err)
 	}
 	c.backend.Send(&pgproto3.AuthenticationSASLContinue{Data: []byte(r)})
-	if err := c.askSASL(pgproto3.AuthTypeSASLContinue); err != nil {
+	if err := c.requestSASL(pgproto3.AuthTypeSASLContinue); err != nil {
 		return err
 	}
 	m, err := c.backend.Receive()
@@ -88,6 +90,7 @@
 	return nil
 }
 
+// rejectPassword answers that the password is wrong and returns err, the reason, annotated.
 func (c *connection) rejectPassword(err error) error {
 	if e := c.refuse("28P01", "password authentication failed"); e != nil {
 		return e
--- a/internal/standin/responder/connection.go
+++ b/internal/standin/responder/connection.go
@@ -17,48 +17,54 @@
 	"github.com/cuminwick/cuminwick/internal/standin/streamer"
 )
 
-// Sizes of a connection.
+// Sizes in bytes.
 const (
-	// secretLength is the length of a cancel key.
-	secretLength = 4
-	// maximumMessage bounds what a caller can make the stand-in hold.
-	maximumMessage = 64 << 20
-	// flushAt is how much of an answer is gathered before it is written.
-	flushAt = 32 << 10
+	// secretKeyBytes is the length of the secret key that a cancel request needs.
+	secretKeyBytes = 4
+	// maximumMessageBytes limits the memory that one message of a client can occupy.
+	maximumMessageBytes = 64 << 20
+	// flushBytes is how much of an answer is buffered before it is sent.
+	flushBytes = 32 << 10
 )
 
-// connection is one caller's connection.
+// connection is one client connection.
 type connection struct {
 	server  *Server
 	conn    net.Conn
 	backend *pgproto3.Backend
+	// process is the process number that identifies the session in cancel requests.
 	process uint32
 	secret  []byte
+	// control says that the client identified itself by ControlApplicationName.
 	control bool
 	session *executor.Session
 	types   *pgtype.Map
 	portals map[string]*portal
-	// skipping drops messages up to Sync after an error in the extended protocol.
-	skipping bool
-	gathered int
-	holding  bool
+	// skipToSync says that messages up to Sync are ignored after an error in the extended protocol.
+	skipToSync bool
+	// bufferedBytes is the size of the rows that are queued and not sent.
+	bufferedBytes int
+	// holdsSlot says that the connection holds one of the server's slots.
+	holdsSlot bool
 
-	mutex  sync.Mutex
+	mutex sync.Mutex
+	// cancel ends the statement in progress, nil if there is none.
 	cancel context.CancelFunc
 }
 
-// run serves the connection until it ends.
+// run serves the connection until it or ctx ends.
 func (c *connection) run(ctx context.Context) {
 	defer c.conn.Close()
 	defer context.AfterFunc(ctx, func() { c.conn.Close() })()
 	c.backend = pgproto3.NewBackend(c.conn, c.conn)
-	c.backend.SetMaxBodyLen(maximumMessage)
+	c.backend.SetMaxBodyLen(maximumMessageBytes)
 	err := c.serve(ctx)
 	if err != nil {
 		log.WithFields(log.Fields{"backend-server": c.server.Name, "peer": c.conn.RemoteAddr().String()}).WithError(err).Debug("connection ended")
 	}
 }
 
+// serve performs the startup and answers messages, or serves a replica's stream.
 func (c *connection) serve(ctx context.Context) error {
 	m, err := c.receiveStartup(ctx)
 	if err != nil || m == nil {
@@ -68,11 +74,11 @@
 	if n == streamer.ApplicationName {
 		return c.replicate(ctx)
 	}
-	defer c.server.connections.Add(-1)
-	if k := c.server.connections.Add(1); c.server.MaximumConnections > 0 && k > int64(c.server.MaximumConnections) {
+	defer c.server.currentConnections.Add(-1)
+	if k := c.server.currentConnections.Add(1); c.server.MaximumConnections > 0 && k > int64(c.server.MaximumConnections) {
 		return c.refuse("53300", "sorry, too many clients already")
 	}
-	c.server.opened.Add(1)
+	c.server.openedConnections.Add(1)
 	c.control = n == ControlApplicationName
 	if err := scheduler.Pause(ctx, c.server.ConnectTime); err != nil {
 		return err
@@ -88,13 +94,14 @@
 	defer c.server.sessions.remove(c)
 	defer c.session.Close()
 	c.session.ProcessID = c.process
-	if err := c.greet(); err != nil {
+	if err := c.sendGreeting(); err != nil {
 		return err
 	}
 	return c.loopMessages(ctx)
 }
 
-// receiveStartup answers TLS requests and cancels; it returns nil after a cancel.
+// receiveStartup returns the startup message, nil after a cancel request. It refuses encryption and
+// carries out cancel requests.
 func (c *connection) receiveStartup(ctx context.Context) (*pgproto3.StartupMessage, error) {
 	for {
 		m, err := c.backend.ReceiveStartupMessage()
@@ -118,7 +125,7 @@
 	}
 }
 
-// replicate serves a replica's stream.
+// replicate serves a replica's replication stream.
 func (c *connection) replicate(ctx context.Context) error {
 	f, _ := c.server.faults.Get()
 	if f.Isolated {
@@ -128,14 +135,15 @@
 	return s.Run(ctx)
 }
 
-// refuse answers with a fatal error.
+// refuse answers with a fatal error. It returns an error only if that cannot be sent.
 func (c *connection) refuse(code, message string) error {
 	c.backend.Send(&pgproto3.ErrorResponse{Severity: "FATAL", SeverityUnlocalized: "FATAL", Code: code, Message: message})
 	return errors.Annotate(c.backend.Flush(), "refuse connection")
 }
 
+// setUpSession creates the session from the parameters of the startup message.
 func (c *connection) setUpSession(p map[string]string) {
-	c.secret = make([]byte, secretLength)
+	c.secret = make([]byte, secretKeyBytes)
 	// Read never fails, as its documentation says.
 	_, _ = rand.Read(c.secret)
 	c.types = pgtype.NewMap()
@@ -150,8 +158,8 @@
 		User:               p["user"],
 		Database:           d,
 		Commit:             c.commit,
-		ReleaseSlot:        c.yield,
-		AcquireSlot:        c.regain,
+		ReleaseSlot:        c.releaseSlot,
+		AcquireSlot:        c.acquireSlot,
 		Report:             c.report,
 		Activity:           c.server.sessions.activity,
 		Terminate:          c.server.sessions.terminate,
@@ -161,7 +169,8 @@
 	}
 }
 
-// startSettings are a session's first settings, with those of the startup message.
+// startSettings returns the initial settings of a session: the defaults and those of the startup
+// message.
 func startSettings(p map[string]string) map[string]string {
 	m := map[string]string{
 		"application_name":              "",
@@ -188,29 +197,31 @@
 	return m
 }
 
-// greeted are the settings that every connection is told at its start.
-var greeted = []string{
+// reportedSettings are the settings that the server reports to each client after authentication.
+var reportedSettings = []string{
 	"application_name", "client_encoding", "DateStyle", "default_transaction_read_only", "integer_datetimes",
 	"IntervalStyle", "is_superuser", "server_encoding", "server_version", "session_authorization",
 	"standard_conforming_strings", "TimeZone",
 }
 
-func (c *connection) greet() error {
+// sendGreeting completes the startup: it sends the settings and the cancel key.
+func (c *connection) sendGreeting() error {
 	c.backend.Send(&pgproto3.AuthenticationOk{})
-	for _, n := range greeted {
+	for _, n := range reportedSettings {
 		c.backend.Send(&pgproto3.ParameterStatus{Name: n, Value: c.session.Settings[n]})
 	}
 	c.backend.Send(&pgproto3.BackendKeyData{ProcessID: c.process, SecretKey: c.secret})
 	c.backend.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
-	return errors.Annotate(c.backend.Flush(), "greet caller")
+	return errors.Annotate(c.backend.Flush(), "send greeting")
 }
 
+// report tells the client the new value of a setting.
 func (c *connection) report(name, value string) {
 	c.backend.Send(&pgproto3.ParameterStatus{Name: name, Value: value})
 }
 
-// begin returns the context of one statement, which a cancel ends.
-func (c *connection) begin(ctx context.Context) (context.Context, context.CancelFunc) {
+// beginStatement returns the context of one statement, which a cancel request ends.
+func (c *connection) beginStatement(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, stop := context.WithCancel(ctx)
 	c.mutex.Lock()
 	c.cancel = stop
@@ -218,15 +229,15 @@
 	return ctx, stop
 }
 
-// finish lets a late cancel miss.
-func (c *connection) finish(stop context.CancelFunc) {
+// finishStatement ends the context of a statement, so that a late cancel request has no effect.
+func (c *connection) finishStatement(stop context.CancelFunc) {
 	c.mutex.Lock()
 	c.cancel = nil
 	c.mutex.Unlock()
 	stop()
 }
 
-// state tells whether the session runs a statement.
+// state returns "active" while the session runs a statement, otherwise "idle".
 func (c *connection) state() string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -236,6 +247,7 @@
 	return "idle"
 }
 
+// cancelStatement ends the statement in progress, if any.
 func (c *connection) cancelStatement() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -244,30 +256,33 @@
 	}
 }
 
-// takeSlot waits for a slot, where the statement needs one, and spends the service time in it.
+// takeSlot waits for a slot, counts the statement and waits for the service time. Control connections
+// and statements that need no slot return at once.
 func (c *connection) takeSlot(ctx context.Context, n *pgquery.Node) error {
 	if c.control || !executor.NeedsSlot(n) {
 		return nil
 	}
-	if err := c.regain(ctx); err != nil {
+	if err := c.acquireSlot(ctx); err != nil {
 		return executor.Translate(err)
 	}
-	c.server.count(n)
+	c.server.countStatement(n)
 	return executor.Translate(scheduler.Pause(ctx, c.server.ServiceTime))
 }
 
-func (c *connection) regain(ctx context.Context) error {
-	if c.control || c.server.slots == nil || c.holding {
+// acquireSlot waits for a slot unless the connection holds one or needs none.
+func (c *connection) acquireSlot(ctx context.Context) error {
+	if c.control || c.server.slots == nil || c.holdsSlot {
 		return nil
 	}
 	err := c.server.slots.Acquire(ctx, 1)
-	c.holding = err == nil
+	c.holdsSlot = err == nil
 	return err
 }
 
-func (c *connection) yield() {
-	if c.holding {
+// releaseSlot releases the slot, if the connection holds one.
+func (c *connection) releaseSlot() {
+	if c.holdsSlot {
 		c.server.slots.Release(1)
-		c.holding = false
+		c.holdsSlot = false
 	}
 }
--- a/internal/standin/responder/extended.go
+++ b/internal/standin/responder/extended.go
@@ -12,21 +12,22 @@
 	"github.com/cuminwick/cuminwick/internal/standin/executor"
 )
 
-func refusal(code, message string) error {
+// newError returns an error that is sent to the client with the given SQLSTATE.
+func newError(code, message string) error {
 	return &pgconn.PgError{Severity: "ERROR", Code: code, Message: message}
 }
 
-// parse keeps a prepared statement.
+// parse creates a prepared statement.
 func (c *connection) parse(m *pgproto3.Parse) error {
 	if _, ok := c.session.PreparedStatements[m.Name]; ok && m.Name != "" {
-		return refusal("42P05", "prepared statement \""+m.Name+"\" already exists")
+		return newError("42P05", "prepared statement \""+m.Name+"\" already exists")
 	}
 	l, err := c.server.parser.Parse(m.Query)
 	if err != nil {
 		return err
 	}
 	if len(l) > 1 {
-		return refusal("42601", "cannot insert multiple commands into a prepared statement")
+		return newError("42601", "cannot insert multiple commands into a prepared statement")
 	}
 	var n *pgquery.Node
 	if len(l) == 1 {
@@ -41,33 +42,35 @@
 	return nil
 }
 
+// prepared returns the named prepared statement.
 func (c *connection) prepared(name string) (*executor.PreparedStatement, error) {
 	p, ok := c.session.PreparedStatements[name]
 	if !ok {
-		return nil, refusal("26000", "prepared statement \""+name+"\" does not exist")
+		return nil, newError("26000", "prepared statement \""+name+"\" does not exist")
 	}
 	return p, nil
 }
 
+// portal returns the named portal.
 func (c *connection) portal(name string) (*portal, error) {
 	p, ok := c.portals[name]
 	if !ok {
-		return nil, refusal("34000", "portal \""+name+"\" does not exist")
+		return nil, newError("34000", "portal \""+name+"\" does not exist")
 	}
 	return p, nil
 }
 
-// bind makes a portal of a prepared statement and its parameters.
+// bind creates a portal from a prepared statement and its parameters.
 func (c *connection) bind(m *pgproto3.Bind) error {
 	s, err := c.prepared(m.PreparedStatement)
 	if err != nil {
 		return err
 	}
 	if _, ok := c.portals[m.DestinationPortal]; ok && m.DestinationPortal != "" {
-		return refusal("42P03", "portal \""+m.DestinationPortal+"\" already exists")
+		return newError("42P03", "portal \""+m.DestinationPortal+"\" already exists")
 	}
 	if len(m.Parameters) != len(s.ParameterTypes) {
-		return refusal("08P01", "bind message supplies a wrong number of parameters")
+		return newError("08P01", "bind message supplies a wrong number of parameters")
 	}
 	p := &portal{prepared: s, formats: slices.Clone(m.ResultFormatCodes)}
 	for i, b := range m.Parameters {
@@ -82,7 +85,7 @@
 	return nil
 }
 
-// describe sends the types of a statement or a portal.
+// describe sends the parameter types of a prepared statement, and the columns of it or of a portal.
 func (c *connection) describe(m *pgproto3.Describe) error {
 	if m.ObjectType == 'S' {
 		s, err := c.prepared(m.Name)
@@ -101,6 +104,7 @@
 	return nil
 }
 
+// sendDescription sends the columns of a statement's result, or that it has none.
 func (c *connection) sendDescription(s *executor.PreparedStatement, formats []int16) {
 	if s.Columns == nil {
 		c.backend.Send(&pgproto3.NoData{})
@@ -109,7 +113,7 @@
 	c.backend.Send(describeRows(s.Columns, formats))
 }
 
-// execute runs a portal, or goes on with one that was suspended.
+// execute runs a portal, or continues one that was suspended.
 func (c *connection) execute(ctx context.Context, m *pgproto3.Execute) error {
 	p, err := c.portal(m.Portal)
 	if err != nil {
@@ -119,9 +123,9 @@
 		c.backend.Send(&pgproto3.EmptyQueryResponse{})
 		return nil
 	}
-	ctx, stop := c.begin(ctx)
-	defer c.finish(stop)
-	defer c.yield()
+	ctx, stop := c.beginStatement(ctx)
+	defer c.finishStatement(stop)
+	defer c.releaseSlot()
 	if err := c.takeSlot(ctx, p.prepared.Node); err != nil {
 		return err
 	}
@@ -131,7 +135,7 @@
 			return err
 		}
 	}
-	more, err := c.rows(ctx, p, int(m.MaxRows))
+	more, err := c.sendRows(ctx, p, int(m.MaxRows))
 	if err != nil {
 		return err
 	}
@@ -139,12 +143,13 @@
 		c.backend.Send(&pgproto3.PortalSuspended{})
 		return nil
 	}
-	c.complete(p)
+	c.sendCompletion(p)
 	return nil
 }
 
-// rows sends up to limit rows, all if it is zero, and reports whether it stopped at the limit.
-func (c *connection) rows(ctx context.Context, p *portal, limit int) (bool, error) {
+// sendRows sends up to limit rows, all if it is zero, and reports whether it stopped at the limit. For
+// a COPY it transfers all data.
+func (c *connection) sendRows(ctx context.Context, p *portal, limit int) (bool, error) {
 	r := p.result
 	if r.CopyIn != nil {
 		return false, c.copyIn(ctx, r)
@@ -176,7 +181,7 @@
 	return true, nil
 }
 
-// sendRow encodes one row, and writes out what has gathered.
+// sendRow encodes and queues one row, and sends the queued rows if they exceed flushBytes.
 func (c *connection) sendRow(ctx context.Context, d *pgproto3.DataRow, l []executor.Column, formats []int16, v []any) error {
 	for i := range l {
 		b, err := executor.Encode(c.types, l[i].Type, formatOf(formats, i), v[i])
@@ -184,16 +189,16 @@
 			return executor.Translate(err)
 		}
 		d.Values[i] = b
-		c.gathered += len(b) + 4
+		c.bufferedBytes += len(b) + 4
 	}
 	c.backend.Send(d)
-	if c.gathered < flushAt {
+	if c.bufferedBytes < flushBytes {
 		return nil
 	}
 	return c.flush(ctx)
 }
 
-// copyOut sends the rows in COPY's text form.
+// copyOut sends the rows in the text format of COPY.
 func (c *connection) copyOut(ctx context.Context, p *portal) error {
 	c.backend.Send(&pgproto3.CopyOutResponse{ColumnFormatCodes: make([]uint16, len(p.result.Columns))})
 	for {
@@ -208,8 +213,8 @@
 		b := executor.CopyLine(p.result.Columns, v)
 		c.backend.Send(&pgproto3.CopyData{Data: b})
 		p.sent++
-		c.gathered += len(b)
-		if c.gathered < flushAt {
+		c.bufferedBytes += len(b)
+		if c.bufferedBytes < flushBytes {
 			continue
 		}
 		if err := c.flush(ctx); err != nil {
@@ -218,13 +223,13 @@
 	}
 }
 
-// copyIn takes the caller's data until it says that it is done.
+// copyIn receives the client's data until CopyDone. It releases the slot meanwhile.
 func (c *connection) copyIn(ctx context.Context, r *executor.Result) error {
 	c.backend.Send(&pgproto3.CopyInResponse{ColumnFormatCodes: make([]uint16, r.CopyIn.ColumnCount)})
 	if err := c.flush(ctx); err != nil {
 		return err
 	}
-	c.yield()
+	c.releaseSlot()
 	for {
 		m, err := c.backend.Receive()
 		if err != nil {
@@ -240,10 +245,10 @@
 			r.Tag, err = r.CopyIn.Done(ctx)
 			return err
 		case *pgproto3.CopyFail:
-			return refusal("57014", "COPY from stdin failed: "+m.Message)
+			return newError("57014", "COPY from stdin failed: "+m.Message)
 		case *pgproto3.Flush, *pgproto3.Sync:
 		default:
-			return refusal("08P01", "unexpected message during COPY from stdin")
+			return newError("08P01", "unexpected message during COPY from stdin")
 		}
 		if err != nil {
 			return err
@@ -251,7 +256,7 @@
 	}
 }
 
-// close drops a prepared statement or a portal.
+// close removes a prepared statement or a portal.
 func (c *connection) close(m *pgproto3.Close) error {
 	if m.ObjectType == 'S' {
 		delete(c.session.PreparedStatements, m.Name)
--- a/internal/standin/responder/messages.go
+++ b/internal/standin/responder/messages.go
@@ -12,13 +12,14 @@
 	"github.com/cuminwick/cuminwick/internal/standin/executor"
 )
 
-// portal is a bound statement and, once it runs, the rest of its rows.
+// portal is a prepared statement with its parameters and, once it is executed, its result.
 type portal struct {
 	prepared *executor.PreparedStatement
 	params   []any
 	formats  []int16
 	result   *executor.Result
-	sent     int
+	// sent is the number of rows sent so far.
+	sent int
 }
 
 // loopMessages answers messages until the connection ends.
@@ -40,23 +41,23 @@
 	}
 }
 
-// handle answers one message; the errors that it returns end the connection.
+// handle answers one message. An error that it returns ends the connection.
 func (c *connection) handle(ctx context.Context, m pgproto3.FrontendMessage) error {
 	switch m := m.(type) {
 	case *pgproto3.Query:
-		return c.query(ctx, m.String)
+		return c.handleQuery(ctx, m.String)
 	case *pgproto3.Sync:
 		return c.sync(ctx)
 	case *pgproto3.Flush:
 		return c.flush(ctx)
 	case *pgproto3.CopyData, *pgproto3.CopyDone, *pgproto3.CopyFail:
-		// The rest of a COPY that failed is dropped, as PostgreSQL does.
+		// The remaining messages of a COPY that failed are ignored, as PostgreSQL does.
 		return nil
 	}
-	if c.skipping {
+	if c.skipToSync {
 		return nil
 	}
-	err := c.extended(ctx, m)
+	err := c.handleExtended(ctx, m)
 	if err == nil {
 		return nil
 	}
@@ -64,13 +65,13 @@
 	if !errors.As(err, &p) {
 		return err
 	}
-	c.fail(p)
-	c.skipping = true
+	c.sendError(p)
+	c.skipToSync = true
 	return nil
 }
 
-// extended handles a message of the extended protocol.
-func (c *connection) extended(ctx context.Context, m pgproto3.FrontendMessage) error {
+// handleExtended answers one message of the extended protocol.
+func (c *connection) handleExtended(ctx context.Context, m pgproto3.FrontendMessage) error {
 	switch m := m.(type) {
 	case *pgproto3.Parse:
 		return c.parse(m)
@@ -86,8 +87,9 @@
 	return errors.Errorf("unexpected message %T", m)
 }
 
-// fail sends an error and ends an implicit transaction.
-func (c *connection) fail(p *pgconn.PgError) {
+// sendError queues an error response. It rolls back an implicit transaction and marks an explicit one
+// as failed.
+func (c *connection) sendError(p *pgconn.PgError) {
 	c.session.Fail()
 	c.backend.Send(&pgproto3.ErrorResponse{
 		Severity:            p.Severity,
@@ -99,24 +101,25 @@
 	})
 }
 
+// flush sends the queued messages, once the server is not paused.
 func (c *connection) flush(ctx context.Context) error {
 	if err := c.server.faults.WaitUnpaused(ctx); err != nil {
 		return err
 	}
-	c.gathered = 0
+	c.bufferedBytes = 0
 	return errors.Annotate(c.backend.Flush(), "send answer")
 }
 
-// sync ends an implicit transaction and says that the server is ready.
+// sync ends an implicit transaction and sends that the server is ready for a query.
 func (c *connection) sync(ctx context.Context) error {
-	c.skipping = false
+	c.skipToSync = false
 	if err := c.finishImplicit(); err != nil {
 		return err
 	}
-	return c.ready(ctx)
+	return c.sendReady(ctx)
 }
 
-// finishImplicit commits an implicit transaction; an error of the commit goes to the caller.
+// finishImplicit commits an implicit transaction and sends an error of the commit to the client.
 func (c *connection) finishImplicit() error {
 	if c.session.Status() == 'I' {
 		clear(c.portals)
@@ -124,32 +127,33 @@
 	err := c.session.Finish()
 	var p *pgconn.PgError
 	if errors.As(err, &p) {
-		c.fail(p)
+		c.sendError(p)
 		return nil
 	}
 	return err
 }
 
-func (c *connection) ready(ctx context.Context) error {
+// sendReady sends the queued messages and that the server is ready for a query.
+func (c *connection) sendReady(ctx context.Context) error {
 	c.backend.Send(&pgproto3.ReadyForQuery{TxStatus: c.session.Status()})
 	return c.flush(ctx)
 }
 
-// query runs a query string of the simple protocol.
-func (c *connection) query(ctx context.Context, sql string) error {
-	c.skipping = false
-	err := c.statements(ctx, sql)
+// handleQuery runs a query string of the simple protocol and sends its whole answer.
+func (c *connection) handleQuery(ctx context.Context, sql string) error {
+	c.skipToSync = false
+	err := c.executeStatements(ctx, sql)
 	var p *pgconn.PgError
 	if errors.As(err, &p) {
-		c.fail(p)
+		c.sendError(p)
 	} else if err != nil {
 		return err
 	}
-	return c.ready(ctx)
+	return c.sendReady(ctx)
 }
 
-// statements runs the statements of a query string, in one implicit transaction.
-func (c *connection) statements(ctx context.Context, sql string) error {
+// executeStatements runs the statements of a query string in one implicit transaction.
+func (c *connection) executeStatements(ctx context.Context, sql string) error {
 	l, err := c.server.parser.Parse(sql)
 	if err != nil {
 		return err
@@ -159,19 +163,19 @@
 		return nil
 	}
 	for i, n := range l {
-		if err := c.simple(ctx, n, i == len(l)-1); err != nil {
+		if err := c.executeSimple(ctx, n, i == len(l)-1); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// simple runs one statement and sends its whole answer. The last one commits
-// before its command tag is sent, so that the tag is true.
-func (c *connection) simple(ctx context.Context, n *pgquery.Node, last bool) error {
-	ctx, stop := c.begin(ctx)
-	defer c.finish(stop)
-	defer c.yield()
+// executeSimple runs one statement of a query string and queues its answer. The last statement commits
+// before its command tag is queued, so that the tag is sent only for a successful commit.
+func (c *connection) executeSimple(ctx context.Context, n *pgquery.Node, last bool) error {
+	ctx, stop := c.beginStatement(ctx)
+	defer c.finishStatement(stop)
+	defer c.releaseSlot()
 	if err := c.takeSlot(ctx, n); err != nil {
 		return err
 	}
@@ -183,7 +187,7 @@
 	if r.Columns != nil && !r.CopyOut {
 		c.backend.Send(describeRows(r.Columns, nil))
 	}
-	if _, err := c.rows(ctx, p, 0); err != nil {
+	if _, err := c.sendRows(ctx, p, 0); err != nil {
 		return err
 	}
 	if last {
@@ -191,12 +195,12 @@
 			return err
 		}
 	}
-	c.complete(p)
+	c.sendCompletion(p)
 	return nil
 }
 
-// complete sends the notice and the command tag.
-func (c *connection) complete(p *portal) {
+// sendCompletion queues the notice, if there is one, and the command tag.
+func (c *connection) sendCompletion(p *portal) {
 	if p.result.Notice != "" {
 		c.backend.Send(&pgproto3.NoticeResponse{Severity: "WARNING", SeverityUnlocalized: "WARNING", Code: "01000", Message: p.result.Notice})
 	}
@@ -210,6 +214,7 @@
 	c.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte(t)})
 }
 
+// describeRows returns the description of result columns in the given formats.
 func describeRows(l []executor.Column, formats []int16) *pgproto3.RowDescription {
 	d := &pgproto3.RowDescription{}
 	for i, k := range l {
@@ -224,7 +229,7 @@
 	return d
 }
 
-// formatOf applies the rule that one code counts for all columns, and none means text.
+// formatOf returns the format code of column i: no codes mean text, one code applies to all columns.
 func formatOf(formats []int16, i int) int16 {
 	switch {
 	case len(formats) == 0:
--- a/internal/standin/streamer/puller.go
+++ b/internal/standin/streamer/puller.go
@@ -15,10 +15,10 @@
 	"github.com/cuminwick/cuminwick/internal/standin/replicator"
 )
 
-// Dial opens a connection to a peer, by name and the address that Follow gave.
+// Dial opens a connection to the peer with the given name and address, as passed to Follow.
 type Dial func(ctx context.Context, name, address string) (net.Conn, error)
 
-// Puller takes over the records of the primary that its store follows.
+// Puller copies the log of the primary that its store follows. Its fields are set before Run.
 type Puller struct {
 	// Store is the replica's store.
 	Store *replicator.Store
@@ -26,11 +26,11 @@
 	Faults *injector.Faults
 	// Dial opens connections, plain TCP if nil.
 	Dial Dial
-	// Truncated is called after records were dropped.
+	// Truncated is called after records were dropped from the log; may be nil.
 	Truncated func()
 }
 
-// Run follows whichever primary the store names, until ctx ends.
+// Run keeps a stream open to the primary that the store follows, until ctx ends.
 func (p *Puller) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		c := p.Store.Changed()
@@ -45,68 +45,69 @@
 		if p.Faults.WaitConnected(ctx) != nil {
 			return
 		}
-		s := &stream{puller: p, leader: l, term: t, wake: make(chan struct{}, 1), ended: make(chan struct{})}
+		s := &stream{puller: p, primary: l, term: t, wake: make(chan struct{}, 1), applyDone: make(chan struct{})}
 		err := s.run(ctx)
 		log.WithFields(log.Fields{"backend-server": p.Store.Name, "primary": l.Name, "term": t}).WithError(err).Debug("replication stream ended")
 		_ = scheduler.Pause(ctx, retryDelay)
 	}
 }
 
-// stream is one connection to one primary under one term.
+// stream is one replication connection to one primary under one term.
 type stream struct {
-	puller *Puller
-	leader replicator.PrimaryServer
-	term   marker.Term
-	front  *pgproto3.Frontend
-	ear    *ear
-	// parts are those that came of records that haven't come whole.
+	puller   *Puller
+	primary  replicator.PrimaryServer
+	term     marker.Term
+	frontend *pgproto3.Frontend
+	conn     *contactConn
+	// parts are the received parts of records that are not complete yet.
 	parts []byte
+	// wake tells loopApply that the queue has a new entry.
 	wake  chan struct{}
-	queue delayed
-	// ended is closed when loopApply has returned.
-	ended chan struct{}
+	queue delayQueue
+	// applyDone is closed when loopApply has returned.
+	applyDone chan struct{}
 }
 
-// run opens the stream and takes records until something ends it. It returns
-// only when nothing is applied any more: otherwise the next stream could drop a
-// record as diverged that this one applied after the next one's hello, and a
-// write that a majority held would be held by one fewer.
+// run opens the stream and receives records until the stream ends. It returns only after loopApply
+// has returned: otherwise this stream could apply a record after the next stream's hello, the next
+// one would drop that record as diverged, and a write that a majority held could lose its majority.
 func (s *stream) run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	go s.loopWatch(ctx, stop)
 	c, err := s.dial(ctx)
 	if err != nil {
-		return errors.Annotatef(err, "dial primary %s at %s", s.leader.Name, s.leader.Address)
+		return errors.Annotatef(err, "dial primary %s at %s", s.primary.Name, s.primary.Address)
 	}
 	defer c.Close()
 	defer context.AfterFunc(ctx, func() { c.Close() })()
-	s.ear = &ear{Conn: c, stream: s}
-	s.front = pgproto3.NewFrontend(s.ear, c)
+	s.conn = &contactConn{Conn: c, stream: s}
+	s.frontend = pgproto3.NewFrontend(s.conn, c)
 	err = s.open()
 	if err != nil {
-		return errors.Annotatef(err, "open stream from %s", s.leader.Name)
+		return errors.Annotatef(err, "open stream from %s", s.primary.Name)
 	}
 	go s.loopApply(ctx, stop)
 	err = s.loopReceive(ctx)
 	stop()
-	<-s.ended
+	<-s.applyDone
 	return err
 }
 
+// dial connects to the primary within idleTimeout.
 func (s *stream) dial(ctx context.Context) (net.Conn, error) {
-	ctx, stop := context.WithTimeout(ctx, silenceLimit)
+	ctx, stop := context.WithTimeout(ctx, idleTimeout)
 	defer stop()
 	if s.puller.Dial != nil {
-		return s.puller.Dial(ctx, s.leader.Name, s.leader.Address)
+		return s.puller.Dial(ctx, s.primary.Name, s.primary.Address)
 	}
 	var d net.Dialer
-	return d.DialContext(ctx, "tcp", s.leader.Address)
+	return d.DialContext(ctx, "tcp", s.primary.Address)
 }
 
-// open sends the startup message and what the replica has.
+// open sends the startup message and the hello, which describes the replica's log.
 func (s *stream) open() error {
-	s.front.Send(&pgproto3.StartupMessage{
+	s.frontend.Send(&pgproto3.StartupMessage{
 		ProtocolVersion: pgproto3.ProtocolVersion30,
 		Parameters:      map[string]string{"user": "replication", "application_name": ApplicationName},
 	})
@@ -114,19 +115,18 @@
 	if err != nil {
 		return err
 	}
-	s.front.Send(&pgproto3.CopyData{Data: b})
-	return errors.Trace(s.front.Flush())
+	s.frontend.Send(&pgproto3.CopyData{Data: b})
+	return errors.Trace(s.frontend.Flush())
 }
 
-// loopWatch ends the stream, or the attempt to open it, when the store is told to
-// follow another primary. A primary that is paused or cut off sends nothing, and
-// without this the replica would wait for it until the silence limit before it
-// turned to the new one.
+// loopWatch ends the stream, or the attempt to open it, when the store follows another primary or
+// another term. A primary that is paused or isolated sends nothing; without loopWatch the replica
+// would wait for it until idleTimeout before it connects to the new one.
 func (s *stream) loopWatch(ctx context.Context, stop context.CancelFunc) {
 	for {
 		c := s.puller.Store.Changed()
 		l, t := s.puller.Store.FollowedPrimary()
-		if l != (replicator.PrimaryServer{}) && (l != s.leader || t != s.term) {
+		if l != (replicator.PrimaryServer{}) && (l != s.primary || t != s.term) {
 			stop()
 			return
 		}
@@ -138,11 +138,11 @@
 	}
 }
 
-// loopReceive queues records and notes that the primary was heard.
+// loopReceive queues records and records contact with the primary.
 //
-// Before each frame it looks whether the store still follows this primary under
-// this term: a server that accepted a higher term takes nothing more from a
-// lower one, and tells it so, which fences a primary that lost the group.
+// After each frame it checks that the store still follows this primary under this term: a server that
+// accepted a higher term takes no more records of a lower one and reports the higher term to the
+// sender, which fences a primary that was replaced.
 func (s *stream) loopReceive(ctx context.Context) error {
 	for {
 		f, err := s.receive()
@@ -153,22 +153,22 @@
 			return err
 		}
 		l, t := s.puller.Store.FollowedPrimary()
-		if l != s.leader || t != s.term || f.Term != s.term {
-			return errors.Annotatef(replicator.ErrTermRefused, "stream under %d ends at %d, reported %v", s.term, t, s.tell(t))
+		if l != s.primary || t != s.term || f.Term != s.term {
+			return errors.Annotatef(replicator.ErrTermRefused, "stream of term %d ended by term %d, report error %v", s.term, t, s.sendTerm(t))
 		}
 		g, _ := s.puller.Faults.Get()
 		if g.Isolated {
 			return errors.Errorf("%s is isolated", s.puller.Store.Name)
 		}
-		s.ear.open.Store(true)
-		s.hear()
-		s.take(f)
+		s.conn.termConfirmed.Store(true)
+		s.noteContact()
+		s.enqueue(f)
 	}
 }
 
-// hear notes that the primary was heard, if this server could hear anything: a
-// paused one's kernel goes on taking bytes.
-func (s *stream) hear() {
+// noteContact records contact with the primary, unless this server is paused or isolated: the kernel
+// of a paused server still accepts bytes.
+func (s *stream) noteContact() {
 	f, _ := s.puller.Faults.Get()
 	if f.Paused || f.Isolated {
 		return
@@ -176,26 +176,27 @@
 	s.puller.Store.NoteContact(s.term, time.Now())
 }
 
-// take queues what f brings, records only once they are whole. They are decoded
-// by loopApply, since nothing is heard of the primary meanwhile.
-func (s *stream) take(f frame) {
-	if f.First {
-		s.queue.push(entry{first: true, common: f.Common, came: time.Now()})
-		s.nudge()
+// enqueue queues the content of f, records only once they are complete. loopApply decodes them,
+// because no contact is recorded while this goroutine is busy.
+func (s *stream) enqueue(f frame) {
+	if f.Truncate {
+		s.queue.push(entry{truncate: true, common: f.Common, received: time.Now()})
+		s.wakeApply()
 		return
 	}
 	s.parts = append(s.parts, f.Part...)
-	if !f.Ends {
+	if !f.LastPart {
 		return
 	}
-	s.queue.push(entry{records: s.parts, came: time.Now()})
+	s.queue.push(entry{records: s.parts, received: time.Now()})
 	s.parts = nil
-	s.nudge()
+	s.wakeApply()
 }
 
+// receive returns the next frame.
 func (s *stream) receive() (frame, error) {
 	var f frame
-	m, err := s.front.Receive()
+	m, err := s.frontend.Receive()
 	if err != nil {
 		return f, errors.Annotate(err, "receive records")
 	}
@@ -206,26 +207,27 @@
 	return f, decode(d.Data, &f)
 }
 
-// tell reports the accepted term to the primary.
-func (s *stream) tell(t marker.Term) error {
+// sendTerm reports the accepted term t to the primary.
+func (s *stream) sendTerm(t marker.Term) error {
 	b, err := encode(report{Term: t})
 	if err != nil {
 		return err
 	}
-	s.front.Send(&pgproto3.CopyData{Data: b})
-	return errors.Trace(s.front.Flush())
+	s.frontend.Send(&pgproto3.CopyData{Data: b})
+	return errors.Trace(s.frontend.Flush())
 }
 
-func (s *stream) nudge() {
+// wakeApply wakes loopApply after an entry was queued.
+func (s *stream) wakeApply() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// loopApply takes over queued records when they are due.
+// loopApply applies queued entries when the replication lag has passed since they were received.
 func (s *stream) loopApply(ctx context.Context, stop context.CancelFunc) {
-	defer close(s.ended)
+	defer close(s.applyDone)
 	defer stop()
 	for {
 		e, ok := s.queue.pop()
@@ -237,7 +239,7 @@
 				return
 			}
 		}
-		if s.puller.Faults.WaitReplicationLag(ctx, e.came) != nil || s.puller.Faults.WaitReplicating(ctx) != nil {
+		if s.puller.Faults.WaitReplicationLag(ctx, e.received) != nil || s.puller.Faults.WaitReplicating(ctx) != nil {
 			return
 		}
 		if err := s.apply(e); err != nil {
@@ -247,8 +249,9 @@
 	}
 }
 
+// apply truncates the log or appends records to it.
 func (s *stream) apply(e entry) error {
-	if !e.first {
+	if !e.truncate {
 		return s.appendRecords(e.records)
 	}
 	d, err := s.puller.Store.Truncate(s.term, e.common)
@@ -258,6 +261,7 @@
 	return err
 }
 
+// appendRecords decodes records and appends them to the log.
 func (s *stream) appendRecords(b []byte) error {
 	var r []replicator.Record
 	if err := decode(b, &r); err != nil {
