--- a/internal/pool/delegator/delegator_test.go
+++ b/internal/pool/delegator/delegator_test.go
@@ -80,11 +80,11 @@
 		name   string
 		owners []string
 		write  bool
-		// harmless writes are sent together with the request, large batches aren't.
-		harmless, large bool
-		errs            map[string]error
-		calls           []string
-		fails           error
+		// retryable writes are sent together with the request, large batches aren't.
+		retryable, large bool
+		errs             map[string]error
+		calls            []string
+		fails            error
 	}{
 		{name: "owner is this host", owners: []string{"self", "b"}, write: true, calls: []string{"pool"}},
 		{name: "another host owns", owners: []string{"a", "self"}, write: true, calls: []string{"a"}},
@@ -96,10 +96,10 @@
 		{name: "read sent together with the request", owners: []string{"a", "b"}, calls: []string{"pipelined a"}},
 		{name: "read at an unavailable owner", owners: []string{"a", "b"}, errs: map[string]error{"pipelined a": unavailable, "a": unavailable}, calls: []string{"pipelined a", "a", "b"}},
 		{name: "read that the host doesn't accept", owners: []string{"a", "b"}, errs: map[string]error{"exchange pipelined a": unavailable, "a": unavailable}, calls: []string{"pipelined a", "release", "a", "b"}},
-		{name: "harmless first exchange", owners: []string{"a", "b"}, write: true, harmless: true, calls: []string{"pipelined a"}},
-		{name: "harmless first exchange at a silent owner", owners: []string{"a", "b"}, write: true, harmless: true, errs: map[string]error{"exchange pipelined a": silent, "a": unavailable}, calls: []string{"pipelined a", "release", "a", "b"}},
+		{name: "retryable first exchange", owners: []string{"a", "b"}, write: true, retryable: true, calls: []string{"pipelined a"}},
+		{name: "retryable first exchange at a silent owner", owners: []string{"a", "b"}, write: true, retryable: true, errs: map[string]error{"exchange pipelined a": silent, "a": unavailable}, calls: []string{"pipelined a", "release", "a", "b"}},
 		{name: "read at a silent owner", owners: []string{"a", "b"}, errs: map[string]error{"exchange pipelined a": silent}, calls: []string{"pipelined a"}, fails: exchanger.ErrLost},
-		{name: "large first exchange", owners: []string{"a", "b"}, write: true, harmless: true, large: true, calls: []string{"a"}},
+		{name: "large first exchange", owners: []string{"a", "b"}, write: true, retryable: true, large: true, calls: []string{"a"}},
 		{name: "large first exchange at an unavailable owner", owners: []string{"a", "b"}, large: true, errs: map[string]error{"a": unavailable}, calls: []string{"a", "b"}},
 		{name: "read lost with its owner", owners: []string{"a", "b"}, errs: map[string]error{"exchange pipelined a": exchanger.ErrLost}, calls: []string{"pipelined a"}, fails: exchanger.ErrLost},
 	}
@@ -107,7 +107,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			f := &fakeHosts{owners: tt.owners, errs: tt.errs}
 			l := &delegator.Delegator{Self: "self", Owners: f, Peers: f, Pool: fakePool{f, "pool"}, Direct: fakePool{f, "direct"}}
-			e, err := l.Lease(t.Context(), lessor.Demand{Write: tt.write, Retryable: tt.harmless})
+			e, err := l.Lease(t.Context(), lessor.Demand{Write: tt.write, Retryable: tt.retryable})
 			if err == nil {
 				var b batcher.Batch
 				if tt.large {
--- a/internal/pool/forwarder/forwarder.go
+++ b/internal/pool/forwarder/forwarder.go
@@ -119,8 +119,8 @@
 }
 
 // begin opens a stream and prepares the request for a connection, which is sent with the first
-// message. With callUp the pool owner sends KindCallUp shortly before it grants the connection.
-func (f *Forwarder) begin(ctx context.Context, p Pool, d lessor.Demand, callUp bool) (*lease, error) {
+// message. With batchHeld the pool owner sends KindRequestBatch shortly before it grants the connection.
+func (f *Forwarder) begin(ctx context.Context, p Pool, d lessor.Demand, batchHeld bool) (*lease, error) {
 	if !f.Avoider.Admit(p.Host, time.Now()) {
 		return nil, unavailableError(ctx, p, ErrAvoided)
 	}
@@ -128,7 +128,7 @@
 	defer cancel()
 	q := newRequest(p, d)
 	q.AskParameters = f.knownParameters(p) == nil
-	q.BatchHeld = callUp
+	q.BatchHeld = batchHeld
 	n, err := f.Peers.Begin(x, p.Host, q)
 	if err != nil {
 		f.recordAnswer(ctx, p.Host, err)
