--- a/internal/proxy/assembler/feeder.go
+++ b/internal/proxy/assembler/feeder.go
@@ -33,7 +33,7 @@
 
 // reader returns the reader of a kind of object.
 func (f *feeder) reader(kind string, p runner.ReadTiming) cachesyncer.Reader {
-	m := &cachesyncer.Mirror{Store: &platform.Reader{Store: f.store, Kind: kind}, Now: f.now, TTL: p.Lifetime, MinimumPause: p.MinimumPause, MaximumPause: p.MaximumPause}
+	m := &cachesyncer.Mirror{Store: &platform.Reader{Store: f.store, Kind: kind}, Now: f.now, TTL: p.TTL, MinimumPause: p.MinimumPause, MaximumPause: p.MaximumPause}
 	f.servers[kind] = &platform.FeedServer{Kind: kind, Mirror: m, OnSend: f.sent}
 	return &cachesyncer.Selector{Kind: kind, Mirror: m, Remote: f.remote, Host: f.host.UpstreamHost, Failed: f.host.UpstreamFailed}
 }
--- a/internal/proxy/runner/pace.go
+++ b/internal/proxy/runner/pace.go
@@ -22,27 +22,27 @@
 
 // ReadTiming holds the times of reading one kind of object from the store.
 type ReadTiming struct {
-	// Lifetime returns how long after an answer of the store its data counts as current, which is
+	// TTL returns how long after an answer of the store its data counts as current, which is
 	// as long as the next watch call may last.
-	Lifetime func() time.Duration
+	TTL func() time.Duration
 	// MinimumPause and MaximumPause bound the pause between a change and the next watch call.
 	MinimumPause, MaximumPause time.Duration
 }
 
 // ConfigurationTiming returns the times of reading the configuration.
-func (h *Host) ConfigurationTiming() ReadTiming { return ReadTiming{Lifetime: lifetime(h.configWait)} }
+func (h *Host) ConfigurationTiming() ReadTiming { return ReadTiming{TTL: ttl(h.configWait)} }
 
 // ServersTiming returns the times of reading the servers.
 func (h *Host) ServersTiming() ReadTiming {
-	return ReadTiming{Lifetime: lifetime(h.serversWait), MinimumPause: minimumServersPause, MaximumPause: maximumServersPause}
+	return ReadTiming{TTL: ttl(h.serversWait), MinimumPause: minimumServersPause, MaximumPause: maximumServersPause}
 }
 
 // HostsTiming returns the times of reading the entry hosts.
 func (h *Host) HostsTiming() ReadTiming {
-	return ReadTiming{Lifetime: lifetime(constant(hostsWait)), MinimumPause: minimumHostsPause, MaximumPause: maximumHostsPause}
+	return ReadTiming{TTL: ttl(constant(hostsWait)), MinimumPause: minimumHostsPause, MaximumPause: maximumHostsPause}
 }
 
-func lifetime(wait func() time.Duration) func() time.Duration {
+func ttl(wait func() time.Duration) func() time.Duration {
 	return func() time.Duration { return wait() + watchSlack }
 }
 
