--- a/internal/config/follower/follower.go
+++ b/internal/config/follower/follower.go
@@ -21,7 +21,7 @@
 // DefaultReportInterval is the time between two reports while nothing changes.
 const DefaultReportInterval = 30 * time.Second
 
-// ErrStopped is returned by Observe once the host has stopped.
+// ErrStopped is returned by AwaitRevision once the host has stopped.
 const ErrStopped = errors.ConstError("configuration follower stopped")
 
 // Fetcher gets the file of a revision from a peer while the platform doesn't answer.
@@ -49,10 +49,10 @@
 	Relays Relays
 	// Lease is how long a confirmation of the head lasts, adopter.DefaultLease if unset.
 	Lease time.Duration
-	// Deferred says that the caller invokes Decided once requests are decided by a
+	// DeferredActivation says that the caller invokes MarkActivated once requests are decided by a
 	// revision that Current returned, and that the revision is reported as in force only
 	// then. Without it a revision is reported as soon as Current returns it.
-	Deferred bool
+	DeferredActivation bool
 	// ReportInterval is the time between two reports while nothing changes,
 	// DefaultReportInterval if unset.
 	ReportInterval time.Duration
@@ -98,8 +98,8 @@
 	avoidedAt map[string]time.Time
 	// sequence numbers the reports to relays.
 	sequence uint64
-	// departed is set once Depart has ended the registration through a relay.
-	departed bool
+	// deregistered is set once Deregister has ended the registration through a relay.
+	deregistered bool
 	relayState
 }
 
@@ -120,7 +120,7 @@
 	h.updated = make(chan struct{})
 	h.summary.Self = encoder.HostReport{Host: h.Name, Incarnation: h.Incarnation}
 	h.state.Lease = h.Lease
-	h.state.DeferredActivation = h.Deferred
+	h.state.DeferredActivation = h.DeferredActivation
 	if h.Watcher == nil {
 		h.ownWatcher = true
 		h.Watcher = &watcher.Watcher{Platform: h.Platform, Backoff: h.Backoff, Random: h.Random, Clock: h.Clock, Log: h.Log}
@@ -145,9 +145,9 @@
 	return h.changed
 }
 
-// Decided records that requests are decided by revision r from now on; it is needed if
-// Deferred is set.
-func (h *Host) Decided(r uint64) {
+// MarkActivated records that requests are decided by revision r from now on; it is needed if
+// DeferredActivation is set.
+func (h *Host) MarkActivated(r uint64) {
 	h.once.Do(h.init)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -199,12 +199,12 @@
 	return h.Watcher.FailingSince()
 }
 
-// Observe records that a peer's message was sent under revision r, and returns nil once
+// AwaitRevision records that a peer's message was sent under revision r, and returns nil once
 // this host decides by r or a later revision. It returns ErrStopped if the host stops
 // and the context's error if ctx ends first. The caller must then refuse the message as
 // not run: handling it under another revision would decide one request by two
 // configurations.
-func (h *Host) Observe(ctx context.Context, r uint64) error {
+func (h *Host) AwaitRevision(ctx context.Context, r uint64) error {
 	if s := h.current.Load(); s != nil && uint64(s.revision) >= r {
 		return nil
 	}
@@ -212,7 +212,7 @@
 		return nil
 	}
 	for {
-		m, done := h.learn(declarer.Revision(r))
+		m, done := h.observeAccepted(declarer.Revision(r))
 		if done || ctx.Value(noWaitKey{}) != nil {
 			return nil
 		}
@@ -230,22 +230,22 @@
 // noWaitKey marks the context of a call that must not wait for a revision.
 type noWaitKey struct{}
 
-// WithoutWaiting returns a context with which Observe records a revision without
+// WithoutWaiting returns a context with which AwaitRevision records a revision without
 // waiting for it. Calls that fetch the revision's file need it: waiting for the revision
 // before its file has arrived would never end.
 func WithoutWaiting(ctx context.Context) context.Context {
 	return context.WithValue(ctx, noWaitKey{}, true)
 }
 
-// Learn records that a peer decides by r; it doesn't wait until this host does.
-func (h *Host) Learn(r declarer.Revision) {
-	h.learn(r)
+// ObserveAccepted records that a peer decides by r; it doesn't wait until this host does.
+func (h *Host) ObserveAccepted(r declarer.Revision) {
+	h.observeAccepted(r)
 }
 
-// learn records that a peer decides by r and reports whether this host does, too. If not
+// observeAccepted records that a peer decides by r and reports whether this host does, too. If not
 // it returns a channel that closes when the next revision is put in force, nil once the
 // host has stopped.
-func (h *Host) learn(r declarer.Revision) (<-chan struct{}, bool) {
+func (h *Host) observeAccepted(r declarer.Revision) (<-chan struct{}, bool) {
 	h.once.Do(h.init)
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/config/follower/member.go
+++ b/internal/config/follower/member.go
@@ -56,7 +56,7 @@
 func (h *Host) recordRegistration(a Advice, asked time.Duration, fresh bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.departed {
+	if h.deregistered {
 		return
 	}
 	m := a.Registration.Member
@@ -123,10 +123,10 @@
 	}
 }
 
-// Depart ends the host's registration at its relay. It is called once the host has no
+// Deregister ends the host's registration at its relay. It is called once the host has no
 // caller, while it can still reach the relay; otherwise the next change of the
 // configuration would wait for this host.
-func (h *Host) Depart(ctx context.Context) {
+func (h *Host) Deregister(ctx context.Context) {
 	h.once.Do(h.init)
 	if r := h.endRelayRegistration(); r != "" {
 		h.leaveRelay(ctx, r)
@@ -139,7 +139,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.followsRelay() {
-		h.departed = true
+		h.deregistered = true
 		h.state.MarkUnregistered()
 	}
 	return h.relay
--- a/internal/config/follower/relay.go
+++ b/internal/config/follower/relay.go
@@ -185,7 +185,7 @@
 // that report through this one may still be gathered, zero if there are none. The caller
 // holds h.mu.
 func (h *Host) reportDue(r adopter.Report, own bool) (bool, time.Duration) {
-	if h.departed {
+	if h.deregistered {
 		return false, 0
 	}
 	if h.followsRelay() {
--- a/internal/config/follower/worker.go
+++ b/internal/config/follower/worker.go
@@ -31,7 +31,7 @@
 	return err
 }
 
-// stop ends all waits of Observe with ErrStopped.
+// stop ends all waits of AwaitRevision with ErrStopped.
 func (h *Host) stop() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -125,7 +125,7 @@
 func (h *Host) hasDeparted() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.departed
+	return h.deregistered
 }
 
 // step fetches the wanted file or reports, and says whether there was anything to do. If
--- a/internal/config/publisher/decided_test.go
+++ b/internal/config/publisher/decided_test.go
@@ -32,7 +32,7 @@
 			return
 		}
 		k.activated.Store(r)
-		k.host.Decided(r)
+		k.host.MarkActivated(r)
 	}
 }
 
@@ -42,7 +42,7 @@
 func TestInForceIsToldOnceDecidedBy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &storekeeper.Store{}
-		d := deployWith(s, 3, func(h *follower.Host) { h.Deferred = true })
+		d := deployWith(s, 3, func(h *follower.Host) { h.DeferredActivation = true })
 		defer d.end()
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
--- a/internal/config/sharer/region_test.go
+++ b/internal/config/sharer/region_test.go
@@ -135,7 +135,7 @@
 		if _, ok := r.find(to); !ok || ctx.Err() != nil {
 			return sharer.Share{}, errUnreachable
 		}
-		return a, h.Observe(ctx, uint64(a.InForce))
+		return a, h.AwaitRevision(ctx, uint64(a.InForce))
 	}
 }
 
--- a/internal/config/sharer/relay_test.go
+++ b/internal/config/sharer/relay_test.go
@@ -208,7 +208,7 @@
 			x, _ := r.find(n)
 			r.markLeaving(n)
 			time.Sleep(20 * time.Second)
-			x.host.Depart(t.Context())
+			x.host.Deregister(t.Context())
 			x.stop()
 			r.remove(n)
 			time.Sleep(2 * time.Second)
--- a/internal/config/sharer/sharer.go
+++ b/internal/config/sharer/sharer.go
@@ -183,7 +183,7 @@
 			s.Log.WithError(err).WithField("peer", p).Warn("peer did not answer a configuration question")
 			return
 		}
-		s.Host.Learn(a.InForce)
+		s.Host.ObserveAccepted(a.InForce)
 		if a.Claim != nil {
 			s.Host.Renew(*a.Claim, t)
 		}
--- a/internal/config/sharer/sharer_test.go
+++ b/internal/config/sharer/sharer_test.go
@@ -58,7 +58,7 @@
 			}
 			a := o.Answer(ctx, q)
 			// Each answer carries the peer's revision, as on the wire.
-			return a, h.Observe(ctx, uint64(a.InForce))
+			return a, h.AwaitRevision(ctx, uint64(a.InForce))
 		},
 	}
 	h.Peers = s
@@ -126,7 +126,7 @@
 		h := f.add("a", &storekeeper.Store{})
 		c, stop := context.WithTimeout(ctx, time.Second)
 		defer stop()
-		if err := h.Observe(c, 7); !errors.Is(err, context.DeadlineExceeded) {
+		if err := h.AwaitRevision(c, 7); !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("got %v", err)
 		}
 	})
--- a/internal/host/assembler/assembler.go
+++ b/internal/host/assembler/assembler.go
@@ -141,17 +141,17 @@
 	a.watcher = &watcher.Watcher{Platform: a.platform, Random: mathrand.Float64, Clock: a.clock, Log: a.log}
 	a.sharer = &sharer.Sharer{Peers: a.livePeers, ZoneHosts: a.reachableZoneHosts, Random: mathrand.Float64, Clock: a.clock, Log: a.log}
 	a.Follower = &follower.Host{
-		Deferred:         true,
-		Name:             a.Settings.HostName,
-		Incarnation:      strconv.FormatUint(a.Settings.Incarnation, 10),
-		AvailabilityZone: a.Settings.AvailabilityZone,
-		Platform:         a.platform,
-		Watcher:          a.watcher,
-		Peers:            a.sharer,
-		Relays:           a.sharer,
-		Random:           mathrand.Float64,
-		Clock:            a.clock,
-		Log:              a.log,
+		DeferredActivation: true,
+		Name:               a.Settings.HostName,
+		Incarnation:        strconv.FormatUint(a.Settings.Incarnation, 10),
+		AvailabilityZone:   a.Settings.AvailabilityZone,
+		Platform:           a.platform,
+		Watcher:            a.watcher,
+		Peers:              a.sharer,
+		Relays:             a.sharer,
+		Random:             mathrand.Float64,
+		Clock:              a.clock,
+		Log:                a.log,
 	}
 	a.sharer.Host = a.Follower
 }
--- a/internal/host/deployer/configuration.go
+++ b/internal/host/deployer/configuration.go
@@ -43,14 +43,14 @@
 		return d.Source(name, d.File)
 	}
 	return &follower.Host{
-		Name:             name,
-		Incarnation:      strconv.FormatInt(d.incarnations.Add(1), 10),
-		AvailabilityZone: p.AvailabilityZone,
-		Platform:         d.platform(p),
-		Random:           rand.Float64,
-		Clock:            c,
-		Deferred:         true,
-		Log:              d.Log,
+		Name:               name,
+		Incarnation:        strconv.FormatInt(d.incarnations.Add(1), 10),
+		AvailabilityZone:   p.AvailabilityZone,
+		Platform:           d.platform(p),
+		Random:             rand.Float64,
+		Clock:              c,
+		DeferredActivation: true,
+		Log:                d.Log,
 	}
 }
 
--- a/internal/host/runner/ascender.go
+++ b/internal/host/runner/ascender.go
@@ -13,9 +13,9 @@
 
 // RevisionObserver is a Source that accepts revisions found in messages of peers.
 type RevisionObserver interface {
-	// Observe returns once the source has reached revision r or a later one. An error means that
-	// ctx ended or the source stopped before.
-	Observe(ctx context.Context, r uint64) error
+	// AwaitRevision returns once the source has reached revision r or a later one. An error means
+	// that ctx ended or the source stopped before.
+	AwaitRevision(ctx context.Context, r uint64) error
 }
 
 // revisionWaiter waits until this host has applied the revision of a message before the message
@@ -35,7 +35,7 @@
 	}
 	c, cancel := context.WithTimeout(ctx, revisionTimeout)
 	defer cancel()
-	if err := a.observer.Observe(c, s.Revision); err != nil {
+	if err := a.observer.AwaitRevision(c, s.Revision); err != nil {
 		return err
 	}
 	x := &blackboard.Subscriber[State]{Version: configurationVersion}
--- a/internal/host/runner/ascender_test.go
+++ b/internal/host/runner/ascender_test.go
@@ -15,7 +15,7 @@
 // immediateObserver is a RevisionObserver that reaches each revision immediately.
 type immediateObserver struct{}
 
-func (immediateObserver) Observe(context.Context, uint64) error { return nil }
+func (immediateObserver) AwaitRevision(context.Context, uint64) error { return nil }
 
 // Guards against handling a message under an older revision than that of its sender, so that one
 // request is processed under two configurations. A message must wait until the revision is in force
--- a/internal/host/runner/companion.go
+++ b/internal/host/runner/companion.go
@@ -21,11 +21,11 @@
 	return err
 }
 
-// Leaver is a Source that must be notified of the end of a drain.
-type Leaver interface {
-	// Depart deregisters the host from the source. It is called when the host has no callers left,
-	// while its peers can still be reached.
-	Depart(ctx context.Context)
+// Deregisterer is a Source that must be notified of the end of a drain.
+type Deregisterer interface {
+	// Deregister ends the host's registration at the source. It is called when the host has no
+	// callers left, while its peers can still be reached.
+	Deregister(ctx context.Context)
 }
 
 // drainer shuts a host down gracefully.
@@ -58,8 +58,8 @@
 		h.peers.leave()
 	}
 	n := h.listener.Drain(x)
-	if s, ok := h.Source.(Leaver); ok {
-		s.Depart(x)
+	if s, ok := h.Source.(Deregisterer); ok {
+		s.Deregister(x)
 	}
 	if h.peers != nil {
 		n += h.peers.drain(x)
--- a/internal/host/runner/reconciler.go
+++ b/internal/host/runner/reconciler.go
@@ -87,7 +87,7 @@
 		r.host.peers.reconsider()
 	}
 	if d, ok := r.host.Source.(RevisionTracker); ok {
-		d.Decided(n)
+		d.MarkActivated(n)
 	}
 	r.host.collector.Revision.Set(float64(n))
 	r.retire(served)
--- a/internal/host/runner/runner.go
+++ b/internal/host/runner/runner.go
@@ -41,8 +41,8 @@
 
 // RevisionTracker is a Source that is notified when this host has put a revision in force.
 type RevisionTracker interface {
-	// Decided is called when all new requests are processed under revision r.
-	Decided(r uint64)
+	// MarkActivated is called when all new requests are processed under revision r.
+	MarkActivated(r uint64)
 }
 
 // Source provides the configuration that is to be in force.
