--- a/internal/proxy/runner/roster.go
+++ b/internal/proxy/runner/roster.go
@@ -16,8 +16,8 @@
 type Registrar interface {
 	// Register writes the entry.
 	Register(ctx context.Context, h declarer.Host) error
-	// Leave removes the entry of the host with the name.
-	Leave(ctx context.Context, name string) error
+	// Deregister removes the entry of the host with the name.
+	Deregister(ctx context.Context, name string) error
 }
 
 // roster holds the entry hosts that the platform lists. A host that has failed stays listed;
@@ -194,7 +194,7 @@
 func (h *Host) deregister() {
 	c, cancel := context.WithTimeout(context.Background(), deregisterTimeout)
 	defer cancel()
-	if err := h.Registrar.Leave(c, h.Name); err != nil {
+	if err := h.Registrar.Deregister(c, h.Name); err != nil {
 		h.Log.WithError(err).Warn("host not removed from the store")
 	}
 }
