--- a/internal/caller/server/acknowledgement.go
+++ b/internal/caller/server/acknowledgement.go
@@ -84,7 +84,7 @@
 	}
 	y, stop := withoutCancel(x)
 	defer stop()
-	if err := s.Director.Acknowledge(y, s.group, r.Position); err != nil {
+	if err := s.Director.WaitAcknowledged(y, s.group, r.Position); err != nil {
 		return a.unacknowledged(y, err)
 	}
 	s.raiseMark(r.Position)
--- a/internal/caller/server/director.go
+++ b/internal/caller/server/director.go
@@ -84,10 +84,10 @@
 type Director interface {
 	// Choose waits until a backend server may serve q, at most until ctx ends.
 	Choose(ctx context.Context, q Query) (Choice, error)
-	// Acknowledge waits until a majority of the group holds the commit at m. An error that wraps
-	// driver.ErrSuperseded means that the commit did not take effect and never will; after any
+	// WaitAcknowledged waits until a majority of the group holds the commit at m. An error that
+	// wraps driver.ErrSuperseded means that the commit did not take effect and never will; after any
 	// other error its outcome is unknown.
-	Acknowledge(ctx context.Context, group string, m marker.Mark) error
+	WaitAcknowledged(ctx context.Context, group string, m marker.Mark) error
 	// LookUp returns what a majority holds of an idempotency key.
 	LookUp(ctx context.Context, group string, a recorder.Attempt) (inquirer.Answer, error)
 	// Settle makes the outcome of an attempt final after its connection was lost. It returns
--- a/internal/outcome/inquirer/inquirer.go
+++ b/internal/outcome/inquirer/inquirer.go
@@ -28,8 +28,8 @@
 type Group interface {
 	// Primary waits until the group has a confirmed primary and returns it.
 	Primary(ctx context.Context) (lessor.Lessor, error)
-	// Acknowledge waits until a majority of the instances holds m.
-	Acknowledge(ctx context.Context, m marker.Mark) error
+	// WaitAcknowledged waits until a majority of the instances holds m.
+	WaitAcknowledged(ctx context.Context, m marker.Mark) error
 }
 
 // Inquirer queries one database group. Group is set before use.
@@ -60,7 +60,7 @@
 			a = n
 			continue
 		}
-		if err := i.Group.Acknowledge(ctx, m); err != nil {
+		if err := i.Group.WaitAcknowledged(ctx, m); err != nil {
 			return Answer{}, errors.Annotatef(err, "confirm outcome of key %s", a.Key)
 		}
 		if d == recorder.Run {
@@ -95,7 +95,7 @@
 	}
 	switch r.Code {
 	case "":
-		return recorder.NotRun, i.Group.Acknowledge(ctx, r.Position)
+		return recorder.NotRun, i.Group.WaitAcknowledged(ctx, r.Position)
 	case recorder.UndefinedTable:
 		return recorder.Unknown, i.CreateTable(ctx)
 	case recorder.UniqueViolation:
@@ -114,7 +114,7 @@
 	if !r.Found {
 		return recorder.Unknown, errors.Annotatef(ErrUnexpectedAnswer, "row of key %s came and went", a.Key)
 	}
-	return r.Outcome, i.Group.Acknowledge(ctx, m)
+	return r.Outcome, i.Group.WaitAcknowledged(ctx, m)
 }
 
 // CreateTable creates the outcome table, and waits until a majority of the instances holds it.
@@ -126,7 +126,7 @@
 	if r.Code != "" {
 		return errors.Annotatef(ErrUnexpectedAnswer, "SQLSTATE %s to creation of outcome table", r.Code)
 	}
-	return errors.Annotate(i.Group.Acknowledge(ctx, r.Position), "confirm outcome table")
+	return errors.Annotate(i.Group.WaitAcknowledged(ctx, r.Position), "confirm outcome table")
 }
 
 // lookUp reads the row of an attempt and returns it with the mark that the primary's log had reached.
--- a/internal/route/director/director.go
+++ b/internal/route/director/director.go
@@ -196,8 +196,8 @@
 	return nil
 }
 
-// Acknowledge implements server.Director.
-func (d *Director) Acknowledge(ctx context.Context, group string, m marker.Mark) error {
+// WaitAcknowledged implements server.Director.
+func (d *Director) WaitAcknowledged(ctx context.Context, group string, m marker.Mark) error {
 	for {
 		_, g, err := d.group(group)
 		if err != nil {
--- a/internal/route/director/outcomes.go
+++ b/internal/route/director/outcomes.go
@@ -37,9 +37,9 @@
 	return g.Lessors[v.Primary], nil
 }
 
-// Acknowledge implements inquirer.Group.
-func (a inquirerGroup) Acknowledge(ctx context.Context, m marker.Mark) error {
-	return a.director.Acknowledge(ctx, a.group, m)
+// WaitAcknowledged implements inquirer.Group.
+func (a inquirerGroup) WaitAcknowledged(ctx context.Context, m marker.Mark) error {
+	return a.director.WaitAcknowledged(ctx, a.group, m)
 }
 
 func (d *Director) inquirer(group string) (*inquirer.Inquirer, error) {
