--- a/internal/pool/exchanger/silence.go
+++ b/internal/pool/exchanger/silence.go
@@ -34,9 +34,9 @@
 
 // Prober queries and ends sessions of the backend server over a new connection.
 type Prober interface {
-	// Working reports whether the session with this process id is running a statement.
+	// Working reports whether the session with this process ID runs a statement.
 	Working(ctx context.Context, processID uint32) (bool, error)
-	// Terminate ends the sessions with these process ids.
+	// Terminate ends the sessions with these process IDs.
 	Terminate(ctx context.Context, processIDs []uint32) error
 }
 
