--- a/internal/group/driver/driver.go
+++ b/internal/group/driver/driver.go
@@ -111,8 +111,9 @@
 			NoPrimaryTimeout: 200 * time.Millisecond,
 			MaximumStatusAge: 500 * time.Millisecond,
 			TermAheadTimeout: time.Second,
-			// LookLimit applies to the view, which is recomputed every 20 ms (GapInterval);
-			// AnswerLimit to answers at rest, which are 100 ms (StatusInterval) and a round trip apart.
+			// MaximumViewInterval applies to the view, which is recomputed every 20 ms (GapInterval);
+			// MaximumAnswerInterval to answers at rest, which are 100 ms (StatusInterval) and a round
+			// trip apart.
 			MaximumViewInterval:   50 * time.Millisecond,
 			MaximumAnswerInterval: 200 * time.Millisecond,
 			MaximumEvidenceAge:    400 * time.Millisecond,
--- a/internal/group/driver/waiter.go
+++ b/internal/group/driver/waiter.go
@@ -41,8 +41,8 @@
 	mark   marker.Mark
 	server string
 	done   chan answer
-	// demand determines when instances are polled for the waiter. Only polls that began after
-	// number demand.Arrived count for it.
+	// demand determines when instances are polled for the waiter. Only polls with a number
+	// above demand.AfterPoll count for it.
 	demand pacer.Demand
 	// behind are the instances that answered a poll after the waiter's arrival without having
 	// reached what it waits for.
--- a/internal/host/runner/roster.go
+++ b/internal/host/runner/roster.go
@@ -23,7 +23,7 @@
 	hosts []assigner.Host
 	// addresses holds the peer addresses by host name.
 	addresses map[string]string
-	// changed is closed at the next change, nil if nobody has asked for it.
+	// changed is closed at the next change, nil if no caller waits for it.
 	changed chan struct{}
 }
 
--- a/internal/pool/granter/callup_test.go
+++ b/internal/pool/granter/callup_test.go
@@ -104,7 +104,7 @@
 
 // Guards against connections that are never released. The connection is returned with the result
 // if the sender allows it and the connection is idle afterwards. If the sender assumed this for a
-// connection that is still leased, nobody would release it and its locks.
+// connection that is still leased, it and its locks would never be released.
 func TestLeaseEndsWithResult(t *testing.T) {
 	tests := []struct {
 		query                  string
--- a/internal/proxy/runner/follower.go
+++ b/internal/proxy/runner/follower.go
@@ -137,8 +137,8 @@
 	return max(revision, next), nil
 }
 
-// recordResult logs when calls begin to fail and when they succeed again. ErrForgotten is no
-// failure, as the store has answered.
+// recordResult logs when calls begin to fail and when they succeed again. ErrCompacted is not a
+// failure, since the store has answered.
 func (f *follower[T]) recordResult(err error) {
 	failing := err != nil && !errors.Is(err, cachesyncer.ErrCompacted)
 	if failing == f.failing {
--- a/internal/soak/storekeeper/storekeeper.go
+++ b/internal/soak/storekeeper/storekeeper.go
@@ -68,7 +68,7 @@
 	events   []event
 	// floor is the revision after which events are kept.
 	floor uint64
-	// changed is closed at the next change, nil while nobody waits for one.
+	// changed is closed at the next change, nil while no caller waits for one.
 	changed chan struct{}
 	// renewed holds by name when each entry was last renewed.
 	renewed map[string]time.Time
