--- a/internal/config/follower/follower.go
+++ b/internal/config/follower/follower.go
@@ -49,7 +49,7 @@
 	Relays Relays
 	// Lease is how long a confirmation of the head lasts, adopter.DefaultLease if unset.
 	Lease time.Duration
-	// DeferredActivation says that the caller invokes MarkActivated once requests are decided by a
+	// DeferredActivation says that the caller invokes MarkActivated once requests are handled under a
 	// revision that Current returned, and that the revision is reported as in force only
 	// then. Without it a revision is reported as soon as Current returns it.
 	DeferredActivation bool
@@ -103,7 +103,7 @@
 	relayState
 }
 
-// snapshot is the revision, with its file, that requests are decided by.
+// snapshot is the revision, with its file, that requests are handled under.
 type snapshot struct {
 	revision declarer.Revision
 	file     *declarer.File
@@ -127,7 +127,7 @@
 	}
 }
 
-// Current returns the revision that requests are decided by, which means that they are
+// Current returns the revision that requests are handled under, which means that they are
 // routed and limited according to its file, and that file; zero and nil before the first
 // revision. It costs one atomic load.
 func (h *Host) Current() (uint64, *declarer.File) {
@@ -145,8 +145,8 @@
 	return h.changed
 }
 
-// MarkActivated records that requests are decided by revision r from now on; it is needed if
-// DeferredActivation is set.
+// MarkActivated records that requests are handled under revision r from now on; it is needed
+// if DeferredActivation is set.
 func (h *Host) MarkActivated(r uint64) {
 	h.once.Do(h.init)
 	h.mu.Lock()
@@ -200,10 +200,9 @@
 }
 
 // AwaitRevision records that a peer's message was sent under revision r, and returns nil once
-// this host decides by r or a later revision. It returns ErrStopped if the host stops
-// and the context's error if ctx ends first. The caller must then refuse the message as
-// not run: handling it under another revision would decide one request by two
-// configurations.
+// r or a later revision is in force here. It returns ErrStopped if the host stops and the
+// context's error if ctx ends first. The caller must then refuse the message as not run:
+// otherwise one request would be handled under two configurations.
 func (h *Host) AwaitRevision(ctx context.Context, r uint64) error {
 	if s := h.current.Load(); s != nil && uint64(s.revision) >= r {
 		return nil
@@ -237,13 +236,13 @@
 	return context.WithValue(ctx, noWaitKey{}, true)
 }
 
-// ObserveAccepted records that a peer decides by r; it doesn't wait until this host does.
+// ObserveAccepted records that r is in force on a peer; it doesn't wait until it is in force here.
 func (h *Host) ObserveAccepted(r declarer.Revision) {
 	h.observeAccepted(r)
 }
 
-// observeAccepted records that a peer decides by r and reports whether this host does, too. If not
-// it returns a channel that closes when the next revision is put in force, nil once the
+// observeAccepted records that r is in force on a peer and reports whether it is in force here,
+// too. If not it returns a channel that closes when the next revision is put in force, nil once the
 // host has stopped.
 func (h *Host) observeAccepted(r declarer.Revision) (<-chan struct{}, bool) {
 	h.once.Do(h.init)
--- a/internal/config/follower/member.go
+++ b/internal/config/follower/member.go
@@ -11,7 +11,7 @@
 )
 
 // reportToRelay reports to the relay which revision this host is ready for and which one
-// it decides by. It returns ErrNotRegistered if the relay's object doesn't hold this host.
+// is in force here. It returns ErrNotRegistered if the relay's object doesn't hold this host.
 func (h *Host) reportToRelay(ctx context.Context, relay string, r adopter.Report) error {
 	c, cancel := context.WithTimeout(WithoutWaiting(ctx), reportWait+consultTimeout)
 	defer cancel()
