--- a/docs_test.go
+++ b/docs_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// A test is renamed or removed, and the page of promises goes on naming it. Its reader
-// would trust a proof that isn't run.
+// Guards against docs/promises.md naming a test that has been renamed or removed. Readers would
+// rely on a check that is never run.
 func TestPromisesNameTestsThatExist(t *testing.T) {
 	b, err := os.ReadFile("docs/promises.md")
 	if err != nil {
@@ -20,7 +20,7 @@
 	tests := definedTests(t)
 	named := regexp.MustCompile("`(Test[A-Z][A-Za-z0-9]*)`").FindAllStringSubmatch(string(b), -1)
 	if len(named) == 0 {
-		t.Fatal("no test is named")
+		t.Fatal("docs/promises.md names no test")
 	}
 	for _, m := range named {
 		if !tests[m[1]] {
@@ -29,7 +29,7 @@
 	}
 }
 
-// definedTests returns the names of all test functions.
+// definedTests returns the names of all test functions in the module.
 func definedTests(t *testing.T) map[string]bool {
 	tests := map[string]bool{}
 	f := regexp.MustCompile(`(?m)^func (Test[A-Z]\w*)\(`)
@@ -52,9 +52,10 @@
 	return tests
 }
 
-// The platform's names creep into the decisions, and the next platform means to write
-// them anew. Only the two packages that put a process together may import the adapter.
-func TestOnlyTheRimKnowsThePlatform(t *testing.T) {
+// Guards against code that depends on one platform outside of its adapter. Logic that used the
+// platform's names would have to be rewritten for the next platform. Only the two packages that
+// assemble a process may import package platform.
+func TestOnlyAssemblyImportsPlatform(t *testing.T) {
 	allowed := []string{"internal/proxy/assembler", "internal/proxy/commander"}
 	err := filepath.WalkDir(".", func(p string, e fs.DirEntry, err error) error {
 		if err != nil || e.IsDir() || !strings.HasSuffix(p, ".go") {
@@ -66,7 +67,7 @@
 		}
 		d := filepath.ToSlash(filepath.Dir(p))
 		if strings.Contains(string(b), "\"github.com/cuminwick/cuminwick/"+"platform\"") && !slices.Contains(allowed, d) {
-			t.Errorf("%s imports platform", p)
+			t.Errorf("%s imports platform, only %v may", p, allowed)
 		}
 		return nil
 	})
