--- a/internal/bench/loader/loader.go
+++ b/internal/bench/loader/loader.go
@@ -1,4 +1,4 @@
-// Package loader is many callers that make short sessions, cancel most of their requests and roam between entry hosts.
+// Package loader generates load: many callers run short sessions, cancel most of their requests and switch between entry hosts.
 package loader
 
 import (
@@ -16,10 +16,10 @@
 	"github.com/cuminwick/cuminwick/internal/bench/definer"
 )
 
-// patience is how long a caller waits for an answer before it gives up.
-const patience = 10 * time.Second
+// requestTimeout is how long a caller waits for the response to a request.
+const requestTimeout = 10 * time.Second
 
-// Dial opens a connection from where the callers stand.
+// Dial opens a connection from the callers' place in the network.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 // Host is one entry host that callers may connect to.
@@ -28,41 +28,42 @@
 	Address string
 }
 
-// Loader makes the requests of one run and keeps what the callers saw. The
-// exported fields are set before Run.
+// Loader makes the requests of one run and records the result of each as its caller observed it.
+// The exported fields are set before Run.
 type Loader struct {
 	Load   definer.Load
 	Groups []string
-	// Hosts returns the entry hosts that the balancer knows at the time.
+	// Hosts returns the entry hosts that the load balancer currently sends callers to.
 	Hosts func() []Host
 	Dial  Dial
-	// User and Password are the callers' role.
+	// User and Password are the credentials of the callers' database role.
 	User, Password string
-	// Token is what sessions bring along that bring no mark, nothing if empty.
+	// Token is sent in place of a mark by sessions that send no mark. If it is empty, they
+	// send nothing.
 	Token string
-	// Seed fixes what callers do; the moments stay those of the run.
+	// Seed determines the callers' random choices. Timing still varies between runs.
 	Seed uint64
-	// StartTime is the run's start.
+	// StartTime is the start of the run.
 	StartTime time.Time
 
-	limiter  *rate.Limiter
-	mutex    sync.Mutex
-	requests []checker.Request
-	failed   int
+	limiter        *rate.Limiter
+	mutex          sync.Mutex
+	requests       []checker.Request
+	failedConnects int
 }
 
-// Requests returns what the callers saw so far.
+// Requests returns the requests recorded so far.
 func (l *Loader) Requests() []checker.Request {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return append([]checker.Request(nil), l.requests...)
 }
 
-// FailedConnects counts connections that couldn't be opened.
+// FailedConnects counts connections that could not be opened.
 func (l *Loader) FailedConnects() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.failed
+	return l.failedConnects
 }
 
 func (l *Loader) record(r checker.Request) {
@@ -71,24 +72,24 @@
 	l.requests = append(l.requests, r)
 }
 
-func (l *Loader) recordFailure() {
+func (l *Loader) recordFailedConnect() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.failed++
+	l.failedConnects++
 }
 
-// since returns the time since the run's start.
-func (l *Loader) since() time.Duration {
+// elapsed returns the time elapsed the run's start.
+func (l *Loader) elapsed() time.Duration {
 	return time.Since(l.StartTime)
 }
 
-// tables are made in every group before the load begins.
+// tables are the statements that create the tables of every group before the load starts.
 var tables = []string{
 	"CREATE TABLE IF NOT EXISTS bench_entry (request text NOT NULL, session text, part bigint)",
 	"CREATE TABLE IF NOT EXISTS bench_register (session text PRIMARY KEY, v bigint NOT NULL, request text)",
 }
 
-// Prepare makes the tables in every group.
+// Prepare creates the tables in every group.
 func (l *Loader) Prepare(ctx context.Context) error {
 	for _, g := range l.Groups {
 		c, err := l.Connect(ctx, l.Hosts()[0], g, "")
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// Run makes requests until ctx ends. What is in progress then is finished.
+// Run makes requests until ctx ends. Requests in progress at that time are completed.
 func (l *Loader) Run(ctx context.Context) {
 	l.limiter = rate.NewLimiter(rate.Inf, 1)
 	if l.Load.RequestsPerSecond > 0 {
@@ -119,13 +120,13 @@
 		w.Go(func() { c.run(ctx) })
 	}
 	for i, g := range l.Groups {
-		c := &gauge{loader: l, group: g, host: i}
+		c := &gauge{loader: l, group: g, hostIndex: i}
 		w.Go(func() { c.run(ctx) })
 	}
 	w.Wait()
 }
 
-// caller makes one session after the other.
+// caller runs one session after the other.
 type caller struct {
 	loader *Loader
 	number int
@@ -144,14 +145,15 @@
 	}
 }
 
-// pickHost returns a random entry host of those that the balancer knows.
+// pickHost returns a random entry host that the load balancer currently sends callers to.
 func (l *Loader) pickHost(r *rand.Rand) Host {
 	h := l.Hosts()
 	return h[r.IntN(len(h))]
 }
 
-// other returns the name of a session of the same group that has existed, mostly.
-func (c *session) other() string {
+// pickReviewedSession returns the name of a random session of the same group, or the session's own
+// name if none is found within a few attempts.
+func (c *session) pickReviewedSession() string {
 	l := c.loader
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/bench/loader/loader_test.go
+++ b/internal/bench/loader/loader_test.go
@@ -15,10 +15,10 @@
 	"github.com/cuminwick/cuminwick/internal/standin/responder"
 )
 
-// A caller leaves between two statements of a transaction. The driver keeps
-// such a connection open; if the next request used it, it would run within the
-// transaction that was left, and a run would blame the proxy for its loss.
-func TestWhoLeavesClosesTheConnection(t *testing.T) {
+// Guards against a connection that is reused after its caller disconnected between two statements of
+// a transaction. The driver keeps such a connection open; the next request would run within the
+// abandoned transaction, and its loss would be counted as the proxy's fault.
+func TestDisconnectClosesConnection(t *testing.T) {
 	s := &responder.Server{Name: "a", Address: "127.0.0.1:0", Primary: true}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -42,20 +42,20 @@
 		t.Fatal(err)
 	}
 	c := &session{loader: l, random: rand.New(rand.NewPCG(1, 1)), name: "s", group: "g"}
-	left := 0
+	disconnects := 0
 	for range 200 {
-		if !c.arrive(ctx) {
-			t.Fatal("not connected")
+		if !c.ensureConnected(ctx) {
+			t.Fatal("the session has no connection")
 		}
 		c.request(ctx)
 		if c.conn == nil {
-			left++
+			disconnects++
 		} else if x := c.conn.TxStatus(); x != 'I' {
-			t.Fatalf("the connection stays open in state %c", x)
+			t.Fatalf("connection stays open with transaction status %c", x)
 		}
 	}
-	if left == 0 {
-		t.Error("nobody left")
+	if disconnects == 0 {
+		t.Error("no caller disconnected")
 	}
 }
 
@@ -66,15 +66,15 @@
 	}{
 		"no error":                     {nil, checker.Ran},
 		"lost connection":              {errors.New("reset"), checker.Unknown},
-		"lost before COMMIT":           {errNotCommitted{errors.New("reset")}, checker.NotRun},
+		"lost before COMMIT":           {notCommittedError{errors.New("reset")}, checker.NotRun},
 		"server's own error":           {&pgconn.PgError{Code: "23505"}, checker.NotRun},
 		"server's cancel":              {&pgconn.PgError{Code: "57014"}, checker.Cancelled},
 		"cancel with open outcome":     {&pgconn.PgError{Code: "57014", Detail: "outcome=unknown request=a"}, checker.Unknown},
 		"refused":                      {&pgconn.PgError{Code: "53300", Detail: "outcome=not-run request=a"}, checker.NotRun},
 		"open completion":              {&pgconn.PgError{Code: "40003", Detail: "outcome=unknown request=a"}, checker.Unknown},
-		"shutdown, nothing said":       {&pgconn.PgError{Code: "57P01"}, checker.Unknown},
-		"failed statement before it":   {errNotCommitted{&pgconn.PgError{Code: "40003", Detail: "outcome=unknown"}}, checker.NotRun},
-		"cancel in a transaction":      {errNotCommitted{&pgconn.PgError{Code: "57014", Detail: "outcome=not-run"}}, checker.Cancelled},
+		"shutdown without detail":      {&pgconn.PgError{Code: "57P01"}, checker.Unknown},
+		"failed statement before it":   {notCommittedError{&pgconn.PgError{Code: "40003", Detail: "outcome=unknown"}}, checker.NotRun},
+		"cancel in a transaction":      {notCommittedError{&pgconn.PgError{Code: "57014", Detail: "outcome=not-run"}}, checker.Cancelled},
 		"error after the work is done": {&pgconn.PgError{Code: "57014", Detail: "outcome=ran request=a"}, checker.Ran},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/bench/loader/outcome.go
+++ b/internal/bench/loader/outcome.go
@@ -11,7 +11,8 @@
 	"github.com/cuminwick/cuminwick/internal/bench/checker"
 )
 
-// Parts of an error that say what became of a request.
+// Parts of an error that state the outcome of a request: texts in its detail, and the SQLSTATE of a
+// cancelled statement.
 const (
 	detailNotRun  = "outcome=not-run"
 	detailUnknown = "outcome=unknown"
@@ -19,14 +20,13 @@
 	codeCanceled  = "57014"
 )
 
-// openClasses are the classes of SQLSTATE after which a statement's effect is
-// open when nothing else is said: lost connections, unknown completion, and
-// shutdowns.
-var openClasses = []string{"08", "40003", "57P"}
+// unknownOutcomeClasses are prefixes of the SQLSTATEs that leave a statement's outcome unknown unless
+// the error's detail states it: lost connections, unknown completion, and shutdowns.
+var unknownOutcomeClasses = []string{"08", "40003", "57P"}
 
-// conclude notes what the caller was told. gaveUp says that the caller's own
-// patience or wish ended the request, so that a lost connection is its doing.
-func (c *session) conclude(r *checker.Request, err error, gaveUp bool) {
+// setOutcome records the outcome that the caller received. gaveUp states that the caller ended the
+// request itself, by a timeout or a disconnect; a lost connection then isn't counted as one.
+func (c *session) setOutcome(r *checker.Request, err error, gaveUp bool) {
 	r.Outcome, r.Code = classify(err)
 	var p *pgconn.PgError
 	r.ConnectionLost = err != nil && !errors.As(err, &p) && !errors.Is(err, errRolledBack) && !gaveUp
@@ -37,7 +37,7 @@
 	if err == nil {
 		return checker.Ran, ""
 	}
-	var n errNotCommitted
+	var n notCommittedError
 	var p *pgconn.PgError
 	if !errors.As(err, &p) {
 		if errors.As(err, &n) {
@@ -61,7 +61,7 @@
 	case strings.Contains(p.Detail, detailNotRun):
 		return checker.NotRun
 	}
-	for _, k := range openClasses {
+	for _, k := range unknownOutcomeClasses {
 		if strings.HasPrefix(p.Code, k) {
 			return checker.Unknown
 		}
@@ -69,14 +69,15 @@
 	return checker.NotRun
 }
 
-// canceller cancels a request at a random moment.
+// canceller cancels a request at a random time.
 type canceller struct {
 	timer *time.Timer
 	done  chan struct{}
 }
 
-// armCancel draws whether the next request is cancelled, when and how.
-func (c *session) armCancel(leave context.CancelFunc) *canceller {
+// scheduleCancel decides at random whether the next request is cancelled, when, and whether by a
+// cancel request or by a disconnect. It returns nil if the request isn't cancelled.
+func (c *session) scheduleCancel(disconnect context.CancelFunc) *canceller {
 	m := &c.loader.Load
 	if c.random.Float64() >= m.CancelShare {
 		return nil
@@ -85,29 +86,29 @@
 	d := time.Duration(c.random.Int64N(int64(m.MaximumCancelDelay)))
 	n := c.conn
 	if c.random.Float64() < m.DisconnectShare {
-		k.timer = time.AfterFunc(d, func() { k.leave(leave) })
+		k.timer = time.AfterFunc(d, func() { k.disconnect(disconnect) })
 	} else {
 		k.timer = time.AfterFunc(d, func() { k.cancel(n) })
 	}
 	return k
 }
 
-func (k *canceller) leave(f context.CancelFunc) {
+func (k *canceller) disconnect(f context.CancelFunc) {
 	defer close(k.done)
 	f()
 }
 
 func (k *canceller) cancel(c *pgconn.PgConn) {
 	defer close(k.done)
-	ctx, stop := context.WithTimeout(context.Background(), patience)
+	ctx, stop := context.WithTimeout(context.Background(), requestTimeout)
 	defer stop()
-	// A cancel that doesn't arrive has no effect, which is a caller's everyday life.
+	// A cancel request that fails has no effect, and callers don't depend on it.
 	_ = c.CancelRequest(ctx)
 }
 
-// disarm returns when no cancel of the request is under way any more, so that
-// a late one can't hit the session's next request.
-func (k *canceller) disarm() {
+// stop stops the timer, or waits until a cancel in progress has completed. A late cancel request
+// would otherwise cancel the session's next request.
+func (k *canceller) stop() {
 	if k == nil || k.timer.Stop() {
 		return
 	}
--- a/internal/bench/loader/perform.go
+++ b/internal/bench/loader/perform.go
@@ -10,7 +10,7 @@
 	"github.com/cuminwick/cuminwick/internal/bench/definer"
 )
 
-// Texts of the requests.
+// Statements of the requests, and the number of rows that a report returns.
 const (
 	insertEntry  = "INSERT INTO bench_entry (request, session, part) VALUES ($1, $2, $3)"
 	saveRegister = "INSERT INTO bench_register (session, v, request) VALUES ($1, $2, $3) " +
@@ -25,7 +25,7 @@
 func (c *session) perform(ctx context.Context, r *checker.Request) error {
 	switch r.Kind {
 	case checker.Note:
-		return c.write(ctx, r, c.keyed(r)+insertEntry, r.Name, c.name, "1")
+		return c.write(ctx, r, c.keyComment(r)+insertEntry, r.Name, c.name, "1")
 	case checker.Save:
 		return c.write(ctx, r, saveRegister, c.name, strconv.FormatInt(r.Number, 10), r.Name)
 	case checker.Booking:
@@ -33,7 +33,7 @@
 	case checker.Read:
 		return c.read(ctx, r, readRegister, c.name)
 	case checker.Review:
-		r.ReviewedSession = c.other()
+		r.ReviewedSession = c.pickReviewedSession()
 		r.MaximumAge = c.loader.Load.MaximumReviewAge
 		return c.read(ctx, r, reviewRegister, r.ReviewedSession)
 	default:
@@ -42,8 +42,9 @@
 	}
 }
 
-// keyed marks half of the notes as non-repeatable.
-func (c *session) keyed(r *checker.Request) string {
+// keyComment gives half of the notes an idempotency key: it returns a comment that carries the key,
+// or an empty string.
+func (c *session) keyComment(r *checker.Request) string {
 	if c.random.IntN(2) == 0 {
 		return ""
 	}
@@ -51,7 +52,7 @@
 	return "/* key=" + r.Name + " */ "
 }
 
-// write runs a statement and keeps its command tag.
+// write runs a statement and records its command tag in r.
 func (c *session) write(ctx context.Context, r *checker.Request, sql string, args ...string) error {
 	x := c.conn.ExecParams(ctx, sql, values(args), nil, nil, nil).Read()
 	r.AcknowledgedTag = x.CommandTag.String()
@@ -70,7 +71,7 @@
 	return v
 }
 
-// read runs a query whose rows bear the request's name first.
+// read runs a query and records its rows in r. The first column of each row is the request's name.
 func (c *session) read(ctx context.Context, r *checker.Request, sql string, args ...string) error {
 	x := c.conn.ExecParams(ctx, sql, values(append([]string{r.Name}, args...)), nil, nil, nil).Read()
 	for _, w := range x.Rows {
@@ -89,23 +90,24 @@
 	return x.Err
 }
 
-// errNotCommitted wraps the error of a transaction whose COMMIT was never sent.
-type errNotCommitted struct {
+// notCommittedError wraps the error of a transaction that was certainly not committed: its COMMIT was never
+// sent, or was answered with ROLLBACK.
+type notCommittedError struct {
 	error
 }
 
 // Unwrap returns the cause.
-func (e errNotCommitted) Unwrap() error {
+func (e notCommittedError) Unwrap() error {
 	return e.error
 }
 
-// errRolledBack is returned when a COMMIT says that the transaction was rolled back.
+// errRolledBack is returned when the command tag of a COMMIT is ROLLBACK.
 const errRolledBack = errors.ConstError("transaction was rolled back")
 
-// idle is the transaction state outside of any transaction.
-const idle = 'I'
+// idleStatus is the protocol's transaction status outside of a transaction.
+const idleStatus = 'I'
 
-// book runs a transaction of two entries and a save.
+// book runs a transaction that inserts two entries and saves the register.
 func (c *session) book(ctx context.Context, r *checker.Request) error {
 	for _, q := range []struct {
 		sql  string
@@ -117,12 +119,12 @@
 		{saveRegister, []string{c.name, strconv.FormatInt(r.Number, 10), r.Name}},
 	} {
 		if err := c.write(ctx, r, q.sql, q.args...); err != nil {
-			return c.abandon(ctx, err)
+			return c.rollBackAfter(ctx, err)
 		}
 	}
 	x := c.conn.ExecParams(ctx, "COMMIT", nil, nil, nil, nil).Read()
 	if x.Err == nil && x.CommandTag.String() == "ROLLBACK" {
-		return errNotCommitted{errRolledBack}
+		return notCommittedError{errRolledBack}
 	}
 	if x.Err != nil {
 		c.rollBack(ctx)
@@ -130,20 +132,21 @@
 	return x.Err
 }
 
-// rollBack leaves no transaction open behind a COMMIT that failed, and no
-// connection where that can't be done. Otherwise the session's next requests
-// would run in the old transaction and read what never gets committed.
+// rollBack ends a transaction that a failed statement or COMMIT left open, and closes the connection
+// if that fails. Otherwise the session's next requests would run in the old transaction and read data
+// that is never committed.
 func (c *session) rollBack(ctx context.Context) {
-	if c.conn.IsClosed() || c.conn.TxStatus() == idle {
+	if c.conn.IsClosed() || c.conn.TxStatus() == idleStatus {
 		return
 	}
-	if c.exec(ctx, "ROLLBACK") != nil || c.conn.TxStatus() != idle {
-		c.leave()
+	if c.exec(ctx, "ROLLBACK") != nil || c.conn.TxStatus() != idleStatus {
+		c.disconnect()
 	}
 }
 
-// abandon rolls back a transaction in which a statement failed.
-func (c *session) abandon(ctx context.Context, err error) error {
+// rollBackAfter rolls back a transaction in which a statement failed with err. It returns err as a
+// notCommittedError.
+func (c *session) rollBackAfter(ctx context.Context, err error) error {
 	c.rollBack(ctx)
-	return errNotCommitted{err}
+	return notCommittedError{err}
 }
--- a/internal/bench/loader/session.go
+++ b/internal/bench/loader/session.go
@@ -15,10 +15,11 @@
 	"github.com/cuminwick/cuminwick/internal/clock/scheduler"
 )
 
-// markParameter carries a session's mark from one entry host to another.
+// markParameter is the connection parameter that carries a session's mark from one entry host to
+// another.
 const markParameter = "cuminwick.mark"
 
-// connectPause is what a caller waits after a connection that failed.
+// connectPause is the pause after a failed attempt to connect.
 const connectPause = 20 * time.Millisecond
 
 // session is one caller's session, which may move between entry hosts.
@@ -29,30 +30,33 @@
 	group  string
 	host   Host
 	conn   *pgconn.PgConn
-	mark   string
-	number int64
-	count  int
+	// mark is the latest mark that the session received, empty if none.
+	mark string
+	// number is that of the session's latest save or booking.
+	number       int64
+	requestCount int
 }
 
 func (c *session) run(ctx context.Context) {
-	defer c.leave()
+	defer c.disconnect()
 	n := 1 + c.random.IntN(2*c.loader.Load.RequestsPerSession-1)
 	for range n {
 		if c.loader.limiter.Wait(ctx) != nil {
 			return
 		}
 		if c.conn != nil && c.random.Float64() < c.loader.Load.SwitchHostShare {
-			c.leave()
+			c.disconnect()
 		}
-		if !c.arrive(ctx) {
+		if !c.ensureConnected(ctx) {
 			return
 		}
 		c.request(context.WithoutCancel(ctx))
 	}
 }
 
-// arrive sees to it that the session has a connection.
-func (c *session) arrive(ctx context.Context) bool {
+// ensureConnected connects the session to a random entry host if it has no open connection. It
+// returns false if ctx ended first.
+func (c *session) ensureConnected(ctx context.Context) bool {
 	for c.conn == nil || c.conn.IsClosed() {
 		c.host = c.loader.pickHost(c.random)
 		m := c.mark
@@ -64,7 +68,7 @@
 			c.conn = x
 			return true
 		}
-		c.loader.recordFailure()
+		c.loader.recordFailedConnect()
 		if scheduler.Pause(ctx, connectPause) != nil {
 			return false
 		}
@@ -72,21 +76,21 @@
 	return true
 }
 
-// leave closes the connection and remembers the mark.
-func (c *session) leave() {
+// disconnect saves the mark and closes the connection.
+func (c *session) disconnect() {
 	if c.conn == nil {
 		return
 	}
-	c.keepMark()
+	c.saveMark()
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
-	// The session is over at this host whether or not the close succeeds.
+	// The session ends at this host whether or not the close succeeds.
 	_ = c.conn.Close(ctx)
 	c.conn = nil
 }
 
-// keepMark remembers the latest mark, which a lost connection can't tell any more.
-func (c *session) keepMark() {
+// saveMark stores the latest mark, which can't be read from a connection that is gone.
+func (c *session) saveMark() {
 	if m := c.conn.ParameterStatus(markParameter); m != "" {
 		c.mark = m
 	}
@@ -94,11 +98,11 @@
 
 // Connect opens one connection to an entry host.
 func (l *Loader) Connect(ctx context.Context, h Host, group, mark string) (*pgconn.PgConn, error) {
-	ctx, stop := context.WithTimeout(ctx, patience)
+	ctx, stop := context.WithTimeout(ctx, requestTimeout)
 	defer stop()
 	f, err := pgconn.ParseConfig("sslmode=disable")
 	if err != nil {
-		return nil, errors.Annotate(err, "make caller's settings")
+		return nil, errors.Annotate(err, "parse connection settings")
 	}
 	a, p, err := net.SplitHostPort(h.Address)
 	if err != nil {
@@ -120,43 +124,43 @@
 	return c, errors.Annotatef(err, "connect to entry host %s", h.Name)
 }
 
-// request makes one request of a random kind and records what the caller saw.
+// request makes one request of a random kind and records its result.
 //
-// A caller who left or gave up closes its connection. The driver keeps it open
-// where the context ended between two statements; the next request would then
-// run in the transaction that was left, and be lost with it.
+// A caller that disconnected or timed out closes its connection. The driver keeps the connection open
+// if the context ended between two statements; the next request would then run in the abandoned
+// transaction and be lost with it.
 func (c *session) request(ctx context.Context) {
-	c.count++
+	c.requestCount++
 	r := &checker.Request{
-		Name:      fmt.Sprintf("%s.%d", c.name, c.count),
+		Name:      fmt.Sprintf("%s.%d", c.name, c.requestCount),
 		Session:   c.name,
 		Group:     c.group,
-		Kind:      c.pick(),
+		Kind:      c.pickKind(),
 		EntryHost: c.host.Name,
 	}
 	if r.Kind == checker.Save || r.Kind == checker.Booking {
 		c.number++
 		r.Number = c.number
 	}
-	ctx, stop := context.WithTimeout(ctx, patience)
+	ctx, stop := context.WithTimeout(ctx, requestTimeout)
 	defer stop()
-	k := c.armCancel(stop)
-	r.Start = c.loader.since()
+	k := c.scheduleCancel(stop)
+	r.Start = c.loader.elapsed()
 	err := c.perform(ctx, r)
-	r.End = c.loader.since()
-	k.disarm()
-	c.conclude(r, err, ctx.Err() != nil)
+	r.End = c.loader.elapsed()
+	k.stop()
+	c.setOutcome(r, err, ctx.Err() != nil)
 	c.loader.record(*r)
 	if ctx.Err() != nil {
-		c.leave()
+		c.disconnect()
 	}
 	if c.conn != nil {
-		c.keepMark()
+		c.saveMark()
 	}
 }
 
-// pick draws a kind of request.
-func (c *session) pick() checker.Kind {
+// pickKind returns a random kind of request, by the weights of the load.
+func (c *session) pickKind() checker.Kind {
 	m := &c.loader.Load
 	n := c.random.IntN(m.Notes + m.Saves + m.Bookings + m.Reads + m.Reviews + m.Reports)
 	for _, k := range []struct {
