--- a/internal/bench/racer/digest.go
+++ b/internal/bench/racer/digest.go
@@ -9,11 +9,12 @@
 	"github.com/cuminwick/cuminwick/internal/config/defaulter"
 )
 
-// digestBytes are enough to tell a run's files apart and short in an example.
+// digestBytes is the length of a digest: enough to distinguish the files of a run, and short enough for
+// an example of a violation.
 const digestBytes = 6
 
-// Digest stands for a file's content with all defaults set. It isn't the digest
-// by which entry hosts check what they fetch, so that a fault there can't hide.
+// Digest returns a digest of a file's content with all defaults set. It is computed independently of
+// the digest that entry hosts verify fetched files by, so that a fault in that code is detected.
 func Digest(f declarer.File) string {
 	f = defaulter.Fill(f)
 	f.EditedFrom = 0
--- a/internal/bench/racer/operator.go
+++ b/internal/bench/racer/operator.go
@@ -14,7 +14,7 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// contender is one operator who applies one file.
+// contender is one of the operators that apply competing files in a round.
 type contender struct {
 	racer    *Racer
 	name     string
@@ -24,10 +24,10 @@
 	delay    time.Duration
 }
 
-// run applies the file. What the operator was told is recorded also if it ends
-// midway, which leaves the outcome unknown.
+// run applies the file. The apply is also recorded if the operator's goroutine ends midway; its outcome
+// is then unknown.
 func (c *contender) run(ctx context.Context) {
-	ctx, stop := context.WithTimeout(ctx, patience)
+	ctx, stop := context.WithTimeout(ctx, commandTimeout)
 	defer stop()
 	_ = scheduler.Pause(ctx, c.delay)
 	a := &checker.Apply{
@@ -35,24 +35,24 @@
 		Base:     uint64(c.base),
 		Digest:   Digest(c.file),
 		Outcome:  checker.ApplyUnknown,
-		From:     c.racer.since(),
+		From:     c.racer.elapsed(),
 	}
-	defer c.racer.conclude(a)
+	defer c.racer.recordEnd(a)
 	o := &publisher.Operator{Platform: c.platform, Name: c.name}
 	x, err := o.Apply(ctx, c.file, publisher.Options{From: c.base, CheckFrom: true})
 	if err == nil {
-		tell(a, x)
+		setOutcome(a, x)
 	}
 }
 
-// conclude records what an operator was told by now.
-func (r *Racer) conclude(a *checker.Apply) {
-	a.To = r.since()
+// recordEnd records an apply that ends now, with the outcome that its operator received so far.
+func (r *Racer) recordEnd(a *checker.Apply) {
+	a.To = r.elapsed()
 	r.record(*a)
 }
 
-// tell puts down how an operator's command ended.
-func tell(a *checker.Apply, x applier.Result) {
+// setOutcome records in a how an operator's command ended.
+func setOutcome(a *checker.Apply, x applier.Result) {
 	a.Revision = uint64(x.Entry.Revision)
 	switch x.Outcome {
 	case applier.InForce:
@@ -63,13 +63,13 @@
 		a.Outcome = checker.ApplyRefused
 	case applier.Conflict:
 		a.Outcome = checker.ApplyRefused
-		// The entry is that of the change that came first.
+		// The entry is that of the competing change that was accepted first.
 		a.Revision = 0
 	}
 }
 
-// successor is the operator who finds what an abandoned one has left staged, and
-// goes on with it or takes it back.
+// successor is the operator that finds the configuration that a crashed operator left staged, and
+// resumes or withdraws it.
 type successor struct {
 	racer  *Racer
 	name   string
@@ -77,10 +77,10 @@
 }
 
 func (s *successor) run(ctx context.Context) {
-	ctx, stop := context.WithTimeout(ctx, patience)
+	ctx, stop := context.WithTimeout(ctx, commandTimeout)
 	defer stop()
-	a := &checker.Apply{Operator: s.name, Outcome: checker.ApplyUnknown, From: s.racer.since()}
-	defer s.racer.conclude(a)
+	a := &checker.Apply{Operator: s.name, Outcome: checker.ApplyUnknown, From: s.racer.elapsed()}
+	defer s.racer.recordEnd(a)
 	o := &publisher.Operator{Platform: s.racer.Platform(0), Name: s.name}
 	command := o.Withdraw
 	if s.resume {
@@ -88,20 +88,21 @@
 	}
 	x, err := command(ctx)
 	if err == nil {
-		tell(a, x)
+		setOutcome(a, x)
 	}
 }
 
-// mortal is the platform of an operator whose process ends after its last put
-// has taken effect. An operator that ends so neither learns the answer nor
-// cleans up, and others find what it staged.
-type mortal struct {
+// crashingPlatform is the platform of an operator whose process crashes after its last put has taken
+// effect. The operator neither receives the response nor cleans up, and other operators find what it
+// staged.
+type crashingPlatform struct {
 	accessor.Platform
+	// puts is the number of puts that are left before the crash.
 	puts int
 }
 
-// Put implements accessor.Platform. Its last call ends the operator's goroutine.
-func (m *mortal) Put(ctx context.Context, o accessor.Object) (accessor.Object, error) {
+// Put implements accessor.Platform. The last of the allowed calls ends the operator's goroutine.
+func (m *crashingPlatform) Put(ctx context.Context, o accessor.Object) (accessor.Object, error) {
 	x, err := m.Platform.Put(ctx, o)
 	m.puts--
 	if m.puts <= 0 {
@@ -110,9 +111,9 @@
 	return x, err
 }
 
-// change returns f with two parts changed, which belong together: hosts that had
-// one of them without the other would show a content that nobody applied.
-func change(f declarer.File, operator string, number int) declarer.File {
+// withChange returns f with two related parts changed. A host that had only one of them in force
+// would report a content that no operator applied.
+func withChange(f declarer.File, operator string, number int) declarer.File {
 	f.RoutingRules = append(slices.Clone(f.RoutingRules), declarer.RoutingRule{
 		Name:       operator,
 		Match:      declarer.Match{Tag: operator},
@@ -122,23 +123,23 @@
 	return f
 }
 
-// resize returns f with fewer connections and slots at each backend server of its
-// n-th group, so that every entry host makes that group anew: its pools, queues and
-// control connections. The stand-ins allow more, so that the servers can't tell.
-func resize(f declarer.File, n int) declarer.File {
+// withFewerConnections returns f with fewer connections and slots at each backend server of its n-th
+// group, so that every entry host rebuilds that group: its pools, queues and control connections. The
+// stand-in servers allow more than that, so the lower limits don't affect them.
+func withFewerConnections(f declarer.File, n int) declarer.File {
 	f.DatabaseGroups = slices.Clone(f.DatabaseGroups)
 	g := &f.DatabaseGroups[n%len(f.DatabaseGroups)]
 	g.BackendServers = slices.Clone(g.BackendServers)
 	for i := range g.BackendServers {
 		b := &g.BackendServers[i]
-		b.Connections -= 1 + n%fewerConnections
+		b.Connections -= 1 + n%connectionReductions
 		b.Slots = max(1, b.Slots-i%2)
 	}
 	return f
 }
 
-// fewerConnections bounds how many connections a resized group does without.
-const fewerConnections = 4
+// connectionReductions is the largest number of connections by which a server's limit is lowered.
+const connectionReductions = 4
 
-// queueLength is above what the load ever queues.
+// queueLength exceeds the number of requests that the load ever queues.
 const queueLength = 1000
--- a/internal/bench/racer/racer_test.go
+++ b/internal/bench/racer/racer_test.go
@@ -12,19 +12,19 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// An operator's process ends after its first put, before it learns that its
-// configuration is staged. The next operator of the same revision is refused
-// until somebody takes back what was left, as it would be by a lasting change.
-func TestAbandonedApplyIsLeftStaged(t *testing.T) {
+// Guards against a crashed apply that isn't found or isn't cleaned up. An operator's process crashes
+// after its first put, before it receives the response that its configuration is staged. The next
+// operator of the same revision is refused until another operator withdraws the staged configuration.
+func TestCrashedApplyStaysStaged(t *testing.T) {
 	s := new(storekeeper.Store)
 	r := &Racer{Platform: func(int) accessor.Platform { return s }}
-	c := &contender{racer: r, name: "first", platform: s, file: change(declarer.File{}, "first", 0)}
-	abandon(c, 1)
+	c := &contender{racer: r, name: "first", platform: s, file: withChange(declarer.File{}, "first", 0)}
+	crashAfter(c, 1)
 	ended := make(chan struct{})
-	k := &ending{contender: c, ctx: t.Context(), ended: ended}
+	k := &crashingRun{contender: c, ctx: t.Context(), ended: ended}
 	go k.run()
 	<-ended
-	n := &contender{racer: r, name: "next", platform: s, file: change(declarer.File{}, "next", 1)}
+	n := &contender{racer: r, name: "next", platform: s, file: withChange(declarer.File{}, "next", 1)}
 	n.run(t.Context())
 	z := &successor{racer: r, name: "successor"}
 	z.run(t.Context())
@@ -40,19 +40,19 @@
 	}
 }
 
-// ending runs a contender whose goroutine ends midway.
-type ending struct {
+// crashingRun runs a contender whose goroutine ends midway, and closes ended when it has.
+type crashingRun struct {
 	contender *contender
 	ctx       context.Context
 	ended     chan struct{}
 }
 
-func (e *ending) run() {
+func (e *crashingRun) run() {
 	defer close(e.ended)
 	e.contender.run(e.ctx)
 }
 
-func TestTell(t *testing.T) {
+func TestSetOutcome(t *testing.T) {
 	for name, c := range map[string]struct {
 		outcome applier.Outcome
 		want    checker.ApplyOutcome
@@ -69,7 +69,7 @@
 			x := applier.Result{Outcome: c.outcome}
 			x.Entry.Revision = 7
 			a := checker.Apply{Outcome: checker.ApplyUnknown}
-			tell(&a, x)
+			setOutcome(&a, x)
 			if a.Outcome != c.want || a.Revision != c.number {
 				t.Errorf("%+v", a)
 			}
@@ -77,10 +77,10 @@
 	}
 }
 
-// Two parts of a file belong together, and a mix of two files must not pass for
-// one that was applied.
-func TestDigestTellsFilesApart(t *testing.T) {
-	a, b := change(declarer.File{}, "a", 1), change(declarer.File{}, "b", 2)
+// Guards against a host with parts of two files that is counted as one with an applied file: a mix of
+// two files must have a digest of its own.
+func TestDigestDistinguishesFiles(t *testing.T) {
+	a, b := withChange(declarer.File{}, "a", 1), withChange(declarer.File{}, "b", 2)
 	m := a
 	m.Limits = b.Limits
 	seen := map[string]bool{}
@@ -92,14 +92,14 @@
 	}
 	a.EditedFrom = 9
 	if !seen[Digest(a)] {
-		t.Error("the revision that a file was edited from is no part of its content")
+		t.Error("the digest depends on the revision that the file was edited from")
 	}
 }
 
-// In some rounds the files change a group's servers, so that hosts make the group
-// anew. A group must keep connections enough for its slots, and the file that all
-// changes are made to must stay as it was.
-func TestResize(t *testing.T) {
+// Guards against a group with too few connections for its slots, and against a change to the file that
+// all changes are based on. In some rounds the files change a group's servers, so that hosts rebuild
+// the group.
+func TestWithFewerConnections(t *testing.T) {
 	b := declarer.BackendServer{Slots: 2, Connections: 16}
 	f := declarer.File{DatabaseGroups: []declarer.DatabaseGroup{
 		{Name: "a", BackendServers: []declarer.BackendServer{b, b}},
@@ -107,7 +107,7 @@
 	}}
 	seen := map[string]bool{Digest(f): true}
 	for n := range 8 {
-		r := resize(f, n)
+		r := withFewerConnections(f, n)
 		seen[Digest(r)] = true
 		for i, s := range r.DatabaseGroups[n%2].BackendServers {
 			if s.Connections >= b.Connections || s.Connections < 12 || s.Slots < 1 || s.Slots > b.Slots {
