--- a/internal/bench/reporter/page.go
+++ b/internal/bench/reporter/page.go
@@ -16,26 +16,28 @@
 	plotHeight = 180
 )
 
-// plot is one curve or several over the run's time.
+// plot shows one or more curves over the time of the run. Top is the value at its upper edge.
 type plot struct {
 	Title  string
 	Top    string
 	Curves []curve
-	Marks  []mark
+	Marks  []faultMark
 }
 
+// curve is one line of a plot, with its points in the form of an SVG polyline.
 type curve struct {
 	Name   string
 	Colour string
 	Points string
 }
 
-type mark struct {
+// faultMark is a vertical line at the time of a fault or its end.
+type faultMark struct {
 	X    float64
 	Name string
 }
 
-// page is what the template shows.
+// page is the data of pageTemplate.
 type page struct {
 	Result *Result
 	Plots  []plot
@@ -70,21 +72,21 @@
 func (r *Result) plots() []plot {
 	return []plot{
 		r.plot("Requests a second", "%.0f/s",
-			line{"ran", "#070", func(i Interval) float64 { return perSecond(i.Ran) }},
-			line{"refused, cancelled or unknown", "#b60", func(i Interval) float64 { return perSecond(i.Refused) }}),
+			curveSpec{"ran", "#070", func(i Interval) float64 { return perSecond(i.Ran) }},
+			curveSpec{"refused, cancelled or unknown", "#b60", func(i Interval) float64 { return perSecond(i.Refused) }}),
 		r.plot("Acknowledged writes a second (the failover gap shows here)", "%.0f/s",
-			line{"writes", "#00a", func(i Interval) float64 { return perSecond(i.Writes) }}),
+			curveSpec{"writes", "#00a", func(i Interval) float64 { return perSecond(i.Writes) }}),
 		r.plot("Latency of requests that ran", "%.0f ms",
-			line{"p50", "#070", func(i Interval) float64 { return milliseconds(i.P50) }},
-			line{"p99", "#a0a", func(i Interval) float64 { return milliseconds(i.P99) }}),
+			curveSpec{"p50", "#070", func(i Interval) float64 { return milliseconds(i.P50) }},
+			curveSpec{"p99", "#a0a", func(i Interval) float64 { return milliseconds(i.P99) }}),
 		r.plot("Who served reads", "%.0f/s",
-			line{"replicas", "#070", func(i Interval) float64 { return perSecond(int(i.ReplicaReads)) }},
-			line{"primaries", "#b60", func(i Interval) float64 { return perSecond(int(i.PrimaryReads)) }}),
+			curveSpec{"replicas", "#070", func(i Interval) float64 { return perSecond(int(i.ReplicaReads)) }},
+			curveSpec{"primaries", "#b60", func(i Interval) float64 { return perSecond(int(i.PrimaryReads)) }}),
 	}
 }
 
-// line is one curve to draw.
-type line struct {
+// curveSpec describes a curve: its name, its colour and its value in an interval.
+type curveSpec struct {
 	name, colour string
 	value        func(Interval) float64
 }
@@ -97,8 +99,8 @@
 	return float64(d) / float64(time.Millisecond)
 }
 
-// plot scales curves to a common top.
-func (r *Result) plot(title, unit string, l ...line) plot {
+// plot draws curves scaled to their common maximum. unit is the format of that maximum.
+func (r *Result) plot(title, unit string, l ...curveSpec) plot {
 	top := 1.0
 	for _, i := range r.Series {
 		for _, c := range l {
@@ -106,7 +108,7 @@
 		}
 	}
 	p := plot{Title: title, Top: fmt.Sprintf(unit, top)}
-	width := max(1, time.Duration(len(r.Series))*intervalLength)
+	span := max(1, time.Duration(len(r.Series))*intervalLength)
 	for _, c := range l {
 		var b strings.Builder
 		for k, i := range r.Series {
@@ -116,7 +118,7 @@
 		p.Curves = append(p.Curves, curve{Name: c.name, Colour: c.colour, Points: b.String()})
 	}
 	for _, m := range r.Faults {
-		p.Marks = append(p.Marks, mark{X: plotWidth * float64(m.At) / float64(width), Name: m.Name})
+		p.Marks = append(p.Marks, faultMark{X: plotWidth * float64(m.At) / float64(span), Name: m.Name})
 	}
 	return p
 }
--- a/internal/bench/reporter/reporter.go
+++ b/internal/bench/reporter/reporter.go
@@ -1,4 +1,4 @@
-// Package reporter turns what a bench run brought into a table, JSON and a page with plots.
+// Package reporter summarises the measurements of a bench run and writes them as a table, JSON and an HTML page with plots.
 package reporter
 
 import (
@@ -15,14 +15,14 @@
 	"github.com/cuminwick/cuminwick/internal/bench/checker"
 )
 
-// Latency holds percentiles of the requests that ran.
+// Latency holds latency percentiles of the requests that ran, in milliseconds.
 type Latency struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
 }
 
-// Outcomes counts what callers were told, or what the outcome of the key was said to
-// be where they were told nothing or unknown.
+// Outcomes counts requests by the outcome that the caller received. If that is unknown, the outcome of
+// the request's idempotency key counts.
 type Outcomes struct {
 	Ran       int `json:"ran"`
 	NotRun    int `json:"not-run"`
@@ -30,59 +30,59 @@
 	Cancelled int `json:"cancelled"`
 }
 
-// Result is one run.
+// Result holds the measurements of one run.
 type Result struct {
 	Scenario   string `json:"scenario"`
 	Deployment string `json:"deployment"`
 	Policy     string `json:"policy"`
 	Seed       uint64 `json:"seed"`
-	// LoadPercent is the load in percent of the slots' capacity.
+	// LoadPercent is the load as a percentage of the slots' capacity.
 	LoadPercent float64 `json:"load-percent"`
 	// DurationSeconds is how long the load lasted.
 	DurationSeconds float64 `json:"duration-seconds"`
 	Requests        int     `json:"requests"`
-	// Reads is how many reads backend servers worked on.
+	// Reads is the number of reads that backend servers executed.
 	Reads            int64   `json:"reads"`
 	ReplicaReadShare float64 `json:"replica-read-share"`
-	// FailoverGapSeconds is the longest time without an acknowledged write in
-	// the group that the fault hit, zero without a fault.
+	// FailoverGapSeconds is the longest time without an acknowledged write in the group that the
+	// fault affected, zero without a fault.
 	FailoverGapSeconds  float64  `json:"failover-gap-seconds"`
 	LatencyMilliseconds Latency  `json:"latency-milliseconds"`
 	Outcomes            Outcomes `json:"outcomes"`
-	// Codes counts the requests that ended with an error, by SQLSTATE; lost
-	// connections have none.
+	// Codes counts the requests that ended with an error, by SQLSTATE, or by one of this package's
+	// own codes if there is no SQLSTATE, as after a lost connection.
 	Codes map[string]int `json:"codes"`
-	// UnknownCauses counts the unknown outcomes by how the request ended for its
-	// caller and what kind it was.
+	// UnknownCauses counts the unknown outcomes by how the request ended for its caller and by its
+	// kind.
 	UnknownCauses map[string]int `json:"unknown-causes"`
-	// SettledByKey counts, in the same way, the requests whose callers weren't told
-	// an outcome and whose keys have one; they aren't among the unknown.
+	// SettledByKey counts, in the same way, the requests whose callers received no outcome and whose
+	// idempotency keys have one. They aren't counted as unknown.
 	SettledByKey    map[string]int     `json:"settled-by-key"`
 	Violations      checker.Violations `json:"violations"`
 	RegionLinkBytes int64              `json:"region-link-bytes"`
 	StoreCalls      int64              `json:"store-calls"`
-	// ControlBytesPerSecond is what one entry host sends and gets for control.
+	// ControlBytesPerSecond is the control traffic that one entry host sends and receives.
 	ControlBytesPerSecond float64 `json:"control-bytes-per-second"`
 	ConnectionsOpened     int64   `json:"connections-opened"`
-	// FailedConnects counts connections that callers couldn't open.
+	// FailedConnects counts failed attempts of callers to connect.
 	FailedConnects int `json:"failed-connects"`
-	// UnsettledGroups are groups whose servers didn't agree after the run.
+	// UnsettledGroups is the number of groups whose servers hadn't converged after the run.
 	UnsettledGroups int `json:"unsettled-groups"`
-	// Applies counts what racing operators were told, nil without a race.
+	// Applies counts the applies of racing operators by outcome, nil without a race.
 	Applies *Applies `json:"applies,omitempty"`
 	// Examples describe the first violations.
 	Examples []string `json:"examples,omitempty"`
-	// Sessions tell all requests of the first sessions that were wronged.
+	// Sessions list all requests of the first sessions that were affected by a violation.
 	Sessions []string `json:"sessions,omitempty"`
-	// Overhead is set by the overhead scenario only.
+	// Overhead is set only by the overhead scenario.
 	Overhead *Overhead `json:"overhead,omitempty"`
-	// Series is the run by time, for the page.
+	// Series holds the intervals of the run, for the plots of the page.
 	Series []Interval `json:"-"`
-	// Faults are the moments at which something went wrong or was mended.
+	// Faults are the events at which a fault was injected or reverted.
 	Faults []Event `json:"faults"`
 }
 
-// Applies counts the changes of the configuration by what their operators were told.
+// Applies counts the configuration changes by the outcome that their operators received.
 type Applies struct {
 	InForce  int `json:"in-force"`
 	Accepted int `json:"accepted"`
@@ -90,21 +90,21 @@
 	Unknown  int `json:"unknown"`
 }
 
-// Event is a named time of the run.
+// Event is a named event of the run, such as a fault. At is the time since the start of the run.
 type Event struct {
 	At   time.Duration `json:"at-nanoseconds"`
 	Name string        `json:"name"`
 }
 
-// Overhead compares point reads directly with those through one entry host.
+// Overhead compares point reads made directly at a backend server with those through one entry host.
 type Overhead struct {
 	Direct  Throughput `json:"direct"`
 	Through Throughput `json:"through"`
-	// AddedMicroseconds is what the entry host adds at the median.
+	// AddedMicroseconds is the difference of the two median latencies over one connection.
 	AddedMicroseconds float64 `json:"added-microseconds"`
 }
 
-// Throughput is one side of the overhead scenario.
+// Throughput holds the measurements of one of the two paths that the overhead scenario compares.
 type Throughput struct {
 	Connections      int     `json:"connections"`
 	PerSecond        float64 `json:"per-second"`
@@ -113,37 +113,37 @@
 	OneConnectionP50 float64 `json:"one-connection-p50-microseconds"`
 }
 
-// Failed reports whether the run broke a promise.
+// Failed reports whether the run violated a guarantee or left a group unsettled.
 func (r *Result) Failed() bool {
 	return r.Violations.Total() > 0 || r.UnsettledGroups > 0
 }
 
 // Keys of Codes for errors without a SQLSTATE.
 const (
-	// codeLost is a connection that ended by itself.
-	codeLost = "connection-lost"
-	// codeLeft is a caller who left or gave up, or a rollback without an error.
-	codeLeft = "caller-left"
+	// codeConnectionLost counts connections that ended without the caller's doing.
+	codeConnectionLost = "connection-lost"
+	// codeCallerLeft counts callers that disconnected or timed out, and rollbacks without an error.
+	codeCallerLeft = "caller-left"
 )
 
-// Histogram bounds: latencies from 1 µs to a minute with three digits.
+// Histogram bounds: latencies from 1 µs to a minute with three significantDigits.
 const (
-	lowest  = 1
-	highest = int64(time.Minute / time.Microsecond)
-	digits  = 3
+	minimumLatency    = 1
+	maximumLatency    = int64(time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// NewHistogram returns a histogram of microseconds.
+// NewHistogram returns a histogram of durations in microseconds.
 func NewHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(lowest, highest, digits)
+	return hdrhistogram.New(minimumLatency, maximumLatency, significantDigits)
 }
 
-// Record adds a duration to a histogram.
+// Record adds a duration to a histogram, clamped to the histogram's bounds.
 func Record(h *hdrhistogram.Histogram, d time.Duration) error {
-	return errors.Annotatef(h.RecordValue(min(max(d.Microseconds(), lowest), highest)), "record %v", d)
+	return errors.Annotatef(h.RecordValue(min(max(d.Microseconds(), minimumLatency), maximumLatency)), "record %v", d)
 }
 
-// Summarise fills in what follows from the requests alone.
+// Summarise computes the counts and the latency from the requests.
 func (r *Result) Summarise(l []checker.Request) error {
 	h := NewHistogram()
 	r.Codes = map[string]int{}
@@ -188,14 +188,14 @@
 	}
 }
 
-// unknownCause names how a request ended for its caller and what kind it was.
+// unknownCause returns how a request ended for its caller, and its kind, as a key of UnknownCauses.
 func unknownCause(q *checker.Request) string {
 	end := "told"
 	switch {
 	case q.ConnectionLost:
-		end = codeLost
+		end = codeConnectionLost
 	case q.Code == "":
-		end = codeLeft
+		end = codeCallerLeft
 	}
 	switch {
 	case q.Keyed:
@@ -212,13 +212,13 @@
 	case q.Code != "":
 		r.Codes[q.Code]++
 	case q.ConnectionLost:
-		r.Codes[codeLost]++
+		r.Codes[codeConnectionLost]++
 	case q.Outcome != checker.Ran:
-		r.Codes[codeLeft]++
+		r.Codes[codeCallerLeft]++
 	}
 }
 
-// CountApplies fills in what racing operators were told, if there were any.
+// CountApplies counts the applies of racing operators by outcome, if there are any.
 func (r *Result) CountApplies(l []checker.Apply) {
 	if len(l) == 0 {
 		return
@@ -238,7 +238,7 @@
 	}
 }
 
-// WriteJSON writes the result for programs.
+// WriteJSON writes the result as indented JSON.
 func (r *Result) WriteJSON(w io.Writer) error {
 	return errors.Annotate(writeJSON(w, r), "write result")
 }
@@ -249,17 +249,17 @@
 	return e.Encode(v)
 }
 
-// WriteTable writes the result for people.
+// WriteTable writes the result as a table of names and values.
 func (r *Result) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	// A tabwriter keeps the first error of its output for Flush.
+	// A tabwriter returns the first error of its output from Flush.
 	row := func(n string, v any) { _, _ = fmt.Fprintf(t, "%s\t%v\n", n, v) }
 	row("scenario", r.Scenario)
 	row("deployment", r.Deployment)
 	row("policy", r.Policy)
 	row("seed", r.Seed)
 	if r.Overhead != nil {
-		r.Overhead.rows(row)
+		r.Overhead.writeRows(row)
 		return errors.Annotate(t.Flush(), "write result")
 	}
 	row("load", fmt.Sprintf("%.0f %% of slot capacity", r.LoadPercent))
@@ -282,12 +282,12 @@
 	if a := r.Applies; a != nil {
 		row("applies in-force / accepted / refused / unknown", fmt.Sprintf("%d / %d / %d / %d", a.InForce, a.Accepted, a.Refused, a.Unknown))
 	}
-	r.violations(row)
+	r.writeViolations(row)
 	return errors.Annotate(t.Flush(), "write result")
 }
 
-// violations writes one row for each count, by the names of the JSON form.
-func (r *Result) violations(row func(string, any)) {
+// writeViolations writes one row for each count, named as in JSON, and the examples and sessions.
+func (r *Result) writeViolations(row func(string, any)) {
 	v := reflect.ValueOf(r.Violations)
 	for i := range v.NumField() {
 		row("violation "+v.Type().Field(i).Tag.Get("json"), v.Field(i).Int())
@@ -300,7 +300,7 @@
 	}
 }
 
-func (o *Overhead) rows(row func(string, any)) {
+func (o *Overhead) writeRows(row func(string, any)) {
 	for _, s := range []struct {
 		name string
 		t    Throughput
--- a/internal/bench/reporter/reporter_test.go
+++ b/internal/bench/reporter/reporter_test.go
@@ -15,7 +15,7 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-func sample(t *testing.T) *Result {
+func newSampleResult(t *testing.T) *Result {
 	t.Helper()
 	l := []checker.Request{
 		{Name: "a", Kind: checker.Note, Start: 0, End: 10 * time.Millisecond, Outcome: checker.Ran},
@@ -49,13 +49,13 @@
 	return r
 }
 
-func TestForms(t *testing.T) {
-	r := sample(t)
+func TestGoldenFiles(t *testing.T) {
+	r := newSampleResult(t)
 	if !r.Failed() {
-		t.Error("a lost write is no failure")
+		t.Error("a run with a lost write is not reported as failed")
 	}
 	var table, object, page bytes.Buffer
-	q := sample(t)
+	q := newSampleResult(t)
 	q.Seed, q.FailoverGapSeconds, q.ReplicaReadShare = 8, 0.5, 0.25
 	s := NewSweep([]*Result{r, q})
 	if s.FailoverGapSeconds != (Spread{Median: 0.25, Worst: 0.5}) || s.ReplicaReadShare != (Spread{Median: 0.5, Worst: 0.25}) {
@@ -68,11 +68,11 @@
 		}
 	}
 	for name, b := range map[string][]byte{"table.txt": table.Bytes(), "result.json": object.Bytes(), "page.html": page.Bytes(), "sweep.txt": sweep.Bytes()} {
-		t.Run(name, func(t *testing.T) { golden(t, name, b) })
+		t.Run(name, func(t *testing.T) { compareGolden(t, name, b) })
 	}
 }
 
-func golden(t *testing.T, name string, got []byte) {
+func compareGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	f := filepath.Join("testdata", name)
 	if *update {
@@ -92,9 +92,10 @@
 	}
 }
 
-// Callers leave, or are told that the outcome is open. A request must count as unknown
-// unless its caller was told what became of it, or the outcome of its key says so.
-func TestUnknownIsCountedByCause(t *testing.T) {
+// Guards against requests that are wrongly counted as settled or unknown, after callers disconnected or
+// received an unknown outcome. A request must count as unknown unless its caller received its outcome or
+// its idempotency key has one.
+func TestCountUnknownByCause(t *testing.T) {
 	l := []checker.Request{
 		{Kind: checker.Read, Outcome: checker.Unknown},
 		{Kind: checker.Save, Outcome: checker.Unknown},
--- a/internal/bench/reporter/series.go
+++ b/internal/bench/reporter/series.go
@@ -6,33 +6,34 @@
 	"github.com/cuminwick/cuminwick/internal/bench/checker"
 )
 
-// intervalLength is the width of one step of the plots.
+// intervalLength is the length of one interval of the plots.
 const intervalLength = 250 * time.Millisecond
 
-// Interval is what happened in one step of the run.
+// Interval holds the measurements of one interval of the run.
 type Interval struct {
-	From    time.Duration
-	Ran     int
+	From time.Duration
+	Ran  int
+	// Refused counts all requests that didn't run: refused, cancelled or with an unknown outcome.
 	Refused int
-	// Writes are acknowledged ones.
+	// Writes counts acknowledged writes.
 	Writes int
-	// P50 and P99 are of the requests that ended here and ran.
+	// P50 and P99 are latency percentiles of the requests that ran and ended in this interval.
 	P50, P99 time.Duration
-	// PrimaryReads and ReplicaReads are what backend servers worked on.
+	// PrimaryReads and ReplicaReads count the reads that backend servers executed.
 	PrimaryReads, ReplicaReads int64
 }
 
-// Sample is a sight of the backend servers' counters.
+// Sample holds the backend servers' read counters at one time, counted from the start of the run.
 type Sample struct {
 	At                         time.Duration
 	PrimaryReads, ReplicaReads int64
 }
 
-// NewSeries cuts a run into intervals.
+// NewSeries divides a run of the given length into intervals.
 func NewSeries(l []checker.Request, s []Sample, length time.Duration) ([]Interval, error) {
 	n := int(length/intervalLength) + 1
 	o := make([]Interval, n)
-	byStep := make([][]time.Duration, n)
+	latencies := make([][]time.Duration, n)
 	for i := range o {
 		o[i].From = time.Duration(i) * intervalLength
 	}
@@ -47,10 +48,10 @@
 		if r.Kind.Writes() {
 			o[k].Writes++
 		}
-		byStep[k] = append(byStep[k], r.End-r.Start)
+		latencies[k] = append(latencies[k], r.End-r.Start)
 	}
 	for i := range o {
-		if err := o[i].percentiles(byStep[i]); err != nil {
+		if err := o[i].setPercentiles(latencies[i]); err != nil {
 			return nil, err
 		}
 	}
@@ -58,7 +59,7 @@
 	return o, nil
 }
 
-func (o *Interval) percentiles(l []time.Duration) error {
+func (o *Interval) setPercentiles(l []time.Duration) error {
 	h := NewHistogram()
 	for _, d := range l {
 		if err := Record(h, d); err != nil {
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// addReads spreads the growth between two samples onto the interval where it ended.
+// addReads adds the difference between two successive samples to the interval of the later one.
 func addReads(o []Interval, s []Sample) {
 	for i := 1; i < len(s); i++ {
 		k := min(int(s[i].At/intervalLength), len(o)-1)
--- a/internal/bench/reporter/sweep.go
+++ b/internal/bench/reporter/sweep.go
@@ -9,13 +9,13 @@
 	"github.com/juju/errors"
 )
 
-// Spread is the middle and the worst of a figure over several seeds.
+// Spread holds the median and the worst value of a measurement over several seeds.
 type Spread struct {
 	Median float64 `json:"median"`
 	Worst  float64 `json:"worst"`
 }
 
-// Sweep is one scenario over several seeds.
+// Sweep holds the runs of one scenario with several seeds.
 type Sweep struct {
 	Scenario           string `json:"scenario"`
 	Deployment         string `json:"deployment"`
@@ -23,13 +23,13 @@
 	Seeds              int    `json:"seeds"`
 	FailoverGapSeconds Spread `json:"failover-gap-seconds"`
 	ReplicaReadShare   Spread `json:"replica-read-share"`
-	// Violations sums the broken promises of all runs.
+	// Violations is the total number of violations in all runs.
 	Violations      int64     `json:"violations"`
 	UnsettledGroups int       `json:"unsettled-groups"`
 	Runs            []*Result `json:"runs"`
 }
 
-// NewSweep sums up runs of one scenario, of which there is at least one.
+// NewSweep summarises the runs of one scenario. l must not be empty.
 func NewSweep(l []*Result) *Sweep {
 	s := &Sweep{Scenario: l[0].Scenario, Deployment: l[0].Deployment, Policy: l[0].Policy, Seeds: len(l), Runs: l}
 	var gaps, shares []float64
@@ -53,17 +53,17 @@
 	return (l[m-1] + l[m]) / 2
 }
 
-// Failed reports whether any run broke a promise.
+// Failed reports whether any run violated a guarantee or left a group unsettled.
 func (s *Sweep) Failed() bool {
 	return s.Violations > 0 || s.UnsettledGroups > 0
 }
 
-// WriteJSON writes the sweep for programs.
+// WriteJSON writes the sweep as indented JSON.
 func (s *Sweep) WriteJSON(w io.Writer) error {
 	return errors.Annotate(writeJSON(w, s), "write sweep")
 }
 
-// WriteTable writes the sweep for people, one row a seed.
+// WriteTable writes the sweep as a table with one row per seed.
 func (s *Sweep) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	row := func(format string, args ...any) { _, _ = fmt.Fprintf(t, format, args...) }
