--- a/internal/bench/loader/outcome.go
+++ b/internal/bench/loader/outcome.go
@@ -106,9 +106,9 @@
 	_ = c.CancelRequest(ctx)
 }
 
-// stop stops the timer, or waits until a cancel in progress has completed. A late cancel request
+// finish stops the timer, or waits until a cancel in progress has completed. A late cancel request
 // would otherwise cancel the session's next request.
-func (k *canceller) stop() {
+func (k *canceller) finish() {
 	if k == nil || k.timer.Stop() {
 		return
 	}
--- a/internal/bench/loader/session.go
+++ b/internal/bench/loader/session.go
@@ -148,7 +148,7 @@
 	r.Start = c.loader.elapsed()
 	err := c.perform(ctx, r)
 	r.End = c.loader.elapsed()
-	k.stop()
+	k.finish()
 	c.setOutcome(r, err, ctx.Err() != nil)
 	c.loader.record(*r)
 	if ctx.Err() != nil {
--- a/internal/bench/reporter/reporter.go
+++ b/internal/bench/reporter/reporter.go
@@ -126,7 +126,7 @@
 	codeCallerLeft = "caller-left"
 )
 
-// Histogram bounds: latencies from 1 µs to a minute with three significantDigits.
+// Bounds of histograms: latencies in microseconds from 1 µs to a minute, with three significant digits.
 const (
 	minimumLatency    = 1
 	maximumLatency    = int64(time.Minute / time.Microsecond)
--- a/internal/bench/runner/asker.go
+++ b/internal/bench/runner/asker.go
@@ -9,34 +9,35 @@
 	"github.com/cuminwick/cuminwick/internal/outcome/recorder"
 )
 
-// askers is how many outcomes are asked for at a time.
-const askers = 16
+// maximumOutcomeQueries is the number of outcome queries that run concurrently.
+const maximumOutcomeQueries = 16
 
-// ask puts down what the outcomes of the keys are said to be, for all keyed requests
-// whose callers weren't told that they ran. An officer whose connection broke does the
-// same, and what the outcome says must agree with the data as an answer must.
-func (r *Run) ask(l []checker.Request) {
+// queryOutcomes queries the outcome of each idempotency key whose request wasn't reported to have run.
+// A caller whose connection was lost does the same. The checker compares these outcomes with the data
+// as it does with the responses to requests.
+func (r *Run) queryOutcomes(l []checker.Request) {
 	var g errgroup.Group
-	g.SetLimit(askers)
+	g.SetLimit(maximumOutcomeQueries)
 	for i := range l {
 		q := &l[i]
 		if !q.Keyed || q.Outcome == checker.Ran {
 			continue
 		}
-		g.Go(func() error { r.askOne(q); return nil })
+		g.Go(func() error { r.queryOutcome(q); return nil })
 	}
-	// No question fails: one without an answer leaves the outcome open.
+	// The functions return no errors: a failed query leaves the outcome unknown.
 	_ = g.Wait()
 }
 
-func (r *Run) askOne(q *checker.Request) {
+func (r *Run) queryOutcome(q *checker.Request) {
 	o, err := r.System.Outcome(context.Background(), q.Group, q.Name)
 	if err == nil {
 		q.KeyOutcome = o
 	}
 }
 
-// Outcome implements System. Another host than the request's own is asked.
+// Outcome implements System. It queries a host chosen by the length of the key, mostly another one than
+// the host that received the request.
 func (d *DeployedSystem) Outcome(ctx context.Context, group, key string) (checker.Outcome, error) {
 	d.mutex.Lock()
 	h := d.deployment.Hosts[len(key)%len(d.deployment.Hosts)]
--- a/internal/bench/runner/baseline.go
+++ b/internal/bench/runner/baseline.go
@@ -16,7 +16,7 @@
 
 // Names of the sticky-sessions baseline.
 const (
-	// stickyToken is all that a session brings along: it tells nothing.
+	// stickyToken is sent by every session in place of a mark. It carries no information.
 	stickyToken = "sticky"
 	// stickyRule is the routing rule for all reads that no other rule matches.
 	stickyRule = "sticky"
@@ -24,65 +24,64 @@
 	stickyAge = time.Hour
 )
 
-// followPolicy sets the deployment up as the policy says.
-func (d *DeployedSystem) followPolicy() {
+// applyPolicy configures the deployment according to the policy.
+func (d *DeployedSystem) applyPolicy() {
 	d.deployment.PrimaryReads = d.Policy.PrimaryReads
 	if d.Policy.SplitPools {
-		d.deployment.Members = alone
+		d.deployment.Members = newSingleHostMembers
 	}
 	if d.Policy.StickySessions {
-		d.stick()
+		d.useStickySessions()
 	}
 	if d.Policy.StoreLease {
-		d.deployment.Driver = patientDriver()
+		d.deployment.Driver = driverWithoutPromotion()
 	}
 }
 
-// sticky stands in place of marks. Each session begins at each entry host with
-// the mark of an empty database, so that nothing is fetched or waited for on
-// behalf of what it saw elsewhere.
-type sticky struct{}
+// stickyMarks replaces the signing of marks. Each session starts at each entry host with the mark of an
+// empty database, so that nothing is fetched or waited for because of what it read at another host.
+type stickyMarks struct{}
 
 // Sign implements server.Marks.
-func (sticky) Sign([]tracker.GroupMark) (string, error) { return stickyToken, nil }
+func (stickyMarks) Sign([]tracker.GroupMark) (string, error) { return stickyToken, nil }
 
 // Restore implements server.Marks.
-func (sticky) Restore(_ string, groups []string, t *tracker.Tracker) error {
+func (stickyMarks) Restore(_ string, groups []string, t *tracker.Tracker) error {
 	for _, g := range groups {
 		t.Raise(g, marker.Mark{})
 	}
 	return nil
 }
 
-// stick sets the deployment up for sticky sessions.
-func (d *DeployedSystem) stick() {
-	d.deployment.Marks = sticky{}
+// useStickySessions configures the deployment for sticky sessions.
+func (d *DeployedSystem) useStickySessions() {
+	d.deployment.Marks = stickyMarks{}
 	d.deployment.RoutingRules = append(d.deployment.RoutingRules, declarer.RoutingRule{Name: stickyRule, MaximumAge: stickyAge})
 }
 
-// never is longer than any run.
-const never = 24 * time.Hour
+// unreachableTimeout is longer than any run.
+const unreachableTimeout = 24 * time.Hour
 
-// patientDriver returns the settings of drivers that promote nothing of
-// themselves where a primary is lost.
-func patientDriver() driver.Settings {
+// driverWithoutPromotion returns the settings of group drivers that don't promote a server after the loss
+// of a primary.
+func driverWithoutPromotion() driver.Settings {
 	s := driver.Defaults()
-	s.Observer.SuspicionTimeout = never
-	s.Observer.IsolationTimeout = never
-	s.Observer.NoPrimaryTimeout = never
-	s.Observer.TermAheadTimeout = never
+	s.Observer.SuspicionTimeout = unreachableTimeout
+	s.Observer.IsolationTimeout = unreachableTimeout
+	s.Observer.NoPrimaryTimeout = unreachableTimeout
+	s.Observer.TermAheadTimeout = unreachableTimeout
 	return s
 }
 
-// leases are the leasers of all groups.
-type leases struct {
-	work errgroup.Group
-	stop context.CancelFunc
+// leaserGroup runs the leasers of all groups.
+type leaserGroup struct {
+	running errgroup.Group
+	stop    context.CancelFunc
 }
 
-// lease starts a leaser for each group, beside the platform's store.
-func (d *DeployedSystem) lease(ctx context.Context) {
-	ctx, d.leases.stop = context.WithCancel(ctx)
+// startLeasers starts a leaser for each group, in the first place of the deployment.
+func (d *DeployedSystem) startLeasers(ctx context.Context) {
+	ctx, d.leasers.stop = context.WithCancel(ctx)
 	p := d.deployment.Places[0]
 	for _, g := range d.deployment.File.DatabaseGroups {
 		l := &leaser.Leaser{Platform: d.platformAt(p), Group: g.Name, Log: d.Log}
@@ -90,18 +89,18 @@
 			c := &commander.Client{Name: b.Name, Address: b.Address, User: leaserUser, Database: g.Name, Dial: d.controlDialer(p)}
 			l.Servers = append(l.Servers, leaser.Server{Name: b.Name, Address: b.Address, Control: c})
 		}
-		d.leases.work.Go(func() error { return l.Run(ctx) })
+		d.leasers.running.Go(func() error { return l.Run(ctx) })
 	}
 }
 
-// leaserUser is the role of control connections that aren't an entry host's.
+// leaserUser is the database role of the leasers' control connections.
 const leaserUser = "leaser"
 
-// end stops the leasers, if there are any.
-func (l *leases) end() error {
+// stopAndWait stops the leasers, if there are any, and waits for them.
+func (l *leaserGroup) stopAndWait() error {
 	if l.stop == nil {
 		return nil
 	}
 	l.stop()
-	return l.work.Wait()
+	return l.running.Wait()
 }
--- a/internal/bench/runner/baseline_test.go
+++ b/internal/bench/runner/baseline_test.go
@@ -6,21 +6,21 @@
 	"github.com/cuminwick/cuminwick/internal/bench/checker"
 )
 
-// stickyRounds bounds the runs until one finds a violation. A machine that is busy
-// with other tests makes so few requests in one run that none may be among them.
-const stickyRounds = 10
+// maximumStickyRuns limits the number of runs until one finds a violation. On a machine that is busy with
+// other tests, one run may make too few requests to find any.
+const maximumStickyRuns = 10
 
-// Sessions move before each request between entry hosts that tell each other
-// nothing, while one replica of each group stands still. A caller saves, moves,
-// and reads what was there before. A run must find this in the baseline,
-// otherwise its zero for cuminwick would mean nothing.
+// Guards against a checker that misses read-your-writes violations; a count of zero for cuminwick would
+// then be meaningless. With the sticky-sessions baseline, sessions switch before each request between
+// entry hosts that exchange no marks, while one replica of each group lags. A caller saves, switches
+// the host, and reads the earlier value.
 func TestStickySessionsLoseTheirWrites(t *testing.T) {
-	for n := range uint64(stickyRounds) {
+	for n := range uint64(maximumStickyRuns) {
 		v := measureSticky(t, 1+n)
 		found := v.ReadYourWrites > 0
 		v.ReadYourWrites = 0
 		if v.Total() > 0 {
-			t.Fatalf("other promises were broken: %+v", v)
+			t.Fatalf("other violations: %+v", v)
 		}
 		if found {
 			return
@@ -32,7 +32,7 @@
 func measureSticky(t *testing.T, seed uint64) checker.Violations {
 	r, _ := prepare(t, "replica-lag", "sticky-sessions")
 	r.Seed = seed
-	// Twice as long as other runs, so that a starved machine finds some, too.
+	// Twice as long as other runs, so that a busy machine finds violations, too.
 	r.Duration *= 2
 	l := &r.Load
 	l.SwitchHostShare, l.CancelShare = 1, 0
--- a/internal/bench/runner/bench.go
+++ b/internal/bench/runner/bench.go
@@ -12,29 +12,30 @@
 	"github.com/cuminwick/cuminwick/internal/log/encoder"
 )
 
-// ErrUnknownName is the cause of an error about an unknown name.
+// ErrUnknownName is the cause of errors about an unknown scenario, deployment or policy.
 const ErrUnknownName = errors.ConstError("unknown name")
 
-// Bench is one run as asked for on the command line.
+// Bench holds the options of one run, as given on the command line.
 type Bench struct {
 	Scenario   string
 	Deployment string
 	Policy     string
 	Seed       uint64
 	Duration   time.Duration
-	// LoadPercent is the load in percent of the slots' capacity, the scenario's own if zero.
+	// LoadPercent is the load as a percentage of the slots' capacity, or zero for the scenario's own
+	// load.
 	LoadPercent float64
-	// LogEncoder gets the decision lines of all entry hosts, nobody if nil.
+	// LogEncoder receives the decision log of all entry hosts. It may be nil.
 	LogEncoder *encoder.Encoder
 	Log        log.Interface
-	// Progress is told the time that has passed, if set.
-	Progress func(passed time.Duration, statements int)
+	// Progress, if set, is called periodically with the elapsed time and the number of statements.
+	Progress func(elapsed time.Duration, statements int)
 }
 
-// callersUser is the role of the load's callers.
+// callersUser is the database role of the load's callers.
 const callersUser = "caller"
 
-// Run runs the experiment.
+// Run runs the scenario. It returns an error with the cause ErrUnknownName if a name is unknown.
 func (b *Bench) Run(ctx context.Context) (*reporter.Result, error) {
 	s, ok := definer.Find(definer.Scenarios(), b.Scenario)
 	if !ok {
--- a/internal/bench/runner/deployed.go
+++ b/internal/bench/runner/deployed.go
@@ -26,45 +26,45 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// DeployedSystem is cuminwick itself: entry hosts and stand-ins of one deployment in
-// this process, over real sockets through the disturber. The exported fields
-// are set before Start.
+// DeployedSystem implements System: it runs the entry hosts and stand-in servers of one deployment in
+// this process, connected by real sockets through the disturber. The exported fields are set before
+// Start.
 type DeployedSystem struct {
 	Deployment definer.Deployment
 	Load       definer.Load
 	Policy     definer.Policy
-	// LogEncoder gets the decision lines of all entry hosts, nobody if nil.
+	// LogEncoder receives the decision log of all entry hosts. It may be nil.
 	LogEncoder *encoder.Encoder
 	Log        log.Interface
-	// WithoutDisturber leaves the disturber out of connections to backend servers.
+	// WithoutDisturber connects the parts of the deployment directly, without simulated latency or faults.
 	WithoutDisturber bool
-	// FollowConfiguration has entry hosts follow the configuration in the platform.
+	// FollowConfiguration has entry hosts follow the configuration in the platform; otherwise it is fixed.
 	FollowConfiguration bool
 
 	deployment *deployer.Deployment
 	network    *disturber.Network
 	store      *storekeeper.Store
-	// source, if set, is where a test's entry hosts get their configuration.
+	// source, if set by a test, returns the configuration source of an entry host.
 	source func(host string, f *declarer.File) host.Source
 	stop   context.CancelFunc
 
-	control atomic.Int64
-	leases  leases
+	controlBytes atomic.Int64
+	leasers      leaserGroup
 
 	mutex sync.Mutex
-	// absent are the hosts that the balancer doesn't send callers to.
+	// absent are the hosts that are stopped or stopping and receive no new callers.
 	absent map[string]bool
-	// killed are the hosts that have ended without warning.
+	// killed are the hosts that were killed and not yet replaced.
 	killed map[string]bool
-	// unbalanced are the hosts that run and get no callers from it.
+	// unbalanced are the running hosts that the load balancer sends no callers to.
 	unbalanced map[string]bool
 }
 
-// benchKey signs marks within one run; it protects nothing.
-const benchKey = "cuminwick-bench-0123456789abcdef"
+// markKey signs the marks of a run. It isn't secret.
+const markKey = "cuminwick-bench-0123456789abcdef"
 
-// serverKeepalive is when a backend server notices that a connection has gone
-// silent; until then the connection counts towards its limit.
+// serverKeepalive is the time after which a backend server detects a silent connection. Until then the
+// connection counts towards the server's limit.
 const serverKeepalive = 3 * time.Second
 
 // Start implements System.
@@ -80,26 +80,26 @@
 		ServerKeepalive: serverKeepalive,
 	}
 	d.network.Open(ctx)
-	d.arrange()
-	d.followPolicy()
+	d.setUpDeployment()
+	d.applyPolicy()
 	if !d.WithoutDisturber {
-		d.disturb()
+		d.useDisturber()
 	}
 	if err := d.deployment.Start(ctx); err != nil {
 		d.stop()
 		return err
 	}
 	for _, h := range d.deployment.Hosts {
-		d.locateHost(h)
+		d.setHostPlace(h)
 	}
 	if d.Policy.StoreLease {
-		d.lease(ctx)
+		d.startLeasers(ctx)
 	}
 	return nil
 }
 
-// arrange makes the deployment, without the disturber between its parts.
-func (d *DeployedSystem) arrange() {
+// setUpDeployment sets d.deployment, without the disturber between its parts.
+func (d *DeployedSystem) setUpDeployment() {
 	d.deployment = &deployer.Deployment{
 		HostsPerPlace: d.Deployment.HostsPerPlace,
 		MaximumHosts:  d.Deployment.MaximumHosts,
@@ -118,20 +118,20 @@
 		}},
 		Platform:   d.store,
 		Source:     d.source,
-		Marks:      &signer.Signer{Deployment: d.Deployment.Name, Keys: []signer.Key{{ID: 1, Secret: []byte(benchKey)}}},
+		Marks:      &signer.Signer{Deployment: d.Deployment.Name, Keys: []signer.Key{{ID: 1, Secret: []byte(markKey)}}},
 		LogEncoder: d.LogEncoder,
 		Log:        d.Log,
 	}
 	if !d.FollowConfiguration && d.source == nil {
-		d.deployment.Source = fixed
+		d.deployment.Source = fixedSource
 	}
 	for _, p := range d.Deployment.Places {
 		d.deployment.Places = append(d.deployment.Places, deployer.Place(p))
 	}
 }
 
-// disturb puts the disturber between the parts.
-func (d *DeployedSystem) disturb() {
+// useDisturber routes the traffic between the parts through the disturber.
+func (d *DeployedSystem) useDisturber() {
 	d.deployment.Dial = d.dialer
 	d.deployment.PeerDial = d.peerDialer
 	d.deployment.ControlDial = d.controlDialer
@@ -139,12 +139,12 @@
 	d.deployment.PlatformAt = d.platformAt
 }
 
-// fixed gives every entry host the same configuration.
-func fixed(_ string, f *declarer.File) host.Source {
+// fixedSource returns a source with the same fixed configuration for every entry host.
+func fixedSource(_ string, f *declarer.File) host.Source {
 	return host.FixedSource{Revision: 1, File: f}
 }
 
-func (d *DeployedSystem) locateHost(h *host.Host) {
+func (d *DeployedSystem) setHostPlace(h *host.Host) {
 	d.network.SetPlace(h.Address(), disturber.Place{
 		AvailabilityZone: h.Settings.AvailabilityZone,
 		Region:           h.Settings.Region,
@@ -154,7 +154,7 @@
 
 // Stop implements System.
 func (d *DeployedSystem) Stop() error {
-	e := d.leases.end()
+	e := d.leasers.stopAndWait()
 	err := d.deployment.Stop()
 	d.stop()
 	if err == nil {
@@ -186,7 +186,7 @@
 	return d.network
 }
 
-func (d *DeployedSystem) find(name string) (int, error) {
+func (d *DeployedSystem) hostIndex(name string) (int, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	i := slices.IndexFunc(d.deployment.Hosts, func(h *host.Host) bool { return h.Settings.HostName == name })
@@ -202,9 +202,9 @@
 	d.absent[name] = on
 }
 
-// Kill implements System. The balancer notices at once.
+// Kill implements System. The load balancer detects the failure at once.
 func (d *DeployedSystem) Kill(name string) error {
-	i, err := d.find(name)
+	i, err := d.hostIndex(name)
 	if err != nil {
 		return err
 	}
@@ -216,13 +216,13 @@
 
 // Drain implements System.
 func (d *DeployedSystem) Drain(ctx context.Context, name string) error {
-	i, err := d.find(name)
+	i, err := d.hostIndex(name)
 	if err != nil {
 		return err
 	}
 	d.setAbsent(name, true)
 	d.deployment.Drain(i)
-	// A stop that cut off callers shows in the checker's count.
+	// The checker counts the requests that the stop cut off.
 	if err := d.deployment.AwaitStopped(ctx, i); err != nil {
 		d.Log.WithError(err).WithField("step", "drain").WithField("peer", name).Warn("entry host drained")
 	}
@@ -231,18 +231,18 @@
 
 // Replace implements System.
 func (d *DeployedSystem) Replace(ctx context.Context, name string) error {
-	i, err := d.find(name)
+	i, err := d.hostIndex(name)
 	if err != nil {
 		return err
 	}
-	// How it ended is known already, only that it has ended isn't.
+	// The result of the stop was handled when the host was drained or killed; only its end is awaited here.
 	_ = d.deployment.AwaitStopped(ctx, i)
 	d.setKilled(name, false)
 	h, err := d.deployment.Restart(ctx, i)
 	if err != nil {
 		return err
 	}
-	d.locateHost(h)
+	d.setHostPlace(h)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.deployment.Hosts[i] = h
@@ -267,16 +267,16 @@
 	var l []checker.ObservedRevision
 	for _, h := range d.deployment.Hosts {
 		if r := h.Director().Runtime(); r != nil && !d.absent[h.Settings.HostName] {
-			l = append(l, checker.ObservedRevision{EntryHost: h.Settings.HostName, Revision: r.Revision, Digest: racer.Digest(decided(r))})
+			l = append(l, checker.ObservedRevision{EntryHost: h.Settings.HostName, Revision: r.Revision, Digest: racer.Digest(runningConfiguration(r))})
 		}
 	}
 	return l
 }
 
-// decided is the configuration that a host decides by: that of its running groups,
-// in place of what the file says of them. A host that took up a file and went on
-// with the groups from before would otherwise pass for one that has it in force.
-func decided(r *director.Runtime) declarer.File {
+// runningConfiguration returns the configuration that a host has in force: its file, with the groups
+// replaced by those that run. Otherwise a host that adopted a file but kept its earlier groups would be
+// taken for one that has the file in force.
+func runningConfiguration(r *director.Runtime) declarer.File {
 	f := *r.File
 	f.DatabaseGroups = nil
 	for _, n := range r.Names {
@@ -285,7 +285,7 @@
 	return f
 }
 
-// Operators implements System. The operators stand in all availability zones.
+// Operators implements System. The operators are spread over all availability zones.
 func (d *DeployedSystem) Operators() *racer.Racer {
 	if !d.FollowConfiguration {
 		return nil
@@ -303,8 +303,8 @@
 	return int64(d.store.Calls().Total())
 }
 
-// ControlBytes implements System. It counts control connections to backend
-// servers; entry hosts exchange nothing else in this deployment.
+// ControlBytes implements System. It counts the bytes of control connections to backend servers; entry
+// hosts exchange no other control traffic in this deployment.
 func (d *DeployedSystem) ControlBytes() int64 {
-	return d.control.Load()
+	return d.controlBytes.Load()
 }
--- a/internal/bench/runner/deployed_test.go
+++ b/internal/bench/runner/deployed_test.go
@@ -10,12 +10,12 @@
 	"github.com/cuminwick/cuminwick/internal/bench/definer"
 )
 
-// quiet discards log lines.
-func quiet() log.Interface {
+// discardLog returns a logger that discards all entries.
+func discardLog() log.Interface {
 	return &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 }
 
-// prepare makes a run of a scenario on kalkul-db, with the system that it runs on.
+// prepare returns a run of a scenario on the first deployment, kalkul-db, and its system.
 func prepare(t *testing.T, scenario, policy string) (*Run, *DeployedSystem) {
 	t.Helper()
 	d := definer.Deployments()[0]
@@ -29,12 +29,12 @@
 	}
 	s.DrawFaults(1)
 	l := s.Load(&d)
-	x := &DeployedSystem{Deployment: d, Load: l, Policy: p, FollowConfiguration: s.FollowConfiguration, Log: quiet()}
+	x := &DeployedSystem{Deployment: d, Load: l, Policy: p, FollowConfiguration: s.FollowConfiguration, Log: discardLog()}
 	return &Run{Scenario: s, Deployment: d, Load: l, Policy: p, System: x, User: callersUser, Seed: 1, Duration: 3 * time.Second}, x
 }
 
-// A whole deployment runs under load while something goes wrong. Callers may be
-// refused or wait; whatever they were told must agree with what the groups hold.
+// Guards against violated guarantees when a fault occurs in a whole deployment under load. Requests may
+// be refused or delayed, but the outcomes that callers receive must agree with the groups' data.
 func TestDeploymentKeepsPromises(t *testing.T) {
 	for _, s := range []string{"primary-crash", "rolling-restart", "apply-race"} {
 		t.Run(s, func(t *testing.T) {
@@ -44,7 +44,7 @@
 				Policy:     definer.DefaultPolicy,
 				Seed:       1,
 				Duration:   3 * time.Second,
-				Log:        quiet(),
+				Log:        discardLog(),
 			}
 			r, err := b.Run(t.Context())
 			if err != nil {
@@ -54,16 +54,16 @@
 				t.Errorf("violations %+v, %d groups unsettled\n%v\n%v", r.Violations, r.UnsettledGroups, r.Examples, r.Sessions)
 			}
 			if r.Outcomes.Ran == 0 || r.RegionLinkBytes == 0 || r.Reads == 0 {
-				t.Errorf("the load did too little: %+v", r)
+				t.Errorf("too little load: %+v", r)
 			}
 			if s == "apply-race" && (r.Applies.InForce < 2 || r.Applies.Refused == 0) {
-				t.Errorf("the operators did too little: %+v", r.Applies)
+				t.Errorf("too few applies by the operators: %+v", r.Applies)
 			}
 		})
 	}
 }
 
-func TestUnknownNames(t *testing.T) {
+func TestErrUnknownName(t *testing.T) {
 	for name, b := range map[string]Bench{
 		"scenario":   {Scenario: "none", Deployment: "kalkul-db", Policy: definer.DefaultPolicy},
 		"deployment": {Scenario: "steady", Deployment: "none", Policy: definer.DefaultPolicy},
--- a/internal/bench/runner/distant.go
+++ b/internal/bench/runner/distant.go
@@ -10,30 +10,30 @@
 	"github.com/cuminwick/cuminwick/internal/platform/accessor"
 )
 
-// distant is the platform as seen from one place: calls take the network's
-// latency and don't get through a partition, neither there nor back.
-type distant struct {
+// remotePlatform is the platform as reached from one place: calls and their responses are delayed by the
+// network's latency and fail during a partition.
+type remotePlatform struct {
 	deployed *DeployedSystem
 	store    accessor.Platform
 	network  *disturber.Network
 	path     disturber.Path
 }
 
-var _ accessor.Platform = (*distant)(nil)
+var _ accessor.Platform = (*remotePlatform)(nil)
 
-// platformAt makes the platform as seen from a place. The store stands in the
-// first availability zone of its region.
+// platformAt returns the platform as reached from a place. The store is located in the first
+// availability zone of its region.
 func (d *DeployedSystem) platformAt(at deployer.Place) accessor.Platform {
 	for _, p := range d.Deployment.Places {
 		if p.Region == d.Deployment.StoreRegion {
-			return &distant{deployed: d, store: d.store, network: d.network, path: disturber.Path{From: disturber.Place(at), To: p}}
+			return &remotePlatform{deployed: d, store: d.store, network: d.network, path: disturber.Path{From: disturber.Place(at), To: p}}
 		}
 	}
 	return d.store
 }
 
-// call carries a call there and its answer back.
-func call[T any](ctx context.Context, d *distant, f func() (T, error)) (T, error) {
+// callOverNetwork makes a call to the platform, with the network's delays and faults in both directions.
+func callOverNetwork[T any](ctx context.Context, d *remotePlatform, f func() (T, error)) (T, error) {
 	var none T
 	if d.deployed.isKilled(d.path.From.EntryHost) {
 		return none, errors.Annotatef(errKilled, "call platform from %s", d.path.From.EntryHost)
@@ -49,9 +49,9 @@
 	return v, err
 }
 
-// errKilled answers the calls that a killed entry host still makes. Its process ends
-// within this one and so would free its object in the platform, which no killed process
-// does: operators then wait until its lease has run out.
+// errKilled is returned for the calls that a killed entry host still makes. The host runs within this
+// process and would release its object in the platform when it ends. A process that is really killed
+// doesn't: operators then wait until its lease has expired.
 const errKilled = errors.ConstError("entry host killed")
 
 func (d *DeployedSystem) setKilled(name string, on bool) {
@@ -67,26 +67,26 @@
 }
 
 // Get implements accessor.Platform.
-func (d *distant) Get(ctx context.Context, kind, name string) (accessor.Object, error) {
-	return call(ctx, d, func() (accessor.Object, error) { return d.store.Get(ctx, kind, name) })
+func (d *remotePlatform) Get(ctx context.Context, kind, name string) (accessor.Object, error) {
+	return callOverNetwork(ctx, d, func() (accessor.Object, error) { return d.store.Get(ctx, kind, name) })
 }
 
 // Put implements accessor.Platform.
-func (d *distant) Put(ctx context.Context, o accessor.Object) (accessor.Object, error) {
-	return call(ctx, d, func() (accessor.Object, error) { return d.store.Put(ctx, o) })
+func (d *remotePlatform) Put(ctx context.Context, o accessor.Object) (accessor.Object, error) {
+	return callOverNetwork(ctx, d, func() (accessor.Object, error) { return d.store.Put(ctx, o) })
 }
 
 // List implements accessor.Platform.
-func (d *distant) List(ctx context.Context, kind string) ([]accessor.Object, error) {
-	return call(ctx, d, func() ([]accessor.Object, error) { return d.store.List(ctx, kind) })
+func (d *remotePlatform) List(ctx context.Context, kind string) ([]accessor.Object, error) {
+	return callOverNetwork(ctx, d, func() ([]accessor.Object, error) { return d.store.List(ctx, kind) })
 }
 
 // Watch implements accessor.Platform.
-func (d *distant) Watch(ctx context.Context, kind, name string, after accessor.Version) (accessor.Object, error) {
-	return call(ctx, d, func() (accessor.Object, error) { return d.store.Watch(ctx, kind, name, after) })
+func (d *remotePlatform) Watch(ctx context.Context, kind, name string, after accessor.Version) (accessor.Object, error) {
+	return callOverNetwork(ctx, d, func() (accessor.Object, error) { return d.store.Watch(ctx, kind, name, after) })
 }
 
 // Hosts implements accessor.Platform.
-func (d *distant) Hosts(ctx context.Context) ([]accessor.Host, error) {
-	return call(ctx, d, func() ([]accessor.Host, error) { return d.store.Hosts(ctx) })
+func (d *remotePlatform) Hosts(ctx context.Context) ([]accessor.Host, error) {
+	return callOverNetwork(ctx, d, func() ([]accessor.Host, error) { return d.store.Hosts(ctx) })
 }
--- a/internal/bench/runner/fault.go
+++ b/internal/bench/runner/fault.go
@@ -16,107 +16,111 @@
 	"github.com/cuminwick/cuminwick/internal/standin/responder"
 )
 
-// Times of the faults.
+// Parameters of the faults.
 const (
-	// replicaLag is how far behind a replica stays.
+	// replicaLag is the replication lag of a lagging replica.
 	replicaLag = 30 * time.Second
-	// leavingGrace is how long a leaving server may still get work.
+	// leavingGrace is how long a leaving server may still receive statements.
 	leavingGrace = 2 * time.Second
-	// drainLimit bounds a planned stop.
+	// drainLimit limits the duration of a planned stop.
 	drainLimit = 20 * time.Second
-	// raceAfterFault is the part of a run for which operators race on after another fault.
-	raceAfterFault = 8
-	// slowPlatform is what a call takes at a slow platform: several calls in a row
-	// outlast the time between two sights of a relay, and none its timeout.
-	slowPlatform = 700 * time.Millisecond
-	// flapPause is how long the platform is down, and up, in turn. Down, it is
-	// shorter than a lease.
+	// raceAfterFaultDivisor divides the duration of a run: the result is how long operators continue
+	// their changes after the end of another fault.
+	raceAfterFaultDivisor = 8
+	// slowPlatformLatency is the delay of each call at a slow platform: several calls in a row take longer
+	// than the time between two observations of a relay, and no call reaches its timeout.
+	slowPlatformLatency = 700 * time.Millisecond
+	// flapPause is how long the platform is alternately down and up. It is shorter than a lease, so
+	// that no lease expires during one outage.
 	flapPause = 1500 * time.Millisecond
 )
 
-// injection brings about the faults of one run and takes them back.
-type injection struct {
+// faultInjector injects the faults of one run and reverts them.
+type faultInjector struct {
 	run    *Run
 	system System
-	// mended undoes what was done, in order.
-	mended  []func()
-	moments []reporter.Event
-	stops   []checker.Stop
-	// leaving counts the work that leaving servers got, each against its count
-	// at the end of the grace time.
+	// reverts are the functions that revert the injected faults, in the order of injection.
+	reverts []func()
+	events  []reporter.Event
+	// stops are the planned stops of entry hosts.
+	stops []checker.Stop
+	// leaving are the servers that were marked as leaving, to count the statements that they receive
+	// after the grace time.
 	leaving []*leavingServer
 	mutex   sync.Mutex
-	// applies are what racing operators were told.
+	// applies are those of racing operators, set when the race has ended.
 	applies []checker.Apply
 }
 
+// leavingServer is a server that was marked as leaving at the time since. statementsAtGraceEnd is its
+// count of statements at the end of the grace time, negative before that.
 type leavingServer struct {
-	server *responder.Server
-	before int64
-	since  time.Duration
+	server               *responder.Server
+	statementsAtGraceEnd int64
+	since                time.Duration
 }
 
-func (i *injection) note(name string) {
-	i.moments = append(i.moments, reporter.Event{At: i.run.since(), Name: name})
+func (i *faultInjector) recordEvent(name string) {
+	i.events = append(i.events, reporter.Event{At: i.run.elapsed(), Name: name})
 }
 
-// loop sets the scenario's faults at a third of the run and takes them back at two thirds.
-func (i *injection) loop(ctx context.Context) error {
+// injectAndRevert injects the scenario's faults after a third of the run and reverts them after two thirds.
+func (i *faultInjector) injectAndRevert(ctx context.Context) error {
 	third := i.run.Duration / 3
 	if scheduler.Pause(ctx, third) != nil {
 		return nil
 	}
 	for _, f := range i.run.Scenario.Faults {
 		p, _ := i.primary()
-		i.note(string(f) + " while " + p.Name + " leads")
-		if err := i.set(ctx, f); err != nil {
-			return errors.Annotatef(err, "set fault %s", f)
+		i.recordEvent(string(f) + " while " + p.Name + " leads")
+		if err := i.inject(ctx, f); err != nil {
+			return errors.Annotatef(err, "inject fault %s", f)
 		}
 	}
-	if scheduler.Pause(ctx, 2*third-i.run.since()) != nil {
+	if scheduler.Pause(ctx, 2*third-i.run.elapsed()) != nil {
 		return nil
 	}
-	i.mend()
+	i.revertAll()
 	return nil
 }
 
-// mend takes back what was done, once.
-func (i *injection) mend() {
-	if len(i.mended) > 0 {
-		i.note("mended")
+// revertAll reverts the injected faults. A further call has no effect.
+func (i *faultInjector) revertAll() {
+	if len(i.reverts) > 0 {
+		i.recordEvent("mended")
 	}
-	for _, f := range i.mended {
+	for _, f := range i.reverts {
 		f()
 	}
-	i.mended = nil
+	i.reverts = nil
 }
 
-func (i *injection) later(f func()) {
-	i.mended = append(i.mended, f)
+func (i *faultInjector) addRevert(f func()) {
+	i.reverts = append(i.reverts, f)
 }
 
-// set brings about one fault.
-func (i *injection) set(ctx context.Context, f definer.Fault) error {
+// inject injects one fault. Faults that last add a function to reverts.
+func (i *faultInjector) inject(ctx context.Context, f definer.Fault) error {
 	switch f {
 	case definer.NoFault:
 	case definer.ReplicaLag:
-		i.lag()
+		i.delayReplicas()
 	case definer.PrimaryCrash:
 		p, _ := i.primary()
 		p.Crash()
-		i.later(p.Restart)
+		i.addRevert(p.Restart)
 	case definer.PrimaryPaused:
 		p, _ := i.primary()
 		p.Pause(true)
-		i.later(func() { p.Pause(false) })
+		i.addRevert(func() { p.Pause(false) })
 	case definer.PrimaryIsolated:
 		p, n := i.primary()
 		p.Isolate(true)
-		i.later(func() { p.Isolate(false) })
+		i.addRevert(func() { p.Isolate(false) })
 		i.cutZone(n)
 	case definer.PlatformDown:
 		i.system.SetPlatformDown(true)
-		i.later(func() { i.system.SetPlatformDown(false) })
+		i.addRevert(func() { i.system.SetPlatformDown(false) })
 	case definer.ZoneCut:
 		n := len(i.run.Deployment.Places) - 1
 		i.isolateServers(n)
@@ -124,34 +128,34 @@
 	case definer.RegionCut:
 		i.cutRegion()
 	case definer.SilentConnections:
-		i.silence()
+		i.silenceConnections()
 	case definer.EntryHostKilled:
-		return i.kill(ctx)
+		return i.killHost(ctx)
 	case definer.RollingRestart:
-		return i.restartAll(ctx)
+		return i.restartHosts(ctx)
 	case definer.Leaving:
 		p, _ := i.primary()
 		p.ReportLeaving(true)
-		i.watch(&leavingServer{server: p, since: i.run.since(), before: -1})
+		i.addLeaving(&leavingServer{server: p, since: i.run.elapsed(), statementsAtGraceEnd: -1})
 	case definer.OperatorsRace:
-		return i.race(ctx)
+		return i.raceOperators(ctx)
 	case definer.EntryHostCutOff:
-		i.isolate(disturber.IsolatedExceptCallers)
+		i.isolateHost(disturber.IsolatedExceptCallers)
 	case definer.EntryHostSilent:
-		i.isolate(disturber.FullyIsolated)
+		i.isolateHost(disturber.FullyIsolated)
 	case definer.PlatformSlow:
-		i.system.SetPlatformLatency(slowPlatform)
-		i.later(func() { i.system.SetPlatformLatency(0) })
+		i.system.SetPlatformLatency(slowPlatformLatency)
+		i.addRevert(func() { i.system.SetPlatformLatency(0) })
 	case definer.PlatformFlapping:
-		i.flap(ctx)
+		i.flapPlatform(ctx)
 	default:
 		return errors.Errorf("fault %q isn't built", f)
 	}
 	return nil
 }
 
-// primary returns the first group's primary and the number of its place.
-func (i *injection) primary() (*responder.Server, int) {
+// primary returns the first group's primary and the index of its place.
+func (i *faultInjector) primary() (*responder.Server, int) {
 	l := i.system.Groups()[i.run.Deployment.Groups[0]].Servers
 	for n, s := range l {
 		if p, _ := s.Store().IsPrimary(); p {
@@ -161,8 +165,8 @@
 	return l[0], 0
 }
 
-// lag holds the last replica of each group behind.
-func (i *injection) lag() {
+// delayReplicas makes the last replica of each group lag.
+func (i *faultInjector) delayReplicas() {
 	for _, g := range i.system.Groups() {
 		for n := len(g.Servers) - 1; n >= 0; n-- {
 			s := g.Servers[n]
@@ -170,14 +174,14 @@
 				continue
 			}
 			s.SetReplicationLag(replicaLag)
-			i.later(func() { s.SetReplicationLag(0) })
+			i.addRevert(func() { s.SetReplicationLag(0) })
 			break
 		}
 	}
 }
 
-// cutZone parts the n-th place from all others.
-func (i *injection) cutZone(n int) {
+// cutZone disconnects the n-th place from all others.
+func (i *faultInjector) cutZone(n int) {
 	a := i.run.Deployment.Places[n].AvailabilityZone
 	for m, p := range i.run.Deployment.Places {
 		if m != n {
@@ -186,24 +190,24 @@
 	}
 }
 
-func (i *injection) cut(a, b string) {
+func (i *faultInjector) cut(a, b string) {
 	w := i.system.Network()
 	w.Cut(a, b, true)
-	i.later(func() { w.Cut(a, b, false) })
+	i.addRevert(func() { w.Cut(a, b, false) })
 }
 
-// isolateServers cuts the backend servers of the n-th place off from their
-// peers: replication doesn't go through the proxied network.
-func (i *injection) isolateServers(n int) {
+// isolateServers isolates the backend servers of the n-th place from their peers, because replication
+// doesn't go through the disturber's network.
+func (i *faultInjector) isolateServers(n int) {
 	for _, g := range i.system.Groups() {
 		s := g.Servers[n]
 		s.Isolate(true)
-		i.later(func() { s.Isolate(false) })
+		i.addRevert(func() { s.Isolate(false) })
 	}
 }
 
-// cutRegion parts the places of the first region from the others.
-func (i *injection) cutRegion() {
+// cutRegion disconnects the places of the first region from the others.
+func (i *faultInjector) cutRegion() {
 	l := i.run.Deployment.Places
 	for n, p := range l {
 		if p.Region == l[0].Region {
@@ -218,8 +222,9 @@
 	}
 }
 
-// silence makes all open connections to backend servers silent.
-func (i *injection) silence() {
+// silenceConnections makes all open connections to backend servers silent: they stay open and pass no
+// more data.
+func (i *faultInjector) silenceConnections() {
 	l := i.run.Deployment.Places
 	for n, a := range l {
 		for _, b := range l[n:] {
@@ -228,57 +233,56 @@
 	}
 }
 
-func (i *injection) kill(ctx context.Context) error {
+func (i *faultInjector) killHost(ctx context.Context) error {
 	h := i.system.Hosts()[0].Name
 	if err := i.system.Kill(h); err != nil {
 		return err
 	}
-	i.later(func() { i.replace(ctx, h) })
+	i.addRevert(func() { i.replaceHost(ctx, h) })
 	return nil
 }
 
-func (i *injection) replace(ctx context.Context, host string) {
+func (i *faultInjector) replaceHost(ctx context.Context, host string) {
 	if err := i.system.Replace(context.WithoutCancel(ctx), host); err != nil {
-		i.run.fail(errors.Annotatef(err, "replace entry host %s", host))
+		i.run.recordError(errors.Annotatef(err, "replace entry host %s", host))
 	}
 }
 
-// race has operators change the configuration until the fault is taken back. If
-// another fault was set before, they go on for some time after its end, since that
-// is when what is left of it meets the next change.
-func (i *injection) race(ctx context.Context) error {
+// raceOperators has operators change the configuration until the fault is reverted. If another fault was
+// injected before, they continue for some time after its end, to test changes that meet its after-effects.
+func (i *faultInjector) raceOperators(ctx context.Context) error {
 	o := i.system.Operators()
 	if o == nil {
 		return errors.NotSupportedf("a race over a fixed configuration")
 	}
-	o.Seed, o.StartTime = i.run.Seed, i.run.begun
+	o.Seed, o.StartTime = i.run.Seed, i.run.startTime
 	x, stop := context.WithCancel(context.WithoutCancel(ctx))
 	g, x := errgroup.WithContext(x)
 	g.Go(func() error { return o.Run(x) })
-	i.later(func() {
+	i.addRevert(func() {
 		if len(i.run.Scenario.Faults) > 1 {
-			// A load that ends early ends the race, too.
-			_ = scheduler.Pause(ctx, i.run.Duration/raceAfterFault)
+			// If the load ends early, the race ends, too.
+			_ = scheduler.Pause(ctx, i.run.Duration/raceAfterFaultDivisor)
 		}
 		stop()
 		if err := g.Wait(); err != nil {
-			i.run.fail(errors.Annotate(err, "race of operators"))
+			i.run.recordError(errors.Annotate(err, "run operators"))
 		}
 		i.applies = o.Applies()
 	})
 	return nil
 }
 
-// restartAll stops all entry hosts as planned, one after the other, and starts them again.
-func (i *injection) restartAll(ctx context.Context) error {
+// restartHosts drains and replaces all entry hosts, one after the other.
+func (i *faultInjector) restartHosts(ctx context.Context) error {
 	for _, h := range i.system.Hosts() {
-		s := checker.Stop{EntryHost: h.Name, From: i.run.since()}
+		s := checker.Stop{EntryHost: h.Name, From: i.run.elapsed()}
 		x, stop := context.WithTimeout(context.WithoutCancel(ctx), drainLimit)
 		err := i.system.Drain(x, h.Name)
 		stop()
-		s.To = i.run.since()
+		s.To = i.run.elapsed()
 		i.stops = append(i.stops, s)
-		i.note("restarted " + h.Name)
+		i.recordEvent("restarted " + h.Name)
 		if err != nil {
 			return err
 		}
@@ -292,29 +296,29 @@
 	return nil
 }
 
-func (i *injection) watch(l *leavingServer) {
+func (i *faultInjector) addLeaving(l *leavingServer) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	i.leaving = append(i.leaving, l)
 }
 
-// watchLeaving notes the count of work at the end of the grace time.
-func (i *injection) watchLeaving(now time.Duration) {
+// sampleLeaving records the statement counts of leaving servers at the end of the grace time.
+func (i *faultInjector) sampleLeaving(now time.Duration) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	for _, l := range i.leaving {
-		if l.before < 0 && now > l.since+leavingGrace {
-			l.before = l.server.StatementCounts().Total()
+		if l.statementsAtGraceEnd < 0 && now > l.since+leavingGrace {
+			l.statementsAtGraceEnd = l.server.StatementCounts().Total()
 		}
 	}
 }
 
-// workOnLeaving is how much work leaving servers got after the grace time.
-func (i *injection) workOnLeaving() int64 {
+// workOnLeaving returns the number of statements that leaving servers received after the grace time.
+func (i *faultInjector) workOnLeaving() int64 {
 	var n int64
 	for _, l := range i.leaving {
-		if l.before >= 0 {
-			n += l.server.StatementCounts().Total() - l.before
+		if l.statementsAtGraceEnd >= 0 {
+			n += l.server.StatementCounts().Total() - l.statementsAtGraceEnd
 		}
 	}
 	return n
--- a/internal/bench/runner/gap.go
+++ b/internal/bench/runner/gap.go
@@ -8,7 +8,7 @@
 )
 
 // longestGap returns the longest time without an acknowledged write in a group
-// that ends after the moment from.
+// that ends after from and at until at the latest.
 func longestGap(l []checker.Request, group string, from, until time.Duration) time.Duration {
 	var e []time.Duration
 	for i := range l {
--- a/internal/bench/runner/isolation.go
+++ b/internal/bench/runner/isolation.go
@@ -8,39 +8,39 @@
 	"github.com/cuminwick/cuminwick/internal/clock/scheduler"
 )
 
-// isolate cuts off one entry host, which the seed picks.
-func (i *injection) isolate(how disturber.Isolation) {
+// isolateHost isolates one entry host, chosen by the seed.
+func (i *faultInjector) isolateHost(how disturber.Isolation) {
 	l := i.system.Hosts()
 	h := l[i.run.Seed/definer.RaceFaultCount()%uint64(len(l))].Name
 	w := i.system.Network()
-	i.note(h + " is cut off")
+	i.recordEvent(h + " is cut off")
 	w.Isolate(h, how)
-	i.later(func() { w.Isolate(h, disturber.NotIsolated) })
+	i.addRevert(func() { w.Isolate(h, disturber.NotIsolated) })
 	if how == disturber.FullyIsolated {
-		// The balancer notices at once, as it does with a host that is killed.
+		// The load balancer detects the failure at once, as for a killed host.
 		i.system.SetBalanced(h, false)
-		i.later(func() { i.system.SetBalanced(h, true) })
+		i.addRevert(func() { i.system.SetBalanced(h, true) })
 	}
 }
 
-// flap stops the platform again and again until the fault is taken back.
-func (i *injection) flap(ctx context.Context) {
+// flapPlatform stops and restarts the platform repeatedly until the fault is reverted.
+func (i *faultInjector) flapPlatform(ctx context.Context) {
 	x, stop := context.WithCancel(ctx)
-	f := &flapper{system: i.system, ended: make(chan struct{})}
-	go f.loop(x)
-	i.later(func() {
+	f := &platformFlapper{system: i.system, ended: make(chan struct{})}
+	go f.run(x)
+	i.addRevert(func() {
 		stop()
 		<-f.ended
 	})
 }
 
-// flapper stops and starts the platform in turn and leaves it started.
-type flapper struct {
+// platformFlapper stops and starts the platform alternately and leaves it started.
+type platformFlapper struct {
 	system System
 	ended  chan struct{}
 }
 
-func (f *flapper) loop(ctx context.Context) {
+func (f *platformFlapper) run(ctx context.Context) {
 	defer close(f.ended)
 	defer f.system.SetPlatformDown(false)
 	for down := true; ; down = !down {
--- a/internal/bench/runner/overhead.go
+++ b/internal/bench/runner/overhead.go
@@ -17,23 +17,23 @@
 	"github.com/cuminwick/cuminwick/internal/bench/reporter"
 )
 
-// Sizes of the overhead scenario.
+// Parameters of the overhead scenario.
 const (
 	overheadConnections = 32
 	pointRows           = 1000
 )
 
-// Overhead measures point reads directly and through one entry host, in turns,
-// so that both meet the same machine.
+// Overhead measures point reads directly at a backend server and through one entry host. Both are
+// measured in alternating turns, so that the machine's other load affects both alike.
 type Overhead struct {
 	System *DeployedSystem
 	Group  string
 	User   string
-	// Duration is the time of the whole measurement.
+	// Duration is the duration of the whole measurement.
 	Duration time.Duration
 }
 
-// OverheadDeployment is three backend servers and one entry host in one zone, without latency.
+// OverheadDeployment returns a deployment of three backend servers and one entry host in one zone, without latency.
 func OverheadDeployment() definer.Deployment {
 	return definer.Deployment{
 		Name: "loopback",
@@ -51,10 +51,10 @@
 	}
 }
 
-// rounds is how often each side has its turn.
-const rounds = 3
+// overheadRounds is the number of turns of each target.
+const overheadRounds = 3
 
-// Measure runs the measurement.
+// Measure starts the system, runs the measurement and stops the system.
 func (o *Overhead) Measure(ctx context.Context) (*reporter.Overhead, error) {
 	if err := o.System.Start(ctx); err != nil {
 		return nil, errors.Annotate(err, "start deployment")
@@ -72,15 +72,15 @@
 	if err := o.prepare(ctx, h); err != nil {
 		return nil, err
 	}
-	d, t := newSide(b), newSide(h)
-	// A turn is one connection alone and many together, for each side.
-	turn := o.Duration / rounds / 4
-	for range rounds {
-		for _, s := range []*side{d, t} {
-			if err := o.turn(ctx, s, 1, s.one, turn); err != nil {
+	d, t := newTarget(b), newTarget(h)
+	// A round measures each of the two targets over one connection and over many.
+	turn := o.Duration / overheadRounds / 4
+	for range overheadRounds {
+		for _, s := range []*target{d, t} {
+			if err := o.measureTurn(ctx, s, 1, s.one, turn); err != nil {
 				return nil, err
 			}
-			if err := o.turn(ctx, s, overheadConnections, s.many, turn); err != nil {
+			if err := o.measureTurn(ctx, s, overheadConnections, s.many, turn); err != nil {
 				return nil, err
 			}
 			s.time += turn
@@ -91,18 +91,18 @@
 	return r, nil
 }
 
-// side is one of the two ways to the backend server.
-type side struct {
+// target is one of the two hosts that points are read from: the backend server or the entry host.
+type target struct {
 	host      loader.Host
 	one, many *hdrhistogram.Histogram
 	time      time.Duration
 }
 
-func newSide(h loader.Host) *side {
-	return &side{host: h, one: reporter.NewHistogram(), many: reporter.NewHistogram()}
+func newTarget(h loader.Host) *target {
+	return &target{host: h, one: reporter.NewHistogram(), many: reporter.NewHistogram()}
 }
 
-func (s *side) throughput() reporter.Throughput {
+func (s *target) throughput() reporter.Throughput {
 	return reporter.Throughput{
 		Connections:      overheadConnections,
 		PerSecond:        float64(s.many.TotalCount()) / s.time.Seconds(),
@@ -134,15 +134,15 @@
 	return l.Connect(ctx, h, o.Group, "")
 }
 
-// turn reads points over n connections for a while.
-func (o *Overhead) turn(ctx context.Context, s *side, n int, h *hdrhistogram.Histogram, d time.Duration) error {
+// measureTurn reads points over n connections for the duration d and adds the latencies to h.
+func (o *Overhead) measureTurn(ctx context.Context, s *target, n int, h *hdrhistogram.Histogram, d time.Duration) error {
 	ctx, stop := context.WithTimeout(ctx, d)
 	defer stop()
 	g, x := errgroup.WithContext(ctx)
 	l := make([]*hdrhistogram.Histogram, n)
 	for i := range n {
 		l[i] = reporter.NewHistogram()
-		g.Go(func() error { return o.loopRead(x, s.host, int64(i), l[i]) })
+		g.Go(func() error { return o.readPoints(x, s.host, int64(i), l[i]) })
 	}
 	if err := g.Wait(); err != nil {
 		return err
@@ -153,10 +153,10 @@
 	return nil
 }
 
-// pointRead is the prepared statement of the measurement.
+// pointRead is the statement that is measured.
 const pointRead = "SELECT v FROM bench_point WHERE id = $1"
 
-func (o *Overhead) loopRead(ctx context.Context, host loader.Host, seed int64, h *hdrhistogram.Histogram) error {
+func (o *Overhead) readPoints(ctx context.Context, host loader.Host, seed int64, h *hdrhistogram.Histogram) error {
 	x := context.WithoutCancel(ctx)
 	c, err := o.connect(x, host)
 	if err != nil {
@@ -164,8 +164,9 @@
 	}
 	defer c.Close(x)
 	if _, err := c.Prepare(x, "point", pointRead, nil); err != nil {
-		return errors.Annotatef(err, "prepare at %s", host.Name)
+		return errors.Annotatef(err, "prepare statement at %s", host.Name)
 	}
+	// stride spreads successive reads over the table.
 	const stride = 7919
 	for i := seed; ctx.Err() == nil; i += stride {
 		k := strconv.FormatInt(i%pointRows+1, 10)
--- a/internal/bench/runner/plumbing.go
+++ b/internal/bench/runner/plumbing.go
@@ -12,18 +12,18 @@
 	"github.com/cuminwick/cuminwick/internal/standin/streamer"
 )
 
-// solitary sees no entry host but itself.
-type solitary struct {
+// singleHostMembers is a membership view that contains only the entry host itself.
+type singleHostMembers struct {
 	host.Members
 	name string
 }
 
-func alone(name string, r *host.Roster) host.Members {
-	return &solitary{Members: r, name: name}
+func newSingleHostMembers(name string, r *host.Roster) host.Members {
+	return &singleHostMembers{Members: r, name: name}
 }
 
 // Live implements host.Members.
-func (s *solitary) Live() []assigner.Host {
+func (s *singleHostMembers) Live() []assigner.Host {
 	var l []assigner.Host
 	for _, h := range s.Members.Live() {
 		if h.Name == s.name {
@@ -33,7 +33,7 @@
 	return l
 }
 
-// dialer makes an entry host's dialer; all backend servers listen by then.
+// dialer returns an entry host's dialer to backend servers. All backend servers must be listening.
 func (d *DeployedSystem) dialer(from deployer.Place) deployer.Dial {
 	for _, g := range d.deployment.Standins {
 		for i, s := range g.Servers {
@@ -43,12 +43,12 @@
 	return deployer.Dial(d.network.Dialer(disturber.Place(from)))
 }
 
-// listener makes what opens an entry host's sockets for peers.
+// listener returns the function that opens an entry host's sockets for peers.
 func (d *DeployedSystem) listener(at deployer.Place) func(*net.UDPAddr) (net.PacketConn, error) {
 	return d.network.Listener(disturber.Place(at))
 }
 
-// controlDialer makes the dialer of an entry host's control connections, whose bytes are counted.
+// controlDialer returns the dialer of an entry host's control connections, whose bytes are counted.
 func (d *DeployedSystem) controlDialer(from deployer.Place) deployer.Dial {
 	c := &controlDialer{deployed: d, dial: d.dialer(from)}
 	return c.open
@@ -64,30 +64,30 @@
 	if err != nil {
 		return nil, err
 	}
-	return &counted{Conn: n, bytes: &c.deployed.control}, nil
+	return &countingConn{Conn: n, bytes: &c.deployed.controlBytes}, nil
 }
 
-// counted is a connection whose bytes are counted, both ways.
-type counted struct {
+// countingConn is a connection that counts the bytes it reads and writes.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
 // Read implements net.Conn.
-func (c *counted) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *counted) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// peerDialer makes a backend server's dialer to its peers.
+// peerDialer returns a backend server's dialer to its peers.
 func (d *DeployedSystem) peerDialer(from deployer.Place) streamer.Dial {
 	p := &peerDialer{deployed: d, dial: d.network.Dialer(disturber.Place(from))}
 	return p.open
@@ -98,7 +98,7 @@
 	dial     func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// open finds the peer's place by the last letter of its name, which counts the places.
+// open dials a peer. The last letter of the peer's name gives the index of its place, starting with a.
 func (p *peerDialer) open(ctx context.Context, name, address string) (net.Conn, error) {
 	i := int(name[len(name)-1] - 'a')
 	p.deployed.network.SetPlace(address, p.deployed.Deployment.Places[i])
--- a/internal/bench/runner/race_test.go
+++ b/internal/bench/runner/race_test.go
@@ -17,15 +17,15 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// poller is the source of an entry host that looks for an accepted
-// configuration now and then, and tells nobody what it decides by.
+// poller is the configuration source of an entry host that polls for the accepted configuration and
+// doesn't report which one it has in force.
 type poller struct {
 	store   *storekeeper.Store
 	current atomic.Pointer[host.FixedSource]
 	changed chan struct{}
 }
 
-// pollPause is several times the pause between two samples of a run.
+// pollPause is several times samplePause, so that samples show hosts with an earlier configuration.
 const pollPause = 10 * samplePause
 
 // Run implements host.Source.
@@ -41,13 +41,13 @@
 			continue
 		}
 		p.current.Store(&host.FixedSource{Revision: uint64(h.Accepted), File: &f})
-		p.tell()
+		p.notify()
 	}
 	return ctx.Err()
 }
 
-// tell wakes the host, unless it hasn't taken up the one before yet.
-func (p *poller) tell() {
+// notify signals a change to the host, unless an earlier signal is still pending.
+func (p *poller) notify() {
 	select {
 	case p.changed <- struct{}{}:
 	default:
@@ -60,21 +60,20 @@
 // Changed implements host.Source.
 func (p *poller) Changed() <-chan struct{} { return p.changed }
 
-// Entry hosts take up an accepted configuration some time later, each at its own
-// moment, and nobody waits for them. Operators are told that theirs is in force
-// while callers are still served by the one before. A run must find this,
-// otherwise it would find nothing in operators who wait.
+// Guards against a run that misses a configuration reported as in force too early. Entry hosts adopt an
+// accepted configuration with a delay, each at a different time, and the operators don't wait for them:
+// they receive the outcome that theirs is in force while callers are still served by an earlier one.
 func TestConfigurationNotInForceIsFound(t *testing.T) {
 	for _, s := range []string{"apply-race", "apply-race-faults"} {
-		t.Run(s, func(t *testing.T) { findNotInForce(t, s) })
+		t.Run(s, func(t *testing.T) { testNotInForce(t, s) })
 	}
 }
 
-func findNotInForce(t *testing.T, scenario string) {
+func testNotInForce(t *testing.T, scenario string) {
 	r, d := prepare(t, scenario, definer.DefaultPolicy)
 	d.source = func(_ string, f *declarer.File) host.Source {
 		s := &poller{store: d.store, changed: make(chan struct{}, 1)}
-		// With the defaults that operators' files have, so that no group changes.
+		// With the same defaults as in the operators' files, so that no group changes.
 		x := defaulter.Fill(*f)
 		s.current.Store(&host.FixedSource{File: &x})
 		return s
@@ -89,14 +88,14 @@
 	}
 	v.ConfigurationReversions = 0
 	if v != (checker.Violations{}) {
-		t.Errorf("other promises were broken: %+v\n%v", v, o.Examples)
+		t.Errorf("other violations: %+v\n%v", v, o.Examples)
 	}
 }
 
-// An entry host takes up a new file and goes on with the pools, queues and control
-// connections of the servers that the file before declared. Its revision is right,
-// and callers are still served by what was withdrawn. A run must find this.
-func TestGroupsFromBeforeAreFound(t *testing.T) {
+// Guards against a run that misses stale groups. An entry host adopts a new file and keeps the pools,
+// queues and control connections of the servers that the earlier file declared. Its revision is right,
+// but callers are still served by the withdrawn configuration.
+func TestStaleGroupsAreFound(t *testing.T) {
 	f := declarer.File{DatabaseGroups: []declarer.DatabaseGroup{{
 		Name:           "kalkul-1",
 		BackendServers: []declarer.BackendServer{{Name: "kalkul-1-a", Slots: 2, Connections: 16}},
@@ -105,11 +104,11 @@
 	n.DatabaseGroups = []declarer.DatabaseGroup{f.DatabaseGroups[0]}
 	n.DatabaseGroups[0].BackendServers = []declarer.BackendServer{{Name: "kalkul-1-a", Slots: 2, Connections: 12}}
 	r := &director.Runtime{File: &n, Names: []string{"kalkul-1"}, Groups: map[string]*director.Group{"kalkul-1": {Declared: f.DatabaseGroups[0]}}}
-	if d := racer.Digest(decided(r)); d == racer.Digest(n) {
-		t.Error("a host without the file's groups passes for one that has them")
+	if d := racer.Digest(runningConfiguration(r)); d == racer.Digest(n) {
+		t.Error("a host without the file's groups has the file's digest")
 	}
 	r.Groups["kalkul-1"].Declared = n.DatabaseGroups[0]
-	if d := racer.Digest(decided(r)); d != racer.Digest(n) {
-		t.Error("a host with the file's groups passes for one that lacks them")
+	if d := racer.Digest(runningConfiguration(r)); d != racer.Digest(n) {
+		t.Error("a host with the file's groups has another digest than the file")
 	}
 }
--- a/internal/bench/runner/runner.go
+++ b/internal/bench/runner/runner.go
@@ -1,4 +1,4 @@
-// Package runner runs a bench scenario on a deployment and measures it.
+// Package runner runs a bench scenario on a deployment under load and measures the result.
 package runner
 
 import (
@@ -20,11 +20,11 @@
 
 // Times of a run.
 const (
-	// samplePause is how often counters and revisions are looked at.
+	// samplePause is the pause between two samples of counters and revisions.
 	samplePause = 50 * time.Millisecond
-	// settleLimit is how long the groups get to agree after the load.
+	// settleLimit is how long a run waits after the load for servers and entry hosts to converge.
 	settleLimit = 20 * time.Second
-	// settlePause is the time between two looks at whether they do.
+	// settlePause is the pause between two checks of whether they have.
 	settlePause = 10 * time.Millisecond
 )
 
@@ -33,41 +33,41 @@
 	Scenario   definer.Scenario
 	Deployment definer.Deployment
 	Load       definer.Load
-	// Policy is how the system under test is set up.
+	// Policy is the configuration of the system under test.
 	Policy   definer.Policy
 	Seed     uint64
 	Duration time.Duration
 	System   System
-	// User and Password are the callers' role.
+	// User and Password are the credentials of the callers' database role.
 	User, Password string
-	// Progress is told the time that has passed, every so often, if set.
-	Progress func(passed time.Duration, requests int)
+	// Progress, if set, is called periodically with the elapsed time and the number of statements.
+	Progress func(elapsed time.Duration, statements int)
 
-	begun     time.Time
+	startTime time.Time
 	loader    *loader.Loader
-	injection *injection
+	injector  *faultInjector
 	samples   []reporter.Sample
 	revisions []checker.ObservedRevision
 
-	mutex  sync.Mutex
-	failed error
+	mutex      sync.Mutex
+	firstError error
 }
 
-func (r *Run) since() time.Duration {
-	return time.Since(r.begun)
+func (r *Run) elapsed() time.Duration {
+	return time.Since(r.startTime)
 }
 
-// fail keeps the first error of a part that can't return it.
-func (r *Run) fail(err error) {
+// recordError stores an error that can't be returned, unless one is already stored. Measure returns it.
+func (r *Run) recordError(err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.failed == nil {
-		r.failed = err
+	if r.firstError == nil {
+		r.firstError = err
 	}
 }
 
-// Measure starts the system, runs the scenario and returns what it brought. If
-// ctx ends, the load ends early and what was measured so far is returned.
+// Measure starts the system, runs the scenario, stops the system and returns the result. If ctx ends,
+// the load ends early and the result covers the shortened run.
 func (r *Run) Measure(ctx context.Context) (*reporter.Result, error) {
 	x := context.WithoutCancel(ctx)
 	if err := r.System.Start(x); err != nil {
@@ -78,7 +78,7 @@
 		err = errors.Annotate(e, "stop deployment")
 	}
 	if err == nil {
-		err = r.failed
+		err = r.firstError
 	}
 	return o, err
 }
@@ -88,21 +88,21 @@
 	if err := r.loader.Prepare(ctx); err != nil {
 		return nil, err
 	}
-	r.begun = time.Now()
-	r.loader.StartTime = r.begun
-	r.injection = &injection{run: r, system: r.System}
-	before := r.count()
+	r.startTime = time.Now()
+	r.loader.StartTime = r.startTime
+	r.injector = &faultInjector{run: r, system: r.System}
+	before := r.readCounters()
 	err := r.runLoad(ctx)
-	length := r.since()
-	after := r.count()
-	r.injection.mend()
+	length := r.elapsed()
+	after := r.readCounters()
+	r.injector.revertAll()
 	if err != nil {
 		return nil, err
 	}
 	o := r.newResult(before, after, length)
 	o.UnsettledGroups = r.settle(ctx)
-	r.sampleRevisions(r.since())
-	return o, r.judge(o, length)
+	r.sampleRevisions(r.elapsed())
+	return o, r.checkResult(o, length)
 }
 
 func (r *Run) newLoader() *loader.Loader {
@@ -122,23 +122,24 @@
 	return l
 }
 
-// counts are the system's counters at one moment.
-type counts struct {
+// counters are the system's counters at one time.
+type counters struct {
 	storeCalls, controlBytes, linkBytes int64
-	work                                responder.StatementCounts
+	statements                          responder.StatementCounts
 }
 
-func (r *Run) count() counts {
-	return counts{
+func (r *Run) readCounters() counters {
+	return counters{
 		storeCalls:   r.System.StoreCalls(),
 		controlBytes: r.System.ControlBytes(),
 		linkBytes:    r.System.Network().LinkBytes(),
-		work:         r.work(),
+		statements:   r.statementCounts(),
 	}
 }
 
-// newResult makes what follows from the counters before and after a load of some length.
-func (r *Run) newResult(before, after counts, length time.Duration) *reporter.Result {
+// newResult returns a result with what follows from the counters before and after a load of the given
+// length.
+func (r *Run) newResult(before, after counters, length time.Duration) *reporter.Result {
 	o := &reporter.Result{
 		Scenario:          r.Scenario.Name,
 		Deployment:        r.Deployment.Name,
@@ -148,32 +149,32 @@
 		DurationSeconds:   length.Seconds(),
 		RegionLinkBytes:   after.linkBytes - before.linkBytes,
 		StoreCalls:        after.storeCalls - before.storeCalls,
-		ConnectionsOpened: r.opened(),
+		ConnectionsOpened: r.openedConnections(),
 		FailedConnects:    r.loader.FailedConnects(),
-		Faults:            r.injection.moments,
+		Faults:            r.injector.events,
 	}
 	o.ControlBytesPerSecond = float64(after.controlBytes-before.controlBytes) / length.Seconds() / float64(max(1, len(r.System.Hosts())))
-	replica := after.work.ReplicaReads - before.work.ReplicaReads
-	o.Reads = after.work.PrimaryReads - before.work.PrimaryReads + replica
+	replica := after.statements.ReplicaReads - before.statements.ReplicaReads
+	o.Reads = after.statements.PrimaryReads - before.statements.PrimaryReads + replica
 	o.ReplicaReadShare = float64(replica) / float64(max(1, o.Reads))
 	return o
 }
 
-// callersPlace is where callers stand.
+// callersPlace is the callers' place in the network.
 var callersPlace = definer.CallersPlace()
 
-// runLoad runs the load with its faults, and samples counters meanwhile.
+// runLoad runs the load, injects the faults and samples counters meanwhile.
 func (r *Run) runLoad(ctx context.Context) error {
 	ctx, stop := context.WithTimeout(ctx, r.Duration)
 	defer stop()
 	g, x := errgroup.WithContext(ctx)
 	g.Go(func() error { r.loader.Run(x); return nil })
-	g.Go(func() error { return r.injection.loop(x) })
-	g.Go(func() error { return r.loopSample(x) })
+	g.Go(func() error { return r.injector.injectAndRevert(x) })
+	g.Go(func() error { return r.sampleUntilDone(x) })
 	return g.Wait()
 }
 
-func (r *Run) loopSample(ctx context.Context) error {
+func (r *Run) sampleUntilDone(ctx context.Context) error {
 	for scheduler.Pause(ctx, samplePause) == nil {
 		r.sample()
 	}
@@ -182,11 +183,11 @@
 }
 
 func (r *Run) sample() {
-	w := r.work()
-	t := r.since()
+	w := r.statementCounts()
+	t := r.elapsed()
 	r.samples = append(r.samples, reporter.Sample{At: t, PrimaryReads: w.PrimaryReads, ReplicaReads: w.ReplicaReads})
 	r.sampleRevisions(t)
-	r.injection.watchLeaving(t)
+	r.injector.sampleLeaving(t)
 	if r.Progress != nil {
 		r.Progress(t, int(w.Total()))
 	}
@@ -199,8 +200,8 @@
 	}
 }
 
-// work sums the statements of all backend servers.
-func (r *Run) work() responder.StatementCounts {
+// statementCounts returns the sums of the statement counts of all backend servers.
+func (r *Run) statementCounts() responder.StatementCounts {
 	var w responder.StatementCounts
 	for _, g := range r.System.Groups() {
 		for _, s := range g.Servers {
@@ -213,8 +214,8 @@
 	return w
 }
 
-// opened sums the connections that backend servers accepted.
-func (r *Run) opened() int64 {
+// openedConnections returns the number of connections that all backend servers accepted.
+func (r *Run) openedConnections() int64 {
 	var n int64
 	for _, g := range r.System.Groups() {
 		for _, s := range g.Servers {
@@ -224,49 +225,51 @@
 	return n
 }
 
-// settle waits until the servers of each group agree, and all entry hosts on the
-// configuration. It returns how many groups don't; the checker finds the hosts.
+// settle waits until the servers of each group have converged and all entry hosts have the same
+// configuration in force, for settleLimit at most. It returns the number of groups that haven't
+// converged; the checker detects hosts that differ.
 func (r *Run) settle(ctx context.Context) int {
 	x, stop := context.WithTimeout(context.WithoutCancel(ctx), settleLimit)
 	defer stop()
 	for {
 		n := 0
 		for _, g := range r.System.Groups() {
-			if !settled(g) {
+			if !groupSettled(g) {
 				n++
 			}
 		}
-		if n == 0 && r.agreed() || scheduler.Pause(x, settlePause) != nil {
+		if n == 0 && r.hostsAgree() || scheduler.Pause(x, settlePause) != nil {
 			return n
 		}
 	}
 }
 
-// agreed reports whether all entry hosts have the same revision in force.
-func (r *Run) agreed() bool {
+// hostsAgree reports whether all entry hosts have the same revision in force.
+func (r *Run) hostsAgree() bool {
 	l := r.System.Revisions()
 	return !slices.ContainsFunc(l, func(v checker.ObservedRevision) bool { return v.Revision != l[0].Revision })
 }
 
-// judge lets the checker compare what callers saw with what the groups hold.
-func (r *Run) judge(o *reporter.Result, length time.Duration) error {
+// checkResult has the checker compare the requests' outcomes with the groups' data, and completes the
+// result from the requests and samples.
+func (r *Run) checkResult(o *reporter.Result, length time.Duration) error {
 	l := r.loader.Requests()
-	r.ask(l)
+	r.queryOutcomes(l)
 	h := &checker.History{
 		Requests:          l,
 		Groups:            map[string]checker.State{},
-		Stops:             r.injection.stops,
+		Stops:             r.injector.stops,
 		ObservedRevisions: r.revisions,
-		Applies:           r.injection.applies,
-		WorkOnLeaving:     r.injection.workOnLeaving(),
+		Applies:           r.injector.applies,
+		WorkOnLeaving:     r.injector.workOnLeaving(),
 	}
 	for n, g := range r.System.Groups() {
-		h.Groups[n] = stateOf(g)
+		h.Groups[n] = finalState(g)
 	}
 	v := checker.Check(h)
 	o.Violations, o.Examples, o.Sessions = v.Violations, v.Examples, v.Sessions
-	if len(r.Scenario.Faults) > 0 && len(r.injection.moments) > 0 {
-		o.FailoverGapSeconds = longestGap(l, r.Deployment.Groups[0], r.injection.moments[0].At, r.Duration).Seconds()
+	if len(r.Scenario.Faults) > 0 && len(r.injector.events) > 0 {
+		o.FailoverGapSeconds = longestGap(l, r.Deployment.Groups[0], r.injector.events[0].At, r.Duration).Seconds()
 	}
 	o.CountApplies(h.Applies)
 	if err := o.Summarise(l); err != nil {
--- a/internal/bench/runner/runner_test.go
+++ b/internal/bench/runner/runner_test.go
@@ -19,8 +19,8 @@
 	"github.com/cuminwick/cuminwick/internal/standin/responder"
 )
 
-// direct is a system without cuminwick: callers reach one server of the only
-// group, the one that server picks.
+// direct is a System without cuminwick: callers connect directly to one server of the only group, which
+// the function server selects.
 type direct struct {
 	group   *grouper.Group
 	network *disturber.Network
@@ -71,16 +71,17 @@
 func (d *direct) StoreCalls() int64   { return 0 }
 func (d *direct) ControlBytes() int64 { return 0 }
 
-// turn alternates between servers.
-var turn atomic.Int64
+// nextServer alternates between servers.
+var nextServer atomic.Int64
 
-func leader(s *responder.Server) replicator.PrimaryServer {
+func primaryServer(s *responder.Server) replicator.PrimaryServer {
 	return replicator.PrimaryServer{Name: s.Name, Address: s.Addr()}
 }
 
-func first(g *grouper.Group) *responder.Server { return g.Servers[0] }
+func firstServer(g *grouper.Group) *responder.Server { return g.Servers[0] }
 
-// measure runs a load that ends by itself after some requests.
+// measure runs a load that ends after a fixed number of statements. during, if set, is called
+// periodically with that number.
 func measure(t *testing.T, d *direct, s definer.Scenario, during func(n int)) *reporter.Result {
 	t.Helper()
 	l := definer.StandardLoad()
@@ -96,12 +97,12 @@
 		User:       "anna",
 		Duration:   time.Minute,
 	}
-	const enough = 4000
+	const maximumStatements = 4000
 	r.Progress = func(_ time.Duration, n int) {
 		if during != nil {
 			during(n)
 		}
-		if n > enough {
+		if n > maximumStatements {
 			stop()
 		}
 	}
@@ -110,7 +111,7 @@
 		t.Fatal(err)
 	}
 	if o.Requests == 0 || o.Outcomes.Cancelled == 0 || o.Outcomes.Ran == 0 {
-		t.Errorf("the load did too little: %+v", o.Outcomes)
+		t.Errorf("too little load: %+v", o.Outcomes)
 	}
 	if v := o.Violations; (v != checker.Violations{}) {
 		t.Logf("violations %+v\n%v", v, o.Examples)
@@ -118,20 +119,20 @@
 	return o
 }
 
-// Callers go to the primary directly, and nothing fails: a database server
-// alone keeps every promise, so the load and the checker must agree that it does.
-func TestNothingFails(t *testing.T) {
-	r := measure(t, &direct{server: first}, definer.Scenario{Name: "steady"}, nil)
+// Guards against a load or a checker that reports violations where there are none. Callers connect
+// directly to the primary and no fault is injected; a single database server violates no guarantee.
+func TestNoViolationsWithoutProxy(t *testing.T) {
+	r := measure(t, &direct{server: firstServer}, definer.Scenario{Name: "steady"}, nil)
 	if r.Failed() {
 		t.Errorf("%+v", r)
 	}
 }
 
-// Callers go to the primary directly, and it is superseded while cut off from
-// its peers: it acknowledged writes that nobody else held, and they are gone.
-// A run must find this, otherwise it would find nothing in a proxy either.
+// Guards against a run that misses lost writes; it would then find none behind a proxy either. Callers
+// connect directly to the primary, which is superseded while isolated from its peers: it acknowledged
+// writes that no other server held, and they are lost.
 func TestSupersededPrimaryIsFound(t *testing.T) {
-	d := &direct{server: first}
+	d := &direct{server: firstServer}
 	isolated, promoted := false, false
 	r := measure(t, d, definer.Scenario{Name: "superseded"}, func(n int) {
 		s := d.group.Servers
@@ -141,7 +142,7 @@
 			s[0].Isolate(true)
 		case n > 2500 && !promoted:
 			promoted = true
-			supersede(t, s)
+			supersedePrimary(t, s)
 		}
 	})
 	v := r.Violations
@@ -150,8 +151,8 @@
 	}
 }
 
-// supersede makes the second server primary of term 2 and lets the first one follow.
-func supersede(t *testing.T, s []*responder.Server) {
+// supersedePrimary promotes the second server in term 2 and makes the others follow it.
+func supersedePrimary(t *testing.T, s []*responder.Server) {
 	t.Helper()
 	now := time.Now()
 	if _, err := s[1].Store().RaiseTerm(2, now); err != nil {
@@ -161,22 +162,22 @@
 		t.Error(err)
 	}
 	for _, i := range []int{0, 2} {
-		if _, err := s[i].Store().Follow(2, leader(s[1]), now); err != nil {
+		if _, err := s[i].Store().Follow(2, primaryServer(s[1]), now); err != nil {
 			t.Error(err)
 		}
 	}
 	s[0].Isolate(false)
 }
 
-// Callers read from a replica that stands still: sessions don't see their own
-// writes, and reviews are older than they may be.
+// Guards against a run that misses stale reads. Callers read from a replica whose replication is
+// stopped: sessions don't see their own writes, and reviews exceed their maximum age.
 func TestLaggingReplicaIsFound(t *testing.T) {
 	d := &direct{}
 	d.server = func(g *grouper.Group) *responder.Server {
 		if g.Servers[1].Store().Last().Position < 3 {
 			return g.Servers[0]
 		}
-		return g.Servers[turn.Add(1)%2]
+		return g.Servers[nextServer.Add(1)%2]
 	}
 	r := measure(t, d, definer.Scenario{Name: "lagging"}, func(n int) {
 		if n > 500 {
--- a/internal/bench/runner/state.go
+++ b/internal/bench/runner/state.go
@@ -22,15 +22,15 @@
 	registerRequest = 2
 )
 
-// stateOf is what a group holds: the content of the server with the latest log,
-// and what any server dropped.
-func stateOf(g *grouper.Group) checker.State {
+// finalState returns the data of a group: the content of the server with the latest log, and the records
+// that any server dropped.
+func finalState(g *grouper.Group) checker.State {
 	var best replicator.Dump
 	var dropped []replicator.Record
 	for _, s := range g.Servers {
 		d := s.Dump()
 		dropped = append(dropped, d.Dropped...)
-		if best.BackendServer == "" || end(d).Compare(end(best)) > 0 {
+		if best.BackendServer == "" || lastMark(d).Compare(lastMark(best)) > 0 {
 			best = d
 		}
 	}
@@ -44,8 +44,8 @@
 	return s
 }
 
-// end is the mark of a dump's last record.
-func end(d replicator.Dump) marker.Mark {
+// lastMark returns the mark of a dump's last record.
+func lastMark(d replicator.Dump) marker.Mark {
 	if len(d.Log) == 0 {
 		return marker.Mark{}
 	}
@@ -88,8 +88,8 @@
 	return n
 }
 
-// settled reports whether all servers of a group hold the same log under one term.
-func settled(g *grouper.Group) bool {
+// groupSettled reports whether all servers of a group hold the same log under one term.
+func groupSettled(g *grouper.Group) bool {
 	l := g.Servers[0].Store().Last()
 	primaries := 0
 	for _, s := range g.Servers {
--- a/internal/bench/runner/system.go
+++ b/internal/bench/runner/system.go
@@ -11,40 +11,41 @@
 	"github.com/cuminwick/cuminwick/internal/standin/grouper"
 )
 
-// System is the deployment under test: entry hosts, stand-ins and the network between them.
+// System is the deployment under test: entry hosts, stand-in servers and the network between them.
 type System interface {
 	// Start starts everything and returns when callers can connect.
 	Start(ctx context.Context) error
-	// Stop ends everything and waits for it.
+	// Stop stops everything and returns when it has ended.
 	Stop() error
-	// Hosts are the entry hosts that the balancer sends callers to at the time.
+	// Hosts returns the entry hosts that the load balancer currently sends callers to.
 	Hosts() []loader.Host
-	// Groups are the database groups; the n-th server of each stands in the n-th place.
+	// Groups returns the database groups by name. The n-th server of each is located in the n-th place.
 	Groups() map[string]*grouper.Group
-	// Network is what lies between the parts.
+	// Network returns the simulated network between the parts.
 	Network() *disturber.Network
-	// Kill ends an entry host without warning.
+	// Kill ends an entry host without a drain.
 	Kill(host string) error
-	// SetBalanced has the balancer send callers to an entry host or not.
+	// SetBalanced sets whether the load balancer sends callers to an entry host.
 	SetBalanced(host string, on bool)
-	// Drain stops an entry host as planned and returns when it has ended.
+	// Drain stops an entry host gracefully and returns when it has ended.
 	Drain(ctx context.Context, host string) error
-	// Replace starts an entry host anew.
+	// Replace starts a new entry host in place of one that was killed or drained.
 	Replace(ctx context.Context, host string) error
-	// SetPlatformDown stops the object service, or starts it again.
+	// SetPlatformDown stops the platform's object service, or starts it again.
 	SetPlatformDown(down bool)
-	// SetPlatformLatency delays each call of the object service by as much.
+	// SetPlatformLatency sets the delay of each call to the object service.
 	SetPlatformLatency(l time.Duration)
-	// Revisions are the configurations in force, one for each entry host that
-	// callers are sent to; At is left out.
+	// Revisions returns the configurations in force at the entry hosts that are neither stopping nor
+	// stopped. At isn't set.
 	Revisions() []checker.ObservedRevision
-	// Operators are those who race to change the configuration, nil where it is fixed.
+	// Operators returns the operators that make competing configuration changes, nil if the configuration
+	// is fixed.
 	Operators() *racer.Racer
-	// Outcome says what became of the request with an idempotency key, as cuminwick
-	// outcome --settle does.
+	// Outcome queries and settles the outcome of the request with an idempotency key, as the command
+	// cuminwick outcome --settle does. It is empty if the outcome is unknown.
 	Outcome(ctx context.Context, group, key string) (checker.Outcome, error)
-	// StoreCalls counts the calls that the object service got.
+	// StoreCalls returns the number of calls that the object service received.
 	StoreCalls() int64
-	// ControlBytes counts what entry hosts sent and got for control, all together.
+	// ControlBytes returns the number of bytes of control traffic that all entry hosts sent and received.
 	ControlBytes() int64
 }
