--- a/internal/bench/racer/racer_test.go
+++ b/internal/bench/racer/racer_test.go
@@ -12,7 +12,7 @@
 	"github.com/cuminwick/cuminwick/internal/standin/storekeeper"
 )
 
-// Guards against a crashed apply that isn't found or isn't cleaned up. An operator's process crashes
+// Guards against a simulated crash that doesn't leave the configuration staged. An operator's process crashes
 // after its first put, before it receives the response that its configuration is staged. The next
 // operator of the same revision is refused until another operator withdraws the staged configuration.
 func TestCrashedApplyStaysStaged(t *testing.T) {
--- a/internal/bench/runner/fault.go
+++ b/internal/bench/runner/fault.go
@@ -223,7 +223,7 @@
 }
 
 // silenceConnections makes all open connections to backend servers silent: they stay open and pass no
-// more data.
+// more data. New connections work.
 func (i *faultInjector) silenceConnections() {
 	l := i.run.Deployment.Places
 	for n, a := range l {
